--- /dev/null
+++ b/src/test/java/bitternpulley/trace/EffectLines.java
@@ -0,0 +1,129 @@
+package bitternpulley.trace;
+
+import bitternpulley.broker.AttemptId;
+import bitternpulley.broker.Effect;
+import bitternpulley.broker.Event;
+import bitternpulley.contracts.Charge;
+import bitternpulley.contracts.Verdict;
+import bitternpulley.leases.LeaseMessage;
+import bitternpulley.membership.GossipUpdate;
+import bitternpulley.membership.Message;
+import bitternpulley.routing.Router;
+import java.util.Map;
+import java.util.TreeMap;
+
+/** Writes effects to a digest in words that are independent of the names in the code. */
+final class EffectLines {
+  private EffectLines() {}
+
+  static void add(TraceDigest digest, int instance, double now, Effect effect) {
+    if (effect instanceof Effect.StartTogether e) {
+      digest.add(now, instance, "together", e.starts().size());
+      e.starts().forEach(s -> add(digest, instance, now, s));
+    } else if (effect instanceof Effect.Start e) {
+      digest.add(now, instance, "start", id(e.id()), e.request().id(), e.slice(), e.server(), e.timeout(), e.sendBy());
+    } else if (effect instanceof Effect.Abandon e) {
+      digest.add(now, instance, "cancel", id(e.id()), e.request().id(), e.server());
+    } else if (effect instanceof Effect.TakeBack e) {
+      digest.add(now, instance, "unsend", id(e.id()), e.request().id());
+    } else if (effect instanceof Effect.Withdraw e) {
+      digest.add(now, instance, "unsend-all", e.server());
+    } else if (effect instanceof Effect.Reply e) {
+      reply(digest, instance, now, e);
+    } else if (effect instanceof Effect.WakeAt e) {
+      digest.add(now, instance, "wake", e.time(), wake(e.event()));
+    } else if (effect instanceof Effect.CloseIdle e) {
+      digest.add(now, instance, "close", e.server());
+    } else if (effect instanceof Effect.Keep e) {
+      digest.add(now, instance, "keep", e.order().server(), e.order().on());
+    } else if (effect instanceof Effect.Turn e) {
+      digest.add(now, instance, "no-such-server");
+    } else if (effect instanceof Effect.Quiesce e) {
+      digest.add(now, instance, "quiesce", e.on());
+    } else if (effect instanceof Effect.Judged e) {
+      digest.add(now, instance, "judged", e.request(), verdict(e.verdict()));
+    } else if (effect instanceof Effect.Settled e) {
+      digest.add(now, instance, "settled", e.charge().team(), e.charge().booked(), e.charge().used());
+    } else if (effect instanceof Effect.Tell e) {
+      digest.add(now, instance, "gossip", e.to(), gossip(e.message()));
+    } else if (effect instanceof Effect.TellOfLease e) {
+      digest.add(now, instance, "lease", e.to(), lease(e.message()));
+    } else if (effect instanceof Effect.Log) {
+      digest.add(now, instance, "log");
+    } else {
+      throw new AssertionError("no line for " + effect);
+    }
+  }
+
+  /** A membership message by its numbers. */
+  static String gossip(Message m) {
+    StringBuilder line = new StringBuilder(m.kind().ordinal() + "/" + m.from() + "/" + m.epoch() + "/" + m.incarnation()
+        + "/" + m.sequence() + "/" + m.target() + "/" + m.view() + "/" + m.told());
+    for (GossipUpdate r : m.rumors()) {
+      line.append(" [").append(r.number()).append('/').append(r.epoch()).append('/').append(r.incarnation()).append('/')
+          .append(r.standing().ordinal()).append('/').append(r.accuser()).append('/')
+          .append(r.card() == null ? "-" : r.card().name() + r.card().zone() + r.card().region() + r.card().build())
+          .append('/').append(r.slot() == null ? "-" : r.slot().count() + ":" + java.util.Arrays.hashCode(r.slot().bytes()))
+          .append(']');
+    }
+    return line.toString();
+  }
+
+  private static String lease(LeaseMessage message) {
+    if (message instanceof LeaseMessage.Asked a) {
+      return "request " + a.from() + " " + a.epoch() + " " + a.sequence();
+    }
+    LeaseMessage.Granted g = (LeaseMessage.Granted) message;
+    return "grant " + g.from() + " " + g.sequence() + " " + Double.toHexString(g.after()) + " " + g.named();
+  }
+
+  private static String verdict(Verdict verdict) {
+    if (verdict instanceof Verdict.Refused no) {
+      return "refused " + no.team() + " " + no.version() + " " + no.limit().ordinal() + " " + Double.toHexString(no.pause());
+    }
+    Charge c = (Charge) verdict;
+    return "admitted " + c.team() + " " + c.version() + " " + c.basis().ordinal() + " " + Double.toHexString(c.booked());
+  }
+
+  private static void reply(TraceDigest digest, int instance, double now, Effect.Reply e) {
+    long request = e.request().id();
+    if (e.answer() instanceof Effect.Answer.Answered a) {
+      digest.add(now, instance, "answered", request, a.whole(), new TreeMap<>(a.values()).keySet(), missing(a.missing()));
+    } else if (e.answer() instanceof Effect.Answer.Refused r) {
+      digest.add(now, instance, "refused", request, r.pause(), ending(r.ending()), r.contract() == null ? "-" : verdict(r.contract()));
+    } else if (e.answer() instanceof Effect.Answer.Failed f) {
+      digest.add(now, instance, "failed", request, ending(f.ending()));
+    } else {
+      digest.add(now, instance, "faulty", request);
+    }
+  }
+
+  private static String ending(Effect.Answer.Ending e) {
+    return e.late() + " " + e.mayHaveRun() + " " + missing(e.missing());
+  }
+
+  private static String missing(Map<Integer, Effect.Answer.Missing> missing) {
+    StringBuilder line = new StringBuilder();
+    new TreeMap<>(missing).forEach((part, m) -> line.append(part).append('=').append(outcome(m.outcome())).append('@')
+        .append(m.server()).append(','));
+    return line.toString();
+  }
+
+  private static int outcome(Router.Outcome outcome) {
+    return outcome == null ? -1 : outcome.ordinal();
+  }
+
+  private static String wake(Event event) {
+    if (event instanceof Event.Overdue o) {
+      return "overdue " + id(o.attempt()) + " " + o.first() + " " + o.parts();
+    }
+    if (event instanceof Event.TimeExpired t) {
+      return "expired " + t.request();
+    }
+    return "alarm";
+  }
+
+  private static String id(AttemptId id) {
+    return id.part() + "/" + id.number();
+  }
+}
--- /dev/null
+++ b/src/test/java/bitternpulley/trace/TraceDigest.java
@@ -0,0 +1,35 @@
+package bitternpulley.trace;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.Arrays;
+import java.util.HexFormat;
+import java.util.stream.Collectors;
+
+/** A digest over lines of neutral words and exact numbers. */
+public final class TraceDigest {
+  private final MessageDigest digest;
+  private int lines;
+
+  public TraceDigest() {
+    try {
+      digest = MessageDigest.getInstance("SHA-256");
+    } catch (NoSuchAlgorithmException e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  /** Adds a line; a double enters with all of its bits. */
+  public void add(Object... words) {
+    String line = Arrays.stream(words)
+        .map(w -> w instanceof Double d ? Double.toHexString(d) : String.valueOf(w)).collect(Collectors.joining(" "));
+    digest.update((line + "\n").getBytes(StandardCharsets.UTF_8));
+    lines++;
+  }
+
+  /** The number of lines and the digest; ends the digest. */
+  public String end() {
+    return lines + " " + HexFormat.of().formatHex(digest.digest(), 0, 12);
+  }
+}
--- /dev/null
+++ b/src/test/java/bitternpulley/trace/TraceWorld.java
@@ -0,0 +1,227 @@
+package bitternpulley.trace;
+
+import bitternpulley.broker.Effect;
+import bitternpulley.broker.Event;
+import bitternpulley.broker.OperatorOrders;
+import bitternpulley.broker.Reducer;
+import bitternpulley.broker.Request;
+import bitternpulley.contracts.ContractBook;
+import bitternpulley.leases.LeaseTerms;
+import bitternpulley.leases.Leases;
+import bitternpulley.membership.MemberMetadata;
+import bitternpulley.membership.Membership;
+import bitternpulley.membership.MembershipSettings;
+import bitternpulley.routing.Router;
+import bitternpulley.routing.Settings;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import java.util.function.IntFunction;
+import java.util.stream.IntStream;
+
+/**
+ * Some instances of the real core and its real policy before the same slot servers, in virtual time and by seed. Every effect
+ * goes into a digest, so that a change of any decision changes it.
+ */
+final class TraceWorld {
+  static final double BEGIN = 1_000_000;
+  private static final double UNSENT_WITHIN_MS = 1.2;
+
+  private record Due(double at, long order, Runnable task) {}
+
+  private record Running(int instance, Effect.Start start, double sentAt) {}
+
+  final TraceServers servers;
+  final Random random;
+  double now = BEGIN;
+  private final TraceDigest digest = new TraceDigest();
+  private final Settings settings;
+  private final List<Reducer> instances = new ArrayList<>();
+  private final Map<String, Running> running = new HashMap<>();
+  private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+  private long order;
+  private long requests;
+
+  TraceWorld(IntFunction<Settings> settings, long seed) {
+    this.settings = settings.apply(0);
+    random = new Random(seed);
+    servers = new TraceServers(this.settings.layout().cells(), random);
+    for (int i = 0; i < this.settings.instances(); i++) {
+      instances.add(new Reducer(settings.apply(i), seed * 31 + i, now));
+    }
+    list(Router.ListKind.REMEMBERED, IntStream.range(0, servers.size()).toArray());
+    list(Router.ListKind.COMPLETE, IntStream.range(0, servers.size()).toArray());
+  }
+
+  void at(double time, Runnable task) {
+    due.add(new Due(Math.max(now, time), order++, task));
+  }
+
+  String run(double until) {
+    while (!due.isEmpty() && due.peek().at() <= until) {
+      Due next = due.poll();
+      now = Math.max(now, next.at());
+      next.task().run();
+    }
+    now = until;
+    instances.forEach(i -> digest.add("open", i.open()));
+    return digest.end();
+  }
+
+  /** All instances hear of these servers as they now are, each a little later than the one before. */
+  void list(Router.ListKind kind, int... named) {
+    List<Router.Member> members = IntStream.of(named).mapToObj(this::member).toList();
+    for (int i = 0; i < instances.size(); i++) {
+      int instance = i;
+      if (now == BEGIN) {
+        submit(instance, new Event.ServersListed(kind, members));
+      } else {
+        at(now + 10 + 40 * random.nextDouble(), () -> submit(instance, new Event.ServersListed(kind, members)));
+      }
+    }
+  }
+
+  private Router.Member member(int server) {
+    return new Router.Member("s" + server, server % 2, server, Router.ServerState.valueOf(servers.state(server)),
+        servers.startedAt(server));
+  }
+
+  void failedList() {
+    everywhere(new Event.ServersListed(Router.ListKind.FAILED, List.of()));
+  }
+
+  void everywhere(Event event) {
+    for (int i = 0; i < instances.size(); i++) {
+      submit(i, event);
+    }
+  }
+
+  void order(int instance, String server, boolean on) {
+    submit(instance, new Event.Ordered(new OperatorOrders.Order(server, on), null));
+  }
+
+  void contracts(ContractBook book) {
+    everywhere(new Event.Agreed(book));
+  }
+
+  /** Membership and leases between the instances. */
+  void peers() {
+    List<Integer> all = IntStream.range(0, instances.size()).boxed().toList();
+    LeaseTerms terms = new LeaseTerms(instances.size(), all, 8000, 1500);
+    for (int i = 0; i < instances.size(); i++) {
+      submit(i, new Event.LeasesApply(new Leases(i, terms)));
+      submit(i, new Event.PeersBegin(new Membership(i, new MemberMetadata("n" + i, "z" + i % 2, "r", "b"), (long) now, all,
+          MembershipSettings.USUAL, 77 + i, now)));
+      beat(i);
+    }
+  }
+
+  private void beat(int instance) {
+    submit(instance, new Event.PeersTick());
+    at(now + 100 + random.nextDouble(), () -> beat(instance));
+  }
+
+  /** Queries come at random gaps of so many ms in the mean; by {@code team} where it is not null. */
+  void load(double meanGapMs, double until, int mostParts, List<String> teams) {
+    if (now < until) {
+      ask(random.nextInt(instances.size()), mostParts, teams);
+      at(now - Math.log(1 - random.nextDouble()) * meanGapMs, () -> load(meanGapMs, until, mostParts, teams));
+    }
+  }
+
+  private void ask(int instance, int mostParts, List<String> teams) {
+    int queryClass = random.nextInt(settings.classes().size());
+    Settings.QueryClass listed = settings.classes().get(queryClass);
+    int parts = 1 + random.nextInt(mostParts);
+    int first = random.nextInt(settings.layout().shards());
+    double[] weights = random.doubles(parts).map(w -> 0.2 + w).toArray();
+    double sum = java.util.Arrays.stream(weights).sum();
+    boolean hinted = random.nextInt(3) == 0;
+    List<Request.Slice> slices = IntStream.range(0, parts).mapToObj(i -> new Request.Slice(
+        (first + i) % settings.layout().shards(), weights[i] / sum, hinted ? 60 * weights[i] : 0)).toList();
+    double time = listed.deadline() * (0.3 + 0.7 * random.nextDouble());
+    String team = teams.isEmpty() ? null : teams.get(queryClass % teams.size());
+    Router.Lateness late = random.nextInt(5) == 0 ? new Router.Lateness(20 * random.nextDouble(), 10) : Router.Lateness.NONE;
+    long id = ++requests;
+    submit(instance, new Event.Taken(new Request(id, null, queryClass, time, random.nextInt(6) == 0,
+        new Router.Terms(random.nextInt(8) == 0, random.nextInt(8) == 0), slices, null, team, id % 50, late)));
+    if (random.nextInt(12) == 0) {
+      at(now + time * random.nextDouble(), () -> submit(instance, new Event.ClientLeft(id)));
+    }
+  }
+
+  private void submit(int instance, Event event) {
+    for (Effect effect : instances.get(instance).reduce(event, now)) {
+      EffectLines.add(digest, instance, now, effect);
+      perform(instance, effect);
+    }
+  }
+
+  private void perform(int instance, Effect effect) {
+    if (effect instanceof Effect.StartTogether e) {
+      e.starts().forEach(s -> perform(instance, s));
+    } else if (effect instanceof Effect.Start e) {
+      start(instance, e);
+    } else if (effect instanceof Effect.Abandon e) {
+      at(now + 0.1, () -> submit(instance, new Event.Abandoned(e.id())));
+    } else if (effect instanceof Effect.TakeBack e) {
+      unsend(instance, e.id().part() + "/" + e.id().number());
+    } else if (effect instanceof Effect.Withdraw e) {
+      running.entrySet().stream().filter(r -> r.getValue().instance() == instance && r.getValue().start().server().equals(e.server()))
+          .map(Map.Entry::getKey).sorted().map(k -> k.substring(k.indexOf(':') + 1)).toList().forEach(k -> unsend(instance, k));
+    } else if (effect instanceof Effect.WakeAt e) {
+      at(e.time(), () -> submit(instance, e.event()));
+    } else if (effect instanceof Effect.Keep e) {
+      keep(e.order());
+    } else if (effect instanceof Effect.Tell e) {
+      post(e.to(), new Event.PeerSaid(e.message()));
+    } else if (effect instanceof Effect.TellOfLease e) {
+      post(e.to(), new Event.LeaseSaid(e.message()));
+    }
+  }
+
+  private OperatorOrders kept = OperatorOrders.NOTHING;
+
+  private void keep(OperatorOrders.Order order) {
+    kept = kept.with(order);
+    OperatorOrders standing = kept;
+    at(now + 5, () -> everywhere(new Event.OrdersChanged(standing)));
+  }
+
+  private void post(int to, Event event) {
+    if (random.nextInt(10) > 0) {
+      at(now + 0.3 + 4 * random.nextDouble(), () -> submit(to, event));
+    }
+  }
+
+  private void start(int instance, Effect.Start e) {
+    String key = instance + ":" + e.id().part() + "/" + e.id().number();
+    running.put(key, new Running(instance, e, now));
+    double hint = e.request().slices().get(e.slice()).work();
+    TraceServers.End end = servers.take(Integer.parseInt(e.server().substring(1)), hint > 0 ? hint : 45, now);
+    if (!end.outcome().equals("NEVER")) {
+      at(now + end.afterMs(), () -> end(key, Router.Outcome.valueOf(end.outcome())));
+    }
+    if (random.nextInt(200) == 0) {
+      at(now + 3, () -> submit(instance, new Event.Faulted(e.id(), null)));
+    }
+  }
+
+  private void end(String key, Router.Outcome outcome) {
+    Running r = running.remove(key);
+    if (r != null) {
+      submit(r.instance(), new Event.Ended(r.start().id(), outcome, null));
+    }
+  }
+
+  private void unsend(int instance, String attempt) {
+    Running r = running.get(instance + ":" + attempt);
+    if (r != null && now - r.sentAt() <= UNSENT_WITHIN_MS) {
+      at(now, () -> end(instance + ":" + attempt, Router.Outcome.MOOT));
+    }
+  }
+}
