--- a/src/jmh/java/bitternpulley/contracts/AdmissionBenchmark.java
+++ b/src/jmh/java/bitternpulley/contracts/AdmissionBenchmark.java
@@ -16,7 +16,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** A query's whole life in the accounts: let in, one attempt out and answered, settled; a team after the other. */
+/**
+ * A query's whole life in the accounts: let in, one attempt out and answered, settled; a team after
+ * the other.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -42,13 +45,16 @@
     Map<Integer, Router.ClassTerms> classes = Map.of(0, new Router.ClassTerms(500, 1500, 1, 1));
     claims = new Claim[contracts];
     for (int i = 0; i < contracts; i++) {
-      all.put("t" + i, new Contract("t" + i, 0.9 / contracts, 1, 500, true, true, 0.2, 0.5, 1000, classes));
+      all.put(
+          "t" + i,
+          new Contract("t" + i, 0.9 / contracts, 1, 500, true, true, 0.2, 0.5, 1000, classes));
       claims[i] = new Claim("t" + i, 0, 1, 0, false, i + 1);
     }
     control = new AdmissionControl(new double[] {500}, 2000);
     control.apply(new ContractBook(1, all, null), 0);
     if (scarce) {
-      // A crowd that nobody serves: from then on the rate is limited, and grows with what is delivered.
+      // A crowd that nobody serves: from then on the rate is limited, and grows with what is
+      // delivered.
       for (int i = 0; i < 100; i++) {
         control.admit(claims[i % contracts], 0);
       }
--- a/src/jmh/java/bitternpulley/membership/MembershipBenchmark.java
+++ b/src/jmh/java/bitternpulley/membership/MembershipBenchmark.java
@@ -15,7 +15,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What membership takes of an instance: a tick, ten of which come in an interval, and a probe of another that is answered. */
+/**
+ * What membership takes of an instance: a tick, ten of which come in an interval, and a probe of
+ * another that is answered.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -35,16 +38,30 @@
   @Setup
   public void members() {
     now = NOW;
-    membership = new Membership(0, new MemberMetadata("n0", "z0", "r", "b"), (long) NOW, IntStream.range(0, members).boxed().toList(),
-        MembershipSettings.USUAL, 1, now);
+    membership =
+        new Membership(
+            0,
+            new MemberMetadata("n0", "z0", "r", "b"),
+            (long) NOW,
+            IntStream.range(0, members).boxed().toList(),
+            MembershipSettings.USUAL,
+            1,
+            now);
     for (int i = 1; i < members; i++) {
       membership.heard(message(Message.Kind.SYNC, i), now);
     }
   }
 
   private Message message(Message.Kind kind, int sender) {
-    return new Message(kind, sender, (long) NOW, 0, 1, 0, membership.view(), List.of(
-        new GossipUpdate(sender, (long) NOW, 0, Standing.ALIVE, -1, null)));
+    return new Message(
+        kind,
+        sender,
+        (long) NOW,
+        0,
+        1,
+        0,
+        membership.view(),
+        List.of(new GossipUpdate(sender, (long) NOW, 0, Standing.ALIVE, -1, null)));
   }
 
   /** All others are heard now and then, so that none is suspect. */
--- a/src/main/java/bitternpulley/Aggregator.java
+++ b/src/main/java/bitternpulley/Aggregator.java
@@ -41,20 +41,31 @@
 final class Aggregator implements AdminEndpoint.Program {
   private static final System.Logger LOG = System.getLogger(Aggregator.class.getName());
   private static final int MOST_BODY = 64 * 1024;
+
   /** Descriptors kept for the JVM's own files, discovery and the listeners. */
   private static final int RESERVE = 40;
-  /** Ms after SIGTERM for which connections are still taken: clients go on coming until the front has noticed. */
+
+  /**
+   * Ms after SIGTERM for which connections are still taken: clients go on coming until the front
+   * has noticed.
+   */
   private static final double GRACE = 450;
+
   private static final double DRAIN_CHECK = 20;
+
   /**
-   * The platform may kill the program so many ms after the longest deadline, which counts as at most so long; it ends a
-   * little before that by itself, unless an answer is still owed.
+   * The platform may kill the program so many ms after the longest deadline, which counts as at
+   * most so long; it ends a little before that by itself, unless an answer is still owed.
    */
   private static final double AFTER_LONGEST = 650;
+
   private static final double LONGEST_MOST = 3000;
+
   /** Ms for which a start waits for discovery's first word before it listens, and between looks. */
   private static final double LIST_TIME = 500;
+
   private static final double LIST_LOOK = 10;
+
   /** Exit status of a configuration that cannot be used. */
   private static final int BAD_CONFIGURATION = 2;
 
@@ -62,8 +73,10 @@
   private final EventLoop loop = new EventLoop(clock::now);
   private final CountDownLatch drained = new CountDownLatch(1);
   private final Configuration config;
+
   /** What the operators' script says, and the version of its contracts that is in force. */
   private BrokerConfiguration agreed;
+
   private int version = 1;
   private final Broker broker;
   private final SlotServers servers;
@@ -79,17 +92,24 @@
   private boolean rehearsed;
   private boolean listed;
 
-  /** The second front, where one is configured: its servers, its listener and the address of that. */
+  /**
+   * The second front, where one is configured: its servers, its listener and the address of that.
+   */
   private record SearchSide(SearchServers servers, HttpServer front, HostPort listen) {}
 
   private Aggregator(
-      Configuration config, BrokerConfiguration agreed, Optional<SearchConfiguration> searchConfig) {
+      Configuration config,
+      BrokerConfiguration agreed,
+      Optional<SearchConfiguration> searchConfig) {
     this.config = config;
     this.agreed = agreed;
-    broker = new Broker(new Reducer(config.settings(), config.seed(), clock.now()), clock, loop::after);
-    // A third of the descriptors is for the ways to the slot servers; a second front has half of all.
+    broker =
+        new Broker(new Reducer(config.settings(), config.seed(), clock.now()), clock, loop::after);
+    // A third of the descriptors is for the ways to the slot servers; a second front has half of
+    // all.
     int spare = (config.sockets() - RESERVE) / (searchConfig.isPresent() ? 2 : 1);
-    // During an upgrade two processes share the descriptors, and the clients, who hold a third at most.
+    // During an upgrade two processes share the descriptors, and the clients, who hold a third at
+    // most.
     boolean shared = config.operations().passedSocket();
     int clients = shared ? (spare - RESERVE) / 2 : spare - spare / 3;
     int links = shared ? clients / 2 : spare / 3;
@@ -98,43 +118,70 @@
     broker.add(servers);
     preparation = new Preparation(loop, config.seed(), servers::prepare);
     QueryFront queries =
-        new QueryFront(config.settings(), broker, servers, () -> anyServer && rehearsed && !draining && !quiesced,
+        new QueryFront(
+            config.settings(),
+            broker,
+            servers,
+            () -> anyServer && rehearsed && !draining && !quiesced,
             () -> this.agreed.recognition());
     servers.answersTo(queries::reply);
     front = new HttpServer(loop, MOST_BODY, clients, HttpServer.Timeouts.USUAL, queries);
     search = searchConfig.map(c -> searchSide(c, connectTimeout, links, clients));
     admin = new AdminEndpoint(loop, broker, new OrdersFile(config.operations().folder()), this);
     // No lambda: to link one that makes it would load the class where membership is off.
-    peers = agreed.membership().isEmpty() ? Optional.empty()
-        : Optional.of(new Peers(loop, broker, config, agreed.membership().get(), build()));
-    discovery = new Discovery(loop, config.discovery(), config.zones(), config.known().revision(),
-        list -> {
-          listed = true;
-          told(list, list.complete() ? Router.ListKind.COMPLETE : Router.ListKind.CHANGES);
-        });
+    peers =
+        agreed.membership().isEmpty()
+            ? Optional.empty()
+            : Optional.of(new Peers(loop, broker, config, agreed.membership().get(), build()));
+    discovery =
+        new Discovery(
+            loop,
+            config.discovery(),
+            config.zones(),
+            config.known().revision(),
+            list -> {
+              listed = true;
+              told(list, list.complete() ? Router.ListKind.COMPLETE : Router.ListKind.CHANGES);
+            });
   }
 
   private static String build() {
-    return Optional.ofNullable(Aggregator.class.getPackage().getImplementationVersion()).orElse("unpacked");
+    return Optional.ofNullable(Aggregator.class.getPackage().getImplementationVersion())
+        .orElse("unpacked");
   }
 
-  private SearchSide searchSide(SearchConfiguration c, double connectTimeout, int links, int clients) {
-    HttpClient client = new HttpClient(loop, c.maxPartBytes(), links, connectTimeout, config.wire().idleAfter());
+  private SearchSide searchSide(
+      SearchConfiguration c, double connectTimeout, int links, int clients) {
+    HttpClient client =
+        new HttpClient(loop, c.maxPartBytes(), links, connectTimeout, config.wire().idleAfter());
     SearchServers to = new SearchServers(loop, broker, client, c.serverPort());
     broker.add(to);
-    HttpServer server = new HttpServer(loop, MOST_BODY, clients, HttpServer.Timeouts.USUAL,
-        new SearchFront(config.settings(), c, broker, to, clock, config.name(), () -> agreed.recognition()));
+    HttpServer server =
+        new HttpServer(
+            loop,
+            MOST_BODY,
+            clients,
+            HttpServer.Timeouts.USUAL,
+            new SearchFront(
+                config.settings(),
+                c,
+                broker,
+                to,
+                clock,
+                config.name(),
+                () -> agreed.recognition()));
     return new SearchSide(to, server, c.listen());
   }
 
   /** Serves until SIGTERM. */
   static void main() {
-    start(() -> { });
+    start(() -> {});
   }
 
   /**
-   * Starts, rehearses and ends. The build has the JVM write an archive of the classes that this takes, which the
-   * {@code run} line maps: guards against starts that spend most of their part of a core on reading and checking classes.
+   * Starts, rehearses and ends. The build has the JVM write an archive of the classes that this
+   * takes, which the {@code run} line maps: guards against starts that spend most of their part of
+   * a core on reading and checking classes.
    */
   static void rehearse() {
     start(() -> new Thread(() -> System.exit(0), "exit").start());
@@ -144,13 +191,17 @@
     Aggregator aggregator;
     try {
       Configuration config = ConfigurationReader.read(System.getenv());
-      BrokerConfiguration agreed = BrokerConfigurationReader.read(System.getenv(), config.settings());
+      BrokerConfiguration agreed =
+          BrokerConfigurationReader.read(System.getenv(), config.settings());
       if (agreed.membership().isPresent()) {
         config.checkPeers();
         agreed.membership().get().leases().ifPresent(config::leaseTerms);
       }
-      aggregator = new Aggregator(config, agreed,
-          SearchConfigurationReader.read(System.getenv(), config.settings(), agreed.search()));
+      aggregator =
+          new Aggregator(
+              config,
+              agreed,
+              SearchConfigurationReader.read(System.getenv(), config.settings(), agreed.search()));
     } catch (ConfigException e) {
       System.err.println("configuration: " + e.getMessage());
       System.exit(BAD_CONFIGURATION);
@@ -160,9 +211,11 @@
     Signals.onEach("INT", aggregator::drain);
     aggregator.loop.execute(() -> aggregator.serve(rehearsal));
     // Behind the task that serves, so that no new configuration comes before the first.
-    if (!Signals.onEach("HUP", () -> aggregator.reload(told -> { }))) {
-      LOG.log(Level.WARNING, "SIGHUP is ignored, as whoever started this program (nohup, a service manager) had it ignored,"
-          + " and the JVM leaves it so: reload by signal is off; call 'reload' at the operators' admin endpoint instead");
+    if (!Signals.onEach("HUP", () -> aggregator.reload(told -> {}))) {
+      LOG.log(
+          Level.WARNING,
+          "SIGHUP is ignored, as whoever started this program (nohup, a service manager) had it ignored,"
+              + " and the JVM leaves it so: reload by signal is off; call 'reload' at the operators' admin endpoint instead");
     }
   }
 
@@ -196,7 +249,8 @@
     if (peers.isPresent()) { // no method reference: it would load the class where membership is off
       peers.get().begin();
     }
-    // Few aggregators: each is missed, so clients may come at once, and wait with the machine until discovery has said its
+    // Few aggregators: each is missed, so clients may come at once, and wait with the machine until
+    // discovery has said its
     // first word. Very many, short of discovery: a moment later.
     boolean atOnce = !config.wire().dear() && !config.operations().passedSocket();
     double until = clock.now() + LIST_TIME;
@@ -205,21 +259,27 @@
       listen();
       whenListed(until, () -> fronts().forEach(HttpServer::letIn));
     }
-    // Plays while discovery's word is awaited: what it takes of a start is time in which clients are not served.
+    // Plays while discovery's word is awaited: what it takes of a start is time in which clients
+    // are not served.
     Rehearsal plays = new Rehearsal(config.settings(), MOST_BODY, loop);
-    plays.play(config.wire().dear(), () -> whenListed(until, () -> {
-      if (draining) {
-        return; // told to end before it was ready
-      }
-      if (!atOnce && !config.operations().passedSocket()) {
-        listen();
-      }
-      ready(rehearsal);
-      if (config.wire().dear()) {
-        preparation.begin();
-        plays.goOn();
-      }
-    }));
+    plays.play(
+        config.wire().dear(),
+        () ->
+            whenListed(
+                until,
+                () -> {
+                  if (draining) {
+                    return; // told to end before it was ready
+                  }
+                  if (!atOnce && !config.operations().passedSocket()) {
+                    listen();
+                  }
+                  ready(rehearsal);
+                  if (config.wire().dear()) {
+                    preparation.begin();
+                    plays.goOn();
+                  }
+                }));
   }
 
   /** The platform's front comes last: it is what says that the program is ready. */
@@ -229,9 +289,9 @@
   }
 
   /**
-   * Guards against sends by a list as old as the restart while what discovery tells waits for its turn: clients come
-   * as soon as the program listens, ready or not, and leave it little of its part of a core. Discovery may be down: then
-   * what is known has to do.
+   * Guards against sends by a list as old as the restart while what discovery tells waits for its
+   * turn: clients come as soon as the program listens, ready or not, and leave it little of its
+   * part of a core. Discovery may be down: then what is known has to do.
    */
   private void whenListed(double until, Runnable then) {
     if (listed || clock.now() >= until) {
@@ -246,18 +306,29 @@
       // Only now: what waits there meanwhile is for the process that is to be replaced.
       search.ifPresent(s -> listen(at -> s.front().listen(at, true), s.listen()));
       listen(at -> front.listen(PassedListener.inherited(loop)), config.listen());
-      // Whether one is being replaced is not told; if so, what it has taken till its grace ends is past its deadline then.
+      // Whether one is being replaced is not told; if so, what it has taken till its grace ends is
+      // past its deadline then.
       broker.submit(new Event.UpgradePeerChanged(Router.Beside.PREDECESSOR));
-      loop.after(GRACE + longestDeadline(),
-          () -> broker.submit(new Event.UpgradePeerChanged(draining ? Router.Beside.SUCCESSOR : Router.Beside.NONE)));
+      loop.after(
+          GRACE + longestDeadline(),
+          () ->
+              broker.submit(
+                  new Event.UpgradePeerChanged(
+                      draining ? Router.Beside.SUCCESSOR : Router.Beside.NONE)));
     }
     rehearsed = true;
-    LOG.log(Level.INFO, config.name() + " is ready at " + config.listen()
-        + (config.wire().dear() ? ", sparing connections" : ""));
+    LOG.log(
+        Level.INFO,
+        config.name()
+            + " is ready at "
+            + config.listen()
+            + (config.wire().dear() ? ", sparing connections" : ""));
     rehearsal.run();
   }
 
-  /** What operators have ordered holds before the first list is heard, and so before the first send. */
+  /**
+   * What operators have ordered holds before the first list is heard, and so before the first send.
+   */
   private void openAdmin(HostPort at) {
     admin.takeUp();
     listen(admin::listen, at);
@@ -277,95 +348,131 @@
   }
 
   private void told(ServerList list, Router.ListKind kind) {
-    list.entries().stream().filter(e -> e.address() != null)
-        .forEach(e -> {
-          servers.address(e.member().server(), e.address());
-          search.ifPresent(s -> s.servers().address(e.member().server(), e.address()));
-        });
-    list.entries().stream().filter(e -> e.member().state() == Router.ServerState.GONE)
-        .forEach(e -> {
-          servers.forget(e.member().server());
-          search.ifPresent(s -> s.servers().forget(e.member().server()));
-        });
+    list.entries().stream()
+        .filter(e -> e.address() != null)
+        .forEach(
+            e -> {
+              servers.address(e.member().server(), e.address());
+              search.ifPresent(s -> s.servers().address(e.member().server(), e.address()));
+            });
+    list.entries().stream()
+        .filter(e -> e.member().state() == Router.ServerState.GONE)
+        .forEach(
+            e -> {
+              servers.forget(e.member().server());
+              search.ifPresent(s -> s.servers().forget(e.member().server()));
+            });
     preparation.told(list);
-    anyServer |= list.entries().stream().anyMatch(e -> e.member().state() == Router.ServerState.LIVE);
+    anyServer |=
+        list.entries().stream().anyMatch(e -> e.member().state() == Router.ServerState.LIVE);
     if (kind == Router.ListKind.COMPLETE) {
       // What a whole list does not name is gone as well.
-      Set<String> named = list.entries().stream().map(e -> e.member().server()).collect(Collectors.toSet());
+      Set<String> named =
+          list.entries().stream().map(e -> e.member().server()).collect(Collectors.toSet());
       servers.keepOnly(named);
       search.ifPresent(s -> s.servers().keepOnly(named));
     }
-    broker.submit(new Event.ServersListed(kind, list.entries().stream().map(ServerList.Entry::member).toList()));
+    broker.submit(
+        new Event.ServersListed(
+            kind, list.entries().stream().map(ServerList.Entry::member).toList()));
   }
 
-  /** On a thread of its own: the loop must not wait for a file. A file that cannot be used changes nothing. */
+  /**
+   * On a thread of its own: the loop must not wait for a file. A file that cannot be used changes
+   * nothing.
+   */
   @Override
   public void reload(Consumer<String> answer) {
-    new Thread(() -> {
-      try {
-        Configuration fresh = ConfigurationReader.reread(System.getenv());
-        BrokerConfiguration script = BrokerConfigurationReader.read(System.getenv(), config.settings());
-        loop.execute(() -> {
-          reconfigured(fresh);
-          agree(script);
-          answer.accept("200 done");
-        });
-      } catch (ConfigException e) {
-        String why = "the configuration before stays: " + e.getMessage();
-        LOG.log(Level.WARNING, why);
-        answer.accept("400 " + why.lines().collect(Collectors.joining(" ")));
-      }
-    }, "reload").start();
+    new Thread(
+            () -> {
+              try {
+                Configuration fresh = ConfigurationReader.reread(System.getenv());
+                BrokerConfiguration script =
+                    BrokerConfigurationReader.read(System.getenv(), config.settings());
+                loop.execute(
+                    () -> {
+                      reconfigured(fresh);
+                      agree(script);
+                      answer.accept("200 done");
+                    });
+              } catch (ConfigException e) {
+                String why = "the configuration before stays: " + e.getMessage();
+                LOG.log(Level.WARNING, why);
+                answer.accept("400 " + why.lines().collect(Collectors.joining(" ")));
+              }
+            },
+            "reload")
+        .start();
   }
 
-  /** Where discovery is can change while the program runs; what else the file says counts from the next start. */
+  /**
+   * Where discovery is can change while the program runs; what else the file says counts from the
+   * next start.
+   */
   private void reconfigured(Configuration fresh) {
     LOG.log(Level.INFO, "the configuration was read again");
-    if (!fresh.settings().equals(config.settings()) || !fresh.listen().equals(config.listen())
-        || !fresh.name().equals(config.name()) || fresh.sockets() != config.sockets()) {
-      LOG.log(Level.WARNING, "the new configuration differs in more than 'discovery': that counts from the next start");
+    if (!fresh.settings().equals(config.settings())
+        || !fresh.listen().equals(config.listen())
+        || !fresh.name().equals(config.name())
+        || fresh.sockets() != config.sockets()) {
+      LOG.log(
+          Level.WARNING,
+          "the new configuration differs in more than 'discovery': that counts from the next start");
     }
     discovery.moveTo(fresh.discovery());
   }
 
-  /** Other contracts come into force at once; what queries are open ends under those that let it in. */
+  /**
+   * Other contracts come into force at once; what queries are open ends under those that let it in.
+   */
   private void agree(BrokerConfiguration script) {
     if (script.document().equals(agreed.document())) {
       return;
     }
     if (!script.search().equals(agreed.search())) {
-      LOG.log(Level.WARNING, "opensearch() of the operators' script has changed: that counts from the next start");
+      LOG.log(
+          Level.WARNING,
+          "opensearch() of the operators' script has changed: that counts from the next start");
     }
     agreed = script;
     version++;
     broker.submit(new Event.Agreed(script.book().as(version)));
-    LOG.log(Level.INFO, "contracts of version " + version + " are in force: " + script.book().contracts().size());
+    LOG.log(
+        Level.INFO,
+        "contracts of version " + version + " are in force: " + script.book().contracts().size());
   }
 
   /** Runs off the loop's thread, and ends the program when nothing is owed any more. */
   private void drain() {
-    loop.execute(() -> {
-      if (draining) {
-        return;
-      }
-      LOG.log(Level.INFO, "draining");
-      draining = true;
-      fronts().forEach(HttpServer::drain);
-      if (peers.isPresent()) {
-        peers.get().end();
-      }
-      if (config.operations().passedSocket()) {
-        // What comes from now on is for the process that takes over.
-        front.stopAccepting();
-        broker.submit(new Event.UpgradePeerChanged(Router.Beside.SUCCESSOR));
-      }
-      fronts().forEach(HttpServer::letIn); // told to end before discovery's word: who waits is served by what is known
-      double kill = clock.now() + Math.min(LONGEST_MOST, longestDeadline()) + AFTER_LONGEST;
-      loop.after(GRACE, () -> {
-        fronts().forEach(HttpServer::stopListening);
-        awaitIdle(kill);
-      });
-    });
+    loop.execute(
+        () -> {
+          if (draining) {
+            return;
+          }
+          LOG.log(Level.INFO, "draining");
+          draining = true;
+          fronts().forEach(HttpServer::drain);
+          if (peers.isPresent()) {
+            peers.get().end();
+          }
+          if (config.operations().passedSocket()) {
+            // What comes from now on is for the process that takes over.
+            front.stopAccepting();
+            broker.submit(new Event.UpgradePeerChanged(Router.Beside.SUCCESSOR));
+          }
+          fronts()
+              .forEach(
+                  HttpServer
+                      ::letIn); // told to end before discovery's word: who waits is served by what
+          // is known
+          double kill = clock.now() + Math.min(LONGEST_MOST, longestDeadline()) + AFTER_LONGEST;
+          loop.after(
+              GRACE,
+              () -> {
+                fronts().forEach(HttpServer::stopListening);
+                awaitIdle(kill);
+              });
+        });
     try {
       drained.await();
     } catch (InterruptedException e) {
@@ -382,7 +489,10 @@
     return config.settings().classes().stream().mapToDouble(c -> c.deadline()).max().orElse(0);
   }
 
-  /** Until nothing is owed, or nothing but clients' ends of their connections and the platform is about to kill the program. */
+  /**
+   * Until nothing is owed, or nothing but clients' ends of their connections and the platform is
+   * about to kill the program.
+   */
   private void awaitIdle(double kill) {
     boolean answered = broker.open() == 0 && fronts().allMatch(f -> f.unanswered() == 0);
     if (answered && (clock.now() >= kill || fronts().allMatch(f -> f.busy() == 0))) {
--- a/src/main/java/bitternpulley/Check.java
+++ b/src/main/java/bitternpulley/Check.java
@@ -14,16 +14,23 @@
 
   private Check() {}
 
-  /** Prints the effective contracts of a script and returns 0, or the fault and 2. Checked against LB_CONFIG's site if set. */
+  /**
+   * Prints the effective contracts of a script and returns 0, or the fault and 2. Checked against
+   * LB_CONFIG's site if set.
+   */
   static int main(String file) {
     try {
-      Optional<Settings> settings = System.getenv().getOrDefault("LB_CONFIG", "").isEmpty() ? Optional.empty()
-          : Optional.of(ConfigurationReader.read(System.getenv()).settings());
+      Optional<Settings> settings =
+          System.getenv().getOrDefault("LB_CONFIG", "").isEmpty()
+              ? Optional.empty()
+              : Optional.of(ConfigurationReader.read(System.getenv()).settings());
       BrokerConfiguration read = BrokerConfigurationReader.read(Path.of(file), settings);
       System.out.print(read.printed());
       System.out.println(read.document().toPrettyString());
-      System.out.println(read.book().contracts().size() + " contracts"
-          + (settings.isPresent() ? "" : "; not checked against a site: set LB_CONFIG"));
+      System.out.println(
+          read.book().contracts().size()
+              + " contracts"
+              + (settings.isPresent() ? "" : "; not checked against a site: set LB_CONFIG"));
       return 0;
     } catch (ConfigException e) {
       System.err.println("configuration: " + e.getMessage());
--- a/src/main/java/bitternpulley/Main.java
+++ b/src/main/java/bitternpulley/Main.java
@@ -2,12 +2,18 @@
 
 import java.io.IOException;
 
-/** Starts the real aggregator, its rehearsal at the build, or the decision module on the simulator's pipe. */
+/**
+ * Starts the real aggregator, its rehearsal at the build, or the decision module on the simulator's
+ * pipe.
+ */
 public final class Main {
   private Main() {}
 
   public static void main(String[] args) throws IOException {
-    String what = args.length == 1 || args.length == 2 && args[0].equals("check") ? args[0] + "/" + args.length : "";
+    String what =
+        args.length == 1 || args.length == 2 && args[0].equals("check")
+            ? args[0] + "/" + args.length
+            : "";
     switch (what) {
       case "serve/1" -> Aggregator.main();
       case "rehearse/1" -> Aggregator.rehearse();
--- a/src/main/java/bitternpulley/admin/AccountsReport.java
+++ b/src/main/java/bitternpulley/admin/AccountsReport.java
@@ -15,7 +15,11 @@
 /** The teams' accounts as one line of JSON; amounts are standard parts (docs/contracts.md). */
 final class AccountsReport {
   private static final JsonFactory JSON = new JsonFactory();
-  /** Accounts listed at most, those that used most first: a line is read by people and held in memory. */
+
+  /**
+   * Accounts listed at most, those that used most first: a line is read by people and held in
+   * memory.
+   */
   private static final int MOST = 100;
 
   private AccountsReport() {}
@@ -23,9 +27,14 @@
   /** All accounts that were used, or that of one team. */
   static String of(Broker broker, String team) {
     List<AccountView> all = broker.accounts().views(broker.now());
-    List<AccountView> listed = all.stream().filter(a -> team == null || a.team().equals(team))
-        .sorted(Comparator.comparingDouble((AccountView a) -> -a.used()).thenComparing(AccountView::team)).limit(MOST)
-        .toList();
+    List<AccountView> listed =
+        all.stream()
+            .filter(a -> team == null || a.team().equals(team))
+            .sorted(
+                Comparator.comparingDouble((AccountView a) -> -a.used())
+                    .thenComparing(AccountView::team))
+            .limit(MOST)
+            .toList();
     StringWriter line = new StringWriter();
     try (JsonGenerator out = JSON.createGenerator(line)) {
       out.writeStartObject();
--- a/src/main/java/bitternpulley/admin/AdminEndpoint.java
+++ b/src/main/java/bitternpulley/admin/AdminEndpoint.java
@@ -3,9 +3,9 @@
 import bitternpulley.broker.Broker;
 import bitternpulley.broker.Effect;
 import bitternpulley.broker.Event;
+import bitternpulley.broker.OperatorOrders;
 import bitternpulley.broker.Operators;
 import bitternpulley.broker.Payload;
-import bitternpulley.broker.OperatorOrders;
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
 import bitternpulley.net.LineServer;
@@ -13,7 +13,10 @@
 import java.lang.System.Logger.Level;
 import java.util.function.Consumer;
 
-/** The operators' admin endpoint, which these pages call their door: one line in, one line back, which starts with 200 or 400. It decides nothing itself. */
+/**
+ * The operators' admin endpoint, which these pages call their door: one line in, one line back,
+ * which starts with 200 or 400. It decides nothing itself.
+ */
 public final class AdminEndpoint implements LineServer.Handler, Operators {
   private static final System.Logger LOG = System.getLogger(AdminEndpoint.class.getName());
 
@@ -28,7 +31,10 @@
     /** Whether the operators' script lets the accounts be listed here. */
     boolean listsAccounts();
 
-    /** Reads the configuration again; the answer, a line that starts with 200 or 400, may come at any time, on any thread. */
+    /**
+     * Reads the configuration again; the answer, a line that starts with 200 or 400, may come at
+     * any time, on any thread.
+     */
     void reload(Consumer<String> answer);
   }
 
@@ -47,7 +53,10 @@
     broker.operators(this);
   }
 
-  /** Has what stands take effect, before anything is sent, and then what another process changes of it. */
+  /**
+   * Has what stands take effect, before anything is sent, and then what another process changes of
+   * it.
+   */
   public void takeUp() {
     stands(file.read());
     file.watch(standing -> loop.execute(() -> stands(standing)));
@@ -74,13 +83,25 @@
         LOG.log(Level.INFO, "by an operator: reload");
         program.reload(told -> loop.execute(() -> answer.accept(told)));
       }
-      case "accounts/1", "accounts/2" -> answer.accept(program.listsAccounts()
-          ? "200 " + AccountsReport.of(broker, words.length > 1 ? words[1] : null)
-          : "400 accounts are not listed: set accounts(list = True) in the operators' script");
-      case "members/1" -> answer.accept(broker.membership().map(m -> "200 " + MembersReport.of(m, broker.leases().map(l -> l.standing(broker.now()))))
-          .orElse("400 membership is off, or waits for its address: set membership() in the operators' script"));
-      default -> answer.accept(
-          "400 calls are: health, cordon ID, uncordon ID, quiesce, resume, reload, accounts [TEAM], members");
+      case "accounts/1", "accounts/2" ->
+          answer.accept(
+              program.listsAccounts()
+                  ? "200 " + AccountsReport.of(broker, words.length > 1 ? words[1] : null)
+                  : "400 accounts are not listed: set accounts(list = True) in the operators' script");
+      case "members/1" ->
+          answer.accept(
+              broker
+                  .membership()
+                  .map(
+                      m ->
+                          "200 "
+                              + MembersReport.of(
+                                  m, broker.leases().map(l -> l.standing(broker.now()))))
+                  .orElse(
+                      "400 membership is off, or waits for its address: set membership() in the operators' script"));
+      default ->
+          answer.accept(
+              "400 calls are: health, cordon ID, uncordon ID, quiesce, resume, reload, accounts [TEAM], members");
     }
   }
 
@@ -96,11 +117,20 @@
   @Override
   public void keep(Effect.Keep kept) {
     Caller caller = (Caller) kept.caller();
-    file.change(kept.order(), (standing, failure) -> loop.execute(() -> {
-      LOG.log(Level.INFO, "by an operator: " + caller.line());
-      stands(standing);
-      caller.answer().accept(failure == null ? "200 done" : "200 done, but an upgrade will not know of it: " + failure);
-    }));
+    file.change(
+        kept.order(),
+        (standing, failure) ->
+            loop.execute(
+                () -> {
+                  LOG.log(Level.INFO, "by an operator: " + caller.line());
+                  stands(standing);
+                  caller
+                      .answer()
+                      .accept(
+                          failure == null
+                              ? "200 done"
+                              : "200 done, but an upgrade will not know of it: " + failure);
+                }));
   }
 
   @Override
--- a/src/main/java/bitternpulley/admin/MembersReport.java
+++ b/src/main/java/bitternpulley/admin/MembersReport.java
@@ -55,7 +55,8 @@
         }
         out.writeEndArray();
         if (m.hearing().payload().length > 0) {
-          out.writeStringField("payload", java.util.HexFormat.of().formatHex(m.hearing().payload()));
+          out.writeStringField(
+              "payload", java.util.HexFormat.of().formatHex(m.hearing().payload()));
         }
         out.writeEndObject();
       }
--- a/src/main/java/bitternpulley/admin/OrdersFile.java
+++ b/src/main/java/bitternpulley/admin/OrdersFile.java
@@ -22,25 +22,29 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps what operators have ordered in a small file, which outlives the process and which the next one, or one that runs
- * at the same time, reads. Works on a thread of its own: nothing on the loop waits for a file.
+ * Keeps what operators have ordered in a small file, which outlives the process and which the next
+ * one, or one that runs at the same time, reads. Works on a thread of its own: nothing on the loop
+ * waits for a file.
  */
 public final class OrdersFile {
   private static final System.Logger LOG = System.getLogger(OrdersFile.class.getName());
   private static final String NAME = "bitternpulley-orders";
   private static final String CORDONED = "cordoned ";
   private static final String QUIESCED = "quiesced";
+
   /** Ms between looks for another process's changes: well within the 250 ms that a drain has. */
   private static final long LOOK = 50;
+
   private static final long MOST_BYTES = 256 * 1024;
 
   private final Optional<Path> file;
   private final ScheduledExecutorService thread =
-      Executors.newSingleThreadScheduledExecutor(r -> {
-        Thread made = new Thread(r, "orders");
-        made.setDaemon(true);
-        return made;
-      });
+      Executors.newSingleThreadScheduledExecutor(
+          r -> {
+            Thread made = new Thread(r, "orders");
+            made.setDaemon(true);
+            return made;
+          });
   private OperatorOrders last = OperatorOrders.NOTHING;
   private boolean unusable;
 
@@ -57,28 +61,36 @@
 
   /** Tells of each change that another process made. */
   public void watch(Consumer<OperatorOrders> changed) {
-    thread.scheduleWithFixedDelay(() -> {
-      OperatorOrders now = current();
-      if (!now.equals(last)) {
-        last = now;
-        changed.accept(now);
-      }
-    }, LOOK, LOOK, TimeUnit.MILLISECONDS);
+    thread.scheduleWithFixedDelay(
+        () -> {
+          OperatorOrders now = current();
+          if (!now.equals(last)) {
+            last = now;
+            changed.accept(now);
+          }
+        },
+        LOOK,
+        LOOK,
+        TimeUnit.MILLISECONDS);
   }
 
-  /** Carries out an order; {@code done} hears what then stands, and what went wrong with the file or null. */
+  /**
+   * Carries out an order; {@code done} hears what then stands, and what went wrong with the file or
+   * null.
+   */
   public void change(OperatorOrders.Order order, BiConsumer<OperatorOrders, String> done) {
-    thread.execute(() -> {
-      String failure = null;
-      try {
-        change(order);
-      } catch (IOException | RuntimeException e) {
-        LOG.log(Level.WARNING, "orders are not kept", e);
-        failure = e.toString();
-        last = last.with(order);
-      }
-      done.accept(last, failure);
-    });
+    thread.execute(
+        () -> {
+          String failure = null;
+          try {
+            change(order);
+          } catch (IOException | RuntimeException e) {
+            LOG.log(Level.WARNING, "orders are not kept", e);
+            failure = e.toString();
+            last = last.with(order);
+          }
+          done.accept(last, failure);
+        });
   }
 
   @SuppressWarnings("try") // the lock is held, not used
@@ -88,9 +100,14 @@
       return;
     }
     Path at = file.get();
-    // Guards against two processes that read, change and replace at once, of which one's change would be lost.
-    try (FileChannel channel = FileChannel.open(at.resolveSibling(NAME + ".lock"), StandardOpenOption.CREATE,
-        StandardOpenOption.WRITE); FileLock lock = channel.lock()) {
+    // Guards against two processes that read, change and replace at once, of which one's change
+    // would be lost.
+    try (FileChannel channel =
+            FileChannel.open(
+                at.resolveSibling(NAME + ".lock"),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.WRITE);
+        FileLock lock = channel.lock()) {
       OperatorOrders fresh = current().with(order);
       List<String> lines = new ArrayList<>();
       new TreeSet<>(fresh.cordoned()).forEach(s -> lines.add(CORDONED + s));
@@ -104,7 +121,10 @@
     }
   }
 
-  /** What the file says; what stood before where it cannot be used, since a ban must not be lifted by that. */
+  /**
+   * What the file says; what stood before where it cannot be used, since a ban must not be lifted
+   * by that.
+   */
   private OperatorOrders current() {
     if (file.isEmpty()) {
       return last;
@@ -138,7 +158,9 @@
   private OperatorOrders keep(String why) {
     if (!unusable) {
       unusable = true;
-      LOG.log(Level.WARNING, "the file of operators' orders cannot be used, what stood before stays: " + why);
+      LOG.log(
+          Level.WARNING,
+          "the file of operators' orders cannot be used, what stood before stays: " + why);
     }
     return last;
   }
--- a/src/main/java/bitternpulley/broker/Accounts.java
+++ b/src/main/java/bitternpulley/broker/Accounts.java
@@ -11,12 +11,16 @@
 import java.util.List;
 
 /**
- * The core's side of contracts: it hands requests, attempts and ends on to {@link AdmissionControl}, and is nothing at all
- * where no contracts are in force.
+ * The core's side of contracts: it hands requests, attempts and ends on to {@link
+ * AdmissionControl}, and is nothing at all where no contracts are in force.
  */
 public final class Accounts {
   private final Settings settings;
-  /** Null until the first contracts are put in force: guards against a start that pays for what is off. */
+
+  /**
+   * Null until the first contracts are put in force: guards against a start that pays for what is
+   * off.
+   */
   private AdmissionControl control;
 
   Accounts(Settings settings) {
@@ -33,14 +37,17 @@
     }
     if (control == null) {
       double mostPause = settings.limits().advice() ? settings.limits().maxAdvice() : 0;
-      control = new AdmissionControl(settings.classes().stream().mapToDouble(c -> c.aim()).toArray(), mostPause);
+      control =
+          new AdmissionControl(
+              settings.classes().stream().mapToDouble(c -> c.aim()).toArray(), mostPause);
     }
     control.apply(book, now);
   }
 
   Verdict admit(Request r, double now) {
     double work = r.slices().stream().mapToDouble(Request.Slice::work).sum();
-    return control.admit(new Claim(r.team(), r.requestClass(), r.slices().size(), work, r.retry(), r.print()), now);
+    return control.admit(
+        new Claim(r.team(), r.requestClass(), r.slices().size(), work, r.retry(), r.print()), now);
   }
 
   /** Whether an attempt may go out; one beyond the first is taken from the team's budget. */
@@ -55,7 +62,8 @@
     return may;
   }
 
-  void attemptEnded(Charge charge, Router.Outcome outcome, double took, double now, List<Effect> effects) {
+  void attemptEnded(
+      Charge charge, Router.Outcome outcome, double took, double now, List<Effect> effects) {
     if (charge != null) {
       control.attemptEnded(charge, outcome, took, now);
       settled(charge, effects);
@@ -80,7 +88,10 @@
     return control == null ? List.of() : control.accounts(now);
   }
 
-  /** Standard parts a second that this aggregator is reckoned to do; infinite while nothing is scarce. */
+  /**
+   * Standard parts a second that this aggregator is reckoned to do; infinite while nothing is
+   * scarce.
+   */
   public double capacity() {
     return control == null ? Double.POSITIVE_INFINITY : control.capacity();
   }
--- a/src/main/java/bitternpulley/broker/Broker.java
+++ b/src/main/java/bitternpulley/broker/Broker.java
@@ -137,7 +137,10 @@
     }
   }
 
-  /** Guards against attempts that never end and clients that never hear, since a wire failed on the way to them. */
+  /**
+   * Guards against attempts that never end and clients that never hear, since a wire failed on the
+   * way to them.
+   */
   private void makeGood(Effect effect) {
     if (effect instanceof Effect.StartTogether e) {
       e.starts().forEach(this::makeGood);
@@ -147,7 +150,8 @@
     } else if (effect instanceof Effect.Abandon e) {
       submit(new Event.Abandoned(e.id()));
     } else if (effect instanceof Effect.Reply e && !(e.answer() instanceof Effect.Answer.Failed)) {
-      perform(new Effect.Reply(e.request(), new Effect.Answer.Failed(Effect.Answer.Ending.UNTRIED)));
+      perform(
+          new Effect.Reply(e.request(), new Effect.Answer.Failed(Effect.Answer.Ending.UNTRIED)));
     }
   }
 }
--- a/src/main/java/bitternpulley/broker/Clock.java
+++ b/src/main/java/bitternpulley/broker/Clock.java
@@ -5,8 +5,8 @@
   double now();
 
   /**
-   * Unix time as it was at the start, moved on by the monotonic clock: a stamp of discovery can be compared with it,
-   * and no step of the system's clock bends a duration.
+   * Unix time as it was at the start, moved on by the monotonic clock: a stamp of discovery can be
+   * compared with it, and no step of the system's clock bends a duration.
    */
   static Clock system() {
     double wall = System.currentTimeMillis();
--- a/src/main/java/bitternpulley/broker/ContractLog.java
+++ b/src/main/java/bitternpulley/broker/ContractLog.java
@@ -10,17 +10,34 @@
 
   static String judged(Effect.Judged e) {
     if (e.verdict() instanceof Verdict.Refused no) {
-      return String.format(Locale.ROOT, "contract request=%d team=%s version=%d verdict=refused limit=%s pause_ms=%.0f",
-          e.request(), no.team(), no.version(), no.limit().text(), no.pause());
+      return String.format(
+          Locale.ROOT,
+          "contract request=%d team=%s version=%d verdict=refused limit=%s pause_ms=%.0f",
+          e.request(),
+          no.team(),
+          no.version(),
+          no.limit().text(),
+          no.pause());
     }
     Charge c = (Charge) e.verdict();
-    return String.format(Locale.ROOT, "contract request=%d team=%s version=%d verdict=admitted basis=%s booked=%.2f",
-        e.request(), c.team(), c.version(), c.basis(), c.booked());
+    return String.format(
+        Locale.ROOT,
+        "contract request=%d team=%s version=%d verdict=admitted basis=%s booked=%.2f",
+        e.request(),
+        c.team(),
+        c.version(),
+        c.basis(),
+        c.booked());
   }
 
   static String settled(Effect.Settled e) {
     Charge c = e.charge();
-    return String.format(Locale.ROOT, "contract settled team=%s version=%d booked=%.2f used=%.2f", c.team(), c.version(),
-        c.booked(), c.used());
+    return String.format(
+        Locale.ROOT,
+        "contract settled team=%s version=%d booked=%.2f used=%.2f",
+        c.team(),
+        c.version(),
+        c.booked(),
+        c.used());
   }
 }
--- a/src/main/java/bitternpulley/broker/Dialect.java
+++ b/src/main/java/bitternpulley/broker/Dialect.java
@@ -8,29 +8,31 @@
   void start(Effect.Start attempt);
 
   /**
-   * Sends several attempts, all to one server, as one call where this wire has such: the server charges for each call. The end
-   * of each comes back by itself. A wire without shared calls sends each on its own.
+   * Sends several attempts, all to one server, as one call where this wire has such: the server
+   * charges for each call. The end of each comes back by itself. A wire without shared calls sends
+   * each on its own.
    */
   default void startTogether(List<Effect.Start> attempts) {
     attempts.forEach(this::start);
   }
 
   /**
-   * Gives an attempt up. Once the server has been told, or never will be asked, {@link Event.Abandoned} comes back,
-   * unless the attempt has ended by itself before.
+   * Gives an attempt up. Once the server has been told, or never will be asked, {@link
+   * Event.Abandoned} comes back, unless the attempt has ended by itself before.
    */
   void abandon(Effect.Abandon attempt);
 
   /**
    * Takes back the attempts at a server of which not a byte has gone: each ends as {@link
-   * bitternpulley.routing.Router.Outcome#MOOT}. Guards against sends that wait for a connection to come up while the
-   * server begins to drain.
+   * bitternpulley.routing.Router.Outcome#MOOT}. Guards against sends that wait for a connection to
+   * come up while the server begins to drain.
    */
   void withdraw(String server);
 
   /**
-   * Takes back one attempt, unless a byte of it has gone: it ends as {@link bitternpulley.routing.Router.Outcome#MOOT}.
-   * Guards against sends for a client that has left, or had its answer, where nothing may be called off.
+   * Takes back one attempt, unless a byte of it has gone: it ends as {@link
+   * bitternpulley.routing.Router.Outcome#MOOT}. Guards against sends for a client that has left, or
+   * had its answer, where nothing may be called off.
    */
   void takeBack(Effect.TakeBack attempt);
 
--- a/src/main/java/bitternpulley/broker/Effect.java
+++ b/src/main/java/bitternpulley/broker/Effect.java
@@ -11,23 +11,32 @@
 /** What the core asks the outside to do. */
 public sealed interface Effect {
   /**
-   * Send an attempt of the slice {@code slice} of a request to a server, which may take {@code timeout} ms. Where not a byte of
-   * it can go by the time {@code sendBy}, it ends unsent: a repeated part may wait for a connection, and its window goes on.
+   * Send an attempt of the slice {@code slice} of a request to a server, which may take {@code
+   * timeout} ms. Where not a byte of it can go by the time {@code sendBy}, it ends unsent: a
+   * repeated part may wait for a connection, and its window goes on.
    */
-  record Start(AttemptId id, Request request, int slice, String server, double timeout, double sendBy) implements Effect {
+  record Start(
+      AttemptId id, Request request, int slice, String server, double timeout, double sendBy)
+      implements Effect {
     /** One that may be sent at any time. */
     public Start(AttemptId id, Request request, int slice, String server, double timeout) {
       this(id, request, slice, server, timeout, Double.POSITIVE_INFINITY);
     }
   }
 
-  /** Send attempts to one server as one call, where the wire has such; at least two, all of one dialect. */
+  /**
+   * Send attempts to one server as one call, where the wire has such; at least two, all of one
+   * dialect.
+   */
   record StartTogether(List<Start> starts) implements Effect {}
 
   /** Stop waiting for an attempt. */
   record Abandon(AttemptId id, Request request, String server) implements Effect {}
 
-  /** Take back an attempt that serves nobody any more, if not a byte of it has gone: what has gone may not be called off here. */
+  /**
+   * Take back an attempt that serves nobody any more, if not a byte of it has gone: what has gone
+   * may not be called off here.
+   */
   record TakeBack(AttemptId id, Request request) implements Effect {}
 
   /** Take back what has not begun to go to a server, which is to have nothing new. */
@@ -51,7 +60,10 @@
   /** Send clients away, or take them again. */
   record Quiesce(boolean on) implements Effect {}
 
-  /** Note what the contracts in force made of a request: with the event that asked, all that a replay needs. */
+  /**
+   * Note what the contracts in force made of a request: with the event that asked, all that a
+   * replay needs.
+   */
   record Judged(long request, Verdict verdict) implements Effect {}
 
   /** Note that a request's charge is settled: nothing of it is out any more. */
@@ -68,12 +80,15 @@
 
   /** The final answer of a request. */
   sealed interface Answer {
-    /** Answered from the slices that are in, by their position; the others by what became of them. */
-    record Answered(boolean whole, Map<Integer, Payload> values, Map<Integer, Missing> missing) implements Answer {}
+    /**
+     * Answered from the slices that are in, by their position; the others by what became of them.
+     */
+    record Answered(boolean whole, Map<Integer, Payload> values, Map<Integer, Missing> missing)
+        implements Answer {}
 
     /**
-     * Refused: asking again is harmless, best after {@code pause} ms (0: no advice). {@code contract} tells what was met
-     * where a contract refused it; null where the module did.
+     * Refused: asking again is harmless, best after {@code pause} ms (0: no advice). {@code
+     * contract} tells what was met where a contract refused it; null where the module did.
      */
     record Refused(double pause, Ending ending, Verdict.Refused contract) implements Answer {
       /** Refused by the module. */
@@ -94,7 +109,10 @@
       public static final Ending UNTRIED = new Ending(false, false, Map.of());
     }
 
-    /** A slice that is not in: how its last attempt ended and what came with that; all null while none has. */
+    /**
+     * A slice that is not in: how its last attempt ended and what came with that; all null while
+     * none has.
+     */
     record Missing(Router.Outcome outcome, String server, Payload reason) {}
   }
 }
--- a/src/main/java/bitternpulley/broker/Event.java
+++ b/src/main/java/bitternpulley/broker/Event.java
@@ -33,13 +33,19 @@
   /** A server has been told that an attempt is given up, or was never asked. */
   record Abandoned(AttemptId attempt) implements OfAttempt {}
 
-  /** A request's time is over, and deciding on something of it may have failed: it must have its answer all the same. */
+  /**
+   * A request's time is over, and deciding on something of it may have failed: it must have its
+   * answer all the same.
+   */
   record TimeExpired(long request) implements Event {}
 
   /** An attempt was never sent, since the rules forbid it. */
   record Unsent(AttemptId attempt, String server) implements OfAttempt {}
 
-  /** An attempt's time is over; it is one of a request's, whose parts have the numbers from {@code first} on. */
+  /**
+   * An attempt's time is over; it is one of a request's, whose parts have the numbers from {@code
+   * first} on.
+   */
   record Overdue(AttemptId attempt, long first, int parts) implements Event {
     /** Of an attempt alone. */
     public Overdue(AttemptId attempt) {
@@ -59,10 +65,16 @@
   /** Other contracts are in force from now on. */
   record Agreed(ContractBook book) implements Event {}
 
-  /** From now on this instance's part of what all may do together goes by leases, of which it has none yet. */
+  /**
+   * From now on this instance's part of what all may do together goes by leases, of which it has
+   * none yet.
+   */
   record LeasesApply(Leases leases) implements Event {}
 
-  /** From now on there are other aggregators, and this instance's part in finding out who of them is here. */
+  /**
+   * From now on there are other aggregators, and this instance's part in finding out who of them is
+   * here.
+   */
   record PeersBegin(Membership membership) implements Event {}
 
   /** Membership's beat, which is due each {@link Membership#tickEvery} ms. */
--- a/src/main/java/bitternpulley/broker/OpenRequests.java
+++ b/src/main/java/bitternpulley/broker/OpenRequests.java
@@ -11,12 +11,16 @@
 import java.util.stream.IntStream;
 
 /**
- * What the reducer holds of requests, their parts and the attempts that are out. It decides nothing: {@link Reducer}, its
- * one user, changes it as events ask.
+ * What the reducer holds of requests, their parts and the attempts that are out. It decides
+ * nothing: {@link Reducer}, its one user, changes it as events ask.
  */
 final class OpenRequests {
-  /** Ms before a client's end from which an end without an answer counts as out of time: more where answers leave earlier. */
+  /**
+   * Ms before a client's end from which an end without an answer counts as out of time: more where
+   * answers leave earlier.
+   */
   private static final double LATE = 100;
+
   /** Share of a client's time that this takes at most: some wait for less. */
   private static final double LATE_SHARE = 0.25;
 
@@ -28,15 +32,21 @@
   /** A request without a final answer. */
   static final class Open {
     final Request request;
+
     /** Null where no contracts are in force. */
     final Charge charge;
+
     final double endsAt;
+
     /** From when on an end without an answer counts as out of time. */
     final double lateFrom;
+
     final long firstPart;
     final TreeMap<Integer, Payload> values = new TreeMap<>();
+
     /** Whether it is looked at once more when its time is over. */
     boolean lapses;
+
     /** When an attempt of it is looked at for being overdue. */
     double overdueAt = Double.POSITIVE_INFINITY;
 
@@ -60,8 +70,10 @@
     int sent;
     Out out;
     boolean mayHaveRun;
+
     /** When the first attempt that may have run was sent. */
     double mayRunFrom = Double.POSITIVE_INFINITY;
+
     Effect.Answer.Missing last = new Effect.Answer.Missing(null, null, null);
 
     private Part(Open open, int slice) {
@@ -88,7 +100,13 @@
 
   /** Begins to hold a request, whose time is over after so many ms; its parts follow one by one. */
   Open hold(Request r, Charge charge, double timeLeft, double now) {
-    Open open = new Open(r, charge, now + timeLeft - r.late().unread(), now + r.late().left(timeLeft, Math.min(LATE, LATE_SHARE * timeLeft)), nextPart);
+    Open open =
+        new Open(
+            r,
+            charge,
+            now + timeLeft - r.late().unread(),
+            now + r.late().left(timeLeft, Math.min(LATE, LATE_SHARE * timeLeft)),
+            nextPart);
     requests.put(r.id(), open);
     nextPart += open.parts();
     partsHeld += open.parts();
@@ -125,7 +143,10 @@
     return parts.get(open.firstPart + place);
   }
 
-  /** Requests and those of their parts that are not in, as the site's limit counts them: a part that is answered is over. */
+  /**
+   * Requests and those of their parts that are not in, as the site's limit counts them: a part that
+   * is answered is over.
+   */
   int count() {
     return requests.size() + partsHeld;
   }
@@ -149,8 +170,11 @@
 
   /** The attempts of a request that are out and not given up. */
   List<Out> outOf(Open open) {
-    return IntStream.range(0, open.parts()).mapToObj(i -> part(open, i))
-        .filter(p -> p != null && p.out != null && p.out.given == null).map(p -> p.out).toList();
+    return IntStream.range(0, open.parts())
+        .mapToObj(i -> part(open, i))
+        .filter(p -> p != null && p.out != null && p.out.given == null)
+        .map(p -> p.out)
+        .toList();
   }
 
   /** The request that an attempt is of, if that is known. */
@@ -185,13 +209,20 @@
     for (int i = 0; i < open.parts(); i++) {
       Part p = part(open, i);
       if (p != null && !open.values.containsKey(i)) {
-        missing.put(i, p.out == null ? p.last : new Effect.Answer.Missing(null, p.out.server, null));
+        missing.put(
+            i, p.out == null ? p.last : new Effect.Answer.Missing(null, p.out.server, null));
       }
       mayHaveRun |= p != null && (p.mayHaveRun || p.out != null);
     }
-    // Given up a little earlier, since nothing could come in time any more, it is out of time all the same.
-    boolean unanswered = !missing.isEmpty() && missing.values().stream().allMatch(
-        m -> m.outcome() == Router.Outcome.TIMEOUT || m.outcome() == Router.Outcome.CANCELLED);
+    // Given up a little earlier, since nothing could come in time any more, it is out of time all
+    // the same.
+    boolean unanswered =
+        !missing.isEmpty()
+            && missing.values().stream()
+                .allMatch(
+                    m ->
+                        m.outcome() == Router.Outcome.TIMEOUT
+                            || m.outcome() == Router.Outcome.CANCELLED);
     return new Effect.Answer.Ending(unanswered || now >= open.lateFrom, mayHaveRun, missing);
   }
 }
--- a/src/main/java/bitternpulley/broker/OperatorOrders.java
+++ b/src/main/java/bitternpulley/broker/OperatorOrders.java
@@ -3,7 +3,10 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** What operators have ordered and not taken back: the servers that are cordoned, and whether to send clients away. */
+/**
+ * What operators have ordered and not taken back: the servers that are cordoned, and whether to
+ * send clients away.
+ */
 public record OperatorOrders(Set<String> cordoned, boolean quiesced) {
   public static final OperatorOrders NOTHING = new OperatorOrders(Set.of(), false);
 
@@ -25,6 +28,8 @@
     return new OperatorOrders(changed, quiesced);
   }
 
-  /** To cordon a server or let it back in; where {@code server} is null, to quiesce or to resume. */
+  /**
+   * To cordon a server or let it back in; where {@code server} is null, to quiesce or to resume.
+   */
   public record Order(String server, boolean on) {}
 }
--- a/src/main/java/bitternpulley/broker/PeerState.java
+++ b/src/main/java/bitternpulley/broker/PeerState.java
@@ -6,12 +6,17 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What the core holds of the other aggregators: who is here, and which part of what all may do together is this one's. */
+/**
+ * What the core holds of the other aggregators: who is here, and which part of what all may do
+ * together is this one's.
+ */
 final class PeerState {
   private Membership membership;
   private Leases leases;
 
-  /** Takes an event of the other aggregators; what is to be done comes behind the effects so far. */
+  /**
+   * Takes an event of the other aggregators; what is to be done comes behind the effects so far.
+   */
   void apply(Event event, double now, List<Effect> effects) {
     if (event instanceof Event.LeasesApply e) {
       leases = e.leases();
--- a/src/main/java/bitternpulley/broker/Reducer.java
+++ b/src/main/java/bitternpulley/broker/Reducer.java
@@ -20,8 +20,8 @@
 import java.util.function.Function;
 
 /**
- * The one place where the state of requests, parts and attempts changes. It tells the module what happens, and turns
- * what the module does into effects; it decides nothing itself.
+ * The one place where the state of requests, parts and attempts changes. It tells the module what
+ * happens, and turns what the module does into effects; it decides nothing itself.
  */
 public final class Reducer {
   private static final System.Logger LOG = System.getLogger(Reducer.class.getName());
@@ -38,8 +38,10 @@
   private double now;
 
   public Reducer(Settings settings, long seed, double now) {
-    // One attempt of a part is out at a time here. Guards against a module that, where the site permits second copies,
-    // counts on copies that end unsent: a part's attempts would be used up while a silent server sits on the first.
+    // One attempt of a part is out at a time here. Guards against a module that, where the site
+    // permits second copies,
+    // counts on copies that end unsent: a part's attempts would be used up while a silent server
+    // sits on the first.
     this(settings, now, recorder -> new Policy(settings.withoutCopies(), seed, now, recorder));
   }
 
@@ -66,7 +68,9 @@
     return peers.membership();
   }
 
-  /** This instance's leases; empty where its part of what all may do goes by the number configured. */
+  /**
+   * This instance's leases; empty where its part of what all may do goes by the number configured.
+   */
   public Optional<Leases> leases() {
     return peers.leases();
   }
@@ -112,8 +116,11 @@
     } else if (event instanceof Event.Faulted e) {
       faulted(e);
     } else if (event instanceof Event.Unsent e) {
-      router.ended(new Router.Ended(e.attempt().part(), e.attempt().number(), e.server(), Router.Outcome.MOOT, 0,
-          null), now, recorder);
+      router.ended(
+          new Router.Ended(
+              e.attempt().part(), e.attempt().number(), e.server(), Router.Outcome.MOOT, 0, null),
+          now,
+          recorder);
     } else if (event instanceof Event.Abandoned e) {
       Out out = held.out(e.attempt());
       if (out != null && out.given != null) {
@@ -148,16 +155,24 @@
     }
   }
 
-  /** Guards against parts sent before a server's drain was told whose bytes, held up on the way, would go after it. */
+  /**
+   * Guards against parts sent before a server's drain was told whose bytes, held up on the way,
+   * would go after it.
+   */
   private void withdraw() {
-    held.parts().stream().filter(p -> p.out != null && !roster.takesWork(p.out.server)).map(p -> p.out.server)
-        .distinct().forEach(s -> effects.add(new Effect.Withdraw(s)));
+    held.parts().stream()
+        .filter(p -> p.out != null && !roster.takesWork(p.out.server))
+        .map(p -> p.out.server)
+        .distinct()
+        .forEach(s -> effects.add(new Effect.Withdraw(s)));
   }
 
   private void ordered(Event.Ordered e) {
     String server = e.order().server();
-    effects.add(server == null || roster.knows(server) ? new Effect.Keep(e.order(), e.caller())
-        : new Effect.Turn(e.caller(), "no server is known by this id"));
+    effects.add(
+        server == null || roster.knows(server)
+            ? new Effect.Keep(e.order(), e.caller())
+            : new Effect.Turn(e.caller(), "no server is known by this id"));
   }
 
   /** Contracts go before the module's own limits. */
@@ -166,7 +181,9 @@
       Verdict verdict = accounts.admit(r, now);
       effects.add(new Effect.Judged(r.id(), verdict));
       if (verdict instanceof Verdict.Refused no) {
-        effects.add(new Effect.Reply(r, new Effect.Answer.Refused(no.pause(), Effect.Answer.Ending.UNTRIED, no)));
+        effects.add(
+            new Effect.Reply(
+                r, new Effect.Answer.Refused(no.pause(), Effect.Answer.Ending.UNTRIED, no)));
         return;
       }
       hold(r, (Charge) verdict);
@@ -177,7 +194,8 @@
 
   private void hold(Request r, Charge charge) {
     Router.Terms terms = charge == null ? r.terms() : r.terms().under(charge.terms());
-    double timeLeft = charge == null ? r.timeLeft() : Math.min(r.timeLeft(), charge.terms().deadline());
+    double timeLeft =
+        charge == null ? r.timeLeft() : Math.min(r.timeLeft(), charge.terms().deadline());
     OptionalDouble full = router.turnedAway(held.count());
     Open open = held.hold(r, charge, timeLeft, now);
     if (full.isPresent()) {
@@ -185,11 +203,26 @@
       return;
     }
     double work = r.slices().stream().mapToDouble(Request.Slice::work).sum();
-    router.query(new Router.Query(r.id(), r.id(), r.requestClass(), r.slices().size(), work, r.retry(), timeLeft,
-        0, terms, r.late()), now, recorder);
+    router.query(
+        new Router.Query(
+            r.id(),
+            r.id(),
+            r.requestClass(),
+            r.slices().size(),
+            work,
+            r.retry(),
+            timeLeft,
+            0,
+            terms,
+            r.late()),
+        now,
+        recorder);
     for (int i = 0; i < r.slices().size(); i++) {
       Request.Slice s = r.slices().get(i);
-      router.part(new Router.Part(held.holdPart(open, i), r.id(), s.shard(), s.weight(), s.work()), now, recorder);
+      router.part(
+          new Router.Part(held.holdPart(open, i), r.id(), s.shard(), s.weight(), s.work()),
+          now,
+          recorder);
     }
   }
 
@@ -210,10 +243,16 @@
     }
     held.tidy(id.part());
     accounts.attemptEnded(p.open.charge, outcome, now - out.sentAt, now, effects);
-    router.ended(new Router.Ended(id.part(), id.number(), out.server, outcome, now - out.sentAt, null), now, recorder);
+    router.ended(
+        new Router.Ended(id.part(), id.number(), out.server, outcome, now - out.sentAt, null),
+        now,
+        recorder);
   }
 
-  /** The request is its client's fault: no server is asked again, and the module hears that it is gone. */
+  /**
+   * The request is its client's fault: no server is asked again, and the module hears that it is
+   * gone.
+   */
   private void faulted(Event.Faulted e) {
     Out out = held.out(e.attempt());
     if (out == null) {
@@ -225,7 +264,10 @@
     router.gone(id, now, recorder);
   }
 
-  /** One alarm for all attempts of a request. Guards against very many parts, most long answered, that each ring. */
+  /**
+   * One alarm for all attempts of a request. Guards against very many parts, most long answered,
+   * that each ring.
+   */
   private void overdue(Event.Overdue e) {
     Part next = null;
     for (long id = e.first(); id < e.first() + e.parts(); id++) {
@@ -247,14 +289,17 @@
   /** Guards against a repeat that waits for a connection until its window is over. */
   private double sendBy(Part p) {
     Settings.QueryClass kind = settings.classes().get(p.open.request.requestClass());
-    return kind.effect() == Settings.Effect.KEYED ? p.mayRunFrom + kind.dedupWindow() : Double.POSITIVE_INFINITY;
+    return kind.effect() == Settings.Effect.KEYED
+        ? p.mayRunFrom + kind.dedupWindow()
+        : Double.POSITIVE_INFINITY;
   }
 
   private void lookAgain(Part p) {
     if (p.out.dueAt < p.open.overdueAt) {
       p.open.overdueAt = p.out.dueAt;
-      effects.add(new Effect.WakeAt(p.out.dueAt,
-          new Event.Overdue(p.out.id, p.open.firstPart, p.open.parts())));
+      effects.add(
+          new Effect.WakeAt(
+              p.out.dueAt, new Event.Overdue(p.out.id, p.open.firstPart, p.open.parts())));
     }
   }
 
@@ -266,16 +311,21 @@
   }
 
   /**
-   * Guards against requests that are lost because deciding on them failed: the one that the event was of ends at once; which
-   * others were to be decided on is not known, so each ends when its time is over, if nothing ends it before.
+   * Guards against requests that are lost because deciding on them failed: the one that the event
+   * was of ends at once; which others were to be decided on is not known, so each ends when its
+   * time is over, if nothing ends it before.
    */
   private void failed(Event event) {
-    Optional<Long> of = event instanceof Event.Taken e ? Optional.of(e.request().id())
-        : event instanceof Event.OfAttempt e ? held.requestOf(e.attempt()) : Optional.empty();
+    Optional<Long> of =
+        event instanceof Event.Taken e
+            ? Optional.of(e.request().id())
+            : event instanceof Event.OfAttempt e ? held.requestOf(e.attempt()) : Optional.empty();
     of.ifPresent(this::drop);
-    if (event instanceof Event.Taken e && effects.stream().noneMatch(
-        f -> f instanceof Effect.Reply r && r.request() == e.request())) {
-      effects.add(new Effect.Reply(e.request(), new Effect.Answer.Failed(Effect.Answer.Ending.UNTRIED)));
+    if (event instanceof Event.Taken e
+        && effects.stream()
+            .noneMatch(f -> f instanceof Effect.Reply r && r.request() == e.request())) {
+      effects.add(
+          new Effect.Reply(e.request(), new Effect.Answer.Failed(Effect.Answer.Ending.UNTRIED)));
     }
     for (Open open : held.requests()) {
       if (!open.lapses) {
@@ -326,7 +376,9 @@
         return;
       }
       AttemptId id = new AttemptId(part, p.sent++);
-      if (held.isOver(p) || p.out != null || id.number() >= settings.limits().maxAttempts()
+      if (held.isOver(p)
+          || p.out != null
+          || id.number() >= settings.limits().maxAttempts()
           || !accounts.maySend(p.open.charge, id.number())) {
         // Guards against one attempt too many, whatever asked for it: it ends unsent.
         inner.add(new Event.Unsent(id, server));
@@ -350,7 +402,10 @@
     public void answer(long query, boolean whole) {
       Open open = held.request(query);
       if (open != null) {
-        end(query, new Effect.Answer.Answered(whole, new TreeMap<>(open.values), held.ending(open, now).missing()));
+        end(
+            query,
+            new Effect.Answer.Answered(
+                whole, new TreeMap<>(open.values), held.ending(open, now).missing()));
       }
     }
 
@@ -387,7 +442,8 @@
 
     @Override
     public void probe(String server) {
-      // The module sends none, so no wire here carries any; one that comes to need them says so at once.
+      // The module sends none, so no wire here carries any; one that comes to need them says so at
+      // once.
       throw new UnsupportedOperationException("probes are not carried");
     }
 
--- a/src/main/java/bitternpulley/broker/ServerDirectory.java
+++ b/src/main/java/bitternpulley/broker/ServerDirectory.java
@@ -5,7 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** What discovery last said of each server that is there, with the operators' orders laid over it. */
+/**
+ * What discovery last said of each server that is there, with the operators' orders laid over it.
+ */
 final class ServerDirectory {
   private final Map<String, Router.Member> listed = new HashMap<>();
   private OperatorOrders standing = OperatorOrders.NOTHING;
@@ -25,10 +27,15 @@
     return e.members().stream().map(this::asOrdered).toList();
   }
 
-  /** A cordoned server drains, whatever discovery says of it meanwhile, so that the module's own rule on that holds. */
+  /**
+   * A cordoned server drains, whatever discovery says of it meanwhile, so that the module's own
+   * rule on that holds.
+   */
   private Router.Member asOrdered(Router.Member m) {
     return m.state() == Router.ServerState.LIVE && standing.cordoned().contains(m.server())
-        ? new Router.Member(m.server(), m.zone(), m.cell(), Router.ServerState.DRAINING, m.startedAt()) : m;
+        ? new Router.Member(
+            m.server(), m.zone(), m.cell(), Router.ServerState.DRAINING, m.startedAt())
+        : m;
   }
 
   /** Whether new work may go there: it is listed, does not drain and is not cordoned. */
@@ -42,17 +49,31 @@
     return listed.containsKey(server) || standing.cordoned().contains(server);
   }
 
-  /** What the operators' orders change: the servers out from now on, those back in, and whether clients are sent away. */
-  record Change(List<Router.Member> out, List<Router.Member> back, boolean quiesces, boolean quiesced) {}
+  /**
+   * What the operators' orders change: the servers out from now on, those back in, and whether
+   * clients are sent away.
+   */
+  record Change(
+      List<Router.Member> out, List<Router.Member> back, boolean quiesces, boolean quiesced) {}
 
   /** Puts other orders in force. */
   Change stands(OperatorOrders fresh) {
     OperatorOrders before = standing;
     standing = fresh;
-    List<Router.Member> out = listed.values().stream().filter(m -> fresh.cordoned().contains(m.server())
-        && !before.cordoned().contains(m.server())).map(this::asOrdered).toList();
-    List<Router.Member> back = before.cordoned().stream().filter(s -> !fresh.cordoned().contains(s)).map(listed::get)
-        .filter(m -> m != null).toList();
+    List<Router.Member> out =
+        listed.values().stream()
+            .filter(
+                m ->
+                    fresh.cordoned().contains(m.server())
+                        && !before.cordoned().contains(m.server()))
+            .map(this::asOrdered)
+            .toList();
+    List<Router.Member> back =
+        before.cordoned().stream()
+            .filter(s -> !fresh.cordoned().contains(s))
+            .map(listed::get)
+            .filter(m -> m != null)
+            .toList();
     return new Change(out, back, fresh.quiesced() != before.quiesced(), fresh.quiesced());
   }
 }
--- a/src/main/java/bitternpulley/broker/SharedCalls.java
+++ b/src/main/java/bitternpulley/broker/SharedCalls.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * Joins the attempts that one turn of the core sends to one server into calls. A server charges for each call beside the work
- * of its parts ({@code domain.call} of the settings), and one call holds up to {@code domain.bundleMax} parts.
+ * Joins the attempts that one turn of the core sends to one server into calls. A server charges for
+ * each call beside the work of its parts ({@code domain.call} of the settings), and one call holds
+ * up to {@code domain.bundleMax} parts.
  */
 final class SharedCalls {
   /** Where a call goes: attempts of different wires never share one. */
@@ -16,8 +17,9 @@
   private SharedCalls() {}
 
   /**
-   * The same effects, with the attempts to each server joined at the place of the first of them, at most {@code most} to a call.
-   * Attempts move forward only, so that whatever gives one up still comes after it.
+   * The same effects, with the attempts to each server joined at the place of the first of them, at
+   * most {@code most} to a call. Attempts move forward only, so that whatever gives one up still
+   * comes after it.
    */
   static List<Effect> join(List<Effect> effects, int most) {
     if (most <= 1) {
@@ -39,7 +41,8 @@
         joined.add(effect);
       }
     }
-    joined.replaceAll(e -> e instanceof Effect.StartTogether t && t.starts().size() == 1 ? t.starts().get(0) : e);
+    joined.replaceAll(
+        e -> e instanceof Effect.StartTogether t && t.starts().size() == 1 ? t.starts().get(0) : e);
     return joined;
   }
 }
--- a/src/main/java/bitternpulley/config/BrokerConfiguration.java
+++ b/src/main/java/bitternpulley/config/BrokerConfiguration.java
@@ -6,15 +6,28 @@
 import java.util.Optional;
 
 /**
- * What the operators' script says: the contracts (under version 1; whoever puts them in force counts on), how their teams are
- * recognised, the second front where the script sets it, whether the door lists accounts, membership where it is on, the whole as the schema describes
- * it, and what the script printed.
+ * What the operators' script says: the contracts (under version 1; whoever puts them in force
+ * counts on), how their teams are recognised, the second front where the script sets it, whether
+ * the door lists accounts, membership where it is on, the whole as the schema describes it, and
+ * what the script printed.
  */
 public record BrokerConfiguration(
-    ContractBook book, Recognition recognition, Optional<JsonNode> search, boolean listsAccounts,
-    Optional<MembershipConfiguration> membership, JsonNode document, String printed) {
+    ContractBook book,
+    Recognition recognition,
+    Optional<JsonNode> search,
+    boolean listsAccounts,
+    Optional<MembershipConfiguration> membership,
+    JsonNode document,
+    String printed) {
 
   /** No script: no contracts. */
-  public static final BrokerConfiguration NONE = new BrokerConfiguration(ContractBook.NONE, Recognition.NONE,
-      Optional.empty(), false, Optional.empty(), com.fasterxml.jackson.databind.node.NullNode.getInstance(), "");
+  public static final BrokerConfiguration NONE =
+      new BrokerConfiguration(
+          ContractBook.NONE,
+          Recognition.NONE,
+          Optional.empty(),
+          false,
+          Optional.empty(),
+          com.fasterxml.jackson.databind.node.NullNode.getInstance(),
+          "");
 }
--- a/src/main/java/bitternpulley/config/BrokerConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/BrokerConfigurationReader.java
@@ -53,11 +53,15 @@
   /** The first fault in the order of the document, so that one text has one message. */
   private static void validate(BrokerScript script) {
     List<Error> faults = schema().validate(script.document().toString(), InputFormat.JSON);
-    Optional<Error> first = faults.stream().min(Comparator.comparing(BrokerConfigurationReader::pointer)
-        .thenComparing(Error::getMessage));
-    first.ifPresent(fault -> {
-      throw script.fault(pointer(fault), fault.getMessage());
-    });
+    Optional<Error> first =
+        faults.stream()
+            .min(
+                Comparator.comparing(BrokerConfigurationReader::pointer)
+                    .thenComparing(Error::getMessage));
+    first.ifPresent(
+        fault -> {
+          throw script.fault(pointer(fault), fault.getMessage());
+        });
   }
 
   /** Of the key at fault: of what it stands in, where the key itself is missing or one too many. */
@@ -67,7 +71,8 @@
   }
 
   private static Schema schema() {
-    try (InputStream in = BrokerConfigurationReader.class.getResourceAsStream("broker.schema.json")) {
+    try (InputStream in =
+        BrokerConfigurationReader.class.getResourceAsStream("broker.schema.json")) {
       return SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(in);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
--- a/src/main/java/bitternpulley/config/BrokerScript.java
+++ b/src/main/java/bitternpulley/config/BrokerScript.java
@@ -15,16 +15,22 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Evaluates the operators' script to one document, and remembers where in the script each of its keys was set. */
+/**
+ * Evaluates the operators' script to one document, and remembers where in the script each of its
+ * keys was set.
+ */
 final class BrokerScript implements Host {
   /** Levels of lists and dicts in an argument. */
   private static final int DEEPEST = 8;
+
   private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
   private static final Set<String> ONCE = Set.of("opensearch", "accounts", "membership", "leases");
 
   private final ObjectNode document = JSON.objectNode();
+
   /** By JSON pointer; what stands deeper has the place of what it stands in. */
   private final Map<String, Place> places = new HashMap<>();
+
   private String printed;
 
   private BrokerScript() {}
@@ -67,7 +73,8 @@
   @Override
   public Object call(String function, Map<String, Value> arguments, Place at) {
     if (function.equals("terms")) {
-      // A dict by another name: it reads better where a class's terms are told, and its keys are checked with the rest.
+      // A dict by another name: it reads better where a class's terms are told, and its keys are
+      // checked with the rest.
       Map<Object, Object> terms = new java.util.LinkedHashMap<>();
       arguments.forEach((key, v) -> terms.put(key, v.value()));
       return terms;
@@ -86,10 +93,11 @@
       into = all.addObject();
     }
     places.put(pointer, at);
-    arguments.forEach((key, v) -> {
-      places.put(pointer + "/" + key, v.at());
-      into.set(key, json(v.value(), v.at(), 0));
-    });
+    arguments.forEach(
+        (key, v) -> {
+          places.put(pointer + "/" + key, v.at());
+          into.set(key, json(v.value(), v.at(), 0));
+        });
     return None.NONE;
   }
 
@@ -116,12 +124,13 @@
     }
     if (v instanceof Map<?, ?> map) {
       ObjectNode object = JSON.objectNode();
-      map.forEach((k, e) -> {
-        if (!(k instanceof String key)) {
-          throw new ScriptException(at, "a key that is no text");
-        }
-        object.set(key, json(e, at, depth + 1));
-      });
+      map.forEach(
+          (k, e) -> {
+            if (!(k instanceof String key)) {
+              throw new ScriptException(at, "a key that is no text");
+            }
+            object.set(key, json(e, at, depth + 1));
+          });
       return object;
     }
     if (v == None.NONE) {
--- a/src/main/java/bitternpulley/config/ConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/ConfigurationReader.java
@@ -12,11 +12,13 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads the configuration file that LB_CONFIG names; the other variables go before what it says. */
+/**
+ * Reads the configuration file that LB_CONFIG names; the other variables go before what it says.
+ */
 public final class ConfigurationReader {
   /**
-   * Ms by which a turn of ours comes late, as alarms ring on a grid and a part of a core is shared. Guards against answers
-   * that leave in time and arrive a hair after their aim.
+   * Ms by which a turn of ours comes late, as alarms ring on a grid and a part of a core is shared.
+   * Guards against answers that leave in time and arrive a hair after their aim.
    */
   private static final double LEAST_TICK = 4;
 
@@ -32,10 +34,18 @@
     List<String> zones = zones(settings);
     checkFleet(settings, zones.size());
     JsonNode known = in.get("known");
-    ServerList list = known == null || known.isNull()
-        ? new ServerList(0, true, List.of()) : named("known", () -> ServerList.read(known, zones, e -> {
-          throw e;
-        }));
+    ServerList list =
+        known == null || known.isNull()
+            ? new ServerList(0, true, List.of())
+            : named(
+                "known",
+                () ->
+                    ServerList.read(
+                        known,
+                        zones,
+                        e -> {
+                          throw e;
+                        }));
     JsonNode limits = settings.path("policyLimits");
     double sockets = named("limits", () -> Fields.figure(in.path("limits"), "sockets", 1024));
     double streams = named("settings", () -> Fields.figure(limits, "streamsPerConn", 100));
@@ -46,14 +56,24 @@
     if (sockets < 64) {
       throw new ConfigException("limits: 'sockets' is below 64");
     }
-    return new Configuration(value(environment, in, "LB_NAME", "name"),
-        address(environment, in, "LB_LISTEN", "listen"), address(environment, in, "LB_DISCOVERY", "discovery"),
-        seed(in), (int) sockets, list, SettingsReader.read(settings).withTickOfAtLeast(LEAST_TICK),
-        new Configuration.Wire((int) streams, keepalive,
-            named("settings", () -> Fields.figure(settings.path("costs"), "handshake", 0)) > 0), zones,
-        new Configuration.Operations(admin(environment, in),
+    return new Configuration(
+        value(environment, in, "LB_NAME", "name"),
+        address(environment, in, "LB_LISTEN", "listen"),
+        address(environment, in, "LB_DISCOVERY", "discovery"),
+        seed(in),
+        (int) sockets,
+        list,
+        SettingsReader.read(settings).withTickOfAtLeast(LEAST_TICK),
+        new Configuration.Wire(
+            (int) streams,
+            keepalive,
+            named("settings", () -> Fields.figure(settings.path("costs"), "handshake", 0)) > 0),
+        zones,
+        new Configuration.Operations(
+            admin(environment, in),
             Optional.ofNullable(environment.get("TMPDIR")).filter(f -> !f.isEmpty()).map(Path::of),
-            !environment.getOrDefault("LB_PASSED_SOCKET", "").isEmpty()), peers(in));
+            !environment.getOrDefault("LB_PASSED_SOCKET", "").isEmpty()),
+        peers(in));
   }
 
   private static Optional<Configuration.Peers> peers(JsonNode in) {
@@ -62,7 +82,9 @@
     }
     List<HostPort> all = new ArrayList<>();
     in.path("peers").forEach(p -> all.add(address("peers", p.asText(""))));
-    return Optional.of(new Configuration.Peers(address("peer_listen", in.path("peer_listen").asText()), List.copyOf(all)));
+    return Optional.of(
+        new Configuration.Peers(
+            address("peer_listen", in.path("peer_listen").asText()), List.copyOf(all)));
   }
 
   private static HostPort address(String key, String text) {
@@ -74,8 +96,8 @@
   }
 
   /**
-   * Reads all again, after the file was replaced. What the file says of discovery now goes before LB_DISCOVERY, which
-   * is as old as the program.
+   * Reads all again, after the file was replaced. What the file says of discovery now goes before
+   * LB_DISCOVERY, which is as old as the program.
    */
   public static Configuration reread(Map<String, String> environment) {
     Map<String, String> left = new HashMap<>(environment);
@@ -84,8 +106,9 @@
   }
 
   /**
-   * Guards against an aggregator that takes its share of the fleet's budgets by a number that is not its own, or that can
-   * do nothing at all: what contradicts itself or sets a limit to zero ends the start.
+   * Guards against an aggregator that takes its share of the fleet's budgets by a number that is
+   * not its own, or that can do nothing at all: what contradicts itself or sets a limit to zero
+   * ends the start.
    */
   private static void checkFleet(JsonNode settings, int zones) {
     double instances = atLeastOne(settings, "instances", 1);
@@ -95,13 +118,18 @@
     double cells = atLeastOne(settings.path("domain"), "cells", 1);
     double width = atLeastOne(settings.path("domain"), "width", 1);
     if (width > cells) {
-      throw new ConfigException("settings: 'width' is " + width + ", over 'cells', which is " + cells);
+      throw new ConfigException(
+          "settings: 'width' is " + width + ", over 'cells', which is " + cells);
     }
-    for (String limit : List.of("maxAttempts", "maxOpen", "connectTimeout", "streamsPerConn", "keepalive")) {
+    for (String limit :
+        List.of("maxAttempts", "maxOpen", "connectTimeout", "streamsPerConn", "keepalive")) {
       atLeastOne(settings.path("policyLimits"), limit, 1);
     }
-    settings.path("costs").fieldNames().forEachRemaining(price -> named("settings",
-        () -> Fields.figure(settings.path("costs"), price, 0)));
+    settings
+        .path("costs")
+        .fieldNames()
+        .forEachRemaining(
+            price -> named("settings", () -> Fields.figure(settings.path("costs"), price, 0)));
   }
 
   private static double atLeastOne(JsonNode in, String key, double absent) {
@@ -115,7 +143,8 @@
   private static void below(JsonNode settings, String key, double bound, String of) {
     double value = named("settings", () -> Fields.figure(settings, key, 0));
     if (!(value < bound)) {
-      throw new ConfigException("settings: '" + key + "' is " + value + ", which is not below " + of + ", " + bound);
+      throw new ConfigException(
+          "settings: '" + key + "' is " + value + ", which is not below " + of + ", " + bound);
     }
   }
 
@@ -155,7 +184,8 @@
     }
   }
 
-  private static String value(Map<String, String> environment, JsonNode in, String variable, String key) {
+  private static String value(
+      Map<String, String> environment, JsonNode in, String variable, String key) {
     String value = environment.getOrDefault(variable, in.path(key).asText(""));
     if (value.isEmpty()) {
       throw new ConfigException("'" + key + "' is missing, and " + variable + " is not set");
@@ -163,7 +193,8 @@
     return value;
   }
 
-  private static HostPort address(Map<String, String> environment, JsonNode in, String variable, String key) {
+  private static HostPort address(
+      Map<String, String> environment, JsonNode in, String variable, String key) {
     try {
       return HostPort.parse(value(environment, in, variable, key));
     } catch (IllegalArgumentException e) {
--- a/src/main/java/bitternpulley/config/ContractsReader.java
+++ b/src/main/java/bitternpulley/config/ContractsReader.java
@@ -12,12 +12,19 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Contracts of a document that the schema has passed, with the checks that a schema cannot make. */
+/**
+ * Contracts of a document that the schema has passed, with the checks that a schema cannot make.
+ */
 final class ContractsReader {
-  /** Defaults, which docs/contracts.md lists: a burst long enough for one stock report, budgets that calm days stay under. */
+  /**
+   * Defaults, which docs/contracts.md lists: a burst long enough for one stock report, budgets that
+   * calm days stay under.
+   */
   private static final double BURST = 500;
+
   private static final double FURTHER_ATTEMPTS = 0.2;
   private static final double CLIENT_RETRIES = 0.5;
+
   /** Sums of shares may pass one by rounding. */
   private static final double ROUNDING = 1e-9;
 
@@ -43,11 +50,18 @@
     for (int i = 0; i < all.size(); i++) {
       reader.contract(all.get(i), "/contracts/" + i);
     }
-    Recognition recognition = reader.contracts.isEmpty() ? Recognition.NONE
-        : new Recognition(reader.keys, reader.byIndex, reader.byClass, reader.fallback != null);
-    return new BrokerConfiguration(new ContractBook(1, reader.contracts, reader.fallback), recognition,
-        Optional.ofNullable(document.get("opensearch")), document.path("accounts").path("list").asBoolean(false),
-        MembershipReader.read(script), document, script.printed());
+    Recognition recognition =
+        reader.contracts.isEmpty()
+            ? Recognition.NONE
+            : new Recognition(reader.keys, reader.byIndex, reader.byClass, reader.fallback != null);
+    return new BrokerConfiguration(
+        new ContractBook(1, reader.contracts, reader.fallback),
+        recognition,
+        Optional.ofNullable(document.get("opensearch")),
+        document.path("accounts").path("list").asBoolean(false),
+        MembershipReader.read(script),
+        document,
+        script.printed());
   }
 
   private void contract(JsonNode in, String at) {
@@ -58,7 +72,9 @@
     double share = in.get("share").doubleValue();
     shares += share;
     if (shares > 1 + ROUNDING) {
-      throw script.fault(at + "/share", "brings the shares together to " + shares + ", which is more than there is");
+      throw script.fault(
+          at + "/share",
+          "brings the shares together to " + shares + ", which is more than there is");
     }
     double ceiling = in.path("ceiling").asDouble(1);
     if (ceiling < share) {
@@ -70,10 +86,19 @@
     if (holds > places) {
       throw script.fault(at + "/holds", "is more than the site's " + places);
     }
-    contracts.put(id, new Contract(id, share, ceiling, in.path("burst_ms").asDouble(BURST),
-        in.path("borrow").asBoolean(true), in.path("lend").asBoolean(true),
-        in.path("further_attempts").asDouble(FURTHER_ATTEMPTS), in.path("client_retries").asDouble(CLIENT_RETRIES),
-        holds, classes));
+    contracts.put(
+        id,
+        new Contract(
+            id,
+            share,
+            ceiling,
+            in.path("burst_ms").asDouble(BURST),
+            in.path("borrow").asBoolean(true),
+            in.path("lend").asBoolean(true),
+            in.path("further_attempts").asDouble(FURTHER_ATTEMPTS),
+            in.path("client_retries").asDouble(CLIENT_RETRIES),
+            holds,
+            classes));
     recognised(in, id, at);
   }
 
@@ -88,7 +113,11 @@
       JsonNode key = in.get("keys").get(i);
       byte[] salt = HexFormat.of().parseHex(key.get("salt").textValue());
       byte[] hash = HexFormat.of().parseHex(key.get("sha256").textValue());
-      claim(keys, key.get("id").textValue(), new Recognition.Key(id, salt, hash), at + "/keys/" + i + "/id");
+      claim(
+          keys,
+          key.get("id").textValue(),
+          new Recognition.Key(id, salt, hash),
+          at + "/keys/" + i + "/id");
     }
     for (int i = 0; i < in.path("indices").size(); i++) {
       String index = in.get("indices").get(i).textValue();
@@ -115,18 +144,25 @@
 
   private Map<Integer, Router.ClassTerms> classes(JsonNode in, String at) {
     Map<Integer, Router.ClassTerms> classes = new LinkedHashMap<>();
-    in.fields().forEachRemaining(e -> {
-      String here = at + "/" + e.getKey();
-      if (settings.isPresent()) {
-        int position = position(settings.get(), e.getKey(), here);
-        classes.put(position, terms(e.getValue(), settings.get().classes().get(position), here));
-      } else {
-        JsonNode t = e.getValue();
-        classes.put(classes.size(), new Router.ClassTerms(t.path("wanted_ms").asDouble(Double.NaN),
-            t.path("give_up_ms").asDouble(Double.NaN), t.path("least_share").asDouble(Double.NaN),
-            t.path("worth").asDouble(1)));
-      }
-    });
+    in.fields()
+        .forEachRemaining(
+            e -> {
+              String here = at + "/" + e.getKey();
+              if (settings.isPresent()) {
+                int position = position(settings.get(), e.getKey(), here);
+                classes.put(
+                    position, terms(e.getValue(), settings.get().classes().get(position), here));
+              } else {
+                JsonNode t = e.getValue();
+                classes.put(
+                    classes.size(),
+                    new Router.ClassTerms(
+                        t.path("wanted_ms").asDouble(Double.NaN),
+                        t.path("give_up_ms").asDouble(Double.NaN),
+                        t.path("least_share").asDouble(Double.NaN),
+                        t.path("worth").asDouble(1)));
+              }
+            });
     return classes;
   }
 
--- a/src/main/java/bitternpulley/config/Json.java
+++ b/src/main/java/bitternpulley/config/Json.java
@@ -12,9 +12,9 @@
 import java.io.IOException;
 
 /**
- * Reads one JSON text into the library's tree by its streaming parser: a mapper, which binds classes that nothing here
- * asks for, took a fifth of a start. Guards against texts that two readers would read differently: a key that comes
- * twice, or more behind the value.
+ * Reads one JSON text into the library's tree by its streaming parser: a mapper, which binds
+ * classes that nothing here asks for, took a fifth of a start. Guards against texts that two
+ * readers would read differently: a key that comes twice, or more behind the value.
  */
 public final class Json {
   private static final JsonFactory FACTORY =
@@ -57,9 +57,12 @@
         yield array;
       }
       case VALUE_STRING -> NODES.textNode(in.getText());
-      case VALUE_NUMBER_INT -> in.getNumberType() == JsonParser.NumberType.INT ? NODES.numberNode(in.getIntValue())
-          : in.getNumberType() == JsonParser.NumberType.LONG ? NODES.numberNode(in.getLongValue())
-          : NODES.numberNode(in.getBigIntegerValue());
+      case VALUE_NUMBER_INT ->
+          in.getNumberType() == JsonParser.NumberType.INT
+              ? NODES.numberNode(in.getIntValue())
+              : in.getNumberType() == JsonParser.NumberType.LONG
+                  ? NODES.numberNode(in.getLongValue())
+                  : NODES.numberNode(in.getBigIntegerValue());
       case VALUE_NUMBER_FLOAT -> NODES.numberNode(in.getDoubleValue());
       case VALUE_TRUE -> NODES.booleanNode(true);
       case VALUE_FALSE -> NODES.booleanNode(false);
--- a/src/main/java/bitternpulley/config/LeaseConfiguration.java
+++ b/src/main/java/bitternpulley/config/LeaseConfiguration.java
@@ -5,33 +5,63 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** What the operators' script says of leases: how long one lasts, ms, and the witnesses' numbers, or none for the usual ones. */
+/**
+ * What the operators' script says of leases: how long one lasts, ms, and the witnesses' numbers, or
+ * none for the usual ones.
+ */
 public record LeaseConfiguration(double lasts, List<Integer> witnesses) {
   /** Witnesses where none are named: an odd number, of which one or two may be away. */
   private static final int USUAL_WITNESSES = 5;
+
   /** Share of a lease that must be left for its use: each is asked for anew four times. */
   private static final double LEAST_USE = 0.6;
 
   /** The terms for so many members, all checked; throws ConfigException. */
   LeaseTerms terms(int members, Settings settings) {
     if (members > LeaseTerms.MOST_MEMBERS) {
-      throw new ConfigException("leases() is for at most " + LeaseTerms.MOST_MEMBERS + " aggregators, and 'peers' names " + members);
+      throw new ConfigException(
+          "leases() is for at most "
+              + LeaseTerms.MOST_MEMBERS
+              + " aggregators, and 'peers' names "
+              + members);
     }
     if (members != settings.instances()) {
-      throw new ConfigException("leases() needs all of 'instances' in 'peers': there are " + settings.instances() + ", and "
-          + members + " are named");
+      throw new ConfigException(
+          "leases() needs all of 'instances' in 'peers': there are "
+              + settings.instances()
+              + ", and "
+              + members
+              + " are named");
     }
     int usual = Math.min(USUAL_WITNESSES, members);
-    List<Integer> who = witnesses.isEmpty() ? IntStream.range(0, usual % 2 == 0 ? usual - 1 : usual).boxed().toList() : witnesses;
-    who.stream().filter(w -> w >= members).findFirst().ifPresent(w -> {
-      throw new ConfigException("'leases.witnesses' names number " + w + ", and 'peers' only " + members + " aggregators");
-    });
-    // What was decided under a lease counts for as long as a cold server's window, and may wait for a connection before.
-    LeaseTerms terms = new LeaseTerms(members, who, lasts,
-        settings.rules().tipWindow() + settings.limits().connectTimeout());
+    List<Integer> who =
+        witnesses.isEmpty()
+            ? IntStream.range(0, usual % 2 == 0 ? usual - 1 : usual).boxed().toList()
+            : witnesses;
+    who.stream()
+        .filter(w -> w >= members)
+        .findFirst()
+        .ifPresent(
+            w -> {
+              throw new ConfigException(
+                  "'leases.witnesses' names number "
+                      + w
+                      + ", and 'peers' only "
+                      + members
+                      + " aggregators");
+            });
+    // What was decided under a lease counts for as long as a cold server's window, and may wait for
+    // a connection before.
+    LeaseTerms terms =
+        new LeaseTerms(
+            members, who, lasts, settings.rules().tipWindow() + settings.limits().connectTimeout());
     if (terms.holds() < LEAST_USE * terms.lasts()) {
-      throw new ConfigException("'leases.lasts_s' is too short: of " + terms.lasts() + " ms only " + Math.round(terms.holds())
-          + " are for use beside 'fall' and 'connectTimeout'");
+      throw new ConfigException(
+          "'leases.lasts_s' is too short: of "
+              + terms.lasts()
+              + " ms only "
+              + Math.round(terms.holds())
+              + " are for use beside 'fall' and 'connectTimeout'");
     }
     return terms;
   }
--- a/src/main/java/bitternpulley/config/MembershipReader.java
+++ b/src/main/java/bitternpulley/config/MembershipReader.java
@@ -26,13 +26,22 @@
     double interval = in.path("interval_ms").asDouble(usual.interval());
     double timeout = in.path("timeout_ms").asDouble(usual.timeout());
     if (3 * timeout > interval) {
-      // Guards against probes of which one is still under way when the next is due: each takes up to three timeouts.
-      throw script.fault("/membership/timeout_ms", "is over a third of interval_ms, which is " + interval);
+      // Guards against probes of which one is still under way when the next is due: each takes up
+      // to three timeouts.
+      throw script.fault(
+          "/membership/timeout_ms", "is over a third of interval_ms, which is " + interval);
     }
-    return Optional.of(new MembershipConfiguration(new MembershipSettings(interval, timeout, in.path("relays").asInt(usual.relays()),
-        in.path("suspicion_intervals").asDouble(usual.suspicion()),
-        1000 * in.path("alone_after_s").asDouble(usual.aloneAfter() / 1000)),
-        in.path("region").asText(""), in.path("deployment").asText(""), leases));
+    return Optional.of(
+        new MembershipConfiguration(
+            new MembershipSettings(
+                interval,
+                timeout,
+                in.path("relays").asInt(usual.relays()),
+                in.path("suspicion_intervals").asDouble(usual.suspicion()),
+                1000 * in.path("alone_after_s").asDouble(usual.aloneAfter() / 1000)),
+            in.path("region").asText(""),
+            in.path("deployment").asText(""),
+            leases));
   }
 
   private static Optional<LeaseConfiguration> leases(BrokerScript script) {
@@ -42,6 +51,8 @@
     }
     List<Integer> witnesses = new ArrayList<>();
     in.path("witnesses").forEach(w -> witnesses.add(w.asInt()));
-    return Optional.of(new LeaseConfiguration(1000 * in.path("lasts_s").asDouble(LEASE_S), List.copyOf(witnesses)));
+    return Optional.of(
+        new LeaseConfiguration(
+            1000 * in.path("lasts_s").asDouble(LEASE_S), List.copyOf(witnesses)));
   }
 }
--- a/src/main/java/bitternpulley/config/SearchConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/SearchConfigurationReader.java
@@ -13,9 +13,13 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 
-/** Reads the file of the OpenSearch-style front; LB_OPENSEARCH may name another than the one under deploy/. */
+/**
+ * Reads the file of the OpenSearch-style front; LB_OPENSEARCH may name another than the one under
+ * deploy/.
+ */
 public final class SearchConfigurationReader {
-  private static final System.Logger LOG = System.getLogger(SearchConfigurationReader.class.getName());
+  private static final System.Logger LOG =
+      System.getLogger(SearchConfigurationReader.class.getName());
   private static final String FILE = "deploy/opensearch.json";
   private static final int WINDOW = 10_000;
   private static final int SEARCHES = 64;
@@ -24,15 +28,18 @@
   private SearchConfigurationReader() {}
 
   /**
-   * The front's configuration, or empty where there is none or it names no address to listen at: what the operators' script
-   * says, and where that says nothing, the file that came before it.
+   * The front's configuration, or empty where there is none or it names no address to listen at:
+   * what the operators' script says, and where that says nothing, the file that came before it.
    */
   public static Optional<SearchConfiguration> read(
       Map<String, String> environment, Settings settings, Optional<JsonNode> script) {
-    return script.isPresent() ? of("opensearch()", script.get(), settings) : file(environment, settings);
+    return script.isPresent()
+        ? of("opensearch()", script.get(), settings)
+        : file(environment, settings);
   }
 
-  private static Optional<SearchConfiguration> file(Map<String, String> environment, Settings settings) {
+  private static Optional<SearchConfiguration> file(
+      Map<String, String> environment, Settings settings) {
     String named = environment.get("LB_OPENSEARCH");
     Path path = Path.of(named == null || named.isEmpty() ? FILE : named);
     if (named == null && !Files.exists(path)) {
@@ -45,8 +52,13 @@
       throw new ConfigException(path + ": cannot be read as JSON");
     }
     Optional<SearchConfiguration> read = of(path.toString(), in, settings);
-    read.ifPresent(c -> LOG.log(System.Logger.Level.WARNING, path + " is superseded: opensearch() in the operators' script, which"
-        + " LB_BROKER names, says the same (docs/contracts.md)"));
+    read.ifPresent(
+        c ->
+            LOG.log(
+                System.Logger.Level.WARNING,
+                path
+                    + " is superseded: opensearch() in the operators' script, which"
+                    + " LB_BROKER names, says the same (docs/contracts.md)"));
     return read;
   }
 
@@ -55,9 +67,14 @@
       return Optional.empty();
     }
     try {
-      return Optional.of(new SearchConfiguration(listen(in), count(in, "server_port", 9200),
-          count(in, "max_result_window", WINDOW), count(in, "max_searches", SEARCHES),
-          count(in, "max_part_bytes", PART_BYTES), indices(in.path("indices"), settings)));
+      return Optional.of(
+          new SearchConfiguration(
+              listen(in),
+              count(in, "server_port", 9200),
+              count(in, "max_result_window", WINDOW),
+              count(in, "max_searches", SEARCHES),
+              count(in, "max_part_bytes", PART_BYTES),
+              indices(in.path("indices"), settings)));
     } catch (ConfigException e) {
       throw new ConfigException(path + ": " + e.getMessage());
     }
@@ -84,7 +101,8 @@
       throw new ConfigException("'indices' is missing or empty");
     }
     Map<String, SearchConfiguration.Index> indices = new LinkedHashMap<>();
-    in.fields().forEachRemaining(e -> indices.put(e.getKey(), index(e.getKey(), e.getValue(), settings)));
+    in.fields()
+        .forEachRemaining(e -> indices.put(e.getKey(), index(e.getKey(), e.getValue(), settings)));
     return indices;
   }
 
@@ -100,13 +118,18 @@
     int shards = settings.layout().shards();
     List<Integer> sections = new ArrayList<>();
     for (JsonNode s : in.path("sections")) {
-      if (!s.isInt() || s.intValue() < 0 || s.intValue() >= shards || sections.contains(s.intValue())) {
+      if (!s.isInt()
+          || s.intValue() < 0
+          || s.intValue() >= shards
+          || sections.contains(s.intValue())) {
         throw new ConfigException(
             "'indices." + name + ".sections' holds " + s + ", which is no section or comes twice");
       }
       sections.add(s.intValue());
     }
-    return new SearchConfiguration.Index(name, classes.indexOf(wanted),
+    return new SearchConfiguration.Index(
+        name,
+        classes.indexOf(wanted),
         sections.isEmpty() ? IntStream.range(0, shards).boxed().toList() : List.copyOf(sections));
   }
 }
--- a/src/main/java/bitternpulley/config/ServerList.java
+++ b/src/main/java/bitternpulley/config/ServerList.java
@@ -6,8 +6,8 @@
 import static bitternpulley.config.Fields.number;
 import static bitternpulley.config.Fields.text;
 
-import bitternpulley.routing.Router;
 import bitternpulley.net.HostPort;
+import bitternpulley.routing.Router;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
@@ -20,8 +20,9 @@
   public record Entry(Router.Member member, HostPort address) {}
 
   /**
-   * Reads a list; {@code zones} are the names that the settings number. An entry that cannot be used is told to
-   * {@code faults} and, unless that throws, left out: it must not keep the others from being heard.
+   * Reads a list; {@code zones} are the names that the settings number. An entry that cannot be
+   * used is told to {@code faults} and, unless that throws, left out: it must not keep the others
+   * from being heard.
    */
   public static ServerList read(JsonNode in, List<String> zones, Consumer<ConfigException> faults) {
     List<Entry> entries = new ArrayList<>();
@@ -36,24 +37,28 @@
         faults.accept(e);
       }
     }
-    return new ServerList((long) number(in, "revision"), flag(in, "complete"), List.copyOf(entries));
+    return new ServerList(
+        (long) number(in, "revision"), flag(in, "complete"), List.copyOf(entries));
   }
 
   private static Entry entry(JsonNode m, List<String> zones) {
     String id = text(m, "id");
-    Router.ServerState state = switch (text(m, "phase")) {
-      case "up" -> Router.ServerState.LIVE;
-      case "draining" -> Router.ServerState.DRAINING;
-      case "removed" -> Router.ServerState.GONE;
-      default -> throw new ConfigException("server " + id + ": 'phase' is none that is known");
-    };
-    // Only a server that is to be sent to needs an address. Guards against a drain that is not heard for want of one.
+    Router.ServerState state =
+        switch (text(m, "phase")) {
+          case "up" -> Router.ServerState.LIVE;
+          case "draining" -> Router.ServerState.DRAINING;
+          case "removed" -> Router.ServerState.GONE;
+          default -> throw new ConfigException("server " + id + ": 'phase' is none that is known");
+        };
+    // Only a server that is to be sent to needs an address. Guards against a drain that is not
+    // heard for want of one.
     HostPort address = m.hasNonNull("host_port") ? address(m, id) : null;
     if (address == null && state == Router.ServerState.LIVE) {
       throw new ConfigException("server " + id + ": 'host_port' is missing");
     }
     int zone = Math.max(0, zones.indexOf(m.path("locality").asText("")));
-    return new Entry(new Router.Member(id, zone, (int) number(m, "cell", 0), state, figure(m, "up_since_ms", 0)),
+    return new Entry(
+        new Router.Member(id, zone, (int) number(m, "cell", 0), state, figure(m, "up_since_ms", 0)),
         address);
   }
 
--- a/src/main/java/bitternpulley/config/SettingsReader.java
+++ b/src/main/java/bitternpulley/config/SettingsReader.java
@@ -25,14 +25,25 @@
     }
     List<Settings.Tenant> tenants = new ArrayList<>();
     for (JsonNode t : sub(in, "tenants")) {
-      tenants.add(new Settings.Tenant(t.path("name").asText(""), figure(t, "portion", 1), figure(t, "quotaRps", 0)));
+      tenants.add(
+          new Settings.Tenant(
+              t.path("name").asText(""), figure(t, "portion", 1), figure(t, "quotaRps", 0)));
     }
     return new Settings(
-        (int) figure(in, "selfIndex", 0), (int) figure(in, "instances", 1), (int) figure(in, "zone", 0),
-        figure(in, "tick", 1), in.path("discovery").asText("").equals("on_request"),
-        flag(sub(in, "clientHabits"), "marksRetry"), List.copyOf(read), List.copyOf(tenants),
-        figure(in, "overShareWorth", 1), in.path("worthBy").asText("").equals("work"),
-        layout(domain), limits(sub(in, "policyLimits")), rules(sub(in, "rules")), prices(sub(in, "costs")));
+        (int) figure(in, "selfIndex", 0),
+        (int) figure(in, "instances", 1),
+        (int) figure(in, "zone", 0),
+        figure(in, "tick", 1),
+        in.path("discovery").asText("").equals("on_request"),
+        flag(sub(in, "clientHabits"), "marksRetry"),
+        List.copyOf(read),
+        List.copyOf(tenants),
+        figure(in, "overShareWorth", 1),
+        in.path("worthBy").asText("").equals("work"),
+        layout(domain),
+        limits(sub(in, "policyLimits")),
+        rules(sub(in, "rules")),
+        prices(sub(in, "costs")));
   }
 
   private static JsonNode sub(JsonNode in, String key) {
@@ -46,10 +57,18 @@
     }
     double deadline = figure(c, "deadline", 0);
     return new Settings.QueryClass(
-        c.path("name").asText(""), figure(c, "worth", 1), figure(c, "aim", deadline), figure(c, "aimStretch", 0),
-        deadline, figure(c, "lateWorth", 0), effect(c.path("effect").asText("side_effect")),
-        figure(c, "dedupWindow", 0), flag(c, "stream"),
-        at(domain, "minShare", i, 1), at(domain, "wholeAt", i, 1), at(domain, "classPartial", i, 1),
+        c.path("name").asText(""),
+        figure(c, "worth", 1),
+        figure(c, "aim", deadline),
+        figure(c, "aimStretch", 0),
+        deadline,
+        figure(c, "lateWorth", 0),
+        effect(c.path("effect").asText("side_effect")),
+        figure(c, "dedupWindow", 0),
+        flag(c, "stream"),
+        at(domain, "minShare", i, 1),
+        at(domain, "wholeAt", i, 1),
+        at(domain, "classPartial", i, 1),
         (int) at(domain, "followUp", i, 0));
   }
 
@@ -72,28 +91,48 @@
 
   private static Settings.Layout layout(JsonNode d) {
     int cells = (int) figure(d, "cells", 1);
-    return new Settings.Layout((int) figure(d, "shards", 1), Math.max(1, cells), (int) figure(d, "width", 1),
-        Math.max(1, (int) figure(d, "bundleMax", 1)), figure(d, "call", 0));
+    return new Settings.Layout(
+        (int) figure(d, "shards", 1),
+        Math.max(1, cells),
+        (int) figure(d, "width", 1),
+        Math.max(1, (int) figure(d, "bundleMax", 1)),
+        figure(d, "call", 0));
   }
 
   private static Settings.Limits limits(JsonNode l) {
     return new Settings.Limits(
-        (int) figure(l, "maxAttempts", 1), (int) figure(l, "maxOpen", Integer.MAX_VALUE), flag(l, "mayCancel"),
-        flag(l, "secondCopies"), flag(l, "probes"), flag(l, "retryAfter"), figure(l, "maxRetryAfter", 0),
+        (int) figure(l, "maxAttempts", 1),
+        (int) figure(l, "maxOpen", Integer.MAX_VALUE),
+        flag(l, "mayCancel"),
+        flag(l, "secondCopies"),
+        flag(l, "probes"),
+        flag(l, "retryAfter"),
+        figure(l, "maxRetryAfter", 0),
         figure(l, "connectTimeout", 0));
   }
 
   private static Settings.Rules rules(JsonNode r) {
     return new Settings.Rules(
-        figure(r, "answerSlack", 0), figure(r, "stopSendingWithin", 0), figure(r, "coldFrom", 1),
-        figure(r, "cold", 0), figure(r, "tipMultiple", 0), figure(r, "fall", 0),
-        r.has("lookBack") || r.has("extraFloor") || r.has("extraShare"), figure(r, "extraFloor", 0),
-        figure(r, "extraShare", 0), figure(r, "lookBack", 0), figure(r, "mustAskIn", 0));
+        figure(r, "answerSlack", 0),
+        figure(r, "stopSendingWithin", 0),
+        figure(r, "coldFrom", 1),
+        figure(r, "cold", 0),
+        figure(r, "tipMultiple", 0),
+        figure(r, "fall", 0),
+        r.has("lookBack") || r.has("extraFloor") || r.has("extraShare"),
+        figure(r, "extraFloor", 0),
+        figure(r, "extraShare", 0),
+        figure(r, "lookBack", 0),
+        figure(r, "mustAskIn", 0));
   }
 
   private static Settings.Prices prices(JsonNode c) {
-    return new Settings.Prices(figure(c, "crossZone", 0), figure(c, "waste", 0), figure(c, "lateFail", 0),
-        figure(c, "connection", 0), figure(c, "probe", 0),
+    return new Settings.Prices(
+        figure(c, "crossZone", 0),
+        figure(c, "waste", 0),
+        figure(c, "lateFail", 0),
+        figure(c, "connection", 0),
+        figure(c, "probe", 0),
         figure(c, "handshake", 0));
   }
 }
--- a/src/main/java/bitternpulley/contracts/AdmissionControl.java
+++ b/src/main/java/bitternpulley/contracts/AdmissionControl.java
@@ -9,26 +9,41 @@
 import java.util.Map;
 
 /**
- * Decides who is let in, by the contracts in force, and keeps every team's account. The order of a query's life here:
- * {@link #admit}, for each attempt {@link #mayTryAgain}, {@link #sent} and {@link #attemptEnded}, then {@link #over}. Times are
- * ms of one clock that never runs back; amounts are standard parts (see {@link WorkMeter}).
+ * Decides who is let in, by the contracts in force, and keeps every team's account. The order of a
+ * query's life here: {@link #admit}, for each attempt {@link #mayTryAgain}, {@link #sent} and
+ * {@link #attemptEnded}, then {@link #over}. Times are ms of one clock that never runs back;
+ * amounts are standard parts (see {@link WorkMeter}).
  */
 public final class AdmissionControl {
   /** Attempts and retries that a budget may save up. */
   static final double BUDGET_BURST = 10;
+
   /** The weight of a team without a guarantee when idle share is divided. */
   static final double LEAST_WEIGHT = 0.01;
+
   /** Share of a team's burst that may be saved up of loans. */
   static final double LOAN_DEPTH = 0.25;
+
   /** Ms for which a team counts as one that wants to borrow after it last did. */
   private static final double WANTS_FOR = 1000;
-  /** What a query of a team that was let in before is reckoned to take to its end, ms, until one has ended. */
+
+  /**
+   * What a query of a team that was let in before is reckoned to take to its end, ms, until one has
+   * ended.
+   */
   private static final double FIRST_LASTS = 100;
+
   private static final double LASTS_SMOOTHING = 0.1;
-  /** Share of its class's wanted time within which an attempt is in time: the rest is for holding and further attempts. */
+
+  /**
+   * Share of its class's wanted time within which an attempt is in time: the rest is for holding
+   * and further attempts.
+   */
   private static final double TIMELY = 0.3;
+
   /** Times the worth that a query counts as that has come back as it was told. */
   private static final double PROMISED_WORTH = 10;
+
   /** The least pause that is promised, ms. */
   private static final double LEAST_PAUSE = 10;
 
@@ -58,8 +73,9 @@
   }
 
   /**
-   * Puts other contracts in force. Queries that are open end under the version that let them in, and what they booked is
-   * settled with the account that they booked it on; promises that are outstanding are kept.
+   * Puts other contracts in force. Queries that are open end under the version that let them in,
+   * and what they booked is settled with the account that they booked it on; promises that are
+   * outstanding are kept.
    */
   public void apply(ContractBook fresh, double now) {
     advance(now);
@@ -78,10 +94,19 @@
     forgetRetired(now);
   }
 
-  /** Guards against accounts of teams long gone: one that no contract has and nothing is booked on is dropped. */
+  /**
+   * Guards against accounts of teams long gone: one that no contract has and nothing is booked on
+   * is dropped.
+   */
   private void forgetRetired(double now) {
-    accounts.values().removeIf(a -> book.of(a.team) == null && a.unsettled == 0 && !a.queued
-        && a.promises.kept(now) == 0);
+    accounts
+        .values()
+        .removeIf(
+            a ->
+                book.of(a.team) == null
+                    && a.unsettled == 0
+                    && !a.queued
+                    && a.promises.kept(now) == 0);
   }
 
   /** Lets a query in or refuses it. */
@@ -136,12 +161,18 @@
     return admitted(a, basis, claim, cost, now, terms);
   }
 
-  /** Who was told to come back goes before what comes anew: the module starts held queries by their worth. */
+  /**
+   * Who was told to come back goes before what comes anew: the module starts held queries by their
+   * worth.
+   */
   private static Router.ClassTerms ahead(Router.ClassTerms terms) {
-    return new Router.ClassTerms(terms.aim(), terms.deadline(), terms.leastShare(), PROMISED_WORTH * terms.worth());
+    return new Router.ClassTerms(
+        terms.aim(), terms.deadline(), terms.leastShare(), PROMISED_WORTH * terms.worth());
   }
 
-  /** Whether something idle is the team's to borrow; from now on it counts among those who want to. */
+  /**
+   * Whether something idle is the team's to borrow; from now on it counts among those who want to.
+   */
   private boolean borrows(Account a, double now) {
     if (!a.contract.borrows()) {
       return false;
@@ -155,14 +186,23 @@
     return new Verdict.Refused(a.team, book.version(), limit, pause);
   }
 
-  private Charge admitted(Account a, Charge.Basis basis, Claim claim, double cost, double now, Router.ClassTerms terms) {
+  private Charge admitted(
+      Account a,
+      Charge.Basis basis,
+      Claim claim,
+      double cost,
+      double now,
+      Router.ClassTerms terms) {
     Charge charge = new Charge(a, basis, book.version(), claim, cost, now, terms);
     a.admitted++;
     a.unsettled++;
     a.held += claim.parts() + 1;
-    a.furtherAttempts = Math.min(a.furtherAttempts + a.contract.furtherAttempts() * claim.parts(), budgetDepth(a));
-    a.clientRetries = claim.retry() ? a.clientRetries - 1
-        : Math.min(a.clientRetries + a.contract.clientRetries(), BUDGET_BURST);
+    a.furtherAttempts =
+        Math.min(a.furtherAttempts + a.contract.furtherAttempts() * claim.parts(), budgetDepth(a));
+    a.clientRetries =
+        claim.retry()
+            ? a.clientRetries - 1
+            : Math.min(a.clientRetries + a.contract.clientRetries(), BUDGET_BURST);
     capacity.admitted(charge);
     book(charge, cost);
     return charge;
@@ -191,15 +231,18 @@
     }
   }
 
-  /** The pause that a refused caller is told: what is left of its own promise, else a new one's. Nobody gains by asking twice. */
+  /**
+   * The pause that a refused caller is told: what is left of its own promise, else a new one's.
+   * Nobody gains by asking twice.
+   */
   private double pause(Account a, Claim claim, double cost, double now) {
     double left = a.promises.left(claim.print(), now);
     return left > 0 ? left : promise(a, claim, cost, now);
   }
 
   /**
-   * The pause after which the team's own share holds the query beside all that others were promised, or 0 where that is
-   * later than clients heed: then none is promised.
+   * The pause after which the team's own share holds the query beside all that others were
+   * promised, or 0 where that is later than clients heed: then none is promised.
    */
   private double promise(Account a, Claim claim, double cost, double now) {
     double pause;
@@ -212,7 +255,8 @@
     }
     pause = Math.max(LEAST_PAUSE, pause);
     if (a.promises.left(claim.print(), now) <= 0) {
-      a.promises.claim(claim.print()); // its time has come and it is refused all the same: it is told another
+      a.promises.claim(
+          claim.print()); // its time has come and it is refused all the same: it is told another
     }
     return pause <= mostPause && a.promises.add(claim.print(), now + pause, cost) ? pause : 0;
   }
@@ -228,7 +272,10 @@
     }
   }
 
-  /** Time goes on: capacity is looked at anew, shares fill, and who no longer wants to borrow is dropped. */
+  /**
+   * Time goes on: capacity is looked at anew, shares fill, and who no longer wants to borrow is
+   * dropped.
+   */
   public void advance(double now) {
     supply.advance(now);
     if (capacity.at(now)) {
@@ -248,7 +295,10 @@
 
   // --- What came of it ---------------------------------------------------------------------------
 
-  /** Whether the team's budget has another attempt for a part of an admitted query; if so, it is taken. */
+  /**
+   * Whether the team's budget has another attempt for a part of an admitted query; if so, it is
+   * taken.
+   */
   public boolean mayTryAgain(Charge charge) {
     if (charge.account.furtherAttempts < 1) {
       return false;
@@ -262,7 +312,10 @@
     charge.attemptsOut++;
   }
 
-  /** An attempt has ended after so many ms; what never ran costs nothing, what may have run costs what is usual. */
+  /**
+   * An attempt has ended after so many ms; what never ran costs nothing, what may have run costs
+   * what is usual.
+   */
   public void attemptEnded(Charge charge, Router.Outcome outcome, double took, double now) {
     advance(now);
     charge.attemptsOut--;
@@ -326,7 +379,10 @@
 
   // --- For operators -----------------------------------------------------------------------------
 
-  /** Standard parts a second that this aggregator is reckoned to do; infinite while nothing is scarce. */
+  /**
+   * Standard parts a second that this aggregator is reckoned to do; infinite while nothing is
+   * scarce.
+   */
   public double capacity() {
     return supply.rate();
   }
--- a/src/main/java/bitternpulley/contracts/Bucket.java
+++ b/src/main/java/bitternpulley/contracts/Bucket.java
@@ -1,8 +1,9 @@
 package bitternpulley.contracts;
 
 /**
- * A share of a stream, saved up to a depth. The stream is told by its running total, so that a bucket that nobody uses costs
- * nothing until it is next looked at. It may go below nothing by one query: a large one waits no longer than its size is worth.
+ * A share of a stream, saved up to a depth. The stream is told by its running total, so that a
+ * bucket that nobody uses costs nothing until it is next looked at. It may go below nothing by one
+ * query: a large one waits no longer than its size is worth.
  */
 final class Bucket {
   private double balance;
@@ -29,9 +30,10 @@
     balance -= amount;
   }
 
-  /** Gives back what was taken and not used, up to the depth; what was used beyond is taken as well. */
+  /**
+   * Gives back what was taken and not used, up to the depth; what was used beyond is taken as well.
+   */
   void settle(double amount, double depth) {
     balance = amount > 0 ? Math.max(balance, Math.min(depth, balance + amount)) : balance + amount;
   }
-
 }
--- a/src/main/java/bitternpulley/contracts/Charge.java
+++ b/src/main/java/bitternpulley/contracts/Charge.java
@@ -2,28 +2,47 @@
 
 import bitternpulley.routing.Router;
 
-/** What an admitted query has booked on its team's account, from its admission until its last attempt has ended. */
+/**
+ * What an admitted query has booked on its team's account, from its admission until its last
+ * attempt has ended.
+ */
 public final class Charge implements Verdict {
   /** On what a query was let in. */
-  public enum Basis { GUARANTEE, LOAN, PROMISE, UNLIMITED }
+  public enum Basis {
+    GUARANTEE,
+    LOAN,
+    PROMISE,
+    UNLIMITED
+  }
 
   final Account account;
   final Basis basis;
   final int version;
   final int queryClass;
   final int parts;
+
   /** Standard parts booked by estimate, and what was seen so far. */
   final double booked;
+
   final double since;
   double used;
   int attemptsOut;
   boolean over;
+
   /** Open for longer than a query that will be in time. */
   boolean old;
+
   boolean settled;
   private final Router.ClassTerms terms;
 
-  Charge(Account account, Basis basis, int version, Claim claim, double booked, double now, Router.ClassTerms terms) {
+  Charge(
+      Account account,
+      Basis basis,
+      int version,
+      Claim claim,
+      double booked,
+      double now,
+      Router.ClassTerms terms) {
     this.account = account;
     this.basis = basis;
     this.version = version;
@@ -34,7 +53,10 @@
     this.terms = terms;
   }
 
-  /** What the contract that let it in says of its class: it holds to the query's end, whatever changes meanwhile. */
+  /**
+   * What the contract that let it in says of its class: it holds to the query's end, whatever
+   * changes meanwhile.
+   */
   public Router.ClassTerms terms() {
     return terms;
   }
--- a/src/main/java/bitternpulley/contracts/ContractBook.java
+++ b/src/main/java/bitternpulley/contracts/ContractBook.java
@@ -4,7 +4,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The contracts in force together, under one version; a change is a new book. Checked where it is read. */
+/**
+ * The contracts in force together, under one version; a change is a new book. Checked where it is
+ * read.
+ */
 public final class ContractBook {
   /** No contracts: everything is admitted, as where none are configured. */
   public static final ContractBook NONE = new ContractBook(0, Map.of(), null);
@@ -13,7 +16,9 @@
   private final Map<String, Contract> byTeam;
   private final String fallback;
 
-  /** {@code fallback} is the team whose contract holds for those that no one recognises, or null. */
+  /**
+   * {@code fallback} is the team whose contract holds for those that no one recognises, or null.
+   */
   public ContractBook(int version, Map<String, Contract> byTeam, String fallback) {
     this.version = version;
     this.byTeam = new LinkedHashMap<>(byTeam);
--- a/src/main/java/bitternpulley/contracts/Prints.java
+++ b/src/main/java/bitternpulley/contracts/Prints.java
@@ -7,7 +7,10 @@
 
   private Prints() {}
 
-  /** 64 bits by FNV-1a over what is asked and a number beside it; never 0. Two that collide share one promise, no more. */
+  /**
+   * 64 bits by FNV-1a over what is asked and a number beside it; never 0. Two that collide share
+   * one promise, no more.
+   */
   public static long of(byte[] asked, int beside) {
     long hash = (BASIS ^ beside) * PRIME;
     for (byte b : asked) {
--- a/src/main/java/bitternpulley/contracts/Promises.java
+++ b/src/main/java/bitternpulley/contracts/Promises.java
@@ -5,14 +5,23 @@
 import java.util.Map;
 
 /**
- * Those that were told when to come back, with the place that each is kept. One promise a place, and one a caller: whoever
- * comes back early is told the rest of the same time. A place is kept for {@link #GRACE} ms beyond its time, then it lapses.
+ * Those that were told when to come back, with the place that each is kept. One promise a place,
+ * and one a caller: whoever comes back early is told the rest of the same time. A place is kept for
+ * {@link #GRACE} ms beyond its time, then it lapses.
  */
 final class Promises {
-  /** Ms for which a place is kept beyond its time: a client's clock, way and connection take some of it. */
+  /**
+   * Ms for which a place is kept beyond its time: a client's clock, way and connection take some of
+   * it.
+   */
   static final double GRACE = 300;
-  /** Ms before its time from which a caller counts as in time: the time it was told was rounded on its way. */
+
+  /**
+   * Ms before its time from which a caller counts as in time: the time it was told was rounded on
+   * its way.
+   */
   private static final double EARLY = 5;
+
   /** Promises that one team can hold; beyond, its clients are told no time. */
   private static final int MOST = 256;
 
@@ -49,7 +58,9 @@
     return byPrint.size();
   }
 
-  /** Ms until a caller's time, 0 or less where it has come, or NaN where it was promised nothing. */
+  /**
+   * Ms until a caller's time, 0 or less where it has come, or NaN where it was promised nothing.
+   */
   double left(long print, double now) {
     Promise p = print == 0 ? null : byPrint.get(print);
     return p == null ? Double.NaN : p.at - EARLY - now;
@@ -60,7 +71,10 @@
     close(byPrint.get(print));
   }
 
-  /** Keeps a place from a time on, no earlier than those promised before; false where there is no room for one more. */
+  /**
+   * Keeps a place from a time on, no earlier than those promised before; false where there is no
+   * room for one more.
+   */
   boolean add(long print, double at, double cost) {
     if (byPrint.size() >= MOST || print == 0) {
       return false;
--- a/src/main/java/bitternpulley/contracts/Recognition.java
+++ b/src/main/java/bitternpulley/contracts/Recognition.java
@@ -8,8 +8,9 @@
 import java.util.Map;
 
 /**
- * Whose a request is: by the key that it shows, by the index that it asks, by its class. A key that is shown and not known is
- * never passed over for another sign, so that nobody gains by showing a wrong one; no other header is looked at.
+ * Whose a request is: by the key that it shows, by the index that it asks, by its class. A key that
+ * is shown and not known is never passed over for another sign, so that nobody gains by showing a
+ * wrong one; no other header is looked at.
  */
 public final class Recognition {
   /** Recognises nobody, as where there are no contracts. */
@@ -17,18 +18,28 @@
 
   private static final String SCHEME = "ApiKey ";
 
-  /** A key's hash: SHA-256 of the salt's bytes and the secret's. Keys are long and random, so that one pass is enough. */
+  /**
+   * A key's hash: SHA-256 of the salt's bytes and the secret's. Keys are long and random, so that
+   * one pass is enough.
+   */
   public record Key(String team, byte[] salt, byte[] sha256) {}
 
   /** What a header shows. */
-  public enum Shown { NOTHING, KNOWN, UNKNOWN }
+  public enum Shown {
+    NOTHING,
+    KNOWN,
+    UNKNOWN
+  }
 
   /** A shown key and, where it is known, whose it is. */
   public record Holder(Shown shown, String team) {}
 
   private static final Holder NOBODY = new Holder(Shown.NOTHING, null);
   private static final Holder STRANGER = new Holder(Shown.UNKNOWN, null);
-  /** Guards against a difference in time between an id that is unknown and a secret that is wrong. */
+
+  /**
+   * Guards against a difference in time between an id that is unknown and a secret that is wrong.
+   */
   private static final Key DECOY = new Key(null, new byte[16], new byte[32]);
 
   private final Map<String, Key> keys;
@@ -38,7 +49,10 @@
 
   /** {@code fallback} tells whether a contract holds for those that nothing tells of. */
   public Recognition(
-      Map<String, Key> keys, Map<String, String> byIndex, Map<Integer, String> byClass, boolean fallback) {
+      Map<String, Key> keys,
+      Map<String, String> byIndex,
+      Map<Integer, String> byClass,
+      boolean fallback) {
     this.fallback = fallback;
     this.keys = new HashMap<>(keys);
     this.byIndex = new HashMap<>(byIndex);
--- a/src/main/java/bitternpulley/contracts/Supply.java
+++ b/src/main/java/bitternpulley/contracts/Supply.java
@@ -1,12 +1,17 @@
 package bitternpulley.contracts;
 
 /**
- * What this aggregator can do, as a stream: its rate by the {@link CapacityEstimate}, its running total, and the running total
- * of what may be lent, per unit of weight of those who want to borrow. Time only moves it on; everything else asks.
+ * What this aggregator can do, as a stream: its rate by the {@link CapacityEstimate}, its running
+ * total, and the running total of what may be lent, per unit of weight of those who want to borrow.
+ * Time only moves it on; everything else asks.
  */
 final class Supply {
-  /** Ms of the rate that the pool of idle share may hold: what is lent cannot be called back, so little is saved up. */
+  /**
+   * Ms of the rate that the pool of idle share may hold: what is lent cannot be called back, so
+   * little is saved up.
+   */
   private static final double POOL = 250;
+
   /** Times the pool that may be owed to it. */
   private static final double DEBT = 4;
 
@@ -16,8 +21,13 @@
   private double loanable;
   private double pool;
   private double weights;
-  /** What has come in and was neither used by its owners nor shared out yet; below 0 where owners used what was saved. */
+
+  /**
+   * What has come in and was neither used by its owners nor shared out yet; below 0 where owners
+   * used what was saved.
+   */
   private double unshared;
+
   private double at = Double.NaN;
 
   /** Standard parts a second; infinite while no sign of scarcity was seen. */
@@ -68,7 +78,9 @@
     }
   }
 
-  /** Whether something is idle, and whether so much of it that nobody need be kept to a part of it. */
+  /**
+   * Whether something is idle, and whether so much of it that nobody need be kept to a part of it.
+   */
   boolean idle() {
     return pool > 0;
   }
--- a/src/main/java/bitternpulley/faults/Callers.java
+++ b/src/main/java/bitternpulley/faults/Callers.java
@@ -14,14 +14,15 @@
 import java.util.regex.Pattern;
 
 /**
- * Clients of a cluster: queries at times drawn ahead by seed, each to a process by chance and over a connection of its own,
- * on which every answer is counted. A query is lost if it has none in its time though its process was neither killed nor
- * stopped meanwhile; whoever does that says so.
+ * Clients of a cluster: queries at times drawn ahead by seed, each to a process by chance and over
+ * a connection of its own, on which every answer is counted. A query is lost if it has none in its
+ * time though its process was neither killed nor stopped meanwhile; whoever does that says so.
  */
 public final class Callers {
   private static final String[] CLASSES = {"slot-search", "slot-booking", "stock-report"};
   private static final Pattern ANSWER = Pattern.compile("HTTP/1\\.1 ([0-9]{3})");
   private static final double TIMEOUT = 1400;
+
   /** Ms that the protocol adds to each limit, and a busy machine may take between two processes. */
   private static final double SLACK = 50 + 50;
 
@@ -49,7 +50,10 @@
     loop.execute(() -> next(perSecond));
   }
 
-  /** A process is killed, stopped, or starting from now on until {@link #well}: what is asked of it meanwhile does not count. */
+  /**
+   * A process is killed, stopped, or starting from now on until {@link #well}: what is asked of it
+   * meanwhile does not count.
+   */
   public void disturbed(int node) {
     loop.execute(() -> disturbed[node] = Double.POSITIVE_INFINITY);
   }
@@ -83,14 +87,29 @@
     int parts = kind == 2 ? 6 : 1 + random.nextInt(3);
     StringBuilder slices = new StringBuilder();
     for (int i = 0; i < parts; i++) {
-      slices.append(i == 0 ? "" : ",").append("{\"slice\":").append((first + i) % 6).append(",\"mass\":").append(1.0 / parts)
+      slices
+          .append(i == 0 ? "" : ",")
+          .append("{\"slice\":")
+          .append((first + i) % 6)
+          .append(",\"mass\":")
+          .append(1.0 / parts)
           .append('}');
     }
     String id = prefix + count++;
     String body = "{\"slices\":[" + slices + "],\"filter\":\"w=4000\"}";
-    String request = "POST /" + CLASSES[kind] + " HTTP/1.1\r\nHost: b\r\nRequest-Id: " + id + "\r\nRequest-Timeout: "
-        + String.format(Locale.ROOT, "%.3f", TIMEOUT / 1000) + "\r\nIdempotency-Key: k-" + id + "\r\nContent-Length: "
-        + body.length() + "\r\n\r\n" + body;
+    String request =
+        "POST /"
+            + CLASSES[kind]
+            + " HTTP/1.1\r\nHost: b\r\nRequest-Id: "
+            + id
+            + "\r\nRequest-Timeout: "
+            + String.format(Locale.ROOT, "%.3f", TIMEOUT / 1000)
+            + "\r\nIdempotency-Key: k-"
+            + id
+            + "\r\nContent-Length: "
+            + body.length()
+            + "\r\n\r\n"
+            + body;
     new Query(node, id).send(cluster.node(node).front(), request);
   }
 
@@ -110,12 +129,21 @@
     void send(HostPort to, String request) {
       try {
         Connection[] made = new Connection[1];
-        made[0] = Connection.open(loop, to, TIMEOUT, this, () ->
-            made[0].write(ByteBuffer.wrap(request.getBytes(StandardCharsets.US_ASCII)), () -> { }));
-        loop.after(TIMEOUT + 2 * SLACK, () -> {
-          over();
-          made[0].close();
-        });
+        made[0] =
+            Connection.open(
+                loop,
+                to,
+                TIMEOUT,
+                this,
+                () ->
+                    made[0].write(
+                        ByteBuffer.wrap(request.getBytes(StandardCharsets.US_ASCII)), () -> {}));
+        loop.after(
+            TIMEOUT + 2 * SLACK,
+            () -> {
+              over();
+              made[0].close();
+            });
       } catch (UncheckedIOException e) {
         excused++; // this machine has no socket for a client: nothing was asked
       }
@@ -147,7 +175,13 @@
         if (disturbed[node] >= sentAt) {
           excused++;
         } else {
-          lost.add(cluster.node(node).name() + " " + id + " after " + Math.round(answeredAt - sentAt) + " ms");
+          lost.add(
+              cluster.node(node).name()
+                  + " "
+                  + id
+                  + " after "
+                  + Math.round(answeredAt - sentAt)
+                  + " ms");
           cluster.timeline().see("lost", lost.get(lost.size() - 1));
         }
       }
--- a/src/main/java/bitternpulley/faults/Cluster.java
+++ b/src/main/java/bitternpulley/faults/Cluster.java
@@ -19,8 +19,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Several processes of the real program over one fleet of stand-in servers, in zones by turns, with a path for each direction
- * between each two that speak, by datagrams or streams; all that is done to them and seen goes to the timeline.
+ * Several processes of the real program over one fleet of stand-in servers, in zones by turns, with
+ * a path for each direction between each two that speak, by datagrams or streams; all that is done
+ * to them and seen goes to the timeline.
  */
 public final class Cluster implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -35,25 +36,41 @@
   private final Timeline timeline;
   private final String replay;
 
-  /** So many processes in two zones, started and ready; {@code script} is the operators' script of each. */
-  public Cluster(String name, int count, long seed, String script, String replay) throws IOException, InterruptedException {
+  /**
+   * So many processes in two zones, started and ready; {@code script} is the operators' script of
+   * each.
+   */
+  public Cluster(String name, int count, long seed, String script, String replay)
+      throws IOException, InterruptedException {
     this(name, count, List.of("gulberg", "johar"), seed, script, replay);
   }
 
-  /** So many processes in these zones by turns; {@code replay} is the command that plays the same again. */
-  public Cluster(String name, int count, List<String> zones, long seed, String script, String replay)
+  /**
+   * So many processes in these zones by turns; {@code replay} is the command that plays the same
+   * again.
+   */
+  public Cluster(
+      String name, int count, List<String> zones, long seed, String script, String replay)
       throws IOException, InterruptedException {
     fleet = new Fleet(new EventLoop(), CELLS, CORES, zones);
     ways = new Ways(count, fleet, seed);
-    targets = new Targets(IntStream.range(0, count).mapToObj(i -> zones.get(i % zones.size())).toList(),
-        fleet.servers().stream().map(s -> zones.get(fleet.zone(s))).toList());
+    targets =
+        new Targets(
+            IntStream.range(0, count).mapToObj(i -> zones.get(i % zones.size())).toList(),
+            fleet.servers().stream().map(s -> zones.get(fleet.zone(s))).toList());
     timeline = new Timeline(name, seed);
     this.replay = replay;
     for (int i = 0; i < count; i++) {
       String node = "n" + i;
       Fleet.View view = fleet.view(s -> ways.address(node, s.id()));
-      ObjectNode config = fleet.configuration(i, count, "127.0.0.1:" + Ports.free(), HOLDS, view,
-          ways.stream(node, "discovery", view.at()));
+      ObjectNode config =
+          fleet.configuration(
+              i,
+              count,
+              "127.0.0.1:" + Ports.free(),
+              HOLDS,
+              view,
+              ways.stream(node, "discovery", view.at()));
       config.put("peer_listen", ways.datagrams().listen(i).toString());
       ArrayNode peers = config.putArray("peers");
       ways.datagrams().peersOf(i).forEach(p -> peers.add(p.toString()));
@@ -89,12 +106,14 @@
   // --- Faults ------------------------------------------------------------------------------------
 
   /**
-   * Puts in a fault, or takes one away; the line goes to the timeline as it is. For processes: {@code pause}, {@code resume},
-   * {@code kill}, {@code restart}, {@code renew} (started again without memory), {@code leave} (SIGTERM), {@code hangup}. For
-   * slot servers: {@code slow TIMES}, {@code silent}, {@code speak}, {@code drain}, {@code up}, {@code cold} (a new process of it). For ways, behind whose
-   * verb and figures stand the two ends, with {@code >} for one direction and {@code =} for both: {@code cut}, {@code reset},
-   * {@code lose SHARE}, {@code delay MS JITTER}, {@code repeat SHARE}, {@code garble SHARE}, {@code throttle BYTES_PER_SECOND},
-   * {@code heal}. Ends are as {@link Targets} has them.
+   * Puts in a fault, or takes one away; the line goes to the timeline as it is. For processes:
+   * {@code pause}, {@code resume}, {@code kill}, {@code restart}, {@code renew} (started again
+   * without memory), {@code leave} (SIGTERM), {@code hangup}. For slot servers: {@code slow TIMES},
+   * {@code silent}, {@code speak}, {@code drain}, {@code up}, {@code cold} (a new process of it).
+   * For ways, behind whose verb and figures stand the two ends, with {@code >} for one direction
+   * and {@code =} for both: {@code cut}, {@code reset}, {@code lose SHARE}, {@code delay MS
+   * JITTER}, {@code repeat SHARE}, {@code garble SHARE}, {@code throttle BYTES_PER_SECOND}, {@code
+   * heal}. Ends are as {@link Targets} has them.
    */
   public void does(String fault) throws IOException, InterruptedException {
     timeline.inject(fault);
@@ -117,17 +136,18 @@
   private void onWays(String[] words, int at) {
     Set<String> from = targets.of(words[at - 1]);
     Set<String> to = targets.of(words[at + 1]);
-    Consumer<Path> fault = switch (words[0]) {
-      case "cut" -> p -> p.cut(true);
-      case "reset" -> p -> p.reset(true);
-      case "lose" -> p -> p.lose(figure(words, 1));
-      case "delay" -> p -> p.delay(figure(words, 1), figure(words, 2));
-      case "repeat" -> p -> p.repeat(figure(words, 1));
-      case "garble" -> p -> p.garble(figure(words, 1));
-      case "throttle" -> p -> p.throttle(figure(words, 1));
-      case "heal" -> Path::heal;
-      default -> throw new IllegalArgumentException("no such fault of a way: " + words[0]);
-    };
+    Consumer<Path> fault =
+        switch (words[0]) {
+          case "cut" -> p -> p.cut(true);
+          case "reset" -> p -> p.reset(true);
+          case "lose" -> p -> p.lose(figure(words, 1));
+          case "delay" -> p -> p.delay(figure(words, 1), figure(words, 2));
+          case "repeat" -> p -> p.repeat(figure(words, 1));
+          case "garble" -> p -> p.garble(figure(words, 1));
+          case "throttle" -> p -> p.throttle(figure(words, 1));
+          case "heal" -> Path::heal;
+          default -> throw new IllegalArgumentException("no such fault of a way: " + words[0]);
+        };
     ways.each(from, to, words[at].equals("="), fault);
   }
 
@@ -184,7 +204,10 @@
     return "unknown";
   }
 
-  /** The part of what all may do together that each process that runs takes by its leases, as it tells, by number. */
+  /**
+   * The part of what all may do together that each process that runs takes by its leases, as it
+   * tells, by number.
+   */
   public Map<Integer, Double> parts() throws IOException {
     Map<Integer, Double> parts = new TreeMap<>();
     for (int i : running()) {
@@ -197,7 +220,11 @@
   public long deaths(int of) throws IOException {
     long deaths = 0;
     for (Node n : nodes) {
-      deaths += n.log().lines().filter(l -> l.contains("member " + of + " ") && l.contains(" is dead, was ")).count();
+      deaths +=
+          n.log()
+              .lines()
+              .filter(l -> l.contains("member " + of + " ") && l.contains(" is dead, was "))
+              .count();
     }
     return deaths;
   }
@@ -218,13 +245,18 @@
 
   /** Whether all processes that run have the same view. */
   public boolean viewsEqual() {
-    return running().stream().map(i -> {
-      try {
-        return members(i).path("view").asText();
-      } catch (IOException e) {
-        return "none of " + i;
-      }
-    }).distinct().count() == 1;
+    return running().stream()
+            .map(
+                i -> {
+                  try {
+                    return members(i).path("view").asText();
+                  } catch (IOException e) {
+                    return "none of " + i;
+                  }
+                })
+            .distinct()
+            .count()
+        == 1;
   }
 
   /** The numbers of the processes that run, stopped or not. */
@@ -232,8 +264,12 @@
     return IntStream.range(0, size()).filter(i -> nodes.get(i).alive()).boxed().toList();
   }
 
-  /** Waits until it holds, and returns after how many ms; fails with the seed's command after {@code most} ms. */
-  public double until(String what, double most, BooleanSupplier holds) throws IOException, InterruptedException {
+  /**
+   * Waits until it holds, and returns after how many ms; fails with the seed's command after {@code
+   * most} ms.
+   */
+  public double until(String what, double most, BooleanSupplier holds)
+      throws IOException, InterruptedException {
     double from = timeline.now();
     while (!holds.getAsBoolean()) {
       if (timeline.now() > from + most) {
@@ -241,8 +277,16 @@
         for (int i : running()) {
           views.append("\n").append(nodes.get(i).name()).append(' ').append(members(i));
         }
-        throw new AssertionError("waited " + most + " ms in vain: " + what + "; replay: " + replay + "; timeline: "
-            + timeline.file() + views);
+        throw new AssertionError(
+            "waited "
+                + most
+                + " ms in vain: "
+                + what
+                + "; replay: "
+                + replay
+                + "; timeline: "
+                + timeline.file()
+                + views);
       }
       TimeUnit.MILLISECONDS.sleep(20);
     }
--- a/src/main/java/bitternpulley/faults/DatagramPaths.java
+++ b/src/main/java/bitternpulley/faults/DatagramPaths.java
@@ -14,8 +14,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands between processes that send each other datagrams: each has, for each other, an address of its own to send to, from
- * which it also hears that other; so each direction fails by itself, and each knows its peers by their addresses.
+ * Stands between processes that send each other datagrams: each has, for each other, an address of
+ * its own to send to, from which it also hears that other; so each direction fails by itself, and
+ * each knows its peers by their addresses.
  */
 public final class DatagramPaths implements AutoCloseable {
   private static final int MOST_BYTES = 2048;
@@ -23,11 +24,13 @@
   private record Door(int of, int towards, DatagramChannel channel) {}
 
   private final Selector selector = Selector.open();
-  private final ScheduledExecutorService later = Executors.newSingleThreadScheduledExecutor(r -> {
-    Thread thread = new Thread(r, "paths-later");
-    thread.setDaemon(true);
-    return thread;
-  });
+  private final ScheduledExecutorService later =
+      Executors.newSingleThreadScheduledExecutor(
+          r -> {
+            Thread thread = new Thread(r, "paths-later");
+            thread.setDaemon(true);
+            return thread;
+          });
   private final Door[][] doors;
   private final Path[][] paths;
   private final List<HostPort> real = new ArrayList<>();
@@ -64,8 +67,12 @@
   public List<HostPort> peersOf(int of) throws IOException {
     List<HostPort> peers = new ArrayList<>();
     for (int b = 0; b < doors.length; b++) {
-      peers.add(of == b ? real.get(of)
-          : new HostPort("127.0.0.1", ((InetSocketAddress) doors[of][b].channel().getLocalAddress()).getPort()));
+      peers.add(
+          of == b
+              ? real.get(of)
+              : new HostPort(
+                  "127.0.0.1",
+                  ((InetSocketAddress) doors[of][b].channel().getLocalAddress()).getPort()));
     }
     return peers;
   }
@@ -119,7 +126,9 @@
 
   private void deliver(Door door, byte[] what) {
     try {
-      doors[door.towards()][door.of()].channel().send(ByteBuffer.wrap(what), real.get(door.towards()).address());
+      doors[door.towards()][door.of()]
+          .channel()
+          .send(ByteBuffer.wrap(what), real.get(door.towards()).address());
     } catch (IOException e) {
       // as above
     }
--- a/src/main/java/bitternpulley/faults/Node.java
+++ b/src/main/java/bitternpulley/faults/Node.java
@@ -16,8 +16,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One aggregator of a scenario: the real program with the flags of the deploy file's {@code run} line, in a folder of its
- * own. It can be stopped and continued, killed, started again with or without what it kept, and started twice.
+ * One aggregator of a scenario: the real program with the flags of the deploy file's {@code run}
+ * line, in a folder of its own. It can be stopped and continued, killed, started again with or
+ * without what it kept, and started twice.
  */
 public final class Node implements AutoCloseable {
   private static final long READY_WITHIN_MS = 20_000;
@@ -60,7 +61,10 @@
     return this;
   }
 
-  /** Starts a second process of the same name, number and folder at other addresses: an upgrade, or somebody's mistake. */
+  /**
+   * Starts a second process of the same name, number and folder at other addresses: an upgrade, or
+   * somebody's mistake.
+   */
   public Node twin() throws IOException {
     ObjectNode other = configuration.deepCopy().put("listen", "127.0.0.1:" + Ports.free());
     Node twin = new Node(name, other, script);
@@ -70,10 +74,20 @@
   private Process process() throws IOException {
     Path config = folder.resolve("config.json");
     Files.writeString(config, configuration.toString());
-    ProcessBuilder builder = new ProcessBuilder(command()).redirectErrorStream(true)
-        .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile()));
-    builder.environment().putAll(
-        Map.of("LB_CONFIG", config.toString(), "LB_ADMIN", door.toString(), "TMPDIR", memory.toString()));
+    ProcessBuilder builder =
+        new ProcessBuilder(command())
+            .redirectErrorStream(true)
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile()));
+    builder
+        .environment()
+        .putAll(
+            Map.of(
+                "LB_CONFIG",
+                config.toString(),
+                "LB_ADMIN",
+                door.toString(),
+                "TMPDIR",
+                memory.toString()));
     if (script != null) {
       Path file = folder.resolve("broker.star");
       Files.writeString(file, script);
@@ -82,13 +96,21 @@
     return builder.start();
   }
 
-  /** What starts the program on the classes that this very one runs on, be they the jar or freshly compiled. */
+  /**
+   * What starts the program on the classes that this very one runs on, be they the jar or freshly
+   * compiled.
+   */
   public static List<String> command() throws IOException {
-    String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream().filter(l -> l.startsWith("run"))
-        .findFirst().orElseThrow();
-    List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin/java").toString()));
+    String run =
+        Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+            .filter(l -> l.startsWith("run"))
+            .findFirst()
+            .orElseThrow();
+    List<String> command =
+        new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin/java").toString()));
     Arrays.stream(run.split("[ \"]")).filter(w -> w.startsWith("-X")).forEach(command::add);
-    command.addAll(List.of("-cp", System.getProperty("java.class.path"), "bitternpulley.Main", "serve"));
+    command.addAll(
+        List.of("-cp", System.getProperty("java.class.path"), "bitternpulley.Main", "serve"));
     return command;
   }
 
@@ -136,7 +158,10 @@
     return starts;
   }
 
-  /** Holds the process where it is, as a collector or a starved core would: its sockets stay open and silent. */
+  /**
+   * Holds the process where it is, as a collector or a starved core would: its sockets stay open
+   * and silent.
+   */
   public void pause() throws IOException {
     signal("STOP");
   }
--- a/src/main/java/bitternpulley/faults/Path.java
+++ b/src/main/java/bitternpulley/faults/Path.java
@@ -3,8 +3,9 @@
 import java.util.SplittableRandom;
 
 /**
- * One direction between two parties, and what befalls what goes that way. Each has chance of its own by the scenario's seed,
- * so that what one path does depends on no other. Times in ms, shares 0 to 1; a datagram's faults are drawn in one order.
+ * One direction between two parties, and what befalls what goes that way. Each has chance of its
+ * own by the scenario's seed, so that what one path does depends on no other. Times in ms, shares 0
+ * to 1; a datagram's faults are drawn in one order.
  */
 public final class Path {
   private final SplittableRandom random;
@@ -34,7 +35,10 @@
     return this;
   }
 
-  /** Holds each back for so long, and by up to {@code jitter} more by chance, by which later datagrams overtake. */
+  /**
+   * Holds each back for so long, and by up to {@code jitter} more by chance, by which later
+   * datagrams overtake.
+   */
   public Path delay(double ms, double jitter) {
     delay = ms;
     this.jitter = jitter;
@@ -73,7 +77,13 @@
 
   /** Takes all faults away. */
   public Path heal() {
-    return lose(0).delay(0, 0).repeat(0).garble(0).throttle(Double.POSITIVE_INFINITY).cut(false).reset(false);
+    return lose(0)
+        .delay(0, 0)
+        .repeat(0)
+        .garble(0)
+        .throttle(Double.POSITIVE_INFINITY)
+        .cut(false)
+        .reset(false);
   }
 
   boolean isCut() {
@@ -97,10 +107,15 @@
     }
     passed++;
     double queue = queue(length, now);
-    return new Fate(twice ? new double[] {queue + first, queue + second} : new double[] {queue + first}, spoils);
+    return new Fate(
+        twice ? new double[] {queue + first, queue + second} : new double[] {queue + first},
+        spoils);
   }
 
-  /** When a piece of a stream that comes now has passed: in order, so never before the piece ahead of it. */
+  /**
+   * When a piece of a stream that comes now has passed: in order, so never before the piece ahead
+   * of it.
+   */
   synchronized double passes(int length, double now, double ahead) {
     bytes += length;
     passed++;
--- a/src/main/java/bitternpulley/faults/Ports.java
+++ b/src/main/java/bitternpulley/faults/Ports.java
@@ -11,8 +11,9 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Ports for processes of a scenario. Guards against verdicts that change from run to run: a port of the system's own range
- * could be taken meanwhile by the way out of some connection, so these lie below it.
+ * Ports for processes of a scenario. Guards against verdicts that change from run to run: a port of
+ * the system's own range could be taken meanwhile by the way out of some connection, so these lie
+ * below it.
  */
 public final class Ports {
   private static final int FIRST = 15_000;
@@ -39,7 +40,8 @@
   private static boolean isFree(List<String> hosts, int port) throws IOException {
     for (String host : hosts) {
       InetSocketAddress at = new InetSocketAddress(InetAddress.getByName(host), port);
-      try (ServerSocket tcp = new ServerSocket(); DatagramSocket udp = new DatagramSocket(null)) {
+      try (ServerSocket tcp = new ServerSocket();
+          DatagramSocket udp = new DatagramSocket(null)) {
         tcp.bind(at);
         udp.bind(at);
       } catch (java.net.BindException e) {
--- a/src/main/java/bitternpulley/faults/Scenario.java
+++ b/src/main/java/bitternpulley/faults/Scenario.java
@@ -7,7 +7,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What befalls a cluster, and when: lines of a time in ms and a fault as {@link Cluster#does} takes it, for example
+ * What befalls a cluster, and when: lines of a time in ms and a fault as {@link Cluster#does} takes
+ * it, for example
  *
  * <pre>
  * 1000 lose 0.05 all = all
--- a/src/main/java/bitternpulley/faults/StreamPaths.java
+++ b/src/main/java/bitternpulley/faults/StreamPaths.java
@@ -14,16 +14,20 @@
 import java.util.List;
 
 /**
- * Stands between a process and those it connects to: each such way has an address of its own, and each direction a path of its
- * own. A stream that was cut while bytes were on their way cannot go on; it is reset once the cut is mended, as after a machine
- * that comes back. One difference to a real cut stays: the machine itself accepts new connections, which then are silent.
+ * Stands between a process and those it connects to: each such way has an address of its own, and
+ * each direction a path of its own. A stream that was cut while bytes were on their way cannot go
+ * on; it is reset once the cut is mended, as after a machine that comes back. One difference to a
+ * real cut stays: the machine itself accepts new connections, which then are silent.
  */
 public final class StreamPaths implements AutoCloseable {
   /** Ms between looks at what is due and at paths that were cut or mended meanwhile. */
   private static final long LOOK = 2;
+
   private static final int READ = 16 * 1024;
+
   /** Bytes that wait in one direction; beyond, nothing is read. */
   private static final int MOST_WAITING = 256 * 1024;
+
   private static final int BACKLOG = 512;
 
   private record Way(HostPort to, Path there, Path back) {}
@@ -124,7 +128,10 @@
         if (way.there().resets() || way.back().resets()) {
           throw new IOException("it is to be refused");
         }
-        to = silent ? null : SocketChannel.open(new InetSocketAddress(way.to().host(), way.to().port()));
+        to =
+            silent
+                ? null
+                : SocketChannel.open(new InetSocketAddress(way.to().host(), way.to().port()));
       } catch (IOException e) {
         reset(from);
         return;
@@ -162,7 +169,9 @@
           return;
         }
         flow.ahead = flow.path.passes(bytes.length, now(), flow.ahead);
-        flow.pieces.add(new Piece(ByteBuffer.wrap(flow.path.spoils() ? flow.path.spoil(bytes) : bytes), flow.ahead));
+        flow.pieces.add(
+            new Piece(
+                ByteBuffer.wrap(flow.path.spoils() ? flow.path.spoil(bytes) : bytes), flow.ahead));
         flow.waiting += bytes.length;
       }
     } catch (IOException e) {
--- a/src/main/java/bitternpulley/faults/Targets.java
+++ b/src/main/java/bitternpulley/faults/Targets.java
@@ -9,9 +9,9 @@
 import java.util.stream.IntStream;
 
 /**
- * The parties of a cluster by what a scenario calls them: {@code n3} a process, {@code s2} a slot server, {@code zone:NAME} all
- * that stand there, {@code nodes}, {@code servers}, {@code discovery}, {@code all}; several with commas between; {@code !x}
- * all but these.
+ * The parties of a cluster by what a scenario calls them: {@code n3} a process, {@code s2} a slot
+ * server, {@code zone:NAME} all that stand there, {@code nodes}, {@code servers}, {@code
+ * discovery}, {@code all}; several with commas between; {@code !x} all but these.
  */
 final class Targets {
   private final List<String> nodeZones;
@@ -47,19 +47,25 @@
   }
 
   private List<String> one(String word) {
-    List<String> found = switch (word) {
-      case "all" -> all();
-      case "nodes" -> named("n", nodeZones.size(), i -> true);
-      case "servers" -> named("s", serverZones.size(), i -> true);
-      default -> {
-        if (word.startsWith("zone:")) {
-          List<String> in = new ArrayList<>(named("n", nodeZones.size(), i -> nodeZones.get(i).equals(word.substring(5))));
-          in.addAll(named("s", serverZones.size(), i -> serverZones.get(i).equals(word.substring(5))));
-          yield in;
-        }
-        yield all().stream().filter(word::equals).toList();
-      }
-    };
+    List<String> found =
+        switch (word) {
+          case "all" -> all();
+          case "nodes" -> named("n", nodeZones.size(), i -> true);
+          case "servers" -> named("s", serverZones.size(), i -> true);
+          default -> {
+            if (word.startsWith("zone:")) {
+              List<String> in =
+                  new ArrayList<>(
+                      named(
+                          "n", nodeZones.size(), i -> nodeZones.get(i).equals(word.substring(5))));
+              in.addAll(
+                  named(
+                      "s", serverZones.size(), i -> serverZones.get(i).equals(word.substring(5))));
+              yield in;
+            }
+            yield all().stream().filter(word::equals).toList();
+          }
+        };
     if (found.isEmpty()) {
       throw new IllegalArgumentException("nobody is called '" + word + "'");
     }
--- a/src/main/java/bitternpulley/faults/Timeline.java
+++ b/src/main/java/bitternpulley/faults/Timeline.java
@@ -7,7 +7,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What was injected and what was seen, in order, as JSON lines: {@code {"at_ms":1234,"what":"kill","of":"n3"}}. */
+/**
+ * What was injected and what was seen, in order, as JSON lines: {@code
+ * {"at_ms":1234,"what":"kill","of":"n3"}}.
+ */
 public final class Timeline implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -18,7 +21,8 @@
 
   /** Written to {@code target/faults/NAME-SEED.jsonl}. */
   public Timeline(String name, long seed) throws IOException {
-    file = Files.createDirectories(Path.of("target", "faults")).resolve(name + "-" + seed + ".jsonl");
+    file =
+        Files.createDirectories(Path.of("target", "faults")).resolve(name + "-" + seed + ".jsonl");
     out = Files.newBufferedWriter(file);
   }
 
@@ -39,8 +43,12 @@
   }
 
   private void line(String kind, String what, Object of) {
-    ObjectNode line = JSON.createObjectNode().put("at_ms", Math.round(now())).put("kind", kind).put("what", what)
-        .put("of", String.valueOf(of));
+    ObjectNode line =
+        JSON.createObjectNode()
+            .put("at_ms", Math.round(now()))
+            .put("kind", kind)
+            .put("what", what)
+            .put("of", String.valueOf(of));
     try {
       out.write(line + "\n");
       out.flush();
--- a/src/main/java/bitternpulley/faults/Ways.java
+++ b/src/main/java/bitternpulley/faults/Ways.java
@@ -10,7 +10,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Every way of a cluster, by the names of its ends: datagrams between processes, streams to slot servers and to discovery. */
+/**
+ * Every way of a cluster, by the names of its ends: datagrams between processes, streams to slot
+ * servers and to discovery.
+ */
 final class Ways implements AutoCloseable {
   private final DatagramPaths datagrams;
   private final StreamPaths streams = new StreamPaths();
@@ -43,7 +46,8 @@
   }
 
   private Path path(String from, String to) {
-    return paths.computeIfAbsent(List.of(from, to), ends -> new Path(seed * 1_000_003 + ends.hashCode()));
+    return paths.computeIfAbsent(
+        List.of(from, to), ends -> new Path(seed * 1_000_003 + ends.hashCode()));
   }
 
   HostPort address(String from, String to) {
@@ -54,15 +58,19 @@
     return datagrams;
   }
 
-  /** Does something to each way from one of these to one of those, where there is one; both ways if asked. */
+  /**
+   * Does something to each way from one of these to one of those, where there is one; both ways if
+   * asked.
+   */
   void each(Set<String> from, Set<String> to, boolean both, Consumer<Path> fault) {
-    paths.forEach((ends, path) -> {
-      boolean there = from.contains(ends.get(0)) && to.contains(ends.get(1));
-      boolean back = both && from.contains(ends.get(1)) && to.contains(ends.get(0));
-      if (there || back) {
-        fault.accept(path);
-      }
-    });
+    paths.forEach(
+        (ends, path) -> {
+          boolean there = from.contains(ends.get(0)) && to.contains(ends.get(1));
+          boolean back = both && from.contains(ends.get(1)) && to.contains(ends.get(0));
+          if (there || back) {
+            fault.accept(path);
+          }
+        });
   }
 
   @Override
--- a/src/main/java/bitternpulley/health/ColdBudget.java
+++ b/src/main/java/bitternpulley/health/ColdBudget.java
@@ -4,15 +4,17 @@
 import bitternpulley.routing.Settings;
 
 /**
- * What one instance may send a server that has just started. All instances together send no more work in any of the rules'
- * windows than the server is sure to bear: each has an even share of that, and where a share is less than one part, the parts
- * that the server bears are dealt out one by one to the instances in the order of their numbers, as turns. Nothing is agreed:
- * the turns follow from the settings and from the time of the server's start, which all are told. Times in ms, work in ms of
- * one core.
+ * What one instance may send a server that has just started. All instances together send no more
+ * work in any of the rules' windows than the server is sure to bear: each has an even share of
+ * that, and where a share is less than one part, the parts that the server bears are dealt out one
+ * by one to the instances in the order of their numbers, as turns. Nothing is agreed: the turns
+ * follow from the settings and from the time of the server's start, which all are told. Times in
+ * ms, work in ms of one core.
  */
 public final class ColdBudget {
   /** Share of the budget for parts that can wait. */
   private static final double LOW = 0.7;
+
   /** Looks a window at when the budget opens: it does so as windows pass, or as a turn comes. */
   private static final int LOOKS = 4;
 
@@ -27,7 +29,9 @@
     this(settings, Router.Portion.EVEN, new CoreEstimate());
   }
 
-  /** One whose instance has such a part of what all may send together to servers of so many cores. */
+  /**
+   * One whose instance has such a part of what all may send together to servers of so many cores.
+   */
   public ColdBudget(Settings settings, Router.Portion portion, CoreEstimate cores) {
     this.settings = settings;
     this.portion = portion;
@@ -44,7 +48,9 @@
   public double warmth(double now) {
     Settings.Rules rules = settings.rules();
     double age = Math.max(0, now - since);
-    return age >= rules.coldTime() ? 1 : rules.coldFrom() + (1 - rules.coldFrom()) * age / rules.coldTime();
+    return age >= rules.coldTime()
+        ? 1
+        : rules.coldFrom() + (1 - rules.coldFrom()) * age / rules.coldTime();
   }
 
   /** A part of so much work has gone to it. */
@@ -52,12 +58,16 @@
     sent.add(now, work);
   }
 
-  /** Whether a part of so much work may go to it; {@code share} is this process's of the instance's limits. */
+  /**
+   * Whether a part of so much work may go to it; {@code share} is this process's of the instance's
+   * limits.
+   */
   public boolean allows(double work, boolean canWait, double share, double now) {
     return allows(work, canWait, share, now, sent.sum(now), portion.at(now));
   }
 
-  private boolean allows(double work, boolean canWait, double share, double at, double spent, double part) {
+  private boolean allows(
+      double work, boolean canWait, double share, double at, double spent, double part) {
     Settings.Rules rules = settings.rules();
     double warm = warmth(at);
     if (warm >= 1 || rules.tipMultiple() <= 0) {
@@ -68,16 +78,17 @@
     }
     double rate = share * rules.tipMultiple() * cores.sure();
     double mine = part * rate * warm * rules.tipWindow() / settings.instances();
-    // Turns go by the numbers configured: those of instances that are away pass unused. Who has an even part or more, as all
+    // Turns go by the numbers configured: those of instances that are away pass unused. Who has an
+    // even part or more, as all
     // have that may act, uses no more than that by its turns.
     return spent + work <= mine * (canWait ? LOW : 1)
         || part >= 1 && spent == 0 && work > mine && hasTurn(at - since, rate / work);
   }
 
   /**
-   * Whether one of this instance's turns came within the last window. Turn k comes when the server is sure to have borne k parts
-   * since its start, and is that of the instance whose number is k modulo their count; so no window sees more turns come than
-   * the server bears parts in it.
+   * Whether one of this instance's turns came within the last window. Turn k comes when the server
+   * is sure to have borne k parts since its start, and is that of the instance whose number is k
+   * modulo their count; so no window sees more turns come than the server bears parts in it.
    */
   private boolean hasTurn(double age, double partsPerMs) {
     long latest = (long) Math.floor(borne(age, partsPerMs));
@@ -86,13 +97,20 @@
     return mine >= 0 && (before < 0 || mine > borne(before, partsPerMs));
   }
 
-  /** Parts that a server of this age is sure to have borne, at so many per ms when it is warm: the integral of its warmth. */
+  /**
+   * Parts that a server of this age is sure to have borne, at so many per ms when it is warm: the
+   * integral of its warmth.
+   */
   private double borne(double age, double partsPerMs) {
     Settings.Rules rules = settings.rules();
-    return partsPerMs * (rules.coldFrom() * age + (1 - rules.coldFrom()) * age * age / (2 * rules.coldTime()));
+    return partsPerMs
+        * (rules.coldFrom() * age + (1 - rules.coldFrom()) * age * age / (2 * rules.coldTime()));
   }
 
-  /** When it may be sent a part next, should nothing else go there first: infinity where not by {@code until}. */
+  /**
+   * When it may be sent a part next, should nothing else go there first: infinity where not by
+   * {@code until}.
+   */
   public double opensAt(double work, boolean canWait, double share, double now, double until) {
     double step = settings.rules().tipWindow() / LOOKS;
     double part = portion.at(now);
--- a/src/main/java/bitternpulley/health/ConcurrencyLimit.java
+++ b/src/main/java/bitternpulley/health/ConcurrencyLimit.java
@@ -1,22 +1,44 @@
 package bitternpulley.health;
 
 /**
- * How many parts one instance may have out at once: additive increase by timely answers, multiplicative decrease by late ones.
- * Guards against queues that make all answers late, whatever fills them.
+ * How many parts one instance may have out at once: additive increase by timely answers,
+ * multiplicative decrease by late ones. Guards against queues that make all answers late, whatever
+ * fills them.
  */
 public final class ConcurrencyLimit {
-  /** Parts out for each known server that a new instance allows itself: one in work and one behind it. */
+  /**
+   * Parts out for each known server that a new instance allows itself: one in work and one behind
+   * it.
+   */
   private static final double PER_SERVER = 2;
+
   /** The least limit: as many as a small query has parts, so that one can always be sent whole. */
   private static final double LEAST = 4;
-  /** Parts gained by a timely answer, and the share lost by a late one: an outlier in eight answers leaves it as it is. */
+
+  /**
+   * Parts gained by a timely answer, and the share lost by a late one: an outlier in eight answers
+   * leaves it as it is.
+   */
   private static final double GAIN = 0.25;
+
   private static final double LOSS = 0.02;
-  /** Answers of usual work that a timely one takes at the most: one in work, and two before it in the queue. */
+
+  /**
+   * Answers of usual work that a timely one takes at the most: one in work, and two before it in
+   * the queue.
+   */
   private static final double TIMELY_WORKS = 3;
-  /** Share of its class's aim below which an answer is timely all the same: the rest is for holding and second steps. */
+
+  /**
+   * Share of its class's aim below which an answer is timely all the same: the rest is for holding
+   * and second steps.
+   */
   private static final double TIMELY_SHARE = 0.3;
-  /** Share of the aim beyond which no answer is timely, however long its work: two such in a row would miss it. */
+
+  /**
+   * Share of the aim beyond which no answer is timely, however long its work: two such in a row
+   * would miss it.
+   */
   private static final double TIMELY_MOST = 0.5;
 
   private double limit;
@@ -31,7 +53,10 @@
     return out >= limit;
   }
 
-  /** Ms up to which an answer in a class of this aim is timely, where a part's work is about so many ms. */
+  /**
+   * Ms up to which an answer in a class of this aim is timely, where a part's work is about so many
+   * ms.
+   */
   public double timely(double aim, double work) {
     return Math.max(TIMELY_SHARE * aim, Math.min(TIMELY_WORKS * work, TIMELY_MOST * aim));
   }
--- a/src/main/java/bitternpulley/health/ServerConcurrencyLimit.java
+++ b/src/main/java/bitternpulley/health/ServerConcurrencyLimit.java
@@ -3,21 +3,31 @@
 import java.util.ArrayDeque;
 
 /**
- * How many parts of this instance a server has room for. Guards against a queue that is full of parts which nobody
- * awaits: a server goes on with what was called off, so that counts until a part sent later is answered.
+ * How many parts of this instance a server has room for. Guards against a queue that is full of
+ * parts which nobody awaits: a server goes on with what was called off, so that counts until a part
+ * sent later is answered.
  */
 public final class ServerConcurrencyLimit {
   private static final double FIRST = 32;
   private static final double LEAST = 1;
-  /** What a refusal for a full queue, and an answer that took long, leave of the room; what a timely answer adds. */
+
+  /**
+   * What a refusal for a full queue, and an answer that took long, leave of the room; what a timely
+   * answer adds.
+   */
   private static final double LOSS_FULL = 0.5;
+
   private static final double LOSS_LONG = 0.9;
   private static final double GAIN = 0.25;
+
   /** Ms between losses: what was sent at once is refused at once. */
   private static final double PAUSE = 50;
+
   /** Ms after which a part called off counts no more, and the most of them that are kept. */
   private static final double FORGET = 2000;
+
   private static final int MOST_KEPT = 64;
+
   /** Share of the room for parts that can wait. */
   private static final double LOW_SHARE = 0.5;
 
@@ -30,13 +40,15 @@
     while (!calledOff.isEmpty() && calledOff.peek() < now - FORGET) {
       calledOff.poll();
     }
-    // Guards against a server left idle till the last part called off is forgotten, as nothing later can clear it.
-    return out == 0 && !canWait || out + calledOff.size() < (canWait ? LOW_SHARE * (room - 1) : room);
+    // Guards against a server left idle till the last part called off is forgotten, as nothing
+    // later can clear it.
+    return out == 0 && !canWait
+        || out + calledOff.size() < (canWait ? LOW_SHARE * (room - 1) : room);
   }
 
   /**
-   * When there may be room next, where there is none now: at any moment while parts are out there, as each answer makes
-   * some; else once what was called off is forgotten, or never.
+   * When there may be room next, where there is none now: at any moment while parts are out there,
+   * as each answer makes some; else once what was called off is forgotten, or never.
    */
   public double opensAt(int out, boolean canWait, double now) {
     if (out > 0 || takes(out, canWait, now)) {
--- a/src/main/java/bitternpulley/health/StallDetector.java
+++ b/src/main/java/bitternpulley/health/StallDetector.java
@@ -3,8 +3,9 @@
 import java.util.Collection;
 
 /**
- * Tells when nothing comes from any server. Guards against a moment in which all stand still, or the way to them does: each
- * would be taken for silent, its parts called off and sent elsewhere, and the backlog doubled just as it begins to move.
+ * Tells when nothing comes from any server. Guards against a moment in which all stand still, or
+ * the way to them does: each would be taken for silent, its parts called off and sent elsewhere,
+ * and the backlog doubled just as it begins to move.
  */
 public final class StallDetector {
   /** A server as far as parts out there tell of a stall. */
@@ -13,8 +14,12 @@
     double waitsSince();
   }
 
-  /** Usual latencies without an answer from any server that make a stall, and the servers that must be waited for. */
+  /**
+   * Usual latencies without an answer from any server that make a stall, and the servers that must
+   * be waited for.
+   */
   private static final double LEAST = 3;
+
   private static final int LEAST_SERVERS = 4;
 
   private double heardAt = Double.NEGATIVE_INFINITY;
@@ -43,7 +48,10 @@
     return waitedFor >= LEAST_SERVERS && 2 * waitedFor > busy;
   }
 
-  /** From when on a wait that began at this time speaks against a server: not before a stall was over. */
+  /**
+   * From when on a wait that began at this time speaks against a server: not before a stall was
+   * over.
+   */
   public double counted(double since) {
     return Math.max(since, endedAt);
   }
--- a/src/main/java/bitternpulley/health/TenantShares.java
+++ b/src/main/java/bitternpulley/health/TenantShares.java
@@ -8,6 +8,7 @@
 public final class TenantShares {
   /** Ms over which shares are taken: some tens of queries at a query or more a second. */
   private static final double WINDOW = 5000;
+
   /** How far chance may pass a share. */
   private static final double SLACK = 1.25;
 
--- a/src/main/java/bitternpulley/health/ZoneLatency.java
+++ b/src/main/java/bitternpulley/health/ZoneLatency.java
@@ -1,17 +1,28 @@
 package bitternpulley.health;
 
-/** What is known of the way to the servers of one zone: what parts take there, how many are late, how many new connections fail. */
+/**
+ * What is known of the way to the servers of one zone: what parts take there, how many are late,
+ * how many new connections fail.
+ */
 public final class ZoneLatency {
   /** Weight of a new latency, and of a part that was late or in time. */
   private static final double SMOOTHING = 0.05;
+
   private static final double LOSS = 0.1;
+
   /** So many times the figure so far is the most that one answer counts as in it. */
   private static final double OUTLIER = 4;
-  /** Share of lost parts, and of fresh connections that may come too late, that counts at the most. */
+
+  /**
+   * Share of lost parts, and of fresh connections that may come too late, that counts at the most.
+   */
   private static final double LOST_MOST = 0.8;
+
   private static final double FRESH_LOSS_MOST = 0.25;
+
   /** Weight of one fresh connection, and what each part sent forgets of those before. */
   private static final double FRESH_SMOOTHING = 0.15;
+
   private static final double FRESH_FORGET = 0.02;
 
   private double latency;
@@ -33,7 +44,10 @@
     return heard ? latency : Double.POSITIVE_INFINITY;
   }
 
-  /** A part took so many ms. A single outlier hardly moves the figure: it is the server's or the query's own. */
+  /**
+   * A part took so many ms. A single outlier hardly moves the figure: it is the server's or the
+   * query's own.
+   */
   public void took(double ms) {
     latency += SMOOTHING * (Math.min(ms, OUTLIER * latency) - latency);
     heard = true;
--- a/src/main/java/bitternpulley/leases/LeaseHolder.java
+++ b/src/main/java/bitternpulley/leases/LeaseHolder.java
@@ -2,7 +2,10 @@
 
 import java.util.BitSet;
 
-/** A member's side of its leases, one of each witness: what it holds, until when, and whom each names. */
+/**
+ * A member's side of its leases, one of each witness: what it holds, until when, and whom each
+ * names.
+ */
 final class LeaseHolder {
   private static final class Lease {
     int sequence;
@@ -30,7 +33,9 @@
     }
   }
 
-  /** The number under which a witness is asked now; an answer to an earlier asking counts no more. */
+  /**
+   * The number under which a witness is asked now; an answer to an earlier asking counts no more.
+   */
   int ask(int witness, double now) {
     Lease l = leases[witness];
     l.sequence = ++sequence;
@@ -49,7 +54,8 @@
     l.until = l.askedAt + terms.holds();
     l.usableAt = now + terms.outlasts(granted.after());
     l.named = granted.named();
-    // Guards against an answer that leaves out whoever asked, and would have it take the part of nobody.
+    // Guards against an answer that leaves out whoever asked, and would have it take the part of
+    // nobody.
     l.named.set(self);
     return true;
   }
--- a/src/main/java/bitternpulley/leases/LeaseMessage.java
+++ b/src/main/java/bitternpulley/leases/LeaseMessage.java
@@ -11,8 +11,8 @@
   record Asked(int from, long epoch, int sequence) implements LeaseMessage {}
 
   /**
-   * A witness grants what was asked under {@code sequence}, for use {@code after} so many ms; {@code named} are all that hold a
-   * lease of it.
+   * A witness grants what was asked under {@code sequence}, for use {@code after} so many ms;
+   * {@code named} are all that hold a lease of it.
    */
   record Granted(int from, int sequence, double after, BitSet named) implements LeaseMessage {
     /** Guards against a set that its sender goes on changing. */
--- a/src/main/java/bitternpulley/leases/LeaseTerms.java
+++ b/src/main/java/bitternpulley/leases/LeaseTerms.java
@@ -3,15 +3,22 @@
 import java.util.List;
 
 /**
- * What all members must have alike: how many they are, who the witnesses are, for how many ms a lease lasts; and for how many
- * ms what was decided under a lease may still take effect, which is kept free at its end.
+ * What all members must have alike: how many they are, who the witnesses are, for how many ms a
+ * lease lasts; and for how many ms what was decided under a lease may still take effect, which is
+ * kept free at its end.
  */
 public record LeaseTerms(int members, List<Integer> witnesses, double lasts, double effect) {
   /** Members that a witness can name in one datagram of 256 bytes. */
   public static final int MOST_MEMBERS = 1500;
-  /** Ms that a lease lasts at the least for each member: a witness is asked 40 times a second at the most. */
+
+  /**
+   * Ms that a lease lasts at the least for each member: a witness is asked 40 times a second at the
+   * most.
+   */
   private static final double LASTS_BY_MEMBER = 100;
+
   private static final double RENEWALS = 4;
+
   /** Share by which two clocks may differ in pace, far beyond what any machine's do. */
   private static final double DRIFT = 0.01;
 
--- a/src/main/java/bitternpulley/leases/LeaseWitness.java
+++ b/src/main/java/bitternpulley/leases/LeaseWitness.java
@@ -6,15 +6,18 @@
 import java.util.Optional;
 
 /**
- * A witness's side. Whoever asks is named from then on, but may use its lease only when all that was told without its name
- * has run out; so nobody that acts is missing in what another that acts was told. One that started anew and remembers nothing
- * is no case apart: to it all are new, and when they may use its leases those of its earlier process have run out.
+ * A witness's side. Whoever asks is named from then on, but may use its lease only when all that
+ * was told without its name has run out; so nobody that acts is missing in what another that acts
+ * was told. One that started anew and remembers nothing is no case apart: to it all are new, and
+ * when they may use its leases those of its earlier process have run out.
  */
 final class LeaseWitness {
   private static final class Lease {
     long epoch;
+
     /** Until when it may be used, at the latest, and from when on. */
     double until = Double.NEGATIVE_INFINITY;
+
     double usableAt;
   }
 
@@ -40,13 +43,15 @@
     if (!named) {
       l.usableAt = now + terms.outlasts();
     } else if (asked.epoch() > l.epoch) {
-      // Guards against two processes of one member, the later of which counts on the earlier one's place.
+      // Guards against two processes of one member, the later of which counts on the earlier one's
+      // place.
       l.usableAt = Math.max(l.usableAt, l.until);
     }
     l.epoch = asked.epoch();
     l.until = now + terms.outlasts();
-    return Optional.of(new LeaseMessage.Granted(self, asked.sequence(), Math.max(0, l.usableAt - now),
-        named(now)));
+    return Optional.of(
+        new LeaseMessage.Granted(
+            self, asked.sequence(), Math.max(0, l.usableAt - now), named(now)));
   }
 
   private BitSet named(double now) {
--- a/src/main/java/bitternpulley/leases/Leases.java
+++ b/src/main/java/bitternpulley/leases/Leases.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * One instance's leases, and, where it is a witness, those that it grants. {@link #tick} is to be called some ten times a
- * renewal at least; times are ms of one clock.
+ * One instance's leases, and, where it is a witness, those that it grants. {@link #tick} is to be
+ * called some ten times a renewal at least; times are ms of one clock.
  */
 public final class Leases {
   /** What is to be sent. */
@@ -43,7 +43,10 @@
     this.epoch = epoch;
     asks = true;
     nextAsk = now;
-    witness = terms.witnesses().contains(self) ? Optional.of(new LeaseWitness(self, terms)) : Optional.empty();
+    witness =
+        terms.witnesses().contains(self)
+            ? Optional.of(new LeaseWitness(self, terms))
+            : Optional.empty();
   }
 
   /** It ends: it asks no more, so that its part is free once its leases have run out. */
@@ -73,10 +76,15 @@
   /** A message has come from the address of the member that it names. */
   public List<Send> heard(LeaseMessage message, double now) {
     if (message instanceof LeaseMessage.Asked a && witness.isPresent()) {
-      return witness.get().asked(a, now).map(g -> List.of(new Send(a.from(), g))).orElseGet(() -> {
-        ignored++;
-        return List.of();
-      });
+      return witness
+          .get()
+          .asked(a, now)
+          .map(g -> List.of(new Send(a.from(), g)))
+          .orElseGet(
+              () -> {
+                ignored++;
+                return List.of();
+              });
     }
     if (!(message instanceof LeaseMessage.Granted g) || !holder.granted(g, now)) {
       ignored++;
@@ -85,8 +93,8 @@
   }
 
   /**
-   * This instance's part at a time, in parts of an even one by the members configured: one where all may act, more where
-   * fewer do, 0 where it does not know or may not.
+   * This instance's part at a time, in parts of an even one by the members configured: one where
+   * all may act, more where fewer do, 0 where it does not know or may not.
    */
   public double at(double now) {
     return terms.members() * standing(now).part();
@@ -96,10 +104,17 @@
   public Standing standing(double now) {
     int held = holder.held(now);
     BitSet named = held < terms.most() ? new BitSet() : holder.named(now);
-    return new Standing(named.isEmpty() ? 0 : 1.0 / named.cardinality(), held, terms.witnesses().size(), named.cardinality());
+    return new Standing(
+        named.isEmpty() ? 0 : 1.0 / named.cardinality(),
+        held,
+        terms.witnesses().size(),
+        named.cardinality());
   }
 
-  /** Messages that changed nothing, so far: late, repeated, of an earlier process, or to one that is no witness. */
+  /**
+   * Messages that changed nothing, so far: late, repeated, of an earlier process, or to one that is
+   * no witness.
+   */
   public long ignored() {
     return ignored;
   }
--- a/src/main/java/bitternpulley/measure/MeasureMembership.java
+++ b/src/main/java/bitternpulley/measure/MeasureMembership.java
@@ -14,14 +14,17 @@
 import java.util.stream.IntStream;
 
 /**
- * Seven processes under query load find out who of them is here, while by seed one is stopped, two are killed, datagrams are
- * lost and late, two hear each other one way, and a zone is cut off, one way and then both, as slot servers start anew. Every verdict is read from the processes' own logs.
+ * Seven processes under query load find out who of them is here, while by seed one is stopped, two
+ * are killed, datagrams are lost and late, two hear each other one way, and a zone is cut off, one
+ * way and then both, as slot servers start anew. Every verdict is read from the processes' own
+ * logs.
  */
 final class MeasureMembership {
   private static final int NODES = 7;
   private static final int MOST_SECONDS = 40;
   private static final double PER_SECOND = 40;
   private static final double PATIENCE = 20_000;
+
   /** The second zone, which is cut off: all three are there, of seven. */
   private static final List<Integer> MINORITY = List.of(1, 3, 5);
 
@@ -36,18 +39,25 @@
   private MeasureMembership(long seed) throws Exception {
     this.seed = seed;
     random = new Random(seed);
-    cluster = new Cluster("measure-membership", NODES, seed, "membership(deployment = 'measure')\nleases(lasts_s = 4)\n",
-        "make measure-membership SEED=" + seed);
+    cluster =
+        new Cluster(
+            "measure-membership",
+            NODES,
+            seed,
+            "membership(deployment = 'measure')\nleases(lasts_s = 4)\n",
+            "make measure-membership SEED=" + seed);
     callers = new Callers(cluster, seed, PER_SECOND);
   }
 
   public static void main(String[] args) {
-    Bounded.run(MOST_SECONDS, () -> {
-      long seed = args.length > 0 && !args[0].isEmpty() ? Long.parseLong(args[0]) : 1;
-      try (MeasureCloser m = new MeasureCloser(new MeasureMembership(seed))) {
-        System.out.println(m.measure.measure());
-      }
-    });
+    Bounded.run(
+        MOST_SECONDS,
+        () -> {
+          long seed = args.length > 0 && !args[0].isEmpty() ? Long.parseLong(args[0]) : 1;
+          try (MeasureCloser m = new MeasureCloser(new MeasureMembership(seed))) {
+            System.out.println(m.measure.measure());
+          }
+        });
   }
 
   /** Ends the processes, whatever became of the measurement. */
@@ -85,7 +95,8 @@
       callers.well(k);
     }
     cluster.until("the killed are back", PATIENCE, this::settled);
-    // Until now only the killed may have been called dead; from now on nobody, and then only those that a majority cannot reach.
+    // Until now only the killed may have been called dead; from now on nobody, and then only those
+    // that a majority cannot reach.
     int falseDead = deaths(killed);
     int beforeStop = deaths(List.of());
     callers.disturbed(order.get(0));
@@ -94,8 +105,17 @@
     callers.well(order.get(0));
     int deadOfStopped = deaths(List.of()) - beforeStop;
     int before = deaths(MINORITY);
-    Scenario.of("0 cut n" + order.get(3) + " > n" + order.get(4) + "\n0 cut n1,n3,n5 > n0,n2,n4,n6\n1000 cut n1,n3,n5 = n0,n2,n4,n6\n"
-        + "1500 cold s" + random.nextInt(3) + "\n2500 cold s" + (3 + random.nextInt(3))).play(cluster);
+    Scenario.of(
+            "0 cut n"
+                + order.get(3)
+                + " > n"
+                + order.get(4)
+                + "\n0 cut n1,n3,n5 > n0,n2,n4,n6\n1000 cut n1,n3,n5 = n0,n2,n4,n6\n"
+                + "1500 cold s"
+                + random.nextInt(3)
+                + "\n2500 cold s"
+                + (3 + random.nextInt(3)))
+        .play(cluster);
     for (int k = 0; k < 7; k++) {
       TimeUnit.MILLISECONDS.sleep(500);
       parts();
@@ -106,15 +126,24 @@
     callers.end();
     ObjectNode out = new ObjectMapper().createObjectNode();
     out.put("processes", NODES).put("faults", cluster.timeline().injected());
-    out.put("detect_ms_median", median(detected)).put("detect_ms_max", Math.round(Collections.max(detected)));
-    out.put("false_dead", falseDead + deaths(MINORITY) - before).put("false_dead_paused_3s", deadOfStopped);
-    out.put("converge_ms_max", Math.round(converged)).put("bytes_per_s_max", Math.round(bytesPerSecond));
-    out.put("asked", callers.asked()).put("served", callers.served()).put("refused", callers.refused());
+    out.put("detect_ms_median", median(detected))
+        .put("detect_ms_max", Math.round(Collections.max(detected)));
+    out.put("false_dead", falseDead + deaths(MINORITY) - before)
+        .put("false_dead_paused_3s", deadOfStopped);
+    out.put("converge_ms_max", Math.round(converged))
+        .put("bytes_per_s_max", Math.round(bytesPerSecond));
+    out.put("asked", callers.asked())
+        .put("served", callers.served())
+        .put("refused", callers.refused());
     out.put("failed", callers.failed()).put("excused", callers.excused());
     out.put("extra_answers", callers.extra()).put("lost", callers.lost().size());
     out.put("parts_sum_max", partsMost);
-    out.put("cold_share_max", cluster.fleet().servers().stream()
-        .mapToDouble(s -> cluster.fleet().rules().coldShare(s.id())).max().orElse(0));
+    out.put(
+        "cold_share_max",
+        cluster.fleet().servers().stream()
+            .mapToDouble(s -> cluster.fleet().rules().coldShare(s.id()))
+            .max()
+            .orElse(0));
     out.put("rules_broken", cluster.fleet().rules().broken()).put("seed", seed);
     callers.lost().forEach(l -> System.out.println("lost: " + l));
     cluster.fleet().rules().breaches().forEach(b -> System.out.println("broken: " + b));
@@ -122,13 +151,17 @@
     return out;
   }
 
-  /** What all that run would take together of what all may do together, as they tell one after another. */
+  /**
+   * What all that run would take together of what all may do together, as they tell one after
+   * another.
+   */
   private void parts() throws IOException {
     partsMost = Math.max(partsMost, cluster.parts().values().stream().mapToDouble(p -> p).sum());
   }
 
   private boolean settled() {
-    return IntStream.range(0, NODES).allMatch(i -> cluster.allHold(i, "alive")) && cluster.viewsEqual();
+    return IntStream.range(0, NODES).allMatch(i -> cluster.allHold(i, "alive"))
+        && cluster.viewsEqual();
   }
 
   /** The most that any process sends, bytes so far. */
