--- a/src/main/java/bitternpulley/measure/MeasureMembershipMany.java
+++ b/src/main/java/bitternpulley/measure/MeasureMembershipMany.java
@@ -13,9 +13,10 @@
 import java.util.stream.IntStream;
 
 /**
- * Twelve processes under query load, of which one stands still for 30 s. Meanwhile one is killed, then half of the rest at once,
- * then all but one: who is left knows of each, the one that wakes blames nobody, and the two find each other. At half the usual
- * interval, so that it ends in its time.
+ * Twelve processes under query load, of which one stands still for 30 s. Meanwhile one is killed,
+ * then half of the rest at once, then all but one: who is left knows of each, the one that wakes
+ * blames nobody, and the two find each other. At half the usual interval, so that it ends in its
+ * time.
  */
 final class MeasureMembershipMany {
   private static final int NODES = 12;
@@ -30,13 +31,20 @@
   private MeasureMembershipMany() {}
 
   public static void main(String[] args) {
-    Bounded.run(MOST_SECONDS, () -> {
-      long seed = args.length > 0 && !args[0].isEmpty() ? Long.parseLong(args[0]) : 1;
-      try (Cluster cluster = new Cluster("measure-membership-many", NODES, seed,
-          "membership(deployment = 'measure', interval_ms = 500, timeout_ms = 150, alone_after_s = 5)\n", "make measure-membership-many SEED=" + seed)) {
-        System.out.println(new MeasureMembershipMany().measure(cluster, seed));
-      }
-    });
+    Bounded.run(
+        MOST_SECONDS,
+        () -> {
+          long seed = args.length > 0 && !args[0].isEmpty() ? Long.parseLong(args[0]) : 1;
+          try (Cluster cluster =
+              new Cluster(
+                  "measure-membership-many",
+                  NODES,
+                  seed,
+                  "membership(deployment = 'measure', interval_ms = 500, timeout_ms = 150, alone_after_s = 5)\n",
+                  "make measure-membership-many SEED=" + seed)) {
+            System.out.println(new MeasureMembershipMany().measure(cluster, seed));
+          }
+        });
   }
 
   private ObjectNode measure(Cluster cluster, long seed) throws Exception {
@@ -59,13 +67,29 @@
     }
     String before = cluster.node(stopped).log();
     cluster.does("resume n" + stopped);
-    out.put("back_ms_stopped_30s", Math.round(cluster.until("the two find each other", PATIENCE,
-        () -> cluster.allHold(stopped, "alive") && cluster.allHold(live.get(0), "alive"))));
-    out.put("blamed_by_stopped", cluster.node(stopped).log().substring(before.length()).lines()
-        .filter(l -> l.contains("member " + live.get(0) + " ") && l.contains(" is dead")).count());
+    out.put(
+        "back_ms_stopped_30s",
+        Math.round(
+            cluster.until(
+                "the two find each other",
+                PATIENCE,
+                () -> cluster.allHold(stopped, "alive") && cluster.allHold(live.get(0), "alive"))));
+    out.put(
+        "blamed_by_stopped",
+        cluster
+            .node(stopped)
+            .log()
+            .substring(before.length())
+            .lines()
+            .filter(l -> l.contains("member " + live.get(0) + " ") && l.contains(" is dead"))
+            .count());
     callers.end();
-    out.put("faults", cluster.timeline().injected()).put("asked", callers.asked()).put("served", callers.served());
-    out.put("excused", callers.excused()).put("extra_answers", callers.extra()).put("lost", callers.lost().size());
+    out.put("faults", cluster.timeline().injected())
+        .put("asked", callers.asked())
+        .put("served", callers.served());
+    out.put("excused", callers.excused())
+        .put("extra_answers", callers.extra())
+        .put("lost", callers.lost().size());
     out.put("rules_broken", cluster.fleet().rules().broken()).put("seed", seed);
     callers.lost().forEach(l -> System.out.println("lost: " + l));
     System.out.println("timeline: " + cluster.timeline().file());
@@ -85,8 +109,12 @@
       callers.disturbed(k);
       cluster.does("kill n" + k);
     }
-    cluster.until("all that are left know of " + killed, PATIENCE, () -> killed.stream().allMatch(k ->
-        live.stream().allMatch(i -> cluster.holds(i, k, "dead"))));
+    cluster.until(
+        "all that are left know of " + killed,
+        PATIENCE,
+        () ->
+            killed.stream()
+                .allMatch(k -> live.stream().allMatch(i -> cluster.holds(i, k, "dead"))));
     return Math.round(cluster.timeline().now() - from);
   }
 }
--- a/src/main/java/bitternpulley/measure/OpenLoopLoad.java
+++ b/src/main/java/bitternpulley/measure/OpenLoopLoad.java
@@ -17,14 +17,17 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * Queries at a fixed rate over kept connections. Latency counts from the moment at which a query was due, however late it could
- * be sent, so that a stall of the program is seen by all queries that were due in it. Bounded in count.
+ * Queries at a fixed rate over kept connections. Latency counts from the moment at which a query
+ * was due, however late it could be sent, so that a stall of the program is seen by all queries
+ * that were due in it. Bounded in count.
  */
 final class OpenLoopLoad {
   private static final int CONNECTIONS = 32;
   private static final int TIMEOUT_MS = 5000;
+
   /** Microseconds up to which latencies are told apart, to three digits. */
   private static final long MOST_MICROS = 60_000_000;
+
   private static final int DIGITS = 3;
 
   private final HostPort front;
@@ -49,7 +52,10 @@
     return served.get();
   }
 
-  /** Sends so many queries at so many a second, numbered from {@code first}, and waits for their answers. */
+  /**
+   * Sends so many queries at so many a second, numbered from {@code first}, and waits for their
+   * answers.
+   */
   void run(int first, int count, double perSecond) throws InterruptedException {
     ExecutorService senders = Executors.newFixedThreadPool(CONNECTIONS);
     long from = System.nanoTime();
@@ -112,7 +118,9 @@
     }
     String lower = head.toString().toLowerCase(Locale.ROOT);
     int at = lower.indexOf("content-length:");
-    int length = Integer.parseInt(lower.substring(at + "content-length:".length(), lower.indexOf('\r', at)).trim());
+    int length =
+        Integer.parseInt(
+            lower.substring(at + "content-length:".length(), lower.indexOf('\r', at)).trim());
     if (in.readNBytes(length).length < length) {
       throw new IOException("ended in its body");
     }
--- a/src/main/java/bitternpulley/measure/ProcessUse.java
+++ b/src/main/java/bitternpulley/measure/ProcessUse.java
@@ -23,13 +23,18 @@
     Path proc = Path.of("/proc", String.valueOf(pid));
     String stat = Files.readString(proc.resolve("stat"));
     String[] after = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-    double cpuMs = MS_PER_TICK * (Long.parseLong(after[USER_TIME]) + Long.parseLong(after[KERNEL_TIME]));
+    double cpuMs =
+        MS_PER_TICK * (Long.parseLong(after[USER_TIME]) + Long.parseLong(after[KERNEL_TIME]));
     String[] open = new File(proc.toFile(), "fd").list();
-    return new ProcessUse(cpuMs, kb(proc, "VmRSS"), kb(proc, "VmHWM"), open == null ? 0 : open.length);
+    return new ProcessUse(
+        cpuMs, kb(proc, "VmRSS"), kb(proc, "VmHWM"), open == null ? 0 : open.length);
   }
 
   private static long kb(Path proc, String key) throws IOException {
-    return Files.readAllLines(proc.resolve("status")).stream().filter(l -> l.startsWith(key + ":"))
-        .mapToLong(l -> Long.parseLong(l.replaceAll("[^0-9]", ""))).findFirst().orElse(0);
+    return Files.readAllLines(proc.resolve("status")).stream()
+        .filter(l -> l.startsWith(key + ":"))
+        .mapToLong(l -> Long.parseLong(l.replaceAll("[^0-9]", "")))
+        .findFirst()
+        .orElse(0);
   }
 }
--- a/src/main/java/bitternpulley/measure/Team.java
+++ b/src/main/java/bitternpulley/measure/Team.java
@@ -8,12 +8,17 @@
 import java.util.function.IntFunction;
 
 /**
- * One team's clients: queries at times drawn ahead, whatever becomes of those before, each counted from the time it was meant
- * to be sent. A refused query is tried again, at once or at the time that its answer names; it is served if any try is.
+ * One team's clients: queries at times drawn ahead, whatever becomes of those before, each counted
+ * from the time it was meant to be sent. A refused query is tried again, at once or at the time
+ * that its answer names; it is served if any try is.
  */
 final class Team {
   /** How refused clients behave. */
-  enum Manners { AT_ONCE, AS_TOLD, HALF_AND_HALF }
+  enum Manners {
+    AT_ONCE,
+    AS_TOLD,
+    HALF_AND_HALF
+  }
 
   private static final int MOST_TRIES = 3;
   private static final int MOST_CONNECTIONS = 400;
@@ -65,8 +70,18 @@
   private int count;
 
   /** {@code request} words the n-th query; the same query is worded alike at each try. */
-  Team(EventLoop loop, HostPort to, long seed, double perSecond, int parts, Manners manners, double aim, double deadline,
-      int seconds, int warm, IntFunction<String> request) {
+  Team(
+      EventLoop loop,
+      HostPort to,
+      long seed,
+      double perSecond,
+      int parts,
+      Manners manners,
+      double aim,
+      double deadline,
+      int seconds,
+      int warm,
+      IntFunction<String> request) {
     this.loop = loop;
     this.client = new HttpClient(loop, MOST_BODY, MOST_CONNECTIONS, 1000, 2000);
     this.to = to;
@@ -86,12 +101,13 @@
 
   /** Begins to send, until as many seconds are over as the tally has. */
   void begin() {
-    loop.execute(() -> {
-      start = now();
-      end = start + 1000.0 * tally.asked.length;
-      next = start + gap();
-      arrive();
-    });
+    loop.execute(
+        () -> {
+          start = now();
+          end = start + 1000.0 * tally.asked.length;
+          next = start + gap();
+          arrive();
+        });
   }
 
   Tally tally() {
@@ -118,23 +134,27 @@
 
   private void attempt(int n, int second, double meant, int tries, boolean asTold) {
     tally.tries++;
-    HttpClient.Call call = client.send(to, ByteBuffer.wrap(request.apply(n).getBytes()), new HttpClient.Done() {
-      @Override
-      public void response(HttpClient.Response r) {
-        if (r.status() == 200) {
-          tally.inTime[second] += now() - meant <= aim ? 1 : 0;
-          tally.partsServed += parts;
-          tally.returnedServed += asTold && second >= tally.warm ? 1 : 0;
-        } else if (r.status() == 429 || r.status() == 503) {
-          refused(n, second, meant, tries, r.head().header("Retry-After"));
-        }
-      }
-
-      @Override
-      public void broken(HttpClient.Broken how, String why) {
-        // Not served, and not asked again: it may have run.
-      }
-    });
+    HttpClient.Call call =
+        client.send(
+            to,
+            ByteBuffer.wrap(request.apply(n).getBytes()),
+            new HttpClient.Done() {
+              @Override
+              public void response(HttpClient.Response r) {
+                if (r.status() == 200) {
+                  tally.inTime[second] += now() - meant <= aim ? 1 : 0;
+                  tally.partsServed += parts;
+                  tally.returnedServed += asTold && second >= tally.warm ? 1 : 0;
+                } else if (r.status() == 429 || r.status() == 503) {
+                  refused(n, second, meant, tries, r.head().header("Retry-After"));
+                }
+              }
+
+              @Override
+              public void broken(HttpClient.Broken how, String why) {
+                // Not served, and not asked again: it may have run.
+              }
+            });
     tally.returned += asTold && call != null && second >= tally.warm ? 1 : 0;
     if (call == null) {
       refused(n, second, meant, tries, null);
--- a/src/main/java/bitternpulley/membership/AntiEntropy.java
+++ b/src/main/java/bitternpulley/membership/AntiEntropy.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is known of all members, a page in each message, the next one each time: repairs what rumors missed. */
+/**
+ * What is known of all members, a page in each message, the next one each time: repairs what rumors
+ * missed.
+ */
 final class AntiEntropy {
   private final int self;
   private int from;
@@ -34,7 +37,10 @@
     return page;
   }
 
-  /** The next page of standings for one that needs to be told nothing of itself; {@code own} is this instance's word and comes first. */
+  /**
+   * The next page of standings for one that needs to be told nothing of itself; {@code own} is this
+   * instance's word and comes first.
+   */
   List<GossipUpdate> standings(GossipUpdate own, Table table, int to) {
     List<GossipUpdate> page = new ArrayList<>();
     page.add(own);
--- a/src/main/java/bitternpulley/membership/DisseminationQueue.java
+++ b/src/main/java/bitternpulley/membership/DisseminationQueue.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** What is to be told to others: each rumor some times the logarithm of the members' number, what is urgent and told least first. */
+/**
+ * What is to be told to others: each rumor some times the logarithm of the members' number, what is
+ * urgent and told least first.
+ */
 final class DisseminationQueue {
   /** Times the logarithm (base 2) of the number of members that a rumor is told. */
   private static final double TIMES = 3;
@@ -30,14 +33,18 @@
   }
 
   /**
-   * The same for what can wait: it goes behind all else. Guards against a start of very many, of each of which all others have
-   * much to say, by which the word on one that is suspect would be minutes late.
+   * The same for what can wait: it goes behind all else. Guards against a start of very many, of
+   * each of which all others have much to say, by which the word on one that is suspect would be
+   * minutes late.
    */
   void addLater(GossipUpdate rumor) {
     byMember.put(rumor.number(), new Entry(rumor, 1));
   }
 
-  /** As many rumors, up to {@code most}, as fit so many bytes of the next message; {@code first} (or null) is one of them. */
+  /**
+   * As many rumors, up to {@code most}, as fit so many bytes of the next message; {@code first} (or
+   * null) is one of them.
+   */
   List<GossipUpdate> next(int members, GossipUpdate first, int bytes, int most) {
     List<GossipUpdate> next = new ArrayList<>();
     int left = bytes;
@@ -50,7 +57,10 @@
     }
     int limit = (int) Math.ceil(TIMES * Math.log(members + 1) / Math.log(2));
     List<Entry> entries = new ArrayList<>(byMember.values());
-    entries.sort(Comparator.<Entry>comparingInt(e -> e.rank).thenComparingInt(e -> e.told).thenComparingInt(e -> e.rumor.number()));
+    entries.sort(
+        Comparator.<Entry>comparingInt(e -> e.rank)
+            .thenComparingInt(e -> e.told)
+            .thenComparingInt(e -> e.rumor.number()));
     for (Entry e : entries) {
       if (next.size() >= most) {
         break;
--- a/src/main/java/bitternpulley/membership/GossipUpdate.java
+++ b/src/main/java/bitternpulley/membership/GossipUpdate.java
@@ -1,12 +1,26 @@
 package bitternpulley.membership;
 
 /**
- * What is said of a member: that it stands so, as the process begun at {@code epoch} and as often refuted as
- * {@code incarnation} says. {@code accuser} is who said it first, -1 for the member itself; {@code card} and {@code slot} may be null.
+ * What is said of a member: that it stands so, as the process begun at {@code epoch} and as often
+ * refuted as {@code incarnation} says. {@code accuser} is who said it first, -1 for the member
+ * itself; {@code card} and {@code slot} may be null.
  */
-public record GossipUpdate(int number, long epoch, int incarnation, Standing standing, int accuser, MemberMetadata card, MemberPayload slot) {
+public record GossipUpdate(
+    int number,
+    long epoch,
+    int incarnation,
+    Standing standing,
+    int accuser,
+    MemberMetadata card,
+    MemberPayload slot) {
   /** One that tells of no slot. */
-  public GossipUpdate(int number, long epoch, int incarnation, Standing standing, int accuser, MemberMetadata card) {
+  public GossipUpdate(
+      int number,
+      long epoch,
+      int incarnation,
+      Standing standing,
+      int accuser,
+      MemberMetadata card) {
     this(number, epoch, incarnation, standing, accuser, card, null);
   }
 
@@ -15,7 +29,10 @@
     return 23 + (card == null ? 0 : card.bytes()) + (slot == null ? 0 : slot.size());
   }
 
-  /** The order of what is known of a member: a later process first, then its later word, then the graver standing. */
+  /**
+   * The order of what is known of a member: a later process first, then its later word, then the
+   * graver standing.
+   */
   boolean newerThan(long otherEpoch, int otherIncarnation) {
     return epoch != otherEpoch ? epoch > otherEpoch : incarnation > otherIncarnation;
   }
--- a/src/main/java/bitternpulley/membership/LocalHealth.java
+++ b/src/main/java/bitternpulley/membership/LocalHealth.java
@@ -1,11 +1,13 @@
 package bitternpulley.membership;
 
 /**
- * How far an instance trusts itself: 0 where it is well, up to {@link #MOST} (Lifeguard's local health multiplier). What it
- * fails at, and what others hold against it, may be its own fault; then it waits longer before it blames anybody.
+ * How far an instance trusts itself: 0 where it is well, up to {@link #MOST} (Lifeguard's local
+ * health multiplier). What it fails at, and what others hold against it, may be its own fault; then
+ * it waits longer before it blames anybody.
  */
 final class LocalHealth {
   static final int MOST = 8;
+
   /** Each so many intervals that an instance did not run count as a failure of its own. */
   private static final double PAUSE_INTERVALS = 1;
 
@@ -20,7 +22,10 @@
     return 1 + score;
   }
 
-  /** Times as long until its next probe: less than it waits, as only by answers does it come to trust itself again. */
+  /**
+   * Times as long until its next probe: less than it waits, as only by answers does it come to
+   * trust itself again.
+   */
   double pace() {
     return 1 + score / 4.0;
   }
--- a/src/main/java/bitternpulley/membership/Member.java
+++ b/src/main/java/bitternpulley/membership/Member.java
@@ -2,7 +2,10 @@
 
 /** What is known of one member. Plain state: {@link Membership} changes it. */
 final class Member {
-  /** Messages of one member in an interval: some 10 are usual, and what lay there while one was stopped comes at once. */
+  /**
+   * Messages of one member in an interval: some 10 are usual, and what lay there while one was
+   * stopped comes at once.
+   */
   private static final int MOST_SAID = 256;
 
   final int number;
@@ -10,22 +13,33 @@
   long epoch;
   int incarnation;
   Standing standing = Standing.ALIVE;
+
   /** Set while it is suspect. */
   Suspicion suspicion;
+
   double since;
+
   /** What this process told last for other subsystems; null where nothing was heard of it. */
   MemberPayload slot;
+
   /** When a message of its own came last, and when anything showed that it runs. */
   double spokeAt = Double.NEGATIVE_INFINITY;
+
   double heardAt = Double.NEGATIVE_INFINITY;
+
   /** When it last failed to answer. */
   double failedAt = Double.NEGATIVE_INFINITY;
+
   /** A later process of it that one other told of: a second one's word, or its own, is awaited. */
   long claimed;
+
   int claimedBy = -1;
+
   /** Whether it is reached by others only, and for how many probes in a row. */
   boolean byOthers;
+
   int missed;
+
   /** Whether the suspicion comes of its own word that it leaves, as others tell it. */
   boolean saidToLeave;
 
@@ -43,7 +57,10 @@
     incarnation = refutations;
   }
 
-  /** Whether it says more than anybody has to say. Guards against a peer that floods: what is beyond costs a look and no answer. */
+  /**
+   * Whether it says more than anybody has to say. Guards against a peer that floods: what is beyond
+   * costs a look and no answer.
+   */
   boolean floods(double now, double interval) {
     if (now >= countedFrom + interval) {
       countedFrom = now;
@@ -58,8 +75,11 @@
 
   /** Takes what is said that it told, if it is later; whether it was. */
   boolean learns(GossipUpdate said) {
-    boolean later = said.slot() != null && said.epoch() == epoch && said.slot().count() <= Self.MOST_COUNT
-        && (slot == null || said.slot().count() > slot.count());
+    boolean later =
+        said.slot() != null
+            && said.epoch() == epoch
+            && said.slot().count() <= Self.MOST_COUNT
+            && (slot == null || said.slot().count() > slot.count());
     slot = later ? said.slot() : slot;
     return later;
   }
--- a/src/main/java/bitternpulley/membership/MemberMetadata.java
+++ b/src/main/java/bitternpulley/membership/MemberMetadata.java
@@ -1,6 +1,9 @@
 package bitternpulley.membership;
 
-/** What a member says of itself, told while it is new. Each text has at most {@link #MOST} characters, all of ASCII. */
+/**
+ * What a member says of itself, told while it is new. Each text has at most {@link #MOST}
+ * characters, all of ASCII.
+ */
 public record MemberMetadata(String name, String zone, String region, String build) {
   static final int MOST = 24;
 
--- a/src/main/java/bitternpulley/membership/MemberPayload.java
+++ b/src/main/java/bitternpulley/membership/MemberPayload.java
@@ -3,8 +3,9 @@
 import java.util.Arrays;
 
 /**
- * What a member tells of itself for other subsystems: at most {@link #MOST} bytes whose first says, to whoever reads them, of
- * which form they are. Of one process's slots that with the greater count is the later one.
+ * What a member tells of itself for other subsystems: at most {@link #MOST} bytes whose first says,
+ * to whoever reads them, of which form they are. Of one process's slots that with the greater count
+ * is the later one.
  */
 public final class MemberPayload {
   public static final int MOST = 64;
--- a/src/main/java/bitternpulley/membership/MemberView.java
+++ b/src/main/java/bitternpulley/membership/MemberView.java
@@ -1,9 +1,27 @@
 package bitternpulley.membership;
 
-/** One member as an instance holds it; times are ms ago, infinite where never; {@code hearing} is what it tells of itself. */
-public record MemberView(int number, long epoch, Standing standing, MemberMetadata card, double since, double heard, boolean byOthers,
+/**
+ * One member as an instance holds it; times are ms ago, infinite where never; {@code hearing} is
+ * what it tells of itself.
+ */
+public record MemberView(
+    int number,
+    long epoch,
+    Standing standing,
+    MemberMetadata card,
+    double since,
+    double heard,
+    boolean byOthers,
     ReachabilityReport hearing) {
   static MemberView of(Member m, double now) {
-    return new MemberView(m.number, m.epoch, m.standing, m.card, now - m.since, now - m.heardAt, m.byOthers, ReachabilityReport.of(m.slot));
+    return new MemberView(
+        m.number,
+        m.epoch,
+        m.standing,
+        m.card,
+        now - m.since,
+        now - m.heardAt,
+        m.byOthers,
+        ReachabilityReport.of(m.slot));
   }
 }
--- a/src/main/java/bitternpulley/membership/Membership.java
+++ b/src/main/java/bitternpulley/membership/Membership.java
@@ -6,25 +6,41 @@
 import java.util.Random;
 
 /**
- * One instance's part in finding out who is here. All times are ms of one clock; each call returns what is to be sent and
- * told, in order. {@link #tick} is to be called each {@link #tickEvery} ms: that it comes late is how a pause is noticed.
+ * One instance's part in finding out who is here. All times are ms of one clock; each call returns
+ * what is to be sent and told, in order. {@link #tick} is to be called each {@link #tickEvery} ms:
+ * that it comes late is how a pause is noticed.
  */
 public final class Membership {
   /** Ticks in an interval, and intervals without a tick that make a pause. */
   private static final int TICKS = 10;
+
   private static final double PAUSE = 0.15;
-  /** Intervals after waking in which nobody is judged; and for which one that spoke, though it did not answer, runs. */
+
+  /**
+   * Intervals after waking in which nobody is judged; and for which one that spoke, though it did
+   * not answer, runs.
+   */
   private static final double WAKING = 3;
+
   private static final double SPOKE_WITHIN = 6;
-  /** Intervals without a word from anybody after which an instance speaks up each interval, whatever its doubt. */
+
+  /**
+   * Intervals without a word from anybody after which an instance speaks up each interval, whatever
+   * its doubt.
+   */
   private static final double LONELY = 2;
+
   /** Members to which it speaks then. */
   private static final int LONELY_ASKED = 8;
+
   /** Intervals within which most others must have been heard for a verdict to count. */
   private static final double MOST_WITHIN = 6;
+
   /** Intervals between pages told of oneself, and between those told to one whose view differs. */
   private static final double SYNC_EVERY = 10;
+
   private static final double SYNC_LEAST = 1;
+
   /** Members told that this one leaves. */
   private static final int TOLD_OF_LEAVING = 6;
 
@@ -45,8 +61,10 @@
   private double judgeFrom;
   private double heardAt;
   private double saidAt;
+
   /** Since when most others are heard, while anybody is suspect; infinity while they are not. */
   private double mostSince = Double.POSITIVE_INFINITY;
+
   private long ignored;
 
   /**
@@ -56,7 +74,14 @@
    * @param epoch tells this start from those before: greater than any
    * @param configured the numbers of those it is to find, its own included or not
    */
-  public Membership(int self, MemberMetadata card, long epoch, List<Integer> configured, MembershipSettings terms, long seed, double now) {
+  public Membership(
+      int self,
+      MemberMetadata card,
+      long epoch,
+      List<Integer> configured,
+      MembershipSettings terms,
+      long seed,
+      double now) {
     this.self = self;
     this.me = new Self(self, card, epoch);
     this.terms = terms;
@@ -97,7 +122,16 @@
   /** All that are known, this one included, by number. */
   public List<MemberView> members() {
     List<MemberView> all = new ArrayList<>();
-    all.add(new MemberView(self, me.epoch(), me.standing(), me.card(), now - startedAt, 0, false, ReachabilityReport.of(me.slot())));
+    all.add(
+        new MemberView(
+            self,
+            me.epoch(),
+            me.standing(),
+            me.card(),
+            now - startedAt,
+            0,
+            false,
+            ReachabilityReport.of(me.slot())));
     table.all().forEach(m -> all.add(MemberView.of(m, now)));
     all.sort(java.util.Comparator.comparingInt(MemberView::number));
     return all;
@@ -127,14 +161,18 @@
       mostSince = now;
     }
     suspects.forEach(this::judge);
-    if (now >= Math.max(heardAt + LONELY * terms.interval(), saidAt + terms.interval()) && !me.leaving()) {
-      // Guards against one that only cannot hear, falls silent in its doubt, and is taken for dead by all.
+    if (now >= Math.max(heardAt + LONELY * terms.interval(), saidAt + terms.interval())
+        && !me.leaving()) {
+      // Guards against one that only cannot hear, falls silent in its doubt, and is taken for dead
+      // by all.
       saidAt = now;
       prober.greet(LONELY_ASKED);
     }
     if (now >= heardAt + terms.aloneAfter() / 2 && !me.leaving()) {
-      new ArrayList<>(table.all()).stream().filter(m -> m.standing == Standing.ALIVE)
-          .forEach(m -> suspect(m, self, "nobody is heard"));
+      new ArrayList<>(table.all())
+          .stream()
+              .filter(m -> m.standing == Standing.ALIVE)
+              .forEach(m -> suspect(m, self, "nobody is heard"));
     }
     if (now >= nextSync) {
       nextSync = now + SYNC_EVERY * terms.interval();
@@ -147,18 +185,22 @@
   public List<Output> heard(Message message, double at) {
     begin(at);
     Member from = table.known(message.from());
-    if (from == null || !Self.plausible(message.epoch(), message.incarnation(), now) || from.floods(now, terms.interval())) {
+    if (from == null
+        || !Self.plausible(message.epoch(), message.incarnation(), now)
+        || from.floods(now, terms.interval())) {
       ignored++;
       return out;
     }
     if (message.epoch() < from.epoch) {
-      // An earlier process's word, late; or a clock set back since: told how it stands, it takes a later epoch.
+      // An earlier process's word, late; or a clock set back since: told how it stands, it takes a
+      // later epoch.
       ignored++;
       send(from.number, Kind.ACK, 0, from.number);
       return out;
     }
     heardAt = from.spokeAt = from.heardAt = now;
-    if (new GossipUpdate(from.number, message.epoch(), message.incarnation(), Standing.ALIVE, -1, null)
+    if (new GossipUpdate(
+            from.number, message.epoch(), message.incarnation(), Standing.ALIVE, -1, null)
         .newerThan(from.epoch, from.incarnation)) {
       renewed(from, message.epoch(), message.incarnation(), null, "its own word");
     }
@@ -168,17 +210,21 @@
       case ACK -> prober.answered(message, now);
       case RELAY -> prober.help(message, now);
       case NACK -> prober.declined(message);
-      case SYNC -> { }
+      case SYNC -> {}
     }
     boolean differs = message.view() != view();
-    if ((differs || message.told() != voice.told()) && now >= nextSync - (SYNC_EVERY - SYNC_LEAST) * terms.interval()) {
+    if ((differs || message.told() != voice.told())
+        && now >= nextSync - (SYNC_EVERY - SYNC_LEAST) * terms.interval()) {
       nextSync = now + SYNC_EVERY * terms.interval();
       sync(from.number, !differs);
     }
     return out;
   }
 
-  /** What other subsystems have it tell, at most {@link ReachabilityReport#PAYLOAD} bytes; it reaches all others in some intervals. */
+  /**
+   * What other subsystems have it tell, at most {@link ReachabilityReport#PAYLOAD} bytes; it
+   * reaches all others in some intervals.
+   */
   public void tell(byte[] payload) {
     tells(ears.tell(payload));
   }
@@ -194,7 +240,9 @@
     begin(at);
     me.leave();
     voice.add(me.rumor());
-    table.some(TOLD_OF_LEAVING, random, Member::here).forEach(m -> send(m.number, Kind.SYNC, 0, m.number));
+    table
+        .some(TOLD_OF_LEAVING, random, Member::here)
+        .forEach(m -> send(m.number, Kind.SYNC, 0, m.number));
     return out;
   }
 
@@ -204,8 +252,9 @@
   }
 
   /**
-   * Guards against verdicts by one that was not there to hear: what others had time for goes on from here, what was asked
-   * before is not awaited, and nobody is judged until there was time to hear again. It asks at once how it stands itself.
+   * Guards against verdicts by one that was not there to hear: what others had time for goes on
+   * from here, what was asked before is not awaited, and nobody is judged until there was time to
+   * hear again. It asks at once how it stands itself.
    */
   private void woke(double ms) {
     out.add(new Output.Woke(ms));
@@ -290,16 +339,21 @@
     } else if (m.here() && newer && m.epoch != 0) {
       // Nobody is accused of what one has not heard of: asked itself, it says how it stands.
       prober.check(m);
-    } else if (m.here() && (newer || said.epoch() == m.epoch && said.incarnation() == m.incarnation)) {
+    } else if (m.here()
+        && (newer || said.epoch() == m.epoch && said.incarnation() == m.incarnation)) {
       if (newer) {
-        // Guards against one that died before it was heard of, on which each instance is left to its own word alone.
+        // Guards against one that died before it was heard of, on which each instance is left to
+        // its own word alone.
         m.heardOf(said.epoch(), said.incarnation());
         table.changed(m);
       }
       m.saidToLeave |= said.standing() == Standing.LEFT;
       // Whoever has heard it since takes no other's word for it.
-      if (m.standing == Standing.SUSPECT || m.heardAt < now - terms.interval() || said.standing() == Standing.LEFT) {
-        suspect(m, said.accuser(), said.accuser() < 0 ? "said to leave" : "told by " + said.accuser());
+      if (m.standing == Standing.SUSPECT
+          || m.heardAt < now - terms.interval()
+          || said.standing() == Standing.LEFT) {
+        suspect(
+            m, said.accuser(), said.accuser() < 0 ? "said to leave" : "told by " + said.accuser());
       }
       if (m.suspicion != null && said.standing() == Standing.DEAD) {
         m.suspicion.givenUp();
@@ -310,7 +364,10 @@
     }
   }
 
-  /** One's word is enough for a process that is known; a new one takes two, or its own. Guards against processes made up. */
+  /**
+   * One's word is enough for a process that is known; a new one takes two, or its own. Guards
+   * against processes made up.
+   */
   private boolean believed(Member m, GossipUpdate said, int teller) {
     boolean known = said.epoch() == m.epoch || m.epoch == 0;
     boolean second = said.epoch() == m.claimed && m.claimedBy != teller;
@@ -322,7 +379,8 @@
     return known || second;
   }
 
-  private void renewed(Member m, long epoch, int incarnation, MemberMetadata card, String evidence) {
+  private void renewed(
+      Member m, long epoch, int incarnation, MemberMetadata card, String evidence) {
     boolean first = m.epoch == 0;
     boolean another = epoch != m.epoch;
     m.heardOf(epoch, incarnation);
@@ -352,7 +410,10 @@
     }
   }
 
-  /** Nobody is called dead but by one that asked for itself, hears most others, and has not just woken. */
+  /**
+   * Nobody is called dead but by one that asked for itself, hears most others, and has not just
+   * woken.
+   */
   private void judge(Member m) {
     if (now < m.suspicion.endsAt() || now < judgeFrom) {
       return;
@@ -361,7 +422,8 @@
       prober.check(m);
       return;
     }
-    if (m.spokeAt > m.suspicion.since() && m.spokeAt >= now - SPOKE_WITHIN * terms.interval() * doubt.patience()
+    if (m.spokeAt > m.suspicion.since()
+        && m.spokeAt >= now - SPOKE_WITHIN * terms.interval() * doubt.patience()
         && !m.saidToLeave) {
       return; // it runs, though it does not hear us: in doubt for as long as that lasts
     }
@@ -369,9 +431,17 @@
     boolean alone = now >= m.suspicion.since() + terms.aloneAfter();
     if (!alone && !m.suspicion.failedTwiceSince(mostSince)) {
       prober.check(m);
-    } else if (alone || now >= m.suspicion.endsAt() + m.suspicion.lasts() * (doubt.patience() - 1)) {
-      stands(m, m.saidToLeave ? Standing.LEFT : Standing.DEAD, "silent for " + Math.round(now - m.heardAt) + " ms, "
-          + m.suspicion.accusers() + " accusers" + (most ? "" : "; most others are not heard"));
+    } else if (alone
+        || now >= m.suspicion.endsAt() + m.suspicion.lasts() * (doubt.patience() - 1)) {
+      stands(
+          m,
+          m.saidToLeave ? Standing.LEFT : Standing.DEAD,
+          "silent for "
+              + Math.round(now - m.heardAt)
+              + " ms, "
+              + m.suspicion.accusers()
+              + " accusers"
+              + (most ? "" : "; most others are not heard"));
       voice.add(m.rumor(self));
     }
   }
--- a/src/main/java/bitternpulley/membership/MembershipSettings.java
+++ b/src/main/java/bitternpulley/membership/MembershipSettings.java
@@ -6,7 +6,8 @@
  * @param interval between probes, stretched by an instance's doubt in itself
  * @param timeout until a probe counts as unanswered, and again until it has failed
  * @param relays how many others are asked to probe in one's stead
- * @param suspicion intervals for which a suspect may refute, by the decimal logarithm of the number of members
+ * @param suspicion intervals for which a suspect may refute, by the decimal logarithm of the number
+ *     of members
  * @param aloneAfter after which one that hears no majority calls its suspects dead all the same
  */
 public record MembershipSettings(
--- a/src/main/java/bitternpulley/membership/MessageComposer.java
+++ b/src/main/java/bitternpulley/membership/MessageComposer.java
@@ -4,7 +4,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What this instance says: each message bears what is news, what is known page by page, and what members tell of themselves. */
+/**
+ * What this instance says: each message bears what is news, what is known page by page, and what
+ * members tell of themselves.
+ */
 final class MessageComposer {
   private final int self;
   private final Self me;
@@ -40,15 +43,18 @@
     Member m = table.known(to);
     // Whoever is held for anything but alive is told so first of all, that it may refute.
     GossipUpdate first = m != null && m.standing != Standing.ALIVE ? m.rumor(self) : null;
-    // By turns half is for slots. Guards against a start of many, whose news alone fills every message for minutes.
+    // By turns half is for slots. Guards against a start of many, whose news alone fills every
+    // message for minutes.
     slotsFirst = !slotsFirst;
     List<GossipUpdate> rumors = new ArrayList<>();
     if (slotsFirst && first == null) {
       rumors.addAll(slots.next(table.here(), null, Message.RUMOR_BYTES / 2, Message.MOST_RUMORS));
-      rumors.addAll(spread.next(table.here(), null, left(rumors), Message.MOST_RUMORS - rumors.size()));
+      rumors.addAll(
+          spread.next(table.here(), null, left(rumors), Message.MOST_RUMORS - rumors.size()));
     } else {
       rumors.addAll(spread.next(table.here(), first, Message.RUMOR_BYTES, Message.MOST_RUMORS));
-      rumors.addAll(slots.next(table.here(), null, left(rumors), Message.MOST_RUMORS - rumors.size()));
+      rumors.addAll(
+          slots.next(table.here(), null, left(rumors), Message.MOST_RUMORS - rumors.size()));
     }
     return message(kind, number, target, rumors);
   }
@@ -57,9 +63,15 @@
     return Message.RUMOR_BYTES - rumors.stream().mapToInt(GossipUpdate::bytes).sum();
   }
 
-  /** A page of what is known, the next one each time: of what members tell, or of how they stand. */
+  /**
+   * A page of what is known, the next one each time: of what members tell, or of how they stand.
+   */
   Message page(int to, boolean told) {
-    return message(Kind.SYNC, 0, to, told ? pages.slots(me, table, to) : pages.standings(me.rumor(), table, to));
+    return message(
+        Kind.SYNC,
+        0,
+        to,
+        told ? pages.slots(me, table, to) : pages.standings(me.rumor(), table, to));
   }
 
   /** Digest of what members tell, as far as it is known. */
@@ -68,6 +80,15 @@
   }
 
   private Message message(Kind kind, int number, int target, List<GossipUpdate> rumors) {
-    return new Message(kind, self, me.epoch(), me.incarnation(), number, target, table.digest(me.epoch()), told(), rumors);
+    return new Message(
+        kind,
+        self,
+        me.epoch(),
+        me.incarnation(),
+        number,
+        target,
+        table.digest(me.epoch()),
+        told(),
+        rumors);
   }
 }
--- a/src/main/java/bitternpulley/membership/Output.java
+++ b/src/main/java/bitternpulley/membership/Output.java
@@ -6,12 +6,19 @@
   record Send(int to, Message message) implements Output {}
 
   /** A member stands otherwise from now on; {@code evidence} says why, for the log. */
-  record Changed(int number, MemberMetadata card, Standing before, Standing now, String evidence) implements Output {
+  record Changed(int number, MemberMetadata card, Standing before, Standing now, String evidence)
+      implements Output {
     @Override
     public String toString() {
-      return "member " + number + (card == null ? "" : " (" + card.name() + ")") + " is "
-          + now.name().toLowerCase(java.util.Locale.ROOT) + ", was " + before.name().toLowerCase(java.util.Locale.ROOT)
-          + ": " + evidence;
+      return "member "
+          + number
+          + (card == null ? "" : " (" + card.name() + ")")
+          + " is "
+          + now.name().toLowerCase(java.util.Locale.ROOT)
+          + ", was "
+          + before.name().toLowerCase(java.util.Locale.ROOT)
+          + ": "
+          + evidence;
     }
   }
 
@@ -27,7 +34,9 @@
   record Woke(double ms) implements Output {
     @Override
     public String toString() {
-      return "this instance did not run for " + Math.round(ms) + " ms and judges nobody for a while";
+      return "this instance did not run for "
+          + Math.round(ms)
+          + " ms and judges nobody for a while";
     }
   }
 }
--- a/src/main/java/bitternpulley/membership/Probe.java
+++ b/src/main/java/bitternpulley/membership/Probe.java
@@ -7,6 +7,7 @@
 final class Probe {
   /** Timeouts after which helpers are asked, and after which it has failed. */
   private static final double HELP_AFTER = 1;
+
   private static final double FAILED_AFTER = 3;
 
   final Member target;
@@ -47,7 +48,10 @@
     return now >= sentAt + FAILED_AFTER * timeout;
   }
 
-  /** Whether the failure is likely the target's own: somebody was asked to help, and all said that they got no answer. */
+  /**
+   * Whether the failure is likely the target's own: somebody was asked to help, and all said that
+   * they got no answer.
+   */
   boolean othersAgree() {
     return helped && silent.isEmpty();
   }
--- a/src/main/java/bitternpulley/membership/Prober.java
+++ b/src/main/java/bitternpulley/membership/Prober.java
@@ -10,20 +10,27 @@
 import java.util.Random;
 
 /**
- * Asks the members in turn, each once a round in an order of chance; beside them, one at a time, those to be checked; and asks on
- * behalf of others.
- * What an answer or none means is {@link Membership}'s to say.
+ * Asks the members in turn, each once a round in an order of chance; beside them, one at a time,
+ * those to be checked; and asks on behalf of others. What an answer or none means is {@link
+ * Membership}'s to say.
  */
 final class Prober {
-  /** Each so many-th probe goes to one that is dead or was never heard of: a cut that heals is found out so. */
+  /**
+   * Each so many-th probe goes to one that is dead or was never heard of: a cut that heals is found
+   * out so.
+   */
   private static final int LOST_EVERY = 4;
+
   /**
-   * Probes out of turn that are answered, on the average of an interval and at once. Guards against a fleet of hundreds at a lossy
-   * network, in which somebody is suspect at any time and each member asks each suspect for itself: that goes with the square of the
-   * members. Those that fail do not count: they are bounded by the time that they take, and the dead are asked no later.
+   * Probes out of turn that are answered, on the average of an interval and at once. Guards against
+   * a fleet of hundreds at a lossy network, in which somebody is suspect at any time and each
+   * member asks each suspect for itself: that goes with the square of the members. Those that fail
+   * do not count: they are bounded by the time that they take, and the dead are asked no later.
    */
   private static final double CHECKS_PER_INTERVAL = 1;
+
   private static final double CHECKS_AT_ONCE = 8;
+
   /** Probes made for others at a time. */
   private static final int MOST_HELPING = 64;
 
@@ -49,8 +56,12 @@
   private final ArrayDeque<Member> round = new ArrayDeque<>();
   private final ArrayDeque<Member> checks = new ArrayDeque<>();
   private final Map<Integer, Helping> helping = new HashMap<>();
-  /** The one of the round that is under way, and beside it the one that was to be made out of turn. */
+
+  /**
+   * The one of the round that is under way, and beside it the one that was to be made out of turn.
+   */
   private Probe probe;
+
   private Probe checking;
   private int sequence;
   private int probes;
@@ -58,7 +69,14 @@
   private double checksLeft = CHECKS_AT_ONCE;
   private double checksCountedAt;
 
-  Prober(int self, MembershipSettings terms, Table table, LocalHealth doubt, Random random, Heard heard, double now) {
+  Prober(
+      int self,
+      MembershipSettings terms,
+      Table table,
+      LocalHealth doubt,
+      Random random,
+      Heard heard,
+      double now) {
     this.self = self;
     this.terms = terms;
     this.table = table;
@@ -70,13 +88,20 @@
   }
 
   void tick(double now, boolean leaving) {
-    helping.entrySet().removeIf(e -> {
-      boolean over = now >= e.getValue().until();
-      if (over) {
-        heard.send(e.getValue().origin(), Kind.NACK, e.getValue().sequence(), e.getValue().target());
-      }
-      return over;
-    });
+    helping
+        .entrySet()
+        .removeIf(
+            e -> {
+              boolean over = now >= e.getValue().until();
+              if (over) {
+                heard.send(
+                    e.getValue().origin(),
+                    Kind.NACK,
+                    e.getValue().sequence(),
+                    e.getValue().target());
+              }
+              return over;
+            });
     if (probe != null && goOn(probe, now)) {
       Probe failed = probe;
       probe = null;
@@ -97,9 +122,15 @@
     }
   }
 
-  /** The next probe out of turn, or null where none is wanted or the budget is spent; those that wait keep their places. */
+  /**
+   * The next probe out of turn, or null where none is wanted or the budget is spent; those that
+   * wait keep their places.
+   */
   private Probe nextCheck(double now) {
-    checksLeft = Math.min(CHECKS_AT_ONCE, checksLeft + CHECKS_PER_INTERVAL * (now - checksCountedAt) / terms.interval());
+    checksLeft =
+        Math.min(
+            CHECKS_AT_ONCE,
+            checksLeft + CHECKS_PER_INTERVAL * (now - checksCountedAt) / terms.interval());
     checksCountedAt = now;
     if (checksLeft < 1) {
       return null;
@@ -112,7 +143,10 @@
     return begin(next, now);
   }
 
-  /** This instance did not run: what it asked is not awaited, and what others asked of it is theirs no more. */
+  /**
+   * This instance did not run: what it asked is not awaited, and what others asked of it is theirs
+   * no more.
+   */
   void woke() {
     probe = null;
     checking = null;
@@ -141,7 +175,9 @@
 
   private void ask(double now) {
     if (++probes % LOST_EVERY == 0) {
-      table.some(1, random, m -> m.standing == Standing.DEAD || m.here() && m.epoch == 0).forEach(this::greet);
+      table
+          .some(1, random, m -> m.standing == Standing.DEAD || m.here() && m.epoch == 0)
+          .forEach(this::greet);
     }
     Member target = null;
     while (target == null || !target.here() || asks(checking, target)) {
@@ -170,8 +206,11 @@
     Member target = probe.target;
     if (probe.wantsHelp(now)) {
       heard.send(target.number, Kind.PING, probe.sequence, target.number);
-      for (Member helper : table.some(terms.relays(), random, m -> m != target && m.standing == Standing.ALIVE
-          && m.epoch != 0)) {
+      for (Member helper :
+          table.some(
+              terms.relays(),
+              random,
+              m -> m != target && m.standing == Standing.ALIVE && m.epoch != 0)) {
         probe.askedHelper(helper.number);
         heard.send(helper.number, Kind.RELAY, probe.sequence, target.number);
       }
@@ -202,7 +241,8 @@
     target.byOthers = ack.from() != target.number;
     target.heardAt = now;
     if (of == probe) {
-      doubt.answered(); // one made out of turn is as long as it takes to be answered, and says nothing of this instance
+      doubt.answered(); // one made out of turn is as long as it takes to be answered, and says
+      // nothing of this instance
     }
     probe = of == probe ? null : probe;
     checking = of == checking ? null : checking;
@@ -211,7 +251,8 @@
 
   /** The probe that a message answers; null where it is over. */
   private Probe of(Message said) {
-    return probe != null && probe.sequence == said.sequence() ? probe
+    return probe != null && probe.sequence == said.sequence()
+        ? probe
         : checking != null && checking.sequence == said.sequence() ? checking : null;
   }
 
@@ -229,7 +270,9 @@
       heard.send(asked.from(), Kind.NACK, asked.sequence(), asked.target());
       return;
     }
-    helping.put(++sequence, new Helping(asked.from(), asked.sequence(), asked.target(), now + terms.timeout()));
+    helping.put(
+        ++sequence,
+        new Helping(asked.from(), asked.sequence(), asked.target(), now + terms.timeout()));
     heard.send(target.number, Kind.PING, sequence, target.number);
   }
 }
--- a/src/main/java/bitternpulley/membership/ReachabilityReport.java
+++ b/src/main/java/bitternpulley/membership/ReachabilityReport.java
@@ -7,19 +7,26 @@
 import java.util.TreeMap;
 
 /**
- * Whom a member reaches only by others, as it tells in its slot, before what other subsystems have it tell: a form, how many,
- * then two bytes for each, of which the first bit says whether it hears that other speak.
+ * Whom a member reaches only by others, as it tells in its slot, before what other subsystems have
+ * it tell: a form, how many, then two bytes for each, of which the first bit says whether it hears
+ * that other speak.
  */
 public final class ReachabilityReport {
   /** Others that are told of; with more the cut is no matter of single ways any more. */
   static final int MOST = 8;
+
   /** Bytes that are left for other subsystems. */
   public static final int PAYLOAD = MemberPayload.MOST - 2 - 2 * MOST;
+
   private static final byte FORM = 1;
   private static final int SPEAKS = 0x8000;
 
-  /** Members that are not reached directly, each with whether it is heard to speak: then only the way there is cut. */
+  /**
+   * Members that are not reached directly, each with whether it is heard to speak: then only the
+   * way there is cut.
+   */
   private final Map<Integer, Boolean> missed;
+
   private final byte[] payload;
 
   ReachabilityReport(Map<Integer, Boolean> missed, byte[] payload) {
--- a/src/main/java/bitternpulley/membership/ReachabilityTracker.java
+++ b/src/main/java/bitternpulley/membership/ReachabilityTracker.java
@@ -4,15 +4,23 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Which others this instance does not reach by itself, and so what it tells of that; with it goes what others have it tell. */
+/**
+ * Which others this instance does not reach by itself, and so what it tells of that; with it goes
+ * what others have it tell.
+ */
 final class ReachabilityTracker {
-  /** Probes in a row that others had to answer for: at a loss of a fifth, two in a row are one in sixty. */
+  /**
+   * Probes in a row that others had to answer for: at a loss of a fifth, two in a row are one in
+   * sixty.
+   */
   static final int SURE = 3;
 
   private byte[] payload = new byte[0];
   private Map<Integer, Boolean> missed = Map.of();
 
-  /** A member answered a probe, or had others answer; whether to ask it at once again, to be sure. */
+  /**
+   * A member answered a probe, or had others answer; whether to ask it at once again, to be sure.
+   */
   boolean answered(Member m, boolean byOthers) {
     m.missed = byOthers ? m.missed + 1 : 0;
     return byOthers && m.missed < SURE;
--- a/src/main/java/bitternpulley/membership/Self.java
+++ b/src/main/java/bitternpulley/membership/Self.java
@@ -2,10 +2,18 @@
 
 /** What this instance is, and how it answers what is said of it. */
 final class Self {
-  /** Ms by which a process may be ahead of our clock; one further ahead is made up. Bears clocks that are hours apart. */
+  /**
+   * Ms by which a process may be ahead of our clock; one further ahead is made up. Bears clocks
+   * that are hours apart.
+   */
   private static final double EPOCH_AHEAD = 86_400_000;
-  /** So often refuted, a process begins a new epoch: what is said of a higher incarnation is made up. */
+
+  /**
+   * So often refuted, a process begins a new epoch: what is said of a higher incarnation is made
+   * up.
+   */
   private static final int MOST_INCARNATION = 1_000_000;
+
   /** What is said of a slot of a higher count is made up: at one a second it takes years. */
   static final int MOST_COUNT = 1_000_000_000;
 
@@ -24,7 +32,10 @@
 
   /** Whether there can be such a process. Guards against numbers that nobody could ever exceed. */
   static boolean plausible(long epoch, int incarnation, double now) {
-    return epoch > 0 && epoch <= now + EPOCH_AHEAD && incarnation >= 0 && incarnation <= MOST_INCARNATION;
+    return epoch > 0
+        && epoch <= now + EPOCH_AHEAD
+        && incarnation >= 0
+        && incarnation <= MOST_INCARNATION;
   }
 
   long epoch() {
@@ -68,10 +79,17 @@
     return new GossipUpdate(number, epoch, incarnation, standing(), -1, null, slot);
   }
 
-  /** Whether somebody tells a slot of this process that it did not tell; then its own is told anew, as a later one. */
+  /**
+   * Whether somebody tells a slot of this process that it did not tell; then its own is told anew,
+   * as a later one.
+   */
   boolean corrects(GossipUpdate said) {
-    boolean wrong = said.slot() != null && said.epoch() == epoch && !said.slot().equals(slot)
-        && said.slot().count() >= (slot == null ? 0 : slot.count()) && said.slot().count() < MOST_COUNT;
+    boolean wrong =
+        said.slot() != null
+            && said.epoch() == epoch
+            && !said.slot().equals(slot)
+            && said.slot().count() >= (slot == null ? 0 : slot.count())
+            && said.slot().count() < MOST_COUNT;
     if (wrong) {
       slot = new MemberPayload(said.slot().count() + 1, slot == null ? new byte[0] : slot.bytes());
     }
@@ -82,11 +100,15 @@
     return new GossipUpdate(number, epoch, incarnation, standing(), -1, card);
   }
 
-  /** Takes a later word than what is held of this instance, or of a later process of its number; whether there was need. */
+  /**
+   * Takes a later word than what is held of this instance, or of a later process of its number;
+   * whether there was need.
+   */
   boolean refutes(GossipUpdate said) {
     boolean later = said.newerThan(epoch, incarnation);
-    boolean accused = said.standing() != Standing.ALIVE && (later || said.epoch() == epoch
-        && said.incarnation() == incarnation);
+    boolean accused =
+        said.standing() != Standing.ALIVE
+            && (later || said.epoch() == epoch && said.incarnation() == incarnation);
     if (leaving || !later && !accused) {
       return false;
     }
--- a/src/main/java/bitternpulley/membership/Standing.java
+++ b/src/main/java/bitternpulley/membership/Standing.java
@@ -1,4 +1,12 @@
 package bitternpulley.membership;
 
-/** What a member is taken to be. A suspect still counts as here, for all that is to err to the safe side. */
-public enum Standing { ALIVE, SUSPECT, DEAD, LEFT }
+/**
+ * What a member is taken to be. A suspect still counts as here, for all that is to err to the safe
+ * side.
+ */
+public enum Standing {
+  ALIVE,
+  SUSPECT,
+  DEAD,
+  LEFT
+}
--- a/src/main/java/bitternpulley/membership/Suspicion.java
+++ b/src/main/java/bitternpulley/membership/Suspicion.java
@@ -4,12 +4,16 @@
 import java.util.Set;
 
 /**
- * How long one suspect may still refute: long while one instance alone suspects it, down to the least as others confirm
- * (Lifeguard's dynamic suspicion). The time is told by whoever asks.
+ * How long one suspect may still refute: long while one instance alone suspects it, down to the
+ * least as others confirm (Lifeguard's dynamic suspicion). The time is told by whoever asks.
  */
 final class Suspicion {
-  /** Times the least that a suspicion lasts which nobody confirms, and the confirmations that bring it down to the least. */
+  /**
+   * Times the least that a suspicion lasts which nobody confirms, and the confirmations that bring
+   * it down to the least.
+   */
   private static final double LONGEST = 4;
+
   private static final int CONFIRMED = 3;
 
   private final Set<Integer> accusers = new HashSet<>();
@@ -33,7 +37,10 @@
     return accusers.size() <= needed && accusers.add(accuser);
   }
 
-  /** One that asked for itself, and hears most others, has given it up: as good as all who could confirm. */
+  /**
+   * One that asked for itself, and hears most others, has given it up: as good as all who could
+   * confirm.
+   */
   void givenUp() {
     givenUp = true;
   }
@@ -75,7 +82,8 @@
 
   /** Ms for which it lasts, by those who confirmed it. */
   double lasts() {
-    double share = givenUp ? 1 : Math.min(1, Math.log(Math.max(1, accusers.size())) / Math.log(needed + 1));
+    double share =
+        givenUp ? 1 : Math.min(1, Math.log(Math.max(1, accusers.size())) / Math.log(needed + 1));
     return least * (LONGEST - (LONGEST - 1) * share);
   }
 
--- a/src/main/java/bitternpulley/membership/Table.java
+++ b/src/main/java/bitternpulley/membership/Table.java
@@ -8,17 +8,29 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** The other members, by number: those that are configured. Guards against members made up by what others say. */
+/**
+ * The other members, by number: those that are configured. Guards against members made up by what
+ * others say.
+ */
 final class Table {
-  /** So many members or fewer are all heard within a suspicion; of more, so many at least must be known of. */
+  /**
+   * So many members or fewer are all heard within a suspicion; of more, so many at least must be
+   * known of.
+   */
   private static final int FEW = 16;
+
   private static final int LEAST_KNOWN = 8;
 
   private final Map<Integer, Member> byNumber = new TreeMap<>();
   private final List<Member> suspects = new ArrayList<>();
   private final int self;
-  /** Reckoned anew once something has changed. Guards against a look at all members for each message. */
+
+  /**
+   * Reckoned anew once something has changed. Guards against a look at all members for each
+   * message.
+   */
   private int here = -1;
+
   private int digest;
   private long digestOf;
   private int told;
@@ -77,8 +89,9 @@
   }
 
   /**
-   * Whether most members were heard since then, this one included: more than half, so that of two sides of a cut one at
-   * the most judges the other. Where they are too many to be heard in that time, of those that were asked or heard.
+   * Whether most members were heard since then, this one included: more than half, so that of two
+   * sides of a cut one at the most judges the other. Where they are too many to be heard in that
+   * time, of those that were asked or heard.
    */
   boolean hearsMost(double since) {
     int known = 1;
@@ -86,7 +99,8 @@
     int here = here();
     for (Member m : byNumber.values()) {
       boolean hears = m.standing == Standing.ALIVE && m.heardAt > since;
-      if (m.here() && (here <= FEW || hears || m.standing == Standing.SUSPECT || m.failedAt > since)) {
+      if (m.here()
+          && (here <= FEW || hears || m.standing == Standing.SUSPECT || m.failedAt > since)) {
         known++;
         heard += hears ? 1 : 0;
       }
@@ -94,7 +108,10 @@
     return 2 * heard > known && heard > 1 && known >= Math.min(here, LEAST_KNOWN);
   }
 
-  /** Equal where two instances hold the same members for here, dead and gone. Suspicion is passing, so it does not count. */
+  /**
+   * Equal where two instances hold the same members for here, dead and gone. Suspicion is passing,
+   * so it does not count.
+   */
   int digest(long epoch) {
     here();
     if (digestOf != epoch) {
@@ -104,7 +121,9 @@
     return digest;
   }
 
-  /** Equal where two instances know the same of what members tell; {@code own} is this one's count. */
+  /**
+   * Equal where two instances know the same of what members tell; {@code own} is this one's count.
+   */
   int told(long epoch, int own) {
     digest(epoch);
     return told + (own == 0 ? 0 : mix(self, epoch, own));
@@ -123,7 +142,9 @@
   }
 
   private static int mix(int number, long epoch, int standing) {
-    long x = (number * 0x9E3779B97F4A7C15L ^ epoch * 0xC2B2AE3D27D4EB4FL) + standing * 0x165667B19E3779F9L;
+    long x =
+        (number * 0x9E3779B97F4A7C15L ^ epoch * 0xC2B2AE3D27D4EB4FL)
+            + standing * 0x165667B19E3779F9L;
     x = (x ^ x >>> 32) * 0xD6E8FEB86659FD93L;
     return (int) (x ^ x >>> 29);
   }
--- a/src/main/java/bitternpulley/net/AddressListener.java
+++ b/src/main/java/bitternpulley/net/AddressListener.java
@@ -32,17 +32,19 @@
   @Override
   public void accept(Consumer<Connection> taken, Consumer<Throwable> failed) {
     double armed = loop.now();
-    channel.accept(null, new CompletionHandler<AsynchronousSocketChannel, Void>() {
-      @Override
-      public void completed(AsynchronousSocketChannel accepted, Void nothing) {
-        loop.socketTurn(armed, () -> taken.accept(new Connection(loop, accepted)));
-      }
-
-      @Override
-      public void failed(Throwable e, Void nothing) {
-        loop.inTurn(() -> failed.accept(e));
-      }
-    });
+    channel.accept(
+        null,
+        new CompletionHandler<AsynchronousSocketChannel, Void>() {
+          @Override
+          public void completed(AsynchronousSocketChannel accepted, Void nothing) {
+            loop.socketTurn(armed, () -> taken.accept(new Connection(loop, accepted)));
+          }
+
+          @Override
+          public void failed(Throwable e, Void nothing) {
+            loop.inTurn(() -> failed.accept(e));
+          }
+        });
   }
 
   @Override
--- a/src/main/java/bitternpulley/net/Connection.java
+++ b/src/main/java/bitternpulley/net/Connection.java
@@ -13,29 +13,47 @@
 import java.util.concurrent.Future;
 
 /**
- * One TCP connection: reads handed to its owner piece by piece, writes in order with a word when their last byte
- * has gone. All calls come on the loop's thread, and the owner hears of the end exactly once.
+ * One TCP connection: reads handed to its owner piece by piece, writes in order with a word when
+ * their last byte has gone. All calls come on the loop's thread, and the owner hears of the end
+ * exactly once.
  */
 public final class Connection {
   private static final System.Logger LOG = System.getLogger(Connection.class.getName());
+
   /** Bytes of a read at the most. */
   private static final int READ_BUFFER = 8 * 1024;
-  /** Bytes of a read at first where the program connects: several of a server's answers; and how that grows when one is full. */
+
+  /**
+   * Bytes of a read at first where the program connects: several of a server's answers; and how
+   * that grows when one is full.
+   */
   private static final int LEAST_BUFFER = 512;
+
   private static final int BUFFER_GROWTH = 4;
+
   /** Bytes that may wait to be written; a peer that reads so slowly is cut off. */
   private static final int MOST_WAITING = 1 << 20;
 
-  /** Ms that a peer gets to end its side after we have ended ours, and the bytes read meanwhile at most. */
+  /**
+   * Ms that a peer gets to end its side after we have ended ours, and the bytes read meanwhile at
+   * most.
+   */
   private static final double LINGER = 2000;
+
   private static final long MOST_DROPPED = 96L << 20;
+
   /** Ms between looks at whether the machine has taken what it could not take at once. */
   private static final double WRITE_LOOK = 4;
+
   /** Ms that a write may wait for its peer to read. */
   private static final double WRITE_TIME = 3000;
+
   /** What comes in to be dropped goes here, from all connections: nobody looks at it. */
   private static final ByteBuffer DROPPED = ByteBuffer.allocateDirect(512 * 1024);
-  /** Ms between such reads: few large ones cost far less than what comes as fast as it can be taken. */
+
+  /**
+   * Ms between such reads: few large ones cost far less than what comes as fast as it can be taken.
+   */
   private static final double DROP_PAUSE = 8;
 
   /** What the owner of a connection is told. */
@@ -50,6 +68,7 @@
   private record Pending(ByteBuffer bytes, Runnable written) {}
 
   private final EventLoop loop;
+
   private interface Ending {
     void end() throws IOException;
   }
@@ -58,14 +77,18 @@
   private final Ending output;
   private final ArrayDeque<Pending> writes = new ArrayDeque<>();
   private ByteBuffer in;
+
   /** The size that the read buffer goes back to when little comes. */
   private final int leastBuffer;
+
   private Owner owner;
   private boolean writing;
   private boolean closing;
   private boolean lingering;
+
   /** What comes in is read and dropped. */
   private boolean dropping;
+
   private boolean endedByPeer;
   private boolean closed;
   private boolean reading;
@@ -75,7 +98,8 @@
   private long written;
   private long dropped;
 
-  private Connection(EventLoop loop, AsynchronousByteChannel channel, Ending output, int leastBuffer) {
+  private Connection(
+      EventLoop loop, AsynchronousByteChannel channel, Ending output, int leastBuffer) {
     this.loop = loop;
     this.channel = channel;
     this.output = output;
@@ -102,20 +126,29 @@
     }
   }
 
-  /** Connects; the owner's {@code closed} tells of a refusal or of a connection that did not come up in time. */
-  public static Connection open(EventLoop loop, HostPort to, double timeout, Owner owner, Runnable connected) {
+  /**
+   * Connects; the owner's {@code closed} tells of a refusal or of a connection that did not come up
+   * in time.
+   */
+  public static Connection open(
+      EventLoop loop, HostPort to, double timeout, Owner owner, Runnable connected) {
     try {
       AsynchronousSocketChannel channel = AsynchronousSocketChannel.open(loop.group());
       Connection made = new Connection(loop, channel, LEAST_BUFFER);
       made.owner = owner;
       var alarm = loop.after(timeout, made::close);
-      channel.connect(to.address(), null, handler(made, ignored -> {
-        alarm.cancel(false);
-        if (!made.closed) {
-          connected.run();
-          made.read();
-        }
-      }));
+      channel.connect(
+          to.address(),
+          null,
+          handler(
+              made,
+              ignored -> {
+                alarm.cancel(false);
+                if (!made.closed) {
+                  connected.run();
+                  made.read();
+                }
+              }));
       return made;
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -137,15 +170,17 @@
     return new CompletionHandler<>() {
       @Override
       public void completed(T result, Void nothing) {
-        of.loop.socketTurn(armed, () -> {
-          try {
-            done.with(result);
-          } catch (RuntimeException e) {
-            // Guards against one bad message ending more than its own connection.
-            LOG.log(Level.ERROR, "a connection's handler failed", e);
-            of.close();
-          }
-        });
+        of.loop.socketTurn(
+            armed,
+            () -> {
+              try {
+                done.with(result);
+              } catch (RuntimeException e) {
+                // Guards against one bad message ending more than its own connection.
+                LOG.log(Level.ERROR, "a connection's handler failed", e);
+                of.close();
+              }
+            });
       }
 
       @Override
@@ -162,26 +197,31 @@
     reading = true;
     boolean drops = dropping;
     in.clear();
-    channel.read(drops ? DROPPED.duplicate() : in, null, handler(this, (Integer count) -> {
-      endedByPeer |= count < 0;
-      if (count < 0 || dropping && (dropped += count) > MOST_DROPPED) {
-        close();
-      } else if (!closed && !dropping) {
-        owner.received(in.flip());
-        resize(count);
-      }
-      reading = false;
-      if (drops && !closed) {
-        loop.after(DROP_PAUSE, this::read);
-      } else {
-        read();
-      }
-    }));
+    channel.read(
+        drops ? DROPPED.duplicate() : in,
+        null,
+        handler(
+            this,
+            (Integer count) -> {
+              endedByPeer |= count < 0;
+              if (count < 0 || dropping && (dropped += count) > MOST_DROPPED) {
+                close();
+              } else if (!closed && !dropping) {
+                owner.received(in.flip());
+                resize(count);
+              }
+              reading = false;
+              if (drops && !closed) {
+                loop.after(DROP_PAUSE, this::read);
+              } else {
+                read();
+              }
+            }));
   }
 
   /**
-   * The next read's buffer follows what the last one brought. Guards against thousands of links to servers, nearly all of them
-   * idle, that each hold the memory of a busy one.
+   * The next read's buffer follows what the last one brought. Guards against thousands of links to
+   * servers, nearly all of them idle, that each hold the memory of a busy one.
    */
   private void resize(int count) {
     int size = in.capacity();
@@ -197,20 +237,26 @@
     return in.capacity();
   }
 
-  /** Reads no more until our side has ended: for a peer that may end its own and still waits for an answer. */
+  /**
+   * Reads no more until our side has ended: for a peer that may end its own and still waits for an
+   * answer.
+   */
   void pause() {
     paused = true;
   }
 
   /**
-   * From now on what the peer sends is read and dropped, up to a bound. Its end is still seen, as it would not be were
-   * nothing read any more.
+   * From now on what the peer sends is read and dropped, up to a bound. Its end is still seen, as
+   * it would not be were nothing read any more.
    */
   void dropInput() {
     dropping = true;
   }
 
-  /** Writes bytes after what waits; {@code written} runs once the last of them has gone to the machine. */
+  /**
+   * Writes bytes after what waits; {@code written} runs once the last of them has gone to the
+   * machine.
+   */
   public void write(ByteBuffer bytes, Runnable written) {
     if (closed || closing) {
       return;
@@ -227,8 +273,9 @@
 
   /** Takes back what waits to be written; false where a byte of it may have gone. */
   public boolean takeBack(ByteBuffer bytes) {
-    boolean waits = bytes.position() == 0
-        && writes.removeIf(p -> p.bytes == bytes && !(writing && p == writes.peek()));
+    boolean waits =
+        bytes.position() == 0
+            && writes.removeIf(p -> p.bytes == bytes && !(writing && p == writes.peek()));
     waiting -= waits ? bytes.remaining() : 0;
     return waits;
   }
@@ -250,9 +297,10 @@
   }
 
   /**
-   * Takes note of what has gone. By a future, as that alone is tried at once: with a handler a group of one thread puts off
-   * what is written in an alarm's turn, or behind some others, till it has been through all that came in before. Guards
-   * against answers that are decided in time and go out when their clients have left.
+   * Takes note of what has gone. By a future, as that alone is tried at once: with a handler a
+   * group of one thread puts off what is written in an alarm's turn, or behind some others, till it
+   * has been through all that came in before. Guards against answers that are decided in time and
+   * go out when their clients have left.
    */
   private void went(Pending next, Future<Integer> attempt) {
     if (closed || !attempt.isDone()) {
@@ -277,30 +325,37 @@
     }
   }
 
-  /** The machine takes no more just now, as its peer does not read: a rare case, so it is looked at now and then. */
+  /**
+   * The machine takes no more just now, as its peer does not read: a rare case, so it is looked at
+   * now and then.
+   */
   private void awaitMachine(Pending next, Future<Integer> attempt) {
-    loop.after(WRITE_LOOK, () -> {
-      went(next, attempt);
-      if (writing && !closed) {
-        awaitMachine(next, attempt);
-      } else {
-        flush();
-      }
-    });
+    loop.after(
+        WRITE_LOOK,
+        () -> {
+          went(next, attempt);
+          if (writing && !closed) {
+            awaitMachine(next, attempt);
+          } else {
+            flush();
+          }
+        });
   }
 
   /** Guards against a peer that stops reading, whose connection would be held for good. */
   private void awaitReader(long before) {
-    loop.after(WRITE_TIME, () -> {
-      if (writing && written == before) {
-        close();
-      }
-    });
+    loop.after(
+        WRITE_TIME,
+        () -> {
+          if (writing && written == before) {
+            close();
+          }
+        });
   }
 
   /**
-   * Ends the connection once all that waits is written: a half-close, then a lingering close. Bytes that cross it are read
-   * and dropped, so that no reset destroys what was written before.
+   * Ends the connection once all that waits is written: a half-close, then a lingering close. Bytes
+   * that cross it are read and dropped, so that no reset destroys what was written before.
    */
   public void closeGracefully() {
     closing = true;
@@ -314,8 +369,8 @@
   }
 
   /**
-   * Guards against a reset that overtakes the last answer, as a close with unread bytes causes: our side is ended
-   * first, and what still comes is read and dropped until the peer ends its own.
+   * Guards against a reset that overtakes the last answer, as a close with unread bytes causes: our
+   * side is ended first, and what still comes is read and dropped until the peer ends its own.
    */
   private void linger() {
     lingering = true;
@@ -343,7 +398,10 @@
     return closed;
   }
 
-  /** Whether the peer ended its side in order. Guards against a reset or a time-out that is taken for an end. */
+  /**
+   * Whether the peer ended its side in order. Guards against a reset or a time-out that is taken
+   * for an end.
+   */
   boolean endedByPeer() {
     return endedByPeer;
   }
--- a/src/main/java/bitternpulley/net/DatagramLink.java
+++ b/src/main/java/bitternpulley/net/DatagramLink.java
@@ -9,8 +9,8 @@
 import java.nio.channels.DatagramChannel;
 
 /**
- * One UDP socket. The JDK has no asynchronous datagram channels, so a thread waits for it and hands each datagram to the
- * loop; that thread takes the next one only then, so nothing piles up here.
+ * One UDP socket. The JDK has no asynchronous datagram channels, so a thread waits for it and hands
+ * each datagram to the loop; that thread takes the next one only then, so nothing piles up here.
  */
 public final class DatagramLink {
   private static final System.Logger LOG = System.getLogger(DatagramLink.class.getName());
@@ -24,7 +24,9 @@
   private final DatagramChannel channel;
   private final Owner owner;
 
-  /** Opens and binds; datagrams of more than {@code most} bytes come as longer than that, cut off. */
+  /**
+   * Opens and binds; datagrams of more than {@code most} bytes come as longer than that, cut off.
+   */
   public DatagramLink(EventLoop loop, HostPort at, int most, Owner owner) throws IOException {
     this.loop = loop;
     this.owner = owner;
@@ -46,7 +48,8 @@
       try {
         buffer.clear();
         SocketAddress from = channel.receive(buffer);
-        loop.inTurn(() -> owner.received(buffer.array(), buffer.position(), (InetSocketAddress) from));
+        loop.inTurn(
+            () -> owner.received(buffer.array(), buffer.position(), (InetSocketAddress) from));
       } catch (ClosedChannelException e) {
         return;
       } catch (IOException | RuntimeException e) {
--- a/src/main/java/bitternpulley/net/EventLoop.java
+++ b/src/main/java/bitternpulley/net/EventLoop.java
@@ -12,22 +12,32 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Runs all completions and alarms one at a time. Completions run on the thread that waits for the sockets, which
- * spares each of them the hand-over to another thread; alarms have a thread of their own, and both take turns by one
- * lock. The queues are bounded by what feeds them: each channel has at most a read and a write under way, and each
- * request a bounded number of alarms.
+ * Runs all completions and alarms one at a time. Completions run on the thread that waits for the
+ * sockets, which spares each of them the hand-over to another thread; alarms have a thread of their
+ * own, and both take turns by one lock. The queues are bounded by what feeds them: each channel has
+ * at most a read and a write under way, and each request a bounded number of alarms.
  */
 public final class EventLoop {
   private static final System.Logger LOG = System.getLogger(EventLoop.class.getName());
-  /** Alarms ring at multiples of so many ns: those that are due about together cost one waking of their thread. */
+
+  /**
+   * Alarms ring at multiples of so many ns: those that are due about together cost one waking of
+   * their thread.
+   */
   private static final long GRID = 2_000_000;
 
   private final DoubleSupplier clock;
   private final LoopLag lag = new LoopLag();
-  /** Fair. Guards against alarms, which are deadlines, that wait until all that has come in is dealt with. */
+
+  /**
+   * Fair. Guards against alarms, which are deadlines, that wait until all that has come in is dealt
+   * with.
+   */
   private final ReentrantLock turn = new ReentrantLock(true);
+
   private final ArrayDeque<Runnable> next = new ArrayDeque<>();
-  private final ScheduledThreadPoolExecutor alarms = new ScheduledThreadPoolExecutor(1, r -> new Thread(r, "alarms"));
+  private final ScheduledThreadPoolExecutor alarms =
+      new ScheduledThreadPoolExecutor(1, r -> new Thread(r, "alarms"));
   private final AsynchronousChannelGroup group;
 
   /** A loop by the JVM's own time. */
@@ -90,15 +100,16 @@
 
   /** A turn for what a socket brings that was last waited for from {@code armed} on. */
   void socketTurn(double armed, Runnable task) {
-    inTurn(() -> {
-      if (turn.getHoldCount() == 1) {
-        lag.socket(now(), armed);
-      }
-      task.run();
-      if (turn.getHoldCount() == 1) {
-        lag.socketDone(now());
-      }
-    });
+    inTurn(
+        () -> {
+          if (turn.getHoldCount() == 1) {
+            lag.socket(now(), armed);
+          }
+          task.run();
+          if (turn.getHoldCount() == 1) {
+            lag.socketDone(now());
+          }
+        });
   }
 
   /** Runs a task while nothing else of the loop runs, then what it left to be done. */
--- a/src/main/java/bitternpulley/net/FrameCodec.java
+++ b/src/main/java/bitternpulley/net/FrameCodec.java
@@ -4,7 +4,10 @@
 import java.nio.ByteOrder;
 import java.util.function.Consumer;
 
-/** Frames of a length (four bytes, least significant first, which covers letter and rest), a letter and the rest. */
+/**
+ * Frames of a length (four bytes, least significant first, which covers letter and rest), a letter
+ * and the rest.
+ */
 public final class FrameCodec {
   /** Bytes of a frame beyond which it is taken for garbage. */
   public static final int MOST = 64 * 1024;
@@ -17,8 +20,12 @@
 
   /** The bytes of a frame. */
   public static ByteBuffer encode(char letter, byte[] rest) {
-    return ByteBuffer.allocate(5 + rest.length).order(ByteOrder.LITTLE_ENDIAN)
-        .putInt(1 + rest.length).put((byte) letter).put(rest).flip();
+    return ByteBuffer.allocate(5 + rest.length)
+        .order(ByteOrder.LITTLE_ENDIAN)
+        .putInt(1 + rest.length)
+        .put((byte) letter)
+        .put(rest)
+        .flip();
   }
 
   /** True between frames. */
@@ -26,7 +33,10 @@
     return body == null && head.position() == 0;
   }
 
-  /** Reads bytes that come in any pieces; throws IllegalArgumentException on a length that no frame has. */
+  /**
+   * Reads bytes that come in any pieces; throws IllegalArgumentException on a length that no frame
+   * has.
+   */
   public void read(ByteBuffer in, Consumer<Frame> frames) {
     while (in.hasRemaining()) {
       if (body == null) {
--- a/src/main/java/bitternpulley/net/HttpClient.java
+++ b/src/main/java/bitternpulley/net/HttpClient.java
@@ -6,10 +6,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Sends HTTP/1.1 requests, one at a time on a connection, over a bounded number of kept connections. */
+/**
+ * Sends HTTP/1.1 requests, one at a time on a connection, over a bounded number of kept
+ * connections.
+ */
 public final class HttpClient {
   /** How a call ended without a response. */
-  public enum Broken { NEVER_SENT, NOT_IN_TIME, MAYBE_SENT }
+  public enum Broken {
+    NEVER_SENT,
+    NOT_IN_TIME,
+    MAYBE_SENT
+  }
 
   /** A whole response. */
   public record Response(HttpHead head, byte[] body) {
@@ -33,7 +40,8 @@
   private final Map<HostPort, ArrayDeque<Link>> idle = new HashMap<>();
   private int open;
 
-  public HttpClient(EventLoop loop, int mostBody, int mostOpen, double connectTimeout, double idleAfter) {
+  public HttpClient(
+      EventLoop loop, int mostBody, int mostOpen, double connectTimeout, double idleAfter) {
     this.loop = loop;
     this.mostBody = mostBody;
     this.mostOpen = mostOpen;
@@ -49,7 +57,9 @@
     boolean begun();
   }
 
-  /** Sends a request, whose bytes are its head and body; null where no more connections may be open. */
+  /**
+   * Sends a request, whose bytes are its head and body; null where no more connections may be open.
+   */
   public Call send(HostPort to, ByteBuffer request, Done done) {
     return send(to, request, Double.POSITIVE_INFINITY, done);
   }
@@ -83,7 +93,8 @@
 
   private final class Link implements Connection.Owner, Call {
     private final HostPort to;
-    private final HttpParser parser = new HttpParser(true, mostBody, new WholeMessages(head -> { }, this::whole));
+    private final HttpParser parser =
+        new HttpParser(true, mostBody, new WholeMessages(head -> {}, this::whole));
     private final Connection connection;
     private ByteBuffer request;
     private double sendBy;
@@ -96,10 +107,16 @@
 
     Link(HostPort to) {
       this.to = to;
-      connection = Connection.open(loop, to, connectTimeout, this, () -> {
-        up = true;
-        write();
-      });
+      connection =
+          Connection.open(
+              loop,
+              to,
+              connectTimeout,
+              this,
+              () -> {
+                up = true;
+                write();
+              });
       open++;
     }
 
@@ -157,8 +174,8 @@
     }
 
     /**
-     * Guards against the next call going over a connection on which something stands behind the answer: that is good,
-     * but what else comes here cannot be told apart.
+     * Guards against the next call going over a connection on which something stands behind the
+     * answer: that is good, but what else comes here cannot be told apart.
      */
     private void answered(boolean more) {
       Response response = answer;
@@ -169,11 +186,13 @@
       if (keeps && !more && !connection.isClosed()) {
         idle.computeIfAbsent(to, t -> new ArrayDeque<>()).addLast(this);
         int before = uses;
-        loop.after(idleAfter, () -> {
-          if (uses == before) {
-            connection.close();
-          }
-        });
+        loop.after(
+            idleAfter,
+            () -> {
+              if (uses == before) {
+                connection.close();
+              }
+            });
       } else {
         connection.close();
       }
--- a/src/main/java/bitternpulley/net/HttpHead.java
+++ b/src/main/java/bitternpulley/net/HttpHead.java
@@ -3,7 +3,10 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The start line and headers; for a response {@code method} is the version and {@code target} the status. */
+/**
+ * The start line and headers; for a response {@code method} is the version and {@code target} the
+ * status.
+ */
 public record HttpHead(String method, String target, String version, Map<String, String> headers) {
 
   /** A header's value, or null; names are kept in lower case. */
--- a/src/main/java/bitternpulley/net/HttpParser.java
+++ b/src/main/java/bitternpulley/net/HttpParser.java
@@ -6,12 +6,13 @@
 import java.util.Map;
 
 /**
- * Reads HTTP/1.1 messages from bytes that come in any pieces. Heads and bodies are bounded; what breaks the
- * grammar throws {@link HttpException}, after which the parser is of no more use.
+ * Reads HTTP/1.1 messages from bytes that come in any pieces. Heads and bodies are bounded; what
+ * breaks the grammar throws {@link HttpException}, after which the parser is of no more use.
  */
 public final class HttpParser {
   /** Bytes of a start line and headers together, and of a chunk's size line with its extensions. */
   private static final int MOST_HEAD = 16 * 1024;
+
   private static final int MOST_CHUNK_LINE = 256;
 
   /** Told of a message as it comes in; the buffer of {@link #body} is only lent. */
@@ -23,7 +24,16 @@
     void end();
   }
 
-  private enum State { START, HEADERS, FIXED, TO_CLOSE, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS }
+  private enum State {
+    START,
+    HEADERS,
+    FIXED,
+    TO_CLOSE,
+    CHUNK_SIZE,
+    CHUNK,
+    CHUNK_END,
+    TRAILERS
+  }
 
   private final boolean responses;
   private final long mostBody;
@@ -157,24 +167,33 @@
   private String[] startLine(String text) {
     String[] words = text.split(" ", 3);
     if (responses) {
-      require(words.length >= 2 && words[0].startsWith("HTTP/1.") && words[1].matches("[1-5][0-9][0-9]"),
+      require(
+          words.length >= 2
+              && words[0].startsWith("HTTP/1.")
+              && words[1].matches("[1-5][0-9][0-9]"),
           "not a status line");
       return new String[] {words[0], words[1], words.length > 2 ? words[2] : ""};
     }
-    require(words.length == 3 && words[0].matches("[A-Z]+") && words[1].startsWith("/"), "not a request line");
+    require(
+        words.length == 3 && words[0].matches("[A-Z]+") && words[1].startsWith("/"),
+        "not a request line");
     require(words[2].equals("HTTP/1.1") || words[2].equals("HTTP/1.0"), "not HTTP/1.1");
     return words;
   }
 
   private void header(String text) {
     int colon = text.indexOf(':');
-    require(colon > 0 && text.substring(0, colon).matches("[!#$%&'*+.^_`|~0-9A-Za-z-]+"), "not a header");
+    require(
+        colon > 0 && text.substring(0, colon).matches("[!#$%&'*+.^_`|~0-9A-Za-z-]+"),
+        "not a header");
     String name = text.substring(0, colon).toLowerCase(Locale.ROOT);
     String value = text.substring(colon + 1).strip();
-    require(value.chars().allMatch(c -> c == '\t' || c >= ' ' && c != 0x7f), "not a header's value");
+    require(
+        value.chars().allMatch(c -> c == '\t' || c >= ' ' && c != 0x7f), "not a header's value");
     String before = headers.putIfAbsent(name, value);
     // Guards against a body whose two ends disagree: a second length may not differ from the first.
-    require(before == null || before.equals(value) || !name.equals("content-length"), "two lengths");
+    require(
+        before == null || before.equals(value) || !name.equals("content-length"), "two lengths");
     if (before != null && !before.equals(value)) {
       headers.put(name, before + (name.equals("cookie") ? "; " : ", ") + value);
     }
@@ -186,8 +205,11 @@
     String coding = head.header("transfer-encoding");
     require(length == null || coding == null, "a length and a transfer coding together");
     require(length == null || length.matches("[0-9]{1,12}"), "not a length");
-    require(coding == null || coding.equalsIgnoreCase("chunked"), "a transfer coding other than chunked");
-    boolean bodiless = responses && (start[1].startsWith("1") || start[1].equals("204") || start[1].equals("304"));
+    require(
+        coding == null || coding.equalsIgnoreCase("chunked"),
+        "a transfer coding other than chunked");
+    boolean bodiless =
+        responses && (start[1].startsWith("1") || start[1].equals("204") || start[1].equals("304"));
     left = length == null || bodiless ? 0 : Long.parseLong(length);
     if (left > mostBody) {
       throw new HttpException(413, "a body holds at most " + mostBody + " bytes");
--- a/src/main/java/bitternpulley/net/HttpSession.java
+++ b/src/main/java/bitternpulley/net/HttpSession.java
@@ -7,26 +7,37 @@
 import java.nio.ByteBuffer;
 
 /**
- * One client's connection: idle, reading a request, with a request under way, or ending. Bytes are read in each of these,
- * so that a client that leaves is noticed at once.
+ * One client's connection: idle, reading a request, with a request under way, or ending. Bytes are
+ * read in each of these, so that a client that leaves is noticed at once.
  */
 final class HttpSession implements Connection.Owner {
   /** How strong a claim to its place a session has; none makes room that is busy. */
   static final int SILENT = 0;
+
   static final int IDLE = 1;
   static final int PARTIAL = 2;
   static final int BUSY = 3;
 
   private static final System.Logger LOG = System.getLogger(HttpSession.class.getName());
-  /** Bytes kept of what a client sends ahead of its turn. A client that sends more is answered so far, and then told so. */
+
+  /**
+   * Bytes kept of what a client sends ahead of its turn. A client that sends more is answered so
+   * far, and then told so.
+   */
   private static final int MOST_AHEAD = 256 * 1024;
+
   /**
-   * Ms that the client of an idle connection gets to end its side after ours: what was on its way as we did so arrives by
-   * then, and is dropped.
+   * Ms that the client of an idle connection gets to end its side after ours: what was on its way
+   * as we did so arrives by then, and is dropped.
    */
   private static final double CROSSING = 25;
-  /** Ms by which a request may have lain unread and its client still be taken to be there, without another look. */
+
+  /**
+   * Ms by which a request may have lain unread and its client still be taken to be there, without
+   * another look.
+   */
   private static final double SURELY_THERE = 50;
+
   private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
 
   private final HttpServer server;
@@ -34,15 +45,19 @@
   private final Connection connection;
   private final WholeMessages messages = new WholeMessages(this::begun, this::whole);
   private final HttpParser parser;
+
   /** What was sent ahead of its turn, up to the position. */
   private ByteBuffer ahead = NOTHING;
+
   private boolean overrun;
   private Call call;
   private boolean broken;
   private int count;
   private long mine;
+
   /** When what was read last may have come. */
   private double cameAt;
+
   /** When it was opened, its request begun or its last answer written. */
   private double since;
 
@@ -71,8 +86,9 @@
   }
 
   /**
-   * Until its client has ended its side as well, or had the time to, and while a first request may be on its way. Guards against a program that ends, and with it by a
-   * reset the connection of a client which still reads its answer.
+   * Until its client has ended its side as well, or had the time to, and while a first request may
+   * be on its way. Guards against a program that ends, and with it by a reset the connection of a
+   * client which still reads its answer.
    */
   boolean owes() {
     return count == 0 || call != null || broken || !parser.idle() || !connection.isWritten();
@@ -104,10 +120,14 @@
     }
   }
 
-  /** Guards against connections that are opened and left, and requests that are begun and never end. */
+  /**
+   * Guards against connections that are opened and left, and requests that are begun and never end.
+   */
   void check() {
     HttpServer.Timeouts timeouts = server.timeouts();
-    if (idle() && (age() > (count == 0 ? timeouts.firstByte() : timeouts.keepAlive()) || server.endsIdle(age(), count > 0))) {
+    if (idle()
+        && (age() > (count == 0 ? timeouts.firstByte() : timeouts.keepAlive())
+            || server.endsIdle(age(), count > 0))) {
       end();
     } else if (call == null && !broken && !parser.idle() && server.tooLate(since)) {
       refuse(503, "clients are being sent away");
@@ -116,7 +136,10 @@
     }
   }
 
-  /** Ends an idle connection in order: a request that crosses the end is not read, and its client sees no reset. */
+  /**
+   * Ends an idle connection in order: a request that crosses the end is not read, and its client
+   * sees no reset.
+   */
   private void end() {
     broken = true;
     connection.closeGracefully(CROSSING);
@@ -160,7 +183,8 @@
     }
     int size = ahead.position() + bytes.remaining();
     if (size > MOST_AHEAD || !hold(size)) {
-      // Guards against memory used up by what is sent ahead. It is read on all the same: were it left unread, its client's
+      // Guards against memory used up by what is sent ahead. It is read on all the same: were it
+      // left unread, its client's
       // end behind it would not be seen.
       overrun = true;
       hold(ahead.position());
@@ -168,7 +192,9 @@
       return;
     }
     if (size > ahead.capacity()) {
-      ahead = ByteBuffer.allocate(Math.max(size, Math.min(MOST_AHEAD, 2 * ahead.capacity()))).put(ahead.flip());
+      ahead =
+          ByteBuffer.allocate(Math.max(size, Math.min(MOST_AHEAD, 2 * ahead.capacity())))
+              .put(ahead.flip());
     }
     ahead.put(bytes);
   }
@@ -198,7 +224,8 @@
     try {
       parser.read(bytes);
       if (!hold(messages.held()) && messages.held() > 0) {
-        // Guards against memory used up by many large bodies at once, none of them too large by itself.
+        // Guards against memory used up by many large bodies at once, none of them too large by
+        // itself.
         throw new HttpException(503, "too much is being sent at once");
       }
     } catch (HttpException e) {
@@ -208,13 +235,14 @@
 
   private void begun(HttpHead head) {
     if ("100-continue".equalsIgnoreCase(head.header("expect"))) {
-      connection.write(HttpServer.ascii("HTTP/1.1 100 Continue\r\n\r\n"), () -> { });
+      connection.write(HttpServer.ascii("HTTP/1.1 100 Continue\r\n\r\n"), () -> {});
     }
   }
 
   /**
-   * Hands a whole request on at the end of the turn, when what lies behind it on the connection has been read. Guards
-   * against the request of a client that has left meanwhile; where the loop was late, the sockets are looked at once more.
+   * Hands a whole request on at the end of the turn, when what lies behind it on the connection has
+   * been read. Guards against the request of a client that has left meanwhile; where the loop was
+   * late, the sockets are looked at once more.
    */
   private void whole(HttpHead head, byte[] body) {
     server.used(this);
@@ -248,21 +276,28 @@
 
   private void send(Response r, boolean keep) {
     boolean stays = keep && server.keepsConnections();
-    StringBuilder text = new StringBuilder("HTTP/1.1 ").append(r.status()).append(' ')
-        .append(HttpServer.reason(r.status()));
-    r.headers().forEach((name, value) -> text.append("\r\n").append(name).append(": ").append(value));
+    StringBuilder text =
+        new StringBuilder("HTTP/1.1 ")
+            .append(r.status())
+            .append(' ')
+            .append(HttpServer.reason(r.status()));
+    r.headers()
+        .forEach((name, value) -> text.append("\r\n").append(name).append(": ").append(value));
     text.append("\r\nContent-Length: ").append(r.body().length);
     text.append(stays ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n");
     ByteBuffer first = HttpServer.ascii(text.toString());
-    ByteBuffer all = ByteBuffer.allocate(first.remaining() + r.body().length).put(first).put(r.body()).flip();
-    connection.write(all, () -> {
-      call = null;
-      since = loop.now();
-      if (stays && (ahead.position() > 0 || overrun)) {
-        goOn();
-      }
-      server.lookForRoom();
-    });
+    ByteBuffer all =
+        ByteBuffer.allocate(first.remaining() + r.body().length).put(first).put(r.body()).flip();
+    connection.write(
+        all,
+        () -> {
+          call = null;
+          since = loop.now();
+          if (stays && (ahead.position() > 0 || overrun)) {
+            goOn();
+          }
+          server.lookForRoom();
+        });
     if (!stays) {
       broken = true;
       connection.closeGracefully();
--- a/src/main/java/bitternpulley/net/LineServer.java
+++ b/src/main/java/bitternpulley/net/LineServer.java
@@ -13,10 +13,13 @@
   private static final System.Logger LOG = System.getLogger(LineServer.class.getName());
   private static final int BACKLOG = 64;
   private static final int MOST_LINE = 512;
+
   /** Callers at once; beyond, the one that has been silent for longest makes room. */
   private static final int MOST_CALLERS = 16;
+
   /** Ms that a caller has to write its line and to take its answer. */
   private static final double MOST_TIME = 10_000;
+
   private static final double ACCEPT_PAUSE = 50;
 
   /** Takes a whole line; the answer may come at any time, once. */
@@ -44,22 +47,27 @@
   }
 
   private void accept() {
-    listener.accept(connection -> {
-      makeRoom();
-      Caller caller = new Caller(connection);
-      callers.add(caller);
-      connection.start(caller);
-      accept();
-    }, e -> {
-      LOG.log(Level.WARNING, "accept failed: " + e);
-      loop.after(ACCEPT_PAUSE, this::accept);
-    });
+    listener.accept(
+        connection -> {
+          makeRoom();
+          Caller caller = new Caller(connection);
+          callers.add(caller);
+          connection.start(caller);
+          accept();
+        },
+        e -> {
+          LOG.log(Level.WARNING, "accept failed: " + e);
+          loop.after(ACCEPT_PAUSE, this::accept);
+        });
   }
 
   /** Guards against silent callers that keep out the rest. */
   private void makeRoom() {
     if (callers.size() >= MOST_CALLERS) {
-      callers.stream().filter(c -> !c.asked).findFirst().or(() -> callers.stream().findFirst())
+      callers.stream()
+          .filter(c -> !c.asked)
+          .findFirst()
+          .or(() -> callers.stream().findFirst())
           .ifPresent(c -> c.connection.close());
     }
   }
@@ -88,13 +96,14 @@
 
     private void ask(Runnable question) {
       asked = true;
-      // Guards against a caller that ends its side behind its line, which is no reason to leave it without an answer.
+      // Guards against a caller that ends its side behind its line, which is no reason to leave it
+      // without an answer.
       connection.pause();
       question.run();
     }
 
     private void answer(String text) {
-      connection.write(ByteBuffer.wrap((text + "\n").getBytes(StandardCharsets.UTF_8)), () -> { });
+      connection.write(ByteBuffer.wrap((text + "\n").getBytes(StandardCharsets.UTF_8)), () -> {});
       connection.closeGracefully();
     }
 
--- a/src/main/java/bitternpulley/net/PassedListener.java
+++ b/src/main/java/bitternpulley/net/PassedListener.java
@@ -10,8 +10,9 @@
 import java.util.function.Consumer;
 
 /**
- * Takes connections from the listening socket that was passed to the program as descriptor 0, and which other processes
- * may hold as well. Java gives it as a selectable channel only, so a thread waits for it and all that comes from it.
+ * Takes connections from the listening socket that was passed to the program as descriptor 0, and
+ * which other processes may hold as well. Java gives it as a selectable channel only, so a thread
+ * waits for it and all that comes from it.
  */
 public final class PassedListener implements Listener {
   private static final System.Logger LOG = System.getLogger(PassedListener.class.getName());
@@ -85,7 +86,10 @@
     return open;
   }
 
-  /** Never closes the channel: the JDK would point descriptors 0 to 2 at /dev/null then, and so end the log. */
+  /**
+   * Never closes the channel: the JDK would point descriptors 0 to 2 at /dev/null then, and so end
+   * the log.
+   */
   @Override
   public void close() {
     open = false;
--- a/src/main/java/bitternpulley/net/SelectedChannel.java
+++ b/src/main/java/bitternpulley/net/SelectedChannel.java
@@ -11,9 +11,13 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Future;
 
-/** A selectable channel with completion handlers: at most one read and one write at a time, as {@link Connection} has. */
+/**
+ * A selectable channel with completion handlers: at most one read and one write at a time, as
+ * {@link Connection} has.
+ */
 final class SelectedChannel implements AsynchronousByteChannel {
-  private record Wait<A>(ByteBuffer bytes, A attachment, CompletionHandler<Integer, ? super A> handler) {
+  private record Wait<A>(
+      ByteBuffer bytes, A attachment, CompletionHandler<Integer, ? super A> handler) {
     void completed(int count) {
       handler.completed(count, attachment);
     }
@@ -46,7 +50,8 @@
   }
 
   @Override
-  public <A> void write(ByteBuffer from, A attachment, CompletionHandler<Integer, ? super A> handler) {
+  public <A> void write(
+      ByteBuffer from, A attachment, CompletionHandler<Integer, ? super A> handler) {
     Wait<A> wait = new Wait<>(from, attachment, handler);
     int count;
     try {
@@ -98,7 +103,10 @@
     channel.shutdownOutput();
   }
 
-  /** What waits is not told: whoever closes a connection is done with it. The selector must look, to free it. */
+  /**
+   * What waits is not told: whoever closes a connection is done with it. The selector must look, to
+   * free it.
+   */
   @Override
   public void close() throws IOException {
     channel.close();
@@ -118,17 +126,20 @@
   @Override
   public Future<Integer> write(ByteBuffer from) {
     CompletableFuture<Integer> done = new CompletableFuture<>();
-    write(from, done, new CompletionHandler<Integer, CompletableFuture<Integer>>() {
-      @Override
-      public void completed(Integer count, CompletableFuture<Integer> to) {
-        to.complete(count);
-      }
-
-      @Override
-      public void failed(Throwable e, CompletableFuture<Integer> to) {
-        to.completeExceptionally(e);
-      }
-    });
+    write(
+        from,
+        done,
+        new CompletionHandler<Integer, CompletableFuture<Integer>>() {
+          @Override
+          public void completed(Integer count, CompletableFuture<Integer> to) {
+            to.complete(count);
+          }
+
+          @Override
+          public void failed(Throwable e, CompletableFuture<Integer> to) {
+            to.completeExceptionally(e);
+          }
+        });
     return done;
   }
 }
--- a/src/main/java/bitternpulley/net/StreamServer.java
+++ b/src/main/java/bitternpulley/net/StreamServer.java
@@ -4,7 +4,10 @@
 import java.lang.System.Logger.Level;
 import java.util.function.Function;
 
-/** Listens for connections whose bytes are their owner's affair; for stand-ins of servers whose wire is not HTTP. */
+/**
+ * Listens for connections whose bytes are their owner's affair; for stand-ins of servers whose wire
+ * is not HTTP.
+ */
 public final class StreamServer {
   private static final System.Logger LOG = System.getLogger(StreamServer.class.getName());
   private static final int BACKLOG = 512;
@@ -25,14 +28,16 @@
   }
 
   private void accept() {
-    listener.accept(connection -> {
-      connection.start(owners.apply(connection));
-      accept();
-    }, e -> {
-      if (listener.isOpen()) {
-        LOG.log(Level.WARNING, "accept failed: " + e);
-      }
-    });
+    listener.accept(
+        connection -> {
+          connection.start(owners.apply(connection));
+          accept();
+        },
+        e -> {
+          if (listener.isOpen()) {
+            LOG.log(Level.WARNING, "accept failed: " + e);
+          }
+        });
   }
 
   /** Takes no more connections. */
--- a/src/main/java/bitternpulley/opensearch/SearchFront.java
+++ b/src/main/java/bitternpulley/opensearch/SearchFront.java
@@ -2,7 +2,6 @@
 
 import bitternpulley.broker.Broker;
 import bitternpulley.broker.Clock;
-import bitternpulley.broker.Effect;
 import bitternpulley.broker.Event;
 import bitternpulley.broker.Request;
 import bitternpulley.config.Json;
@@ -30,13 +29,27 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** The OpenSearch-style client side: {@code _search} and {@code _msearch}, on the same core as the platform's. */
+/**
+ * The OpenSearch-style client side: {@code _search} and {@code _msearch}, on the same core as the
+ * platform's.
+ */
 public final class SearchFront implements HttpServer.Handler {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final Set<String> PARAMETERS = Set.of("from", "size", "timeout", "allow_partial_search_results",
-      "track_total_hits", "preference", "request_cache", "max_concurrent_shard_requests", "batched_reduce_size");
-  private static final Set<String> M_PARAMETERS = Set.of("max_concurrent_searches", "max_concurrent_shard_requests");
-  private static final Set<String> M_HEADER = Set.of("index", "preference", "allow_partial_search_results");
+  private static final Set<String> PARAMETERS =
+      Set.of(
+          "from",
+          "size",
+          "timeout",
+          "allow_partial_search_results",
+          "track_total_hits",
+          "preference",
+          "request_cache",
+          "max_concurrent_shard_requests",
+          "batched_reduce_size");
+  private static final Set<String> M_PARAMETERS =
+      Set.of("max_concurrent_searches", "max_concurrent_shard_requests");
+  private static final Set<String> M_HEADER =
+      Set.of("index", "preference", "allow_partial_search_results");
 
   private final Settings settings;
   private final SearchConfiguration config;
@@ -47,8 +60,14 @@
   private final Supplier<Recognition> recognition;
 
   /** {@code recognition} tells whose a search is, as the contracts in force have it. */
-  public SearchFront(Settings settings, SearchConfiguration config, Broker broker, SearchServers servers, Clock clock,
-      String name, Supplier<Recognition> recognition) {
+  public SearchFront(
+      Settings settings,
+      SearchConfiguration config,
+      Broker broker,
+      SearchServers servers,
+      Clock clock,
+      String name,
+      Supplier<Recognition> recognition) {
     this.recognition = recognition;
     this.settings = settings;
     this.config = config;
@@ -65,16 +84,23 @@
       List<String> path = new ArrayList<>(Arrays.asList(target[0].substring(1).split("/", -1)));
       String call = path.remove(path.size() - 1);
       if (path.size() > 1 || !call.equals("_search") && !call.equals("_msearch")) {
-        throw SearchException.illegal("no handler found for uri [" + target[0] + "] and method ["
-            + request.head().method() + "]");
+        throw SearchException.illegal(
+            "no handler found for uri ["
+                + target[0]
+                + "] and method ["
+                + request.head().method()
+                + "]");
       }
       if (!request.head().method().equals("POST")) {
-        throw new SearchException(405, "method_not_allowed", "Incorrect HTTP method, allowed: [POST]");
+        throw new SearchException(
+            405, "method_not_allowed", "Incorrect HTTP method, allowed: [POST]");
       }
       List<String> names = path.isEmpty() ? List.of() : names(decode(path.get(0)));
       Map<String, String> parameters = parameters(target.length > 1 ? target[1] : "");
       String token = token(request);
-      Asker asker = new Asker(holder(request), token, new Router.Lateness(request.unread(), request.worstTurn()));
+      Asker asker =
+          new Asker(
+              holder(request), token, new Router.Lateness(request.unread(), request.worstTurn()));
       if (call.equals("_search")) {
         search(names, parameters, asker, request, exchange);
       } else {
@@ -91,7 +117,10 @@
     return response(SearchResponse.error(new SearchException(status, type, reason)));
   }
 
-  /** Who asks: by the key shown, and the token that keyed classes need, or null; and how late that was read. */
+  /**
+   * Who asks: by the key shown, and the token that keyed classes need, or null; and how late that
+   * was read.
+   */
   private record Asker(Recognition.Holder holder, String token, Router.Lateness late) {
     /** The same for one search of several. */
     Asker of(int place) {
@@ -106,12 +135,16 @@
     }
     Recognition.Holder holder = known.byKey(request.head().header("Authorization"));
     if (holder.shown() == Recognition.Shown.UNKNOWN && !known.hasFallback()) {
-      throw new SearchException(401, "security_exception", "unable to authenticate with the key that is shown");
+      throw new SearchException(
+          401, "security_exception", "unable to authenticate with the key that is shown");
     }
     return holder;
   }
 
-  /** A key goes before the index; a key that is not known leaves only the contract that is for anybody. */
+  /**
+   * A key goes before the index; a key that is not known leaves only the contract that is for
+   * anybody.
+   */
   private String team(Recognition.Holder holder, List<Search.Part> parts) {
     if (holder.shown() != Recognition.Shown.NOTHING) {
       return holder.team();
@@ -120,9 +153,11 @@
     if (known == Recognition.NONE) {
       return null;
     }
-    List<String> teams = parts.stream().map(Search.Part::index).distinct().map(known::byIndex).distinct().toList();
+    List<String> teams =
+        parts.stream().map(Search.Part::index).distinct().map(known::byIndex).distinct().toList();
     if (teams.size() > 1) {
-      throw SearchException.illegal("the indices are of different teams and need searches of their own");
+      throw SearchException.illegal(
+          "the indices are of different teams and need searches of their own");
     }
     if (teams.get(0) == null && !known.hasFallback()) {
       throw new SearchException(401, "security_exception", "missing authentication credentials");
@@ -130,7 +165,11 @@
     return teams.get(0);
   }
 
-  private void search(List<String> names, Map<String, String> parameters, Asker asker, HttpServer.Request request,
+  private void search(
+      List<String> names,
+      Map<String, String> parameters,
+      Asker asker,
+      HttpServer.Request request,
       HttpServer.Exchange exchange) {
     known(parameters, PARAMETERS);
     JsonNode body = request.body().length == 0 ? MAPPER.createObjectNode() : json(request.body());
@@ -138,14 +177,22 @@
     exchange.onGone(leave);
   }
 
-  /** Several searches, each with a fate of its own; the answer has theirs in the order they were asked. */
-  private void multi(List<String> names, Map<String, String> parameters, Asker asker, HttpServer.Request request,
+  /**
+   * Several searches, each with a fate of its own; the answer has theirs in the order they were
+   * asked.
+   */
+  private void multi(
+      List<String> names,
+      Map<String, String> parameters,
+      Asker asker,
+      HttpServer.Request request,
       HttpServer.Exchange exchange) {
     known(parameters, M_PARAMETERS);
     List<JsonNode> lines = lines(request.body());
     int count = lines.size() / 2;
     if (count > config.maxSearches()) {
-      throw SearchException.illegal("at most " + config.maxSearches() + " searches in one request, not " + count);
+      throw SearchException.illegal(
+          "at most " + config.maxSearches() + " searches in one request, not " + count);
     }
     for (int i = 0; i < count; i++) {
       heading(lines.get(2 * i));
@@ -162,8 +209,13 @@
             own.put(key, heading.get(key).asText());
           }
         }
-        leaves.add(begin(heading.hasNonNull("index") ? names(heading.get("index")) : names, own,
-            asker.of(i), lines.get(2 * i + 1), r -> gathered.put(place, r)));
+        leaves.add(
+            begin(
+                heading.hasNonNull("index") ? names(heading.get("index")) : names,
+                own,
+                asker.of(i),
+                lines.get(2 * i + 1),
+                r -> gathered.put(place, r)));
       } catch (SearchException e) {
         gathered.put(place, SearchResponse.error(e));
       }
@@ -201,14 +253,25 @@
   }
 
   /** Hands one search to the core; the returned task tells it that the client has left. */
-  private Runnable begin(List<String> names, Map<String, String> parameters, Asker asker, JsonNode body,
+  private Runnable begin(
+      List<String> names,
+      Map<String, String> parameters,
+      Asker asker,
+      JsonNode body,
       Consumer<SearchResponse> done) {
     long id = broker.nextId();
     double since = clock.now();
     Search[] search = new Search[1];
-    search[0] = Search.read(names.isEmpty() ? List.copyOf(config.indices().keySet()) : names,
-        new Search.Asked(instance + "-" + id, asker.token(), parameters,
-            answer -> done.accept(SearchResponse.of(search[0], answer, clock.now() - since))), body, config);
+    search[0] =
+        Search.read(
+            names.isEmpty() ? List.copyOf(config.indices().keySet()) : names,
+            new Search.Asked(
+                instance + "-" + id,
+                asker.token(),
+                parameters,
+                answer -> done.accept(SearchResponse.of(search[0], answer, clock.now() - since))),
+            body,
+            config);
     Settings.QueryClass kind = settings.classes().get(search[0].requestClass());
     if (kind.effect() == Settings.Effect.KEYED && asker.token() == null) {
       throw SearchException.illegal("class [" + kind.name() + "] needs an Idempotency-Key header");
@@ -216,8 +279,11 @@
     int most = settings.limits().maxOpen() - 1;
     if (search[0].parts().size() > most) {
       // Guards against a refusal that invites another try of what will never fit.
-      throw SearchException.illegal("Trying to query " + search[0].parts().size()
-          + " shards, which is over the limit of " + most);
+      throw SearchException.illegal(
+          "Trying to query "
+              + search[0].parts().size()
+              + " shards, which is over the limit of "
+              + most);
     }
     double wanted = search[0].timeout();
     double time = wanted < 0 ? kind.deadline() : Math.min(wanted, kind.deadline());
@@ -226,11 +292,26 @@
     List<Request.Slice> slices =
         parts.stream().map(p -> new Request.Slice(p.section(), 1.0 / parts.size(), 0)).toList();
     String team = team(asker.holder(), parts);
-    long print = recognition.get() == Recognition.NONE ? 0
-        : Prints.of((parts + search[0].body().toString()).getBytes(StandardCharsets.UTF_8), search[0].requestClass());
-    broker.submit(new Event.Taken(
-        new Request(id, servers, search[0].requestClass(), time, false, terms, slices, search[0], team, print,
-            asker.late())));
+    long print =
+        recognition.get() == Recognition.NONE
+            ? 0
+            : Prints.of(
+                (parts + search[0].body().toString()).getBytes(StandardCharsets.UTF_8),
+                search[0].requestClass());
+    broker.submit(
+        new Event.Taken(
+            new Request(
+                id,
+                servers,
+                search[0].requestClass(),
+                time,
+                false,
+                terms,
+                slices,
+                search[0],
+                team,
+                print,
+                asker.late())));
     return () -> broker.submit(new Event.ClientLeft(id));
   }
 
@@ -238,11 +319,15 @@
     if (!heading.isObject()) {
       throw SearchException.illegal("a header line is not a JSON object");
     }
-    heading.fieldNames().forEachRemaining(key -> {
-      if (!M_HEADER.contains(key)) {
-        throw SearchException.illegal("key [" + key + "] is not supported in the metadata section");
-      }
-    });
+    heading
+        .fieldNames()
+        .forEachRemaining(
+            key -> {
+              if (!M_HEADER.contains(key)) {
+                throw SearchException.illegal(
+                    "key [" + key + "] is not supported in the metadata section");
+              }
+            });
   }
 
   private static List<JsonNode> lines(byte[] body) {
@@ -252,7 +337,8 @@
       throw SearchException.illegal("The msearch request must be terminated by a newline [\\n]");
     }
     for (String line : text.split("\r?\n")) {
-      lines.add(line.isBlank() ? MAPPER.createObjectNode() : json(line.getBytes(StandardCharsets.UTF_8)));
+      lines.add(
+          line.isBlank() ? MAPPER.createObjectNode() : json(line.getBytes(StandardCharsets.UTF_8)));
     }
     if (lines.isEmpty() || lines.size() % 2 != 0) {
       throw SearchException.illegal("a search is a header line and a body line");
@@ -303,7 +389,8 @@
   private static void known(Map<String, String> parameters, Set<String> supported) {
     for (String key : parameters.keySet()) {
       if (!supported.contains(key)) {
-        throw SearchException.illegal("request contains unrecognized or unsupported parameter: [" + key + "]");
+        throw SearchException.illegal(
+            "request contains unrecognized or unsupported parameter: [" + key + "]");
       }
     }
   }
--- a/src/main/java/bitternpulley/opensearch/SearchResponse.java
+++ b/src/main/java/bitternpulley/opensearch/SearchResponse.java
@@ -31,27 +31,51 @@
         return exceeded(r);
       }
       SearchResponse refusal =
-          error(new SearchException(429, "rejected_execution_exception", "refused: nothing of it has run"));
-      return new SearchResponse(429, refusal.body(), Math.max(1, (long) Math.ceil(r.pause() / 1000)));
+          error(
+              new SearchException(
+                  429, "rejected_execution_exception", "refused: nothing of it has run"));
+      return new SearchResponse(
+          429, refusal.body(), Math.max(1, (long) Math.ceil(r.pause() / 1000)));
     }
-    // Guards against a status that invites another try of work that may have run, whoever gave it up.
-    Answer.Ending ending = answer instanceof Answer.Refused r ? r.ending() : ((Answer.Failed) answer).ending();
-    SearchResponse failed = ending.late()
-        ? error(new SearchException(504, "timeout_exception", "the search's time is over"))
-        : error(new SearchException(500, "search_phase_execution_exception", "all shards failed"));
+    // Guards against a status that invites another try of work that may have run, whoever gave it
+    // up.
+    Answer.Ending ending =
+        answer instanceof Answer.Refused r ? r.ending() : ((Answer.Failed) answer).ending();
+    SearchResponse failed =
+        ending.late()
+            ? error(new SearchException(504, "timeout_exception", "the search's time is over"))
+            : error(
+                new SearchException(500, "search_phase_execution_exception", "all shards failed"));
     ObjectNode error = (ObjectNode) failed.body().get("error");
     error.put("phase", "query").put("grouped", true);
     error.set("failed_shards", failures(search, ending.missing()));
     return failed;
   }
 
-  /** Refused by a contract: which, and what was met; the time to come back only where a place is kept. */
+  /**
+   * Refused by a contract: which, and what was met; the time to come back only where a place is
+   * kept.
+   */
   private static SearchResponse exceeded(Answer.Refused r) {
     Verdict.Refused no = r.contract();
-    SearchResponse refusal = error(new SearchException(429, "rejected_execution_exception", "refused by contract ["
-        + no.team() + "], version [" + no.version() + "]: [" + no.limit().text() + "]; nothing of it has run"));
-    ((ObjectNode) refusal.body().get("error")).putObject("contract").put("id", no.team()).put("version", no.version())
-        .put("limit", no.limit().text()).put("retry_after_ms", Math.round(no.pause()));
+    SearchResponse refusal =
+        error(
+            new SearchException(
+                429,
+                "rejected_execution_exception",
+                "refused by contract ["
+                    + no.team()
+                    + "], version ["
+                    + no.version()
+                    + "]: ["
+                    + no.limit().text()
+                    + "]; nothing of it has run"));
+    ((ObjectNode) refusal.body().get("error"))
+        .putObject("contract")
+        .put("id", no.team())
+        .put("version", no.version())
+        .put("limit", no.limit().text())
+        .put("retry_after_ms", Math.round(no.pause()));
     return new SearchResponse(429, refusal.body(), (long) Math.ceil(no.pause() / 1000));
   }
 
@@ -70,11 +94,21 @@
   private static SearchResponse answered(Search search, Answer.Answered answer, double took) {
     int parts = search.parts().size();
     int in = answer.values().size();
-    // A part still out, or given up for its time, was cut off by time; one whose server failed it was not.
-    boolean timedOut = answer.missing().values().stream().anyMatch(m -> m.outcome() == null
-        || m.outcome() == Outcome.TIMEOUT || m.outcome() == Outcome.CANCELLED);
-    ObjectNode shards = JSON.objectNode().put("total", parts).put("successful", in).put("skipped", 0)
-        .put("failed", parts - in);
+    // A part still out, or given up for its time, was cut off by time; one whose server failed it
+    // was not.
+    boolean timedOut =
+        answer.missing().values().stream()
+            .anyMatch(
+                m ->
+                    m.outcome() == null
+                        || m.outcome() == Outcome.TIMEOUT
+                        || m.outcome() == Outcome.CANCELLED);
+    ObjectNode shards =
+        JSON.objectNode()
+            .put("total", parts)
+            .put("successful", in)
+            .put("skipped", 0)
+            .put("failed", parts - in);
     if (in < parts) {
       shards.set("failures", failures(search, answer.missing()));
     }
@@ -86,7 +120,10 @@
 
   private record Ranked(double score, int part, int place, JsonNode hit) {}
 
-  /** One top-k: by score, ties by the order of parts and the order within each, which is the same every time. */
+  /**
+   * One top-k: by score, ties by the order of parts and the order within each, which is the same
+   * every time.
+   */
   private static ObjectNode hits(Search search, Map<Integer, Payload> values) {
     List<Ranked> ranked = new ArrayList<>();
     long total = 0;
@@ -100,15 +137,21 @@
         ranked.add(new Ranked(hit.path("_score").doubleValue(), e.getKey(), place++, hit));
       }
     }
-    ranked.sort(Comparator.comparingDouble((Ranked r) -> -r.score()).thenComparingInt(Ranked::part)
-        .thenComparingInt(Ranked::place));
+    ranked.sort(
+        Comparator.comparingDouble((Ranked r) -> -r.score())
+            .thenComparingInt(Ranked::part)
+            .thenComparingInt(Ranked::place));
     ObjectNode hits = JSON.objectNode();
     if (search.trackTotal() >= 0) {
       boolean over = total > search.trackTotal();
-      hits.set("total", JSON.objectNode().put("value", over ? search.trackTotal() : total)
-          .put("relation", exact && !over ? "eq" : "gte"));
+      hits.set(
+          "total",
+          JSON.objectNode()
+              .put("value", over ? search.trackTotal() : total)
+              .put("relation", exact && !over ? "eq" : "gte"));
     }
-    hits.set("max_score", ranked.isEmpty() ? JSON.nullNode() : JSON.numberNode(ranked.get(0).score()));
+    hits.set(
+        "max_score", ranked.isEmpty() ? JSON.nullNode() : JSON.numberNode(ranked.get(0).score()));
     ArrayNode list = JSON.arrayNode();
     ranked.stream().skip(search.from()).limit(search.size()).forEach(r -> list.add(r.hit()));
     hits.set("hits", list);
@@ -117,17 +160,21 @@
 
   private static ArrayNode failures(Search search, Map<Integer, Answer.Missing> missing) {
     ArrayNode list = JSON.arrayNode();
-    missing.forEach((slice, m) -> {
-      Search.Part part = search.parts().get(slice);
-      ObjectNode failure = JSON.objectNode().put("shard", part.section()).put("index", part.index())
-          .put("node", m.server());
-      PartHits.Failure told = m.reason() instanceof PartHits.Failure f ? f : null;
-      ObjectNode reason = JSON.objectNode();
-      reason.put("type", told != null ? told.type() : "timeout_exception");
-      reason.put("reason", told != null ? told.reason() : "no answer in time");
-      failure.set("reason", reason);
-      list.add(failure);
-    });
+    missing.forEach(
+        (slice, m) -> {
+          Search.Part part = search.parts().get(slice);
+          ObjectNode failure =
+              JSON.objectNode()
+                  .put("shard", part.section())
+                  .put("index", part.index())
+                  .put("node", m.server());
+          PartHits.Failure told = m.reason() instanceof PartHits.Failure f ? f : null;
+          ObjectNode reason = JSON.objectNode();
+          reason.put("type", told != null ? told.type() : "timeout_exception");
+          reason.put("reason", told != null ? told.reason() : "no answer in time");
+          failure.set("reason", reason);
+          list.add(failure);
+        });
     return list;
   }
 }
--- a/src/main/java/bitternpulley/opensearch/SearchServers.java
+++ b/src/main/java/bitternpulley/opensearch/SearchServers.java
@@ -33,6 +33,7 @@
   private final HttpClient client;
   private final int port;
   private final Map<String, HostPort> addresses = new HashMap<>();
+
   private record Out(String server, HttpClient.Call call) {}
 
   private final Map<AttemptId, Out> out = new LinkedHashMap<>();
@@ -63,27 +64,38 @@
   @Override
   public void start(Effect.Start attempt) {
     HostPort at = addresses.get(attempt.server());
-    HttpClient.Call call = at == null ? null : client.send(at, request(attempt, at), attempt.sendBy(), new HttpClient.Done() {
-      @Override
-      public void response(HttpClient.Response response) {
-        if (out.remove(attempt.id()) != null) {
-          broker.submit(event(attempt, response));
-        }
-      }
-
-      @Override
-      public void broken(HttpClient.Broken how, String why) {
-        if (out.remove(attempt.id()) != null) {
-          Outcome as = switch (how) {
-            case MAYBE_SENT -> Outcome.RESET;
-            case NEVER_SENT -> Outcome.UNREACHABLE;
-            case NOT_IN_TIME -> Outcome.MOOT;
-          };
-          broker.submit(new Event.Ended(attempt.id(), as,
-              new PartHits.Failure(503, "node_not_connected_exception", why)));
-        }
-      }
-    });
+    HttpClient.Call call =
+        at == null
+            ? null
+            : client.send(
+                at,
+                request(attempt, at),
+                attempt.sendBy(),
+                new HttpClient.Done() {
+                  @Override
+                  public void response(HttpClient.Response response) {
+                    if (out.remove(attempt.id()) != null) {
+                      broker.submit(event(attempt, response));
+                    }
+                  }
+
+                  @Override
+                  public void broken(HttpClient.Broken how, String why) {
+                    if (out.remove(attempt.id()) != null) {
+                      Outcome as =
+                          switch (how) {
+                            case MAYBE_SENT -> Outcome.RESET;
+                            case NEVER_SENT -> Outcome.UNREACHABLE;
+                            case NOT_IN_TIME -> Outcome.MOOT;
+                          };
+                      broker.submit(
+                          new Event.Ended(
+                              attempt.id(),
+                              as,
+                              new PartHits.Failure(503, "node_not_connected_exception", why)));
+                    }
+                  }
+                });
     if (call == null) {
       loop.execute(() -> broker.submit(new Event.Ended(attempt.id(), Outcome.UNREACHABLE, null)));
     } else {
@@ -112,8 +124,11 @@
 
   @Override
   public void withdraw(String server) {
-    List<AttemptId> unsent = out.entrySet().stream().filter(o -> o.getValue().server().equals(server)
-        && !o.getValue().call().begun()).map(Map.Entry::getKey).toList();
+    List<AttemptId> unsent =
+        out.entrySet().stream()
+            .filter(o -> o.getValue().server().equals(server) && !o.getValue().call().begun())
+            .map(Map.Entry::getKey)
+            .toList();
     for (AttemptId a : unsent) {
       out.remove(a).call().drop();
       broker.submit(new Event.Ended(a, Outcome.MOOT, null));
@@ -145,12 +160,27 @@
       throw new UncheckedIOException(e);
     }
     String of = part.index() + "." + part.section();
-    String head = "POST /" + part.index() + "/_search?preference=_shards:" + part.section()
-        + "&allow_partial_search_results=false HTTP/1.1\r\nHost: " + at + "\r\nContent-Type: application/json\r\n"
-        + "X-Opaque-Id: " + search.id() + "." + of + "\r\n"
-        // A server drops a repeated key, so each part of a search has one of its own, the same at every attempt.
-        + (search.token() == null ? "" : "Idempotency-Key: " + search.token() + "." + of + "\r\n")
-        + "Content-Length: " + text.length + "\r\n\r\n";
+    String head =
+        "POST /"
+            + part.index()
+            + "/_search?preference=_shards:"
+            + part.section()
+            + "&allow_partial_search_results=false HTTP/1.1\r\nHost: "
+            + at
+            + "\r\nContent-Type: application/json\r\n"
+            + "X-Opaque-Id: "
+            + search.id()
+            + "."
+            + of
+            + "\r\n"
+            // A server drops a repeated key, so each part of a search has one of its own, the same
+            // at every attempt.
+            + (search.token() == null
+                ? ""
+                : "Idempotency-Key: " + search.token() + "." + of + "\r\n")
+            + "Content-Length: "
+            + text.length
+            + "\r\n\r\n";
     byte[] first = head.getBytes(StandardCharsets.US_ASCII);
     return ByteBuffer.allocate(first.length + text.length).put(first).put(text).flip();
   }
@@ -166,19 +196,32 @@
     if (response.status() == 200) {
       boolean totalWanted = ((Search) attempt.request().payload()).trackTotal() >= 0;
       PartHits hits = body == null ? null : PartHits.read(body, totalWanted);
-      Payload value = hits != null ? hits
-          : new PartHits.Failure(500, "search_phase_execution_exception", "the server did not answer in whole");
+      Payload value =
+          hits != null
+              ? hits
+              : new PartHits.Failure(
+                  500, "search_phase_execution_exception", "the server did not answer in whole");
       return new Event.Ended(id, hits != null ? Outcome.OK : Outcome.ERROR, value);
     }
     JsonNode error = body == null ? MAPPER.missingNode() : body.path("error");
-    JsonNode cause = error.path("root_cause").path(0).has("type") ? error.path("root_cause").path(0) : error;
-    PartHits.Failure failure = new PartHits.Failure(response.status(),
-        cause.path("type").asText("exception"), cause.path("reason").asText("status " + response.status()));
+    JsonNode cause =
+        error.path("root_cause").path(0).has("type") ? error.path("root_cause").path(0) : error;
+    PartHits.Failure failure =
+        new PartHits.Failure(
+            response.status(),
+            cause.path("type").asText("exception"),
+            cause.path("reason").asText("status " + response.status()));
     return switch (response.status()) {
       case 400 -> new Event.Faulted(id, failure);
-      // Only this rejection proves that nothing has run; a tripped circuit breaker is a 429 too, and proves nothing.
-      case 429 -> new Event.Ended(id,
-          failure.type().endsWith("rejected_execution_exception") ? Outcome.FULL : Outcome.ERROR, failure);
+        // Only this rejection proves that nothing has run; a tripped circuit breaker is a 429 too,
+        // and proves nothing.
+      case 429 ->
+          new Event.Ended(
+              id,
+              failure.type().endsWith("rejected_execution_exception")
+                  ? Outcome.FULL
+                  : Outcome.ERROR,
+              failure);
       default -> new Event.Ended(id, Outcome.ERROR, failure);
     };
   }
--- a/src/main/java/bitternpulley/peers/EpochFile.java
+++ b/src/main/java/bitternpulley/peers/EpochFile.java
@@ -7,8 +7,9 @@
 import java.nio.file.StandardCopyOption;
 
 /**
- * Tells each start of a member from those before: the time, or one more than the last start's where a clock was set back. A
- * folder that is empty at each start leaves the time alone; what others remember of a later start then raises it.
+ * Tells each start of a member from those before: the time, or one more than the last start's where
+ * a clock was set back. A folder that is empty at each start leaves the time alone; what others
+ * remember of a later start then raises it.
  */
 final class EpochFile {
   private static final System.Logger LOG = System.getLogger(EpochFile.class.getName());
@@ -23,7 +24,11 @@
       try {
         Path beside = folder.resolve(NAME + ".new");
         Files.writeString(beside, Long.toString(next));
-        Files.move(beside, folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+            beside,
+            folder.resolve(NAME),
+            StandardCopyOption.ATOMIC_MOVE,
+            StandardCopyOption.REPLACE_EXISTING);
       } catch (IOException e) {
         LOG.log(Level.WARNING, "the epoch of this start is not kept: " + e);
       }
--- a/src/main/java/bitternpulley/peers/PeerCodec.java
+++ b/src/main/java/bitternpulley/peers/PeerCodec.java
@@ -3,10 +3,10 @@
 import bitternpulley.broker.Event;
 import bitternpulley.leases.LeaseMessage;
 import bitternpulley.leases.LeaseTerms;
-import bitternpulley.membership.MemberMetadata;
-import bitternpulley.membership.Message;
 import bitternpulley.membership.GossipUpdate;
+import bitternpulley.membership.MemberMetadata;
 import bitternpulley.membership.MemberPayload;
+import bitternpulley.membership.Message;
 import bitternpulley.membership.Standing;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -20,15 +20,18 @@
 import java.util.List;
 
 /**
- * Messages as CBOR (RFC 8949): one array {@code [version, deployment, kind, from, epoch, incarnation, sequence, target, view,
- * rumors, told]}; a rumor is {@code [number, epoch, incarnation, standing, accuser]} with the four texts of its card behind it
- * where it has one, and the count and bytes of its slot behind those. What concerns leases has kinds of its own: {@code [version, deployment, 16, from, epoch, sequence]} asks,
- * {@code [version, deployment, 17, from, sequence, after how many ms, named as bits]} grants. What a later version adds behind these is
+ * Messages as CBOR (RFC 8949): one array {@code [version, deployment, kind, from, epoch,
+ * incarnation, sequence, target, view, rumors, told]}; a rumor is {@code [number, epoch,
+ * incarnation, standing, accuser]} with the four texts of its card behind it where it has one, and
+ * the count and bytes of its slot behind those. What concerns leases has kinds of its own: {@code
+ * [version, deployment, 16, from, epoch, sequence]} asks, {@code [version, deployment, 17, from,
+ * sequence, after how many ms, named as bits]} grants. What a later version adds behind these is
  * not read.
  */
 final class PeerCodec {
   /** The longest datagram that the platform carries; what is longer voids a run. */
   static final int MOST_BYTES = 256;
+
   private static final int VERSION = 1;
   private static final int ASKED = 16;
   private static final int GRANTED = 17;
@@ -42,7 +45,10 @@
 
   private static final CBORFactory CBOR = new CBORFactory();
 
-  /** Of another deployment, or of a version that is not known here: no fault, and nothing to do with us. */
+  /**
+   * Of another deployment, or of a version that is not known here: no fault, and nothing to do with
+   * us.
+   */
   static final class Foreign extends IOException {
     private static final long serialVersionUID = 1;
 
@@ -60,33 +66,45 @@
 
   byte[] encode(LeaseMessage m) {
     if (m instanceof LeaseMessage.Asked a) {
-      return encode(6, ASKED, a.from(), out -> {
-        out.writeNumber(a.epoch());
-        out.writeNumber(a.sequence());
-      });
+      return encode(
+          6,
+          ASKED,
+          a.from(),
+          out -> {
+            out.writeNumber(a.epoch());
+            out.writeNumber(a.sequence());
+          });
     }
     LeaseMessage.Granted g = (LeaseMessage.Granted) m;
-    return encode(7, GRANTED, g.from(), out -> {
-      out.writeNumber(g.sequence());
-      out.writeNumber((long) Math.ceil(g.after()));
-      out.writeBinary(g.named().toByteArray());
-    });
+    return encode(
+        7,
+        GRANTED,
+        g.from(),
+        out -> {
+          out.writeNumber(g.sequence());
+          out.writeNumber((long) Math.ceil(g.after()));
+          out.writeBinary(g.named().toByteArray());
+        });
   }
 
   byte[] encode(Message m) {
-    return encode(11, m.kind().ordinal(), m.from(), out -> {
-      out.writeNumber(m.epoch());
-      out.writeNumber(m.incarnation());
-      out.writeNumber(m.sequence());
-      out.writeNumber(m.target());
-      out.writeNumber(m.view());
-      out.writeStartArray(null, m.rumors().size());
-      for (GossipUpdate r : m.rumors()) {
-        rumor(out, r);
-      }
-      out.writeEndArray();
-      out.writeNumber(m.told());
-    });
+    return encode(
+        11,
+        m.kind().ordinal(),
+        m.from(),
+        out -> {
+          out.writeNumber(m.epoch());
+          out.writeNumber(m.incarnation());
+          out.writeNumber(m.sequence());
+          out.writeNumber(m.target());
+          out.writeNumber(m.view());
+          out.writeStartArray(null, m.rumors().size());
+          for (GossipUpdate r : m.rumors()) {
+            rumor(out, r);
+          }
+          out.writeEndArray();
+          out.writeNumber(m.told());
+        });
   }
 
   private byte[] encode(int fields, int kind, int from, Body body) {
@@ -116,7 +134,8 @@
     out.writeNumber(r.standing().ordinal());
     out.writeNumber(r.accuser());
     if (r.card() != null) {
-      for (String text : List.of(r.card().name(), r.card().zone(), r.card().region(), r.card().build())) {
+      for (String text :
+          List.of(r.card().name(), r.card().zone(), r.card().region(), r.card().build())) {
         out.writeString(text);
       }
     }
@@ -127,7 +146,10 @@
     out.writeEndArray();
   }
 
-  /** Reads a datagram; throws {@link Foreign} for another deployment's or version's, IOException for what is no message. */
+  /**
+   * Reads a datagram; throws {@link Foreign} for another deployment's or version's, IOException for
+   * what is no message.
+   */
   Datagram decode(byte[] bytes, int length) throws IOException {
     if (length > MOST_BYTES) {
       throw new IOException("longer than " + MOST_BYTES + " bytes");
@@ -144,8 +166,12 @@
       int kind = integer(in);
       int from = integer(in);
       if (kind == ASKED || kind == GRANTED) {
-        return new Datagram(from, new Event.LeaseSaid(kind == ASKED ? new LeaseMessage.Asked(from, number(in), integer(in))
-            : new LeaseMessage.Granted(from, integer(in), number(in), named(in))));
+        return new Datagram(
+            from,
+            new Event.LeaseSaid(
+                kind == ASKED
+                    ? new LeaseMessage.Asked(from, number(in), integer(in))
+                    : new LeaseMessage.Granted(from, integer(in), number(in), named(in))));
       }
       long epoch = number(in);
       int incarnation = integer(in);
@@ -157,8 +183,19 @@
       while (in.nextToken() == JsonToken.START_ARRAY && rumors.size() < Message.MOST_RUMORS) {
         rumors.add(rumor(in));
       }
-      return new Datagram(from, new Event.PeerSaid(new Message(one(Message.Kind.values(), kind), from, epoch, incarnation,
-          sequence, target, view, integer(in), List.copyOf(rumors))));
+      return new Datagram(
+          from,
+          new Event.PeerSaid(
+              new Message(
+                  one(Message.Kind.values(), kind),
+                  from,
+                  epoch,
+                  incarnation,
+                  sequence,
+                  target,
+                  view,
+                  integer(in),
+                  List.copyOf(rumors))));
     }
   }
 
@@ -192,8 +229,16 @@
     if (next != JsonToken.END_ARRAY || texts.size() != 0 && texts.size() != 4) {
       throw new IOException("a rumor that is none");
     }
-    return new GossipUpdate(number, epoch, incarnation, standing, accuser,
-        texts.isEmpty() ? null : new MemberMetadata(texts.get(0), texts.get(1), texts.get(2), texts.get(3)), slot);
+    return new GossipUpdate(
+        number,
+        epoch,
+        incarnation,
+        standing,
+        accuser,
+        texts.isEmpty()
+            ? null
+            : new MemberMetadata(texts.get(0), texts.get(1), texts.get(2), texts.get(3)),
+        slot);
   }
 
   private static MemberPayload slot(JsonParser in) throws IOException {
--- a/src/main/java/bitternpulley/peers/Peers.java
+++ b/src/main/java/bitternpulley/peers/Peers.java
@@ -6,8 +6,8 @@
 import bitternpulley.broker.PeerWire;
 import bitternpulley.config.Configuration;
 import bitternpulley.config.MembershipConfiguration;
-import bitternpulley.membership.MemberMetadata;
 import bitternpulley.leases.Leases;
+import bitternpulley.membership.MemberMetadata;
 import bitternpulley.membership.Membership;
 import bitternpulley.net.DatagramLink;
 import bitternpulley.net.EventLoop;
@@ -20,11 +20,17 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 
-/** Membership as a running subsystem: a socket, a beat, and the state machine that the core drives. */
+/**
+ * Membership as a running subsystem: a socket, a beat, and the state machine that the core drives.
+ */
 public final class Peers implements PeerWire {
   private static final System.Logger LOG = System.getLogger(Peers.class.getName());
-  /** Ms between tries to take the address: during an upgrade the process that leaves still has it. */
+
+  /**
+   * Ms between tries to take the address: during an upgrade the process that leaves still has it.
+   */
   private static final double TAKE_AGAIN = 250;
+
   /** Senders that are remembered for having been logged once. */
   private static final int MOST_LOGGED = 64;
 
@@ -41,7 +47,12 @@
   private long unusable;
 
   /** One that is not begun yet. */
-  public Peers(EventLoop loop, Broker broker, Configuration config, MembershipConfiguration membership, String build) {
+  public Peers(
+      EventLoop loop,
+      Broker broker,
+      Configuration config,
+      MembershipConfiguration membership,
+      String build) {
     this.loop = loop;
     this.broker = broker;
     this.config = config;
@@ -52,10 +63,18 @@
     broker.peers(this);
   }
 
-  /** Has what all may do together go by leases, where the script has them, from before the first query on. */
+  /**
+   * Has what all may do together go by leases, where the script has them, from before the first
+   * query on.
+   */
   public void prepare() {
-    membership.leases().ifPresent(l ->
-        broker.submit(new Event.LeasesApply(new Leases(config.settings().self(), config.leaseTerms(l)))));
+    membership
+        .leases()
+        .ifPresent(
+            l ->
+                broker.submit(
+                    new Event.LeasesApply(
+                        new Leases(config.settings().self(), config.leaseTerms(l)))));
   }
 
   /** Takes the address, at once or as soon as it is free, and begins to look for the others. */
@@ -64,18 +83,31 @@
       return;
     }
     try {
-      link = new DatagramLink(loop, config.peers().orElseThrow().listen(), PeerCodec.MOST_BYTES, this::received);
+      link =
+          new DatagramLink(
+              loop, config.peers().orElseThrow().listen(), PeerCodec.MOST_BYTES, this::received);
     } catch (IOException e) {
-      once("address", "membership waits for its address, which another process has: " + e.getMessage());
+      once(
+          "address",
+          "membership waits for its address, which another process has: " + e.getMessage());
       loop.after(TAKE_AGAIN, this::begin);
       return;
     }
     Path folder = config.operations().folder().orElse(null);
     long epoch = EpochFile.next(folder, broker.now());
     int self = config.settings().self();
-    Membership core = new Membership(self, new MemberMetadata(config.name(), zone(), membership.region(), build), epoch,
-        IntStream.range(0, addresses.size()).boxed().toList(), membership.terms(), config.seed(), broker.now());
-    LOG.log(Level.INFO, "membership begins: number " + self + " of " + addresses.size() + ", epoch " + epoch);
+    Membership core =
+        new Membership(
+            self,
+            new MemberMetadata(config.name(), zone(), membership.region(), build),
+            epoch,
+            IntStream.range(0, addresses.size()).boxed().toList(),
+            membership.terms(),
+            config.seed(),
+            broker.now());
+    LOG.log(
+        Level.INFO,
+        "membership begins: number " + self + " of " + addresses.size() + ", epoch " + epoch);
     broker.submit(new Event.PeersBegin(core));
     beat(core);
   }
@@ -126,7 +158,15 @@
       broker.submit(datagram.event());
     } catch (IOException e) {
       unusable++;
-      once(from.toString(), "datagrams from " + from + " are ignored: " + e.getMessage() + " (" + unusable + " so far)");
+      once(
+          from.toString(),
+          "datagrams from "
+              + from
+              + " are ignored: "
+              + e.getMessage()
+              + " ("
+              + unusable
+              + " so far)");
     }
   }
 
--- a/src/main/java/bitternpulley/platform/Frames.java
+++ b/src/main/java/bitternpulley/platform/Frames.java
@@ -30,13 +30,24 @@
     PlatformQuery query = (PlatformQuery) attempt.request().payload();
     Request.Slice slice = query.slices().get(attempt.slice());
     byte[] text = query.filter().getBytes(StandardCharsets.UTF_8);
-    String line = id + " " + slice.shard() + " d=" + Math.max(1, Math.round(attempt.timeout()))
-        + (query.token() == null ? "" : ",k=" + query.token()) + " " + text.length + "\n";
+    String line =
+        id
+            + " "
+            + slice.shard()
+            + " d="
+            + Math.max(1, Math.round(attempt.timeout()))
+            + (query.token() == null ? "" : ",k=" + query.token())
+            + " "
+            + text.length
+            + "\n";
     byte[] head = line.getBytes(StandardCharsets.US_ASCII);
     return ByteBuffer.allocate(head.length + text.length).put(head).put(text).array();
   }
 
-  /** Whether one frame holds these attempts: a query's text may be long, and stands there once for each part. */
+  /**
+   * Whether one frame holds these attempts: a query's text may be long, and stands there once for
+   * each part.
+   */
   static boolean fitOneCall(List<Effect.Start> attempts) {
     return attempts.stream().mapToInt(a -> callLine(a, partId(a)).length).sum() < FrameCodec.MOST;
   }
@@ -54,8 +65,8 @@
   }
 
   /**
-   * Reads an answer; throws IllegalArgumentException where it is spoilt. Its score and report tell the module nothing
-   * here, so one that cannot be read spoils nothing.
+   * Reads an answer; throws IllegalArgumentException where it is spoilt. Its score and report tell
+   * the module nothing here, so one that cannot be read spoils nothing.
    */
   static Answer answer(byte[] rest) {
     int line = 0;
@@ -66,16 +77,20 @@
     if (line == rest.length || words.length < 3 || words[0].isEmpty()) {
       throw new IllegalArgumentException("an answer without a head");
     }
-    Outcome outcome = switch (words[1]) {
-      case "S" -> Outcome.OK;
-      case "E" -> Outcome.ERROR;
-      case "B" -> Outcome.FULL;
-      default -> throw new IllegalArgumentException("an answer that ends '" + words[1] + "'");
-    };
+    Outcome outcome =
+        switch (words[1]) {
+          case "S" -> Outcome.OK;
+          case "E" -> Outcome.ERROR;
+          case "B" -> Outcome.FULL;
+          default -> throw new IllegalArgumentException("an answer that ends '" + words[1] + "'");
+        };
     return new Answer(words[0], outcome, outcome == Outcome.OK ? value(rest, line + 1) : null);
   }
 
-  /** Guards against bytes of another frame, or noise, passed on as a value: that is one line of plain text. */
+  /**
+   * Guards against bytes of another frame, or noise, passed on as a value: that is one line of
+   * plain text.
+   */
   private static PartValue value(byte[] rest, int from) {
     for (int i = from; i < rest.length; i++) {
       if (rest[i] < ' ' || rest[i] == 0x7f) {
--- a/src/main/java/bitternpulley/platform/JsonTexts.java
+++ b/src/main/java/bitternpulley/platform/JsonTexts.java
@@ -5,8 +5,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * Cuts a stream of bytes into the JSON objects that it holds, wherever their lines end: an object may be indented over
- * several lines, and come in any pieces. Between objects there is white space only, whose line ends are told as well.
+ * Cuts a stream of bytes into the JSON objects that it holds, wherever their lines end: an object
+ * may be indented over several lines, and come in any pieces. Between objects there is white space
+ * only, whose line ends are told as well.
  */
 final class JsonTexts {
   private static final int MOST = 1 << 20;
@@ -51,7 +52,10 @@
     }
   }
 
-  /** Brackets of lists need no count: they close where the objects round them do, or the text is none that can be read. */
+  /**
+   * Brackets of lists need no count: they close where the objects round them do, or the text is
+   * none that can be read.
+   */
   private void within(byte b) {
     if (text.size() >= MOST) {
       throw new HttpException(502, "a list holds at most " + MOST + " bytes");
--- a/src/main/java/bitternpulley/platform/Preparation.java
+++ b/src/main/java/bitternpulley/platform/Preparation.java
@@ -12,19 +12,28 @@
 import java.util.function.Consumer;
 
 /**
- * Opens a connection to each listed server while there is time, one after the other. Guards against a first query that has
- * to open one to every server of a large fleet at once: on a part of a core that takes longer than the servers' work does.
- * Bounded by the list: a server stands here once, and leaves when its connection was asked for or it takes no new work.
+ * Opens a connection to each listed server while there is time, one after the other. Guards against
+ * a first query that has to open one to every server of a large fleet at once: on a part of a core
+ * that takes longer than the servers' work does. Bounded by the list: a server stands here once,
+ * and leaves when its connection was asked for or it takes no new work.
  */
 public final class Preparation {
-  /** Ms between turns; each opens one connection, so that no server meets a restarted fleet all at once. */
+  /**
+   * Ms between turns; each opens one connection, so that no server meets a restarted fleet all at
+   * once.
+   */
   private static final double PACE = 10;
+
   /**
-   * Ms within which all are opened, with more than one in a turn where servers are many: well below the time after which
-   * those opened first are closed as idle.
+   * Ms within which all are opened, with more than one in a turn where servers are many: well below
+   * the time after which those opened first are closed as idle.
    */
   private static final double WITHIN = 4000;
-  /** Ms over which chance spreads the beginning, so that aggregators told at the same time don't act in step. */
+
+  /**
+   * Ms over which chance spreads the beginning, so that aggregators told at the same time don't act
+   * in step.
+   */
   private static final double SPREAD = 200;
 
   private final EventLoop loop;
--- a/src/main/java/bitternpulley/platform/QueryFront.java
+++ b/src/main/java/bitternpulley/platform/QueryFront.java
@@ -1,7 +1,5 @@
 package bitternpulley.platform;
 
-import bitternpulley.routing.Router;
-import bitternpulley.routing.Settings;
 import bitternpulley.broker.Broker;
 import bitternpulley.broker.Dialect;
 import bitternpulley.broker.Effect;
@@ -12,6 +10,8 @@
 import bitternpulley.contracts.Recognition;
 import bitternpulley.net.HttpException;
 import bitternpulley.net.HttpServer;
+import bitternpulley.routing.Router;
+import bitternpulley.routing.Settings;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
@@ -34,11 +34,16 @@
   private final Dialect servers;
   private final BooleanSupplier ready;
   private final Supplier<Recognition> recognition;
+
   /** The ids of the requests without a final answer. */
   private final Set<String> open = new HashSet<>();
 
   /** {@code recognition} tells whose a query is, as the contracts in force have it. */
-  public QueryFront(Settings settings, Broker broker, Dialect servers, BooleanSupplier ready,
+  public QueryFront(
+      Settings settings,
+      Broker broker,
+      Dialect servers,
+      BooleanSupplier ready,
       Supplier<Recognition> recognition) {
     this.recognition = recognition;
     this.settings = settings;
@@ -58,23 +63,38 @@
     try {
       PlatformQuery query = PlatformQuery.read(request, settings, exchange);
       if (!open.add(query.id())) {
-        // Guards against two queries whose parts bear the same names: the slot servers would take one for the other.
+        // Guards against two queries whose parts bear the same names: the slot servers would take
+        // one for the other.
         throw new HttpException(409, "Request-Id is that of an open request");
       }
       long id = broker.nextId();
-      exchange.onGone(() -> {
-        open.remove(query.id());
-        broker.submit(new Event.ClientLeft(id));
-      });
-      broker.submit(new Event.Taken(new Request(id, servers, query.requestClass(), query.timeLeft(), query.retry(),
-          Router.Terms.OF_CLASS, query.slices(), query, recognition.get().byClass(query.requestClass()),
-          print(request.body(), query.requestClass()), new Router.Lateness(request.unread(), request.worstTurn()))));
+      exchange.onGone(
+          () -> {
+            open.remove(query.id());
+            broker.submit(new Event.ClientLeft(id));
+          });
+      broker.submit(
+          new Event.Taken(
+              new Request(
+                  id,
+                  servers,
+                  query.requestClass(),
+                  query.timeLeft(),
+                  query.retry(),
+                  Router.Terms.OF_CLASS,
+                  query.slices(),
+                  query,
+                  recognition.get().byClass(query.requestClass()),
+                  print(request.body(), query.requestClass()),
+                  new Router.Lateness(request.unread(), request.worstTurn()))));
     } catch (HttpException e) {
       exchange.reply(unusable(e.status(), e.getMessage()));
     }
   }
 
-  /** What a try has in common with the one before it: class and body; 0 where nobody asks for it. */
+  /**
+   * What a try has in common with the one before it: class and body; 0 where nobody asks for it.
+   */
   private long print(byte[] body, int requestClass) {
     return recognition.get() == Recognition.NONE ? 0 : Prints.of(body, requestClass);
   }
@@ -85,7 +105,9 @@
   }
 
   private static HttpServer.Response plain(int status, String text) {
-    return new HttpServer.Response(status, Map.of("Content-Type", "text/plain; charset=utf-8"),
+    return new HttpServer.Response(
+        status,
+        Map.of("Content-Type", "text/plain; charset=utf-8"),
         text.getBytes(StandardCharsets.UTF_8));
   }
 
@@ -98,14 +120,27 @@
 
   private static HttpServer.Response response(Effect.Reply reply) {
     if (reply.answer() instanceof Effect.Answer.Answered a) {
-      return new HttpServer.Response(200, Map.of("Content-Type", "application/json"), body(reply.request(), a));
+      return new HttpServer.Response(
+          200, Map.of("Content-Type", "application/json"), body(reply.request(), a));
     }
     if (reply.answer() instanceof Effect.Answer.Refused r) {
-      HttpServer.Response refusal = plain(429, r.contract() == null ? "refused: asking again is harmless"
-          : "refused by contract " + r.contract().team() + ", version " + r.contract().version() + ": "
-              + r.contract().limit().text());
-      return r.pause() <= 0 ? refusal : new HttpServer.Response(refusal.status(),
-          Map.of("Retry-After", String.format(Locale.ROOT, "%.3f", r.pause() / 1000)), refusal.body());
+      HttpServer.Response refusal =
+          plain(
+              429,
+              r.contract() == null
+                  ? "refused: asking again is harmless"
+                  : "refused by contract "
+                      + r.contract().team()
+                      + ", version "
+                      + r.contract().version()
+                      + ": "
+                      + r.contract().limit().text());
+      return r.pause() <= 0
+          ? refusal
+          : new HttpServer.Response(
+              refusal.status(),
+              Map.of("Retry-After", String.format(Locale.ROOT, "%.3f", r.pause() / 1000)),
+              refusal.body());
     }
     return plain(500, "failed");
   }
--- a/src/main/java/bitternpulley/platform/Rehearsal.java
+++ b/src/main/java/bitternpulley/platform/Rehearsal.java
@@ -12,7 +12,6 @@
 import bitternpulley.net.HttpParser;
 import bitternpulley.net.HttpServer;
 import bitternpulley.routing.Router;
-import bitternpulley.routing.Router.Outcome;
 import bitternpulley.routing.Settings;
 import java.lang.System.Logger.Level;
 import java.nio.ByteBuffer;
@@ -25,34 +24,53 @@
 import java.util.stream.IntStream;
 
 /**
- * Plays made-up queries through decoding, core, module and encoding before the program says that it is ready. Guards
- * against a start in which the first seconds' queries wait for classes to load and code to be compiled, on a part of a
- * core. All of it has a core, a clock and servers of its own, which are thrown away: nothing goes over a socket, and
- * nothing is learned from it.
+ * Plays made-up queries through decoding, core, module and encoding before the program says that it
+ * is ready. Guards against a start in which the first seconds' queries wait for classes to load and
+ * code to be compiled, on a part of a core. All of it has a core, a clock and servers of its own,
+ * which are thrown away: nothing goes over a socket, and nothing is learned from it.
  */
 public final class Rehearsal implements Dialect {
   /** Queries played, and the ms after which no more are begun, however many were played. */
   private static final int QUERIES = 150;
+
   private static final double MOST_TIME = 600;
-  /** Queries played where very many aggregators share the traffic: each has little of it, and is missed until it is ready. */
+
+  /**
+   * Queries played where very many aggregators share the traffic: each has little of it, and is
+   * missed until it is ready.
+   */
   private static final int QUERIES_OF_MANY = 20;
-  /** The same beside what is served, one at a time with so many ms between: such an aggregator is idle most of the time. */
+
+  /**
+   * The same beside what is served, one at a time with so many ms between: such an aggregator is
+   * idle most of the time.
+   */
   private static final int QUERIES_BESIDE = 200;
+
   private static final double PAUSE_BESIDE = 20;
+
   /** Each so many-th query is as long as clients can send one. */
   private static final int WIDE = 10;
+
   /** Queries played before others on the loop get their turn. */
   private static final int AT_ONCE = 5;
+
   /** Ms of the made-up clock between queries. */
   private static final double STEP = 20;
+
   private static final int MOST_PARTS = 8;
+
   /** The settings give room for three of the longest queries, each counted with its parts. */
   private static final int LONGEST_HELD = 3;
+
   /** Bytes that one part takes in a body, at the most, and that the rest of it takes. */
   private static final int PART_BYTES = 64;
+
   private static final int REST_BYTES = 64;
+
   /** Each so many-th attempt fails at once, is refused, or gets no answer. */
   private static final int FAILS = 13;
+
   private static final int FULL = 19;
   private static final int SILENT = 17;
 
@@ -65,11 +83,16 @@
   private final EventLoop loop;
   private final Broker broker;
   private final QueryFront front;
-  private final PriorityQueue<Alarm> alarms = new PriorityQueue<>(Comparator.comparingDouble(Alarm::at));
+  private final PriorityQueue<Alarm> alarms =
+      new PriorityQueue<>(Comparator.comparingDouble(Alarm::at));
   private final List<Effect.Start> out = new ArrayList<>();
   private double time = 1;
-  /** Whether what is played takes time from clients that are served: long queries are left out then. */
+
+  /**
+   * Whether what is played takes time from clients that are served: long queries are left out then.
+   */
   private boolean beside;
+
   private int played;
   private int attempts;
   private int answered;
@@ -79,15 +102,25 @@
     this.settings = settings;
     this.mostBody = mostBody;
     this.loop = loop;
-    broker = new Broker(new Reducer(settings, 1, time), () -> time,
-        (ms, task) -> alarms.add(new Alarm(time + ms, task)));
+    broker =
+        new Broker(
+            new Reducer(settings, 1, time),
+            () -> time,
+            (ms, task) -> alarms.add(new Alarm(time + ms, task)));
     front = new QueryFront(settings, broker, this, () -> false, () -> Recognition.NONE);
     broker.add(this);
-    broker.submit(new Event.ServersListed(Router.ListKind.REMEMBERED, IntStream.range(0, settings.layout().cells())
-        .mapToObj(c -> new Router.Member("r" + c, c % 2, c, Router.ServerState.LIVE, 0)).toList()));
+    broker.submit(
+        new Event.ServersListed(
+            Router.ListKind.REMEMBERED,
+            IntStream.range(0, settings.layout().cells())
+                .mapToObj(c -> new Router.Member("r" + c, c % 2, c, Router.ServerState.LIVE, 0))
+                .toList()));
   }
 
-  /** Plays a few queries at a time, fewer where there are {@code many} aggregators; {@code done} runs once all are played or the time is up. */
+  /**
+   * Plays a few queries at a time, fewer where there are {@code many} aggregators; {@code done}
+   * runs once all are played or the time is up.
+   */
   public void play(boolean many, Runnable done) {
     long end = System.nanoTime() + (long) (MOST_TIME * 1e6);
     playSome(many ? QUERIES_OF_MANY : QUERIES, end, done);
@@ -99,7 +132,8 @@
       plays = playedOne();
     }
     if (plays && played < most && System.nanoTime() < end) {
-      // Guards against a watch that is not heard until all is played: what is executed in a turn belongs to that turn.
+      // Guards against a watch that is not heard until all is played: what is executed in a turn
+      // belongs to that turn.
       loop.after(0, () -> playSome(most, end, done));
     } else {
       done.run();
@@ -123,7 +157,10 @@
     return played;
   }
 
-  /** Guards against an aggregator that never becomes ready, or a turn that ends early, by a fault of what is made up. */
+  /**
+   * Guards against an aggregator that never becomes ready, or a turn that ends early, by a fault of
+   * what is made up.
+   */
   private boolean playedOne() {
     try {
       playOne();
@@ -151,15 +188,31 @@
     Settings.QueryClass kind = settings.classes().get(n % settings.classes().size());
     int shards = settings.layout().shards();
     int parts = n % WIDE == WIDE - 1 && !beside ? widest() : Math.min(1 + n % MOST_PARTS, shards);
-    String slices = IntStream.range(0, parts).mapToObj(i -> "{\"slice\":" + (n + i) % shards + ",\"mass\":" + 1.0 / parts
-        + "}").collect(Collectors.joining(","));
+    String slices =
+        IntStream.range(0, parts)
+            .mapToObj(i -> "{\"slice\":" + (n + i) % shards + ",\"mass\":" + 1.0 / parts + "}")
+            .collect(Collectors.joining(","));
     String body = "{\"slices\":[" + slices + "],\"filter\":\"c41e77d0\"}";
-    return "POST /" + kind.name() + " HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: r" + n + "\r\nCookie: obj=" + n
-        + "\r\nRequest-Timeout: " + kind.deadline() / 1000 + "\r\nIdempotency-Key: k" + n + "\r\nContent-Length: "
-        + body.length() + "\r\n\r\n" + body;
+    return "POST /"
+        + kind.name()
+        + " HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: r"
+        + n
+        + "\r\nCookie: obj="
+        + n
+        + "\r\nRequest-Timeout: "
+        + kind.deadline() / 1000
+        + "\r\nIdempotency-Key: k"
+        + n
+        + "\r\nContent-Length: "
+        + body.length()
+        + "\r\n\r\n"
+        + body;
   }
 
-  /** Parts of the longest query that clients can send: each section once, held three times, in a body that is taken. */
+  /**
+   * Parts of the longest query that clients can send: each section once, held three times, in a
+   * body that is taken.
+   */
   int widest() {
     long held = settings.limits().maxOpen() / LONGEST_HELD - 1;
     long fits = (mostBody - REST_BYTES) / PART_BYTES;
@@ -174,12 +227,16 @@
       return;
     }
     String end = attempts % FAILS == 0 ? "E" : attempts % FULL == 0 ? "B" : "S";
-    ByteBuffer frame = FrameCodec.encode('5', (id + " " + end + " 0 -\n5be2a07c19f04d63")
-        .getBytes(StandardCharsets.US_ASCII));
-    new FrameCodec().read(frame, f -> {
-      Frames.Answer answer = Frames.answer(f.rest());
-      broker.submit(new Event.Ended(attempt.id(), answer.outcome(), answer.value()));
-    });
+    ByteBuffer frame =
+        FrameCodec.encode(
+            '5', (id + " " + end + " 0 -\n5be2a07c19f04d63").getBytes(StandardCharsets.US_ASCII));
+    new FrameCodec()
+        .read(
+            frame,
+            f -> {
+              Frames.Answer answer = Frames.answer(f.rest());
+              broker.submit(new Event.Ended(attempt.id(), answer.outcome(), answer.value()));
+            });
   }
 
   @Override
--- a/src/main/java/bitternpulley/platform/SlotConnection.java
+++ b/src/main/java/bitternpulley/platform/SlotConnection.java
@@ -21,21 +21,28 @@
 import java.util.Set;
 
 /**
- * One connection to a slot server: the calls that are out on it, each of one part or more, and what the server sends back.
- * Its owner is told of each attempt's end exactly once.
+ * One connection to a slot server: the calls that are out on it, each of one part or more, and what
+ * the server sends back. Its owner is told of each attempt's end exactly once.
  */
 final class SlotConnection implements Connection.Owner {
   private static final System.Logger LOG = System.getLogger(SlotConnection.class.getName());
 
   /** Parts given up, and parts answered, that a connection remembers by name. */
   private static final int MOST_GIVEN_UP = 256;
+
   private static final int MOST_ANSWERED = 32;
+
   /** Ms that a frame may take to come in whole once it has begun. */
   private static final double FRAME_TIME = 300;
-  /** Share of the time to connect that the word of a part given up is allowed at most for its way. */
+
+  /**
+   * Share of the time to connect that the word of a part given up is allowed at most for its way.
+   */
   private static final double WORD_SHARE = 0.1;
 
-  /** The time that connections go by, and the most that one may take to come up or to lie idle, ms. */
+  /**
+   * The time that connections go by, and the most that one may take to come up or to lie idle, ms.
+   */
   record Times(Clock clock, double connectTimeout, double idleAfter) {}
 
   /** Parts that went, or wait to go, in one frame. */
@@ -43,6 +50,7 @@
     final Map<AttemptId, PartCall> parts = new LinkedHashMap<>();
     ByteBuffer frame;
     boolean written;
+
     /** Count of what had been read on the connection when the frame was handed over for writing. */
     long heard;
   }
@@ -59,13 +67,16 @@
   private final Map<AttemptId, PartCall> parts = new LinkedHashMap<>();
   private final Map<String, AttemptId> byId = new HashMap<>();
   private final Set<Call> calls = new LinkedHashSet<>();
+
   /**
-   * Guards against a late answer to an attempt given up that is taken for one to the next: both bear the part's id,
-   * so the next goes over another connection. Bounded by forgetting the oldest.
+   * Guards against a late answer to an attempt given up that is taken for one to the next: both
+   * bear the part's id, so the next goes over another connection. Bounded by forgetting the oldest.
    */
   private final RecentNames givenUp = new RecentNames(MOST_GIVEN_UP);
+
   /** Parts answered of late, by which a second copy of an answer is known for one. */
   private final RecentNames answered = new RecentNames(MOST_ANSWERED);
+
   private final Connection connection;
   private boolean up;
   private boolean over;
@@ -74,12 +85,15 @@
   private boolean left;
   private boolean released;
   private final double opened;
+
   /** Ms that a word is allowed for its way to the server. */
   private double way;
+
   private double idleSince;
 
   /** Begins to connect; throws UncheckedIOException where not even a socket can be had. */
-  SlotConnection(EventLoop loop, Times times, SlotConnectionOwner owner, String server, HostPort at) {
+  SlotConnection(
+      EventLoop loop, Times times, SlotConnectionOwner owner, String server, HostPort at) {
     this.loop = loop;
     this.times = times;
     this.owner = owner;
@@ -100,8 +114,11 @@
   /** Guards against a repeat that goes after its window is over, having waited for a connection. */
   private void send(Call call) {
     double now = times.clock().now();
-    List<AttemptId> tooLate = call.parts.entrySet().stream().filter(p -> now > p.getValue().start().sendBy())
-        .map(Map.Entry::getKey).toList();
+    List<AttemptId> tooLate =
+        call.parts.entrySet().stream()
+            .filter(p -> now > p.getValue().start().sendBy())
+            .map(Map.Entry::getKey)
+            .toList();
     tooLate.forEach(this::remove);
     tellUnsent(tooLate);
     if (!call.parts.isEmpty()) {
@@ -139,9 +156,13 @@
     return isIdle() && times.clock().now() - idleSince > times.idleAfter();
   }
 
-  /** Whether a call of these parts may go over it. Guards against one answer taken for another: a part's name is used once. */
+  /**
+   * Whether a call of these parts may go over it. Guards against one answer taken for another: a
+   * part's name is used once.
+   */
   boolean suits(HostPort to, List<String> names) {
-    return at.equals(to) && !connection.isClosed()
+    return at.equals(to)
+        && !connection.isClosed()
         && names.stream().noneMatch(n -> givenUp.contains(n) || byId.containsKey(n));
   }
 
@@ -167,7 +188,10 @@
     connection.write(call.frame, () -> call.written = true);
   }
 
-  /** Takes the attempt out of what waits to be written; false where a byte of its call may have gone. */
+  /**
+   * Takes the attempt out of what waits to be written; false where a byte of its call may have
+   * gone.
+   */
   private boolean takeOut(AttemptId attempt) {
     Call call = parts.get(attempt).call();
     if (up && !connection.takeBack(call.frame)) {
@@ -187,7 +211,10 @@
     }
   }
 
-  /** Gives an attempt up; {@link Event.Abandoned} is told once the server has had time to hear of it. */
+  /**
+   * Gives an attempt up; {@link Event.Abandoned} is told once the server has had time to hear of
+   * it.
+   */
   void abandon(AttemptId attempt) {
     PartCall part = parts.get(attempt);
     if (takeOut(attempt)) {
@@ -196,26 +223,39 @@
     }
     givenUp.add(part.id());
     if (part.call().heard == heard) {
-      // Guards against a connection that died without a word: nothing came over it since, so nothing new goes there.
+      // Guards against a connection that died without a word: nothing came over it since, so
+      // nothing new goes there.
       leave();
     }
-    // Guards against a machine that takes nothing more: its connection ends, and what is out on it with that.
-    loop.after(times.connectTimeout(), () -> {
-      if (parts.containsKey(attempt)) {
-        close();
-      }
-    });
-    // Guards against two attempts out at once: the next must not reach a server nearby ahead of this word, which is
+    // Guards against a machine that takes nothing more: its connection ends, and what is out on it
+    // with that.
+    loop.after(
+        times.connectTimeout(),
+        () -> {
+          if (parts.containsKey(attempt)) {
+            close();
+          }
+        });
+    // Guards against two attempts out at once: the next must not reach a server nearby ahead of
+    // this word, which is
     // under way for a while.
-    connection.write(Frames.giveUp(part.id()), () -> loop.after(way, () -> {
-      if (parts.containsKey(attempt)) {
-        remove(attempt);
-        owner.tell(new Event.Abandoned(attempt));
-      }
-    }));
+    connection.write(
+        Frames.giveUp(part.id()),
+        () ->
+            loop.after(
+                way,
+                () -> {
+                  if (parts.containsKey(attempt)) {
+                    remove(attempt);
+                    owner.tell(new Event.Abandoned(attempt));
+                  }
+                }));
   }
 
-  /** Ends a connection that is not up yet, and what waits for it: nothing of that has gone, and none will. */
+  /**
+   * Ends a connection that is not up yet, and what waits for it: nothing of that has gone, and none
+   * will.
+   */
   void withdraw() {
     List<AttemptId> waiting = List.copyOf(parts.keySet());
     waiting.forEach(this::remove);
@@ -223,7 +263,10 @@
     waiting.forEach(a -> owner.tell(new Event.Ended(a, Outcome.MOOT, null)));
   }
 
-  /** Told in a turn of their own, with no write between: whoever hears of one end may give up another. */
+  /**
+   * Told in a turn of their own, with no write between: whoever hears of one end may give up
+   * another.
+   */
   private void tellUnsent(List<AttemptId> these) {
     if (these.isEmpty()) {
       return;
@@ -252,8 +295,8 @@
   }
 
   /**
-   * Its descriptor is free from the close on. Guards against a server that counts as down since the end of the
-   * connection that made room for one to it was not told yet.
+   * Its descriptor is free from the close on. Guards against a server that counts as down since the
+   * end of the connection that made room for one to it was not told yet.
    */
   private void release() {
     if (!released) {
@@ -268,7 +311,9 @@
     owner.left(this);
   }
 
-  /** What is read is dealt with as a whole: whether an answer stands depends on what is behind it. */
+  /**
+   * What is read is dealt with as a whole: whether an answer stands depends on what is behind it.
+   */
   @Override
   public void received(ByteBuffer bytes) {
     if (over) {
@@ -308,34 +353,40 @@
           throw new IllegalArgumentException("an answer to what was not asked");
         }
       }
-      case '3', '4' -> { }
-      case 'X' -> throw new IllegalArgumentException(
-          "a refusal of a frame: " + new String(frame.rest(), StandardCharsets.ISO_8859_1));
+      case '3', '4' -> {}
+      case 'X' ->
+          throw new IllegalArgumentException(
+              "a refusal of a frame: " + new String(frame.rest(), StandardCharsets.ISO_8859_1));
       default -> throw new IllegalArgumentException("a frame '" + frame.letter() + "'");
     }
   }
 
   /** Guards against an answer that begins and never ends, whatever its length says. */
   private void awaitRest(int before) {
-    loop.after(FRAME_TIME, () -> {
-      if (!over && frames == before && !codec.idle()) {
-        List<Event.Ended> ended = new ArrayList<>();
-        spoilt("a frame that does not end", "", ended);
-        ended.forEach(owner::tell);
-      }
-    });
+    loop.after(
+        FRAME_TIME,
+        () -> {
+          if (!over && frames == before && !codec.idle()) {
+            List<Event.Ended> ended = new ArrayList<>();
+            spoilt("a frame that does not end", "", ended);
+            ended.forEach(owner::tell);
+          }
+        });
   }
 
   /**
-   * Ends the connection, which is of no further use. Guards against a spoilt answer that costs more than its own
-   * attempt: that one has failed, where it can be told; the others out here are taken back, which speaks against no
-   * server; and an answer that came whole before, with nothing else asked, stands.
+   * Ends the connection, which is of no further use. Guards against a spoilt answer that costs more
+   * than its own attempt: that one has failed, where it can be told; the others out here are taken
+   * back, which speaks against no server; and an answer that came whole before, with nothing else
+   * asked, stands.
    */
   private void spoilt(String fault, String text, List<Event.Ended> ended) {
     LOG.log(Level.WARNING, server + " sent " + fault);
     List<AttemptId> remaining = List.copyOf(parts.keySet());
-    List<AttemptId> named = remaining.stream().filter(a -> text.contains(parts.get(a).id() + " ")).toList();
-    AttemptId culprit = remaining.size() == 1 ? remaining.get(0) : named.size() == 1 ? named.get(0) : null;
+    List<AttemptId> named =
+        remaining.stream().filter(a -> text.contains(parts.get(a).id() + " ")).toList();
+    AttemptId culprit =
+        remaining.size() == 1 ? remaining.get(0) : named.size() == 1 ? named.get(0) : null;
     if (remaining.isEmpty() && !ended.isEmpty()) {
       Event.Ended last = ended.remove(ended.size() - 1);
       boolean cut = last.outcome() == Outcome.OK && !Frames.stands((PartValue) last.value());
@@ -358,14 +409,21 @@
       return;
     }
     Map<AttemptId, PartCall> remaining = new LinkedHashMap<>(parts);
-    // All of them first: whoever hears of one end may give up another that was out here, and the rest must be told as well.
+    // All of them first: whoever hears of one end may give up another that was out here, and the
+    // rest must be told as well.
     remaining.keySet().forEach(this::remove);
     // Whether the last byte had gone decides if the part may have run.
-    remaining.forEach((attempt, part) ->
-        owner.tell(new Event.Ended(attempt, part.call().written ? Outcome.RESET : Outcome.UNREACHABLE, null)));
+    remaining.forEach(
+        (attempt, part) ->
+            owner.tell(
+                new Event.Ended(
+                    attempt, part.call().written ? Outcome.RESET : Outcome.UNREACHABLE, null)));
   }
 
-  /** A process that does not run, or holds no more connections, says so at once; what takes longer is the way or the handshake. */
+  /**
+   * A process that does not run, or holds no more connections, says so at once; what takes longer
+   * is the way or the handshake.
+   */
   private boolean wasRefused() {
     return times.clock().now() - opened < times.connectTimeout() / 2;
   }
--- a/src/main/java/bitternpulley/platform/SlotConnectionOwner.java
+++ b/src/main/java/bitternpulley/platform/SlotConnectionOwner.java
@@ -20,8 +20,9 @@
   void released();
 
   /**
-   * The server refused this connection at once. Calls that wait for it may go over another that is up: then the server runs
-   * and holds no more connections, and this is true; none of the attempts ends by that.
+   * The server refused this connection at once. Calls that wait for it may go over another that is
+   * up: then the server runs and holds no more connections, and this is true; none of the attempts
+   * ends by that.
    */
   boolean takeOver(SlotConnection refused, List<List<Effect.Start>> calls);
 }
--- a/src/main/java/bitternpulley/platform/SlotServers.java
+++ b/src/main/java/bitternpulley/platform/SlotServers.java
@@ -1,6 +1,5 @@
 package bitternpulley.platform;
 
-import bitternpulley.routing.Router.Outcome;
 import bitternpulley.broker.AttemptId;
 import bitternpulley.broker.Clock;
 import bitternpulley.broker.Dialect;
@@ -9,6 +8,7 @@
 import bitternpulley.config.Configuration;
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
+import bitternpulley.routing.Router.Outcome;
 import java.io.UncheckedIOException;
 import java.lang.System.Logger.Level;
 import java.util.ArrayList;
@@ -20,20 +20,32 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The platform's way to the slot servers: frames over a few connections to each, many parts on one. */
+/**
+ * The platform's way to the slot servers: frames over a few connections to each, many parts on one.
+ */
 public final class SlotServers implements Dialect {
   private static final System.Logger LOG = System.getLogger(SlotServers.class.getName());
 
   /**
-   * Calls out on a connection beyond which another is opened, and connections to one server at most. Guards against a
-   * connection that ends right after an answer, or is spoilt by one, taking other calls along.
+   * Calls out on a connection beyond which another is opened, and connections to one server at
+   * most. Guards against a connection that ends right after an answer, or is spoilt by one, taking
+   * other calls along.
    */
   private static final int SHARED_BY = 1;
+
   private static final int MOST_TO_ONE = 8;
-  /** The same where handshakes are charged for, as where very many aggregators share the servers. */
+
+  /**
+   * The same where handshakes are charged for, as where very many aggregators share the servers.
+   */
   private static final int SHARED_IF_DEAR = 8;
-  /** Ms for which a server that holds no more connections is spared further tries: others close theirs as they fall idle. */
+
+  /**
+   * Ms for which a server that holds no more connections is spared further tries: others close
+   * theirs as they fall idle.
+   */
   private static final double REFUSING_FOR = 1000;
+
   /** Ms between looks for connections that are idle for too long. */
   private static final double SWEEP = 1000;
 
@@ -46,19 +58,42 @@
   private final Map<String, HostPort> addresses = new HashMap<>();
   private final Map<String, List<SlotConnection>> links = new HashMap<>();
   private final Map<AttemptId, SlotConnection> out = new HashMap<>();
-  /** Until when no further connection is tried for at a server that refused one beside another; bounded by the servers known. */
+
+  /**
+   * Until when no further connection is tried for at a server that refused one beside another;
+   * bounded by the servers known.
+   */
   private final Map<String, Double> refusingUntil = new HashMap<>();
+
   private Consumer<Effect.Reply> answers;
   private int open;
 
-  public SlotServers(EventLoop loop, Consumer<Event> events, Clock clock, Configuration.Wire wire, double connectTimeout,
+  public SlotServers(
+      EventLoop loop,
+      Consumer<Event> events,
+      Clock clock,
+      Configuration.Wire wire,
+      double connectTimeout,
       int mostLinks) {
-    this(loop, events, clock, wire, connectTimeout, mostLinks, wire.dear() ? SHARED_IF_DEAR : SHARED_BY);
+    this(
+        loop,
+        events,
+        clock,
+        wire,
+        connectTimeout,
+        mostLinks,
+        wire.dear() ? SHARED_IF_DEAR : SHARED_BY);
   }
 
   /** As above, where so many parts share a connection before another is opened. */
-  SlotServers(EventLoop loop, Consumer<Event> events, Clock clock, Configuration.Wire wire, double connectTimeout,
-      int mostLinks, int sharedBy) {
+  SlotServers(
+      EventLoop loop,
+      Consumer<Event> events,
+      Clock clock,
+      Configuration.Wire wire,
+      double connectTimeout,
+      int mostLinks,
+      int sharedBy) {
     this.sharedBy = sharedBy;
     this.loop = loop;
     this.events = events;
@@ -68,7 +103,10 @@
     loop.after(SWEEP, this::sweep);
   }
 
-  /** One look for all connections: guards against an alarm for each time that one of them falls idle. */
+  /**
+   * One look for all connections: guards against an alarm for each time that one of them falls
+   * idle.
+   */
   private void sweep() {
     for (List<SlotConnection> all : List.copyOf(links.values())) {
       for (SlotConnection l : List.copyOf(all)) {
@@ -93,7 +131,10 @@
     }
   }
 
-  /** Guards against all that is kept for servers of which a long day sees ever new ones: this one is gone. */
+  /**
+   * Guards against all that is kept for servers of which a long day sees ever new ones: this one is
+   * gone.
+   */
   public void forget(String server) {
     addresses.remove(server);
     refusingUntil.remove(server);
@@ -122,20 +163,23 @@
     HostPort at = addresses.get(server);
     boolean fits = attempts.size() == 1 || Frames.fitOneCall(attempts);
     SlotConnection link =
-        at == null || !fits ? null : link(server, at, attempts.stream().map(Frames::partId).toList());
+        at == null || !fits
+            ? null
+            : link(server, at, attempts.stream().map(Frames::partId).toList());
     if (link != null) {
       attempts.forEach(a -> out.put(a.id(), link));
       link.call(attempts);
     } else if (attempts.size() > 1) {
       attempts.forEach(this::start);
     } else {
-      loop.execute(() -> events.accept(new Event.Ended(attempts.get(0).id(), Outcome.UNREACHABLE, null)));
+      loop.execute(
+          () -> events.accept(new Event.Ended(attempts.get(0).id(), Outcome.UNREACHABLE, null)));
     }
   }
 
   /**
-   * Opens a connection to a server that has none, ahead of the first part for it, unless all places are taken. Whether it
-   * comes up is told to nobody: the first part finds out.
+   * Opens a connection to a server that has none, ahead of the first part for it, unless all places
+   * are taken. Whether it comes up is told to nobody: the first part finds out.
    */
   public void prepare(String server) {
     HostPort at = addresses.get(server);
@@ -144,15 +188,22 @@
     }
   }
 
-  /** The connection with the fewest parts out, a fresh one where calls out there are many; null where there is none. */
+  /**
+   * The connection with the fewest parts out, a fresh one where calls out there are many; null
+   * where there is none.
+   */
   private SlotConnection link(String server, HostPort at, List<String> parts) {
-    // Guards against a frame that crosses the server's close of a connection idle for too long, of which the sweep comes late.
-    List.copyOf(links.getOrDefault(server, List.of())).stream().filter(SlotConnection::idleTooLong)
+    // Guards against a frame that crosses the server's close of a connection idle for too long, of
+    // which the sweep comes late.
+    List.copyOf(links.getOrDefault(server, List.of())).stream()
+        .filter(SlotConnection::idleTooLong)
         .forEach(SlotConnection::close);
     List<SlotConnection> all = links.getOrDefault(server, List.of());
     SlotConnection least = null;
     for (SlotConnection l : all) {
-      if (l.parts() + parts.size() <= streams && (least == null || l.parts() < least.parts()) && l.suits(at, parts)) {
+      if (l.parts() + parts.size() <= streams
+          && (least == null || l.parts() < least.parts())
+          && l.suits(at, parts)) {
         least = l;
       }
     }
@@ -196,8 +247,11 @@
 
   /** Whether one was there to make room; its descriptor is free at once, before its end is told. */
   private boolean closeOneIdle() {
-    Optional<SlotConnection> idle = links.values().stream().flatMap(List::stream).filter(l -> l.isIdle())
-        .min(Comparator.comparingDouble(SlotConnection::idleSince));
+    Optional<SlotConnection> idle =
+        links.values().stream()
+            .flatMap(List::stream)
+            .filter(l -> l.isIdle())
+            .min(Comparator.comparingDouble(SlotConnection::idleSince));
     idle.ifPresent(SlotConnection::close);
     return idle.isPresent();
   }
--- a/src/main/java/bitternpulley/policy/ArrivalRecord.java
+++ b/src/main/java/bitternpulley/policy/ArrivalRecord.java
@@ -8,12 +8,14 @@
 import java.util.function.DoubleUnaryOperator;
 
 /**
- * When the parts of past queries arrived, and how much they weighed; bounded in count and age by its owner's figures.
- * It holds samples and does sums over them: what is worth what is handed in.
+ * When the parts of past queries arrived, and how much they weighed; bounded in count and age by
+ * its owner's figures. It holds samples and does sums over them: what is worth what is handed in.
  */
 final class ArrivalRecord {
 
-  /** The arrivals of one past step, in the order they came; parts that never came are simply absent. */
+  /**
+   * The arrivals of one past step, in the order they came; parts that never came are simply absent.
+   */
   static final class Step {
     private double started;
     private final List<double[]> arrivals = new ArrayList<>();
@@ -51,15 +53,21 @@
     return steps.stream().filter(s -> !s.arrivals.isEmpty()).count() < least;
   }
 
-  /** The recorded arrival time with the best mean payoff; of equals the latest. Payoff = worthAt(t) x valueOf(weight). */
+  /**
+   * The recorded arrival time with the best mean payoff; of equals the latest. Payoff = worthAt(t)
+   * x valueOf(weight).
+   */
   double best(DoubleUnaryOperator worthAt, DoubleUnaryOperator valueOf) {
     return best(steps, worthAt, valueOf);
   }
 
   /** The after-the-fact best waits of the single steps, ascending. */
   double[] bests(DoubleUnaryOperator worthAt, DoubleUnaryOperator valueOf) {
-    return steps.stream().filter(s -> !s.arrivals.isEmpty())
-        .mapToDouble(s -> best(List.of(s), worthAt, valueOf)).sorted().toArray();
+    return steps.stream()
+        .filter(s -> !s.arrivals.isEmpty())
+        .mapToDouble(s -> best(List.of(s), worthAt, valueOf))
+        .sorted()
+        .toArray();
   }
 
   /** The value that so large a share of the sorted ones does not exceed. */
