--- a/src/main/java/bitternpulley/policy/Policy.java
+++ b/src/main/java/bitternpulley/policy/Policy.java
@@ -1,14 +1,16 @@
-// The interface of this module is Router.java: events in, Actions out. Settings.java is what it starts with.
-// Decisions and tuned values are here, but for what lies in health; docs/design.md tells their origin.
+// The interface of this module is Router.java: events in, Actions out. Settings.java is what it
+// starts with.
+// Decisions and tuned values are here, but for what lies in health; docs/design.md tells their
+// origin.
 package bitternpulley.policy;
 
 import bitternpulley.health.ConcurrencyLimit;
 import bitternpulley.health.FirstTries;
 import bitternpulley.health.StallDetector;
 import bitternpulley.health.TenantShares;
-import bitternpulley.health.ZoneLatency;
 import bitternpulley.health.WindowCount;
 import bitternpulley.health.WorkEstimate;
+import bitternpulley.health.ZoneLatency;
 import bitternpulley.policy.State.Attempt;
 import bitternpulley.policy.State.PartState;
 import bitternpulley.policy.State.QueryState;
@@ -31,53 +33,84 @@
   // --- The design's open choices -----------------------------------------------------------------
   /** s: share of a step's parts, heaviest first, that must be in for an early end. */
   private static final double EARLY_SHARE = 0.75;
+
   /** t: share of a step's parts, heaviest first, whose absence extends the wait. */
   private static final double EXTEND_SHARE = 0.5;
+
   /** u: percentile of past best waits to which the wait is extended. */
   private static final double EXTEND_PERCENTILE = 0.9;
+
   /** Record span in steps and in ms; fewer steps than the least are a handful: an empty record. */
   private static final int RECORD_STEPS = 60;
+
   private static final double RECORD_AGE = 60_000;
   private static final int RECORD_LEAST = 20;
+
   /** Share of a step's time to its aim at which a part cut off counts as due: safely before it. */
   private static final double CENSORED_AT = 0.9;
+
   /** Weight of a new latency in the smoothed one: about the last five answers speak. */
   private static final double SMOOTHING = 0.2;
 
   // --- Time and weight ---------------------------------------------------------------------------
   /** Sums of weights may fall short by rounding; half of what the rules forgive. */
   private static final double ROUNDING = 5e-5;
-  /** Ticks by which an answer leaves ahead of the aim or the client's time: to decide and to travel. */
+
+  /**
+   * Ticks by which an answer leaves ahead of the aim or the client's time: to decide and to travel.
+   */
   private static final double LEAD_TICKS = 3;
+
   /** Usual latencies kept for a second step: the last of a few parts is awaited. */
   private static final double SECOND_STEP = 3;
+
   /** Ms after which a part that found no server is tried again. */
   private static final double HOLD = 50;
 
   // --- Further attempts --------------------------------------------------------------------------
-  /** An attempt is late after so many times its replica's expected time; a suspect's is late sooner. */
+  /**
+   * An attempt is late after so many times its replica's expected time; a suspect's is late sooner.
+   */
   private static final double LATE_FACTOR = 4;
+
   private static final double LATE_FACTOR_SUSPECT = 2;
+
   /**
-   * Usual latencies after which a suspect's attempt is called off though no other server could take the part.
-   * Guards against a slow server, alone with its sections, that works on parts which nobody awaits any more.
+   * Usual latencies after which a suspect's attempt is called off though no other server could take
+   * the part. Guards against a slow server, alone with its sections, that works on parts which
+   * nobody awaits any more.
    */
   private static final double ALONE = 16;
-  /** A copy sets off so many usual latencies before T*, and while the budget still counts its query. */
+
+  /**
+   * A copy sets off so many usual latencies before T*, and while the budget still counts its query.
+   */
   private static final double LANDING_ROOM = 3;
-  /** Share of a step's weight that must be in before merely late parts are copied: all late alike is load. */
+
+  /**
+   * Share of a step's weight that must be in before merely late parts are copied: all late alike is
+   * load.
+   */
   private static final double STRAGGLERS_AFTER = 0.6;
-  /** Share of the budget for second copies; the rest is kept for parts that have no attempt out at all. */
+
+  /**
+   * Share of the budget for second copies; the rest is kept for parts that have no attempt out at
+   * all.
+   */
   private static final double COPY_BUDGET = 0.7;
 
   // --- Overload ----------------------------------------------------------------------------------
   /** Usual latencies above which a server's own tells of itself, not of the load. */
   private static final double SLOW_ALONE = 3;
+
   private static final double SLOW_STILL = 1.5;
+
   /** Expected times that must fit before the aim: a query waits for the last of its parts. */
   private static final double TAIL = 1.5;
+
   /** Average latencies that a refused client is advised to stay away. */
   private static final double ADVICE = 2;
+
   /** Share of the places for open queries and parts beyond which held queries are refused. */
   private static final double OPEN_SHARE = 0.8;
 
@@ -87,33 +120,57 @@
   // --- Health ------------------------------------------------------------------------------------
   /** Failures in a row that make a server suspect: one may be chance. */
   private static final int SUSPECT_STREAK = 2;
-  /** A server is silent when its oldest part waits so many usual latencies and nothing came since. */
+
+  /**
+   * A server is silent when its oldest part waits so many usual latencies and nothing came since.
+   */
   private static final double SILENCE_FACTOR = 4;
+
   /** So many usual latencies is the most that a server's own counts as in that. */
   private static final double SILENCE_STRETCH = 1.5;
+
   /** Usual latencies until a suspect's first trial part, and the longest pause between trials. */
   private static final double TRIAL_GAP = 4;
+
   private static final double TRIAL_GAP_MOST = 16;
-  /** Usual latencies after which a server that was full is asked again: its queue has moved on by then. */
+
+  /**
+   * Usual latencies after which a server that was full is asked again: its queue has moved on by
+   * then.
+   */
   private static final double FULL_FOR = 2;
-  /** Answers to parts sent later to the same server after which a part counts as swallowed there. */
+
+  /**
+   * Answers to parts sent later to the same server after which a part counts as swallowed there.
+   */
   private static final int OVERTAKEN = 8;
+
   /** Average latency, as a share of the shortest aim, until the first answer has come. */
   private static final double FIRST_LATENCY = 0.1;
-  /** Ms unheard after which a part goes over a fresh connection: a handshake costs little of its work. */
+
+  /**
+   * Ms unheard after which a part goes over a fresh connection: a handshake costs little of its
+   * work.
+   */
   private static final double FRESH_AFTER = 700;
+
   /** Weight of one outcome in a smoothed failure rate, and the most that counts of any. */
   private static final double FAILURE_SMOOTHING = 0.15;
+
   private static final double FAILURE_MOST = 0.8;
+
   /** Ticks that a part's work must take for the gap between two answers to tell of cores. */
   private static final double CORES_TOLD_BY = 4;
+
   /** Ms in which what sets an unheard server's latency apart from its zone's halves. */
   private static final double FORGET_HALF = 4000;
 
   // --- Guards ------------------------------------------------------------------------------------
   /** Ms a discovery call waits after an error, at first and at most. */
   private static final double WATCH_GAP = 500;
+
   private static final double WATCH_GAP_MOST = 4000;
+
   /** Share of all limits that is for a process whose successor has taken over. */
   private static final double LEAVING_SHARE = 0.2;
 
@@ -134,13 +191,20 @@
   private final List<FirstTries> firstTries = new ArrayList<>();
   private final List<ZoneLatency> ways = new ArrayList<>();
   private final double firstLatency;
-  /** The yardstick for what is late: the quickest zone's latency, which no slow way or zone can stretch. */
+
+  /**
+   * The yardstick for what is late: the quickest zone's latency, which no slow way or zone can
+   * stretch.
+   */
   private double usual;
+
   private final ConcurrencyLimit limit = new ConcurrencyLimit();
   private final WorkEstimate estimate = new WorkEstimate();
   private final StallDetector stall = new StallDetector();
+
   /** Parts out that are not late: what a silent server sits on says nothing of the others' load. */
   private int partsOut;
+
   private boolean freed;
   private double watchGap = WATCH_GAP;
   private double share = 1;
@@ -154,9 +218,17 @@
     this.random = new Random(seed);
     this.lead = LEAD_TICKS * settings.tick();
     this.fleet = new State.Fleet(settings);
-    settings.classes().forEach(c -> records.add(new ArrivalRecord[] {
-        new ArrivalRecord(RECORD_STEPS, RECORD_AGE), new ArrivalRecord(RECORD_STEPS, RECORD_AGE)}));
-    firstLatency = FIRST_LATENCY * settings.classes().stream().mapToDouble(c -> c.aim()).min().orElse(1);
+    settings
+        .classes()
+        .forEach(
+            c ->
+                records.add(
+                    new ArrivalRecord[] {
+                      new ArrivalRecord(RECORD_STEPS, RECORD_AGE),
+                      new ArrivalRecord(RECORD_STEPS, RECORD_AGE)
+                    }));
+    firstLatency =
+        FIRST_LATENCY * settings.classes().stream().mapToDouble(c -> c.aim()).min().orElse(1);
     usual = firstLatency;
     settings.classes().forEach(c -> firstTries.add(new FirstTries()));
     tenants = new TenantShares(settings.tenants());
@@ -186,7 +258,9 @@
     }
     if (kind != ListKind.CHANGES) {
       Set<String> named = entries.stream().map(Member::server).collect(Collectors.toSet());
-      fleet.servers().stream().filter(s -> !named.contains(s.id)).forEach(s -> s.state = ServerState.GONE);
+      fleet.servers().stream()
+          .filter(s -> !named.contains(s.id))
+          .forEach(s -> s.state = ServerState.GONE);
     }
     fleet.prune();
   }
@@ -207,7 +281,8 @@
     }
     s.state = m.state();
     if (m.startedAt() > s.startedAt) {
-      // A new process under an old id has nothing of the old one's latency or failures, and is cold.
+      // A new process under an old id has nothing of the old one's latency or failures, and is
+      // cold.
       s.startedAt = m.startedAt();
       s.cold.startedAt(m.startedAt());
       s.forget();
@@ -218,7 +293,8 @@
 
   @Override
   public void beside(Beside other) {
-    share = other == Beside.NONE ? 1 : other == Beside.SUCCESSOR ? LEAVING_SHARE : 1 - LEAVING_SHARE;
+    share =
+        other == Beside.NONE ? 1 : other == Beside.SUCCESSOR ? LEAVING_SHARE : 1 - LEAVING_SHARE;
   }
 
   @Override
@@ -228,7 +304,9 @@
 
   @Override
   public OptionalDouble turnedAway(int held) {
-    return held < share * settings.limits().maxOpen() ? OptionalDouble.empty() : OptionalDouble.of(advice());
+    return held < share * settings.limits().maxOpen()
+        ? OptionalDouble.empty()
+        : OptionalDouble.of(advice());
   }
 
   @Override
@@ -240,7 +318,8 @@
     Settings.QueryClass kind = query.terms().of(settings.classes().get(c));
     double aim = Math.min(kind.aim() + kind.aimStretch() * query.work(), kind.deadline());
     if (!query.terms().ownTime() && firstTries.get(c).isLater(query.timeLeft())) {
-      // The client's clock has run since its first try, and this one has what is left of the deadline.
+      // The client's clock has run since its first try, and this one has what is left of the
+      // deadline.
       aim -= kind.deadline() - query.timeLeft();
     }
     double end = now + query.late().left(query.timeLeft(), lead);
@@ -274,7 +353,8 @@
     double reachable = 0;
     for (PartState p : q.parts) {
       Server s = pick(p, true);
-      if (s == null ? opensAt(p, q.aimAt) + tail * usual <= q.aimAt
+      if (s == null
+          ? opensAt(p, q.aimAt) + tail * usual <= q.aimAt
           : tail * latency(s) <= room || suspect(s) && now >= s.trialAt) {
         reachable += p.part.weight();
       }
@@ -288,13 +368,15 @@
 
   /** Starts held queries while the window has room, most worth per work first, then oldest aim. */
   private void admitHeld() {
-    // Guards against a node busy with nothing but the queries it holds: each is looked at now and then.
+    // Guards against a node busy with nothing but the queries it holds: each is looked at now and
+    // then.
     if (limit.isReached(partsOut) && held.stream().noneMatch(q -> now >= q.checkAt)) {
       return;
     }
     List<QueryState> order = new ArrayList<>(held);
     order.sort(
-        Comparator.<QueryState>comparingDouble(q -> -worthPerWork(q)).thenComparingDouble(q -> q.aimAt));
+        Comparator.<QueryState>comparingDouble(q -> -worthPerWork(q))
+            .thenComparingDouble(q -> q.aimAt));
     int load = partsOut;
     for (QueryState q : order) {
       if (limit.isReached(load) && now < q.checkAt) {
@@ -312,7 +394,9 @@
       }
     }
     int open = queries.values().stream().mapToInt(q -> 1 + q.missing.size()).sum();
-    for (int i = order.size() - 1; i >= 0 && open > OPEN_SHARE * share * settings.limits().maxOpen(); i--) {
+    for (int i = order.size() - 1;
+        i >= 0 && open > OPEN_SHARE * share * settings.limits().maxOpen();
+        i--) {
       if (held.contains(order.get(i))) {
         open -= order.get(i).missing.size() + 1;
         giveUp(order.get(i));
@@ -321,7 +405,8 @@
   }
 
   private double worthPerWork(QueryState q) {
-    double worth = q.kind.worth() * (tenants.isOver(q.query.tenant(), now) ? settings.overShareWorth() : 1);
+    double worth =
+        q.kind.worth() * (tenants.isOver(q.query.tenant(), now) ? settings.overShareWorth() : 1);
     return settings.worthByWork() ? worth : worth / q.parts.size();
   }
 
@@ -333,7 +418,8 @@
     if (isTimely(a, took)) {
       limit.onTimely(partsOut);
     } else if (a.server.latency <= SLOW_ALONE * usual && stall.counted(a.sent) <= a.sent) {
-      // A server that is slower than the rest by far, or a stall, is not what fewer parts out would help.
+      // A server that is slower than the rest by far, or a stall, is not what fewer parts out would
+      // help.
       limit.onLate();
     }
   }
@@ -364,7 +450,8 @@
       q.awaitsParts = false;
       startStep(q);
     }
-    // Guards against a query of very many parts, each of whose answers would have all the others looked at.
+    // Guards against a query of very many parts, each of whose answers would have all the others
+    // looked at.
     if (!finish(q) && now >= q.lookAt) {
       if (!hopeless(q)) {
         pursue(q);
@@ -396,7 +483,9 @@
 
   /** Full worth up to the aim; what the class still pays after it. */
   private double worthAt(QueryState q, double wait) {
-    return q.stepStart + wait <= q.stepAim ? 1 : q.stepStart + wait <= q.endBy ? q.kind.lateWorth() : 0;
+    return q.stepStart + wait <= q.stepAim
+        ? 1
+        : q.stepStart + wait <= q.endBy ? q.kind.lateWorth() : 0;
   }
 
   /** What an answer from so much weight earns, as a share of a whole one's worth. */
@@ -410,7 +499,10 @@
 
   // --- When to answer ----------------------------------------------------------------------------
 
-  /** Ends the query or its step if its time has come; true when nothing more is to be done for it now. */
+  /**
+   * Ends the query or its step if its time has come; true when nothing more is to be done for it
+   * now.
+   */
   private boolean finish(QueryState q) {
     if (q.awaitsParts && now < q.endBy) {
       return false;
@@ -434,7 +526,10 @@
     return false;
   }
 
-  /** Guards against silence where what can still come is too little for an answer: it is given up at once. */
+  /**
+   * Guards against silence where what can still come is too little for an answer: it is given up at
+   * once.
+   */
   private boolean hopeless(QueryState q) {
     double need = q.step == 1 ? q.kind.wholeShare() : 1;
     double hope = 1 + ROUNDING - (q.kind.mayAnswerInPart() ? q.kind.leastShare() : need);
@@ -444,18 +539,24 @@
     return hope < 0;
   }
 
-  /** When the wait ends as things stand: T*, or the extension while any of the t heaviest is missing. */
+  /**
+   * When the wait ends as things stand: T*, or the extension while any of the t heaviest is
+   * missing.
+   */
   private double waitEnd(QueryState q, double in) {
-    // Cost past the aim: no wait goes beyond it where a late whole answer pays less than what is in hand.
+    // Cost past the aim: no wait goes beyond it where a late whole answer pays less than what is in
+    // hand.
     boolean mayRunLate = valueOf(q, in) < q.kind.lateWorth();
     if (now < q.waitUntil || heaviestIn(q, EXTEND_SHARE)) {
       return q.waitUntil;
     }
     if (q.extendTo < 0) {
       ArrivalRecord record = record(q);
-      double wait = record.thin(now, RECORD_LEAST)
-          ? q.stepAim + (q.endBy - q.stepAim) / 2 - q.stepStart
-          : ArrivalRecord.percentile(record.bests(t -> worthAt(q, t), w -> valueOf(q, w)), EXTEND_PERCENTILE);
+      double wait =
+          record.thin(now, RECORD_LEAST)
+              ? q.stepAim + (q.endBy - q.stepAim) / 2 - q.stepStart
+              : ArrivalRecord.percentile(
+                  record.bests(t -> worthAt(q, t), w -> valueOf(q, w)), EXTEND_PERCENTILE);
       q.extendTo = Math.min(q.stepStart + wait, q.endBy);
     }
     return Math.max(q.waitUntil, mayRunLate ? q.extendTo : Math.min(q.extendTo, q.stepAim));
@@ -473,14 +574,22 @@
 
   private boolean heaviestIn(QueryState q, double share) {
     return q.parts.stream()
-        .sorted(Comparator.<PartState>comparingDouble(p -> -p.part.weight()).thenComparingDouble(p -> p.due))
-        .limit((int) Math.ceil(share * q.parts.size())).allMatch(p -> p.in);
+        .sorted(
+            Comparator.<PartState>comparingDouble(p -> -p.part.weight())
+                .thenComparingDouble(p -> p.due))
+        .limit((int) Math.ceil(share * q.parts.size()))
+        .allMatch(p -> p.in);
   }
 
-  /** When a missing part is due by its replica's smoothed latency; an overdue one may come any moment. */
+  /**
+   * When a missing part is due by its replica's smoothed latency; an overdue one may come any
+   * moment.
+   */
   private double dueAt(PartState p) {
-    return p.attempts.stream().filter(a -> a.open)
-        .mapToDouble(a -> Math.max(now, a.sent + expected(a.server))).min()
+    return p.attempts.stream()
+        .filter(a -> a.open)
+        .mapToDouble(a -> Math.max(now, a.sent + expected(a.server)))
+        .min()
         .orElse(isLost(p) ? Double.POSITIVE_INFINITY : now + usual);
   }
 
@@ -488,8 +597,10 @@
     out.answer(q.query.id(), whole);
     for (PartState p : q.parts) {
       if (!p.in && !whole) {
-        // Guards against a wait that talks itself down: a part cut off by the answer is censored, not
-        // absent, and counts as due by the aim, which brings back the longest wait that costs nothing.
+        // Guards against a wait that talks itself down: a part cut off by the answer is censored,
+        // not
+        // absent, and counts as due by the aim, which brings back the longest wait that costs
+        // nothing.
         p.in = true;
         double due = q.stepStart + CENSORED_AT * (q.stepAim - q.stepStart);
         q.arrivals.arrive(Math.max(now, due), p.part.weight());
@@ -509,10 +620,13 @@
     }
   }
 
-  /** The final answer of a query given up on, at once: a refusal where that is known to be harmless. */
+  /**
+   * The final answer of a query given up on, at once: a refusal where that is known to be harmless.
+   */
   private void giveUp(QueryState q) {
     boolean harmless =
-        q.kind.effect() == Settings.Effect.SAFE || q.parts.stream().noneMatch(PartState::mayHaveRun);
+        q.kind.effect() == Settings.Effect.SAFE
+            || q.parts.stream().noneMatch(PartState::mayHaveRun);
     if (harmless) {
       out.refuse(q.query.id(), advice());
     } else {
@@ -566,7 +680,8 @@
       } else {
         late(p.lastOpen());
         if (now >= copyDue(p) && p.openCount > 1) {
-          // Two that are late: the older one makes room, so that a part held by two silent servers goes on.
+          // Two that are late: the older one makes room, so that a part held by two silent servers
+          // goes on.
           cancel(p, p.firstOpen());
         } else if (now >= copyDue(p)) {
           further(p);
@@ -593,7 +708,8 @@
       s.trialGap = Math.min(2 * s.trialGap, TRIAL_GAP_MOST);
     }
     if (s.out.isEmpty() && now - s.lastHeard > FRESH_AFTER && !suspect(s)) {
-      // Guards against connections that die silently while idle and swallow what is sent next, unless new
+      // Guards against connections that die silently while idle and swallow what is sent next,
+      // unless new
       // ones are what fails: then the open ones are kept.
       a.fresh = way(s.zone).trustsFresh() && settings.prices().handshake() <= 0;
       if (a.fresh) {
@@ -616,24 +732,34 @@
     double bestCost = 0;
     int bestRank = 0;
     for (Server s : fleet.holders(p.part.shard())) {
-      // Guards against parts that use up their attempts within a moment, on a server that ends each at once.
-      boolean barred = s.down && now < s.trialAt || now < p.barredUntil(s, FULL_FOR * usual)
-          || forSend && s.slow && !s.room.takes(s.out.size(), canWait(p.query), now);
-      if (s.state != ServerState.LIVE || barred || now < s.fullUntil || p.openAt(s)
+      // Guards against parts that use up their attempts within a moment, on a server that ends each
+      // at once.
+      boolean barred =
+          s.down && now < s.trialAt
+              || now < p.barredUntil(s, FULL_FOR * usual)
+              || forSend && s.slow && !s.room.takes(s.out.size(), canWait(p.query), now);
+      if (s.state != ServerState.LIVE
+          || barred
+          || now < s.fullUntil
+          || p.openAt(s)
           || !s.cold.allows(work(p), canWait(p.query), share, now)) {
         continue;
       }
-      // Guards against a server let back in that is passed by for good, since a cold one looks slow.
+      // Guards against a server let back in that is passed by for good, since a cold one looks
+      // slow.
       boolean trial = forSend && (s.owed || suspect(s) && now >= s.trialAt);
       int rank = p.tried(s) || suspect(s) && !trial ? 1 : 0;
       double far = s.zone == settings.zone() ? 0 : ZONE_BAND * settings.prices().crossZone();
       double arrives = way(s.zone).arrives();
-      // By call where calls are shared: one that is forming takes a part in, and costs no more by itself.
+      // By call where calls are shared: one that is forming takes a part in, and costs no more by
+      // itself.
       Settings.Layout layout = settings.layout();
       double call = s.forms(now, layout.bundle()) ? 0 : layout.callWork() / Math.max(1, work(p));
-      double cost = trial ? 0 : expected(s) * (s.out.size() + 1 + call) * (1 + far) / (arrives * arrives);
-      if (best == null || rank < bestRank || rank == bestRank
-          && (cost < bestCost || cost == bestCost && s.tie < best.tie)) {
+      double cost =
+          trial ? 0 : expected(s) * (s.out.size() + 1 + call) * (1 + far) / (arrives * arrives);
+      if (best == null
+          || rank < bestRank
+          || rank == bestRank && (cost < bestCost || cost == bestCost && s.tie < best.tie)) {
         best = s;
         bestCost = cost;
         bestRank = rank;
@@ -643,26 +769,35 @@
   }
 
   /**
-   * When a holder could take a part that none takes now, as far as its state tells: at a trial, as a queue
-   * moves, at a turn with a cold one. Infinity where not by {@code until}. Guards against silence to the end.
+   * When a holder could take a part that none takes now, as far as its state tells: at a trial, as
+   * a queue moves, at a turn with a cold one. Infinity where not by {@code until}. Guards against
+   * silence to the end.
    */
   private double opensAt(PartState p, double until) {
     double first = Double.POSITIVE_INFINITY;
     for (Server s : fleet.holders(p.part.shard())) {
       double at = Math.max(now, Math.max(s.fullUntil, p.barredUntil(s, FULL_FOR * usual)));
-      at = Math.max(s.down ? Math.max(at, s.trialAt) : at,
-          s.slow ? s.room.opensAt(s.out.size(), canWait(p.query), now) : now);
-      at = s.state != ServerState.LIVE || at >= first ? first
-          : s.cold.opensAt(work(p), canWait(p.query), share, at, until);
+      at =
+          Math.max(
+              s.down ? Math.max(at, s.trialAt) : at,
+              s.slow ? s.room.opensAt(s.out.size(), canWait(p.query), now) : now);
+      at =
+          s.state != ServerState.LIVE || at >= first
+              ? first
+              : s.cold.opensAt(work(p), canWait(p.query), share, at, until);
       first = Math.min(first, at);
     }
     return first;
   }
 
-  /** A part that only serves a late answer, or one that may be given though all that is unsent stays so. */
+  /**
+   * A part that only serves a late answer, or one that may be given though all that is unsent stays
+   * so.
+   */
   private boolean canWait(QueryState q) {
     boolean early = now < q.stepStart + LATE_FACTOR * usual;
-    boolean spared = q.kind.mayAnswerInPart() && (early || q.due() >= q.kind.leastShare() - ROUNDING);
+    boolean spared =
+        q.kind.mayAnswerInPart() && (early || q.due() >= q.kind.leastShare() - ROUNDING);
     return now >= q.aimAt || spared;
   }
 
@@ -679,16 +814,21 @@
   private double copyDue(PartState p) {
     Attempt a = p.lastOpen();
     if (suspect(a.server) || a.overtaken >= OVERTAKEN) {
-      // Guards against parts that sit for seconds where little is hoped for: a suspect's own expected time is
+      // Guards against parts that sit for seconds where little is hoped for: a suspect's own
+      // expected time is
       // stretched by the very failures that made it one, so the others' time is the yardstick.
       return a.sent + LATE_FACTOR_SUSPECT * usual;
     }
     double landing = p.query.waitUntil - LANDING_ROOM * usual;
     double counted = p.query.stepStart + rules.extraWindow() - HOLD;
-    return Math.max(a.sent + LATE_FACTOR * usual, rules.budgeted() ? Math.min(landing, counted) : landing);
+    return Math.max(
+        a.sent + LATE_FACTOR * usual, rules.budgeted() ? Math.min(landing, counted) : landing);
   }
 
-  /** A second copy where copies are allowed; elsewhere the attempt is first called off, on a suspect. */
+  /**
+   * A second copy where copies are allowed; elsewhere the attempt is first called off, on a
+   * suspect.
+   */
   private void further(PartState p) {
     if (settings.limits().copies()) {
       Server s = pick(p, false);
@@ -696,9 +836,11 @@
       if (straggler && s != null && (!suspect(s) || now >= s.trialAt) && mayTryAgain(p, true)) {
         send(p, s);
       }
-    } else if (p.query.kind.effect() != Settings.Effect.UNSAFE && budget(true)
-        && (p.lastOpen().overtaken >= OVERTAKEN || suspect(p.lastOpen().server)
-        && (pick(p, false) != null || now >= p.lastOpen().sent + ALONE * usual))) {
+    } else if (p.query.kind.effect() != Settings.Effect.UNSAFE
+        && budget(true)
+        && (p.lastOpen().overtaken >= OVERTAKEN
+            || suspect(p.lastOpen().server)
+                && (pick(p, false) != null || now >= p.lastOpen().sent + ALONE * usual))) {
       p.attempts.forEach(o -> cancel(p, o));
     }
   }
@@ -715,11 +857,17 @@
   private boolean mayTryAgain(PartState p, boolean copy) {
     QueryState q = p.query;
     boolean copies = settings.limits().copies() && q.kind.effect() != Settings.Effect.UNSAFE;
-    // Guards against queries that crash what begins them: broken somewhere and answered nowhere, only one of
-    // its parts is tried again, and if that breaks too the query is the common cause and is given up.
+    // Guards against queries that crash what begins them: broken somewhere and answered nowhere,
+    // only one of
+    // its parts is tried again, and if that breaks too the query is the common cause and is given
+    // up.
     boolean cleared = !q.broken || q.in > 0 || q.parts.stream().noneMatch(o -> o.openCount > 0);
-    return cleared && !isLost(p) && p.attempts.size() < settings.limits().maxAttempts()
-        && (p.openCount == 0 || copy && copies) && now + usual <= q.endBy && budget(copy);
+    return cleared
+        && !isLost(p)
+        && p.attempts.size() < settings.limits().maxAttempts()
+        && (p.openCount == 0 || copy && copies)
+        && now + usual <= q.endBy
+        && budget(copy);
   }
 
   private boolean budget(boolean copy) {
@@ -734,12 +882,17 @@
       return p.openCount == 0 && !inTime;
     }
     boolean spent = p.attempts.size() >= settings.limits().maxAttempts();
-    return spent || p.mayHaveRun() && switch (p.query.kind.effect()) {
-      case SAFE -> false;
-      case UNSAFE -> true;
-      case KEYED -> now > p.attempts.stream().filter(a -> !a.neverRan).findFirst().orElseThrow().sent
-          + p.query.kind.dedupWindow() - settings.tick();
-    };
+    return spent
+        || p.mayHaveRun()
+            && switch (p.query.kind.effect()) {
+              case SAFE -> false;
+              case UNSAFE -> true;
+              case KEYED ->
+                  now
+                      > p.attempts.stream().filter(a -> !a.neverRan).findFirst().orElseThrow().sent
+                          + p.query.kind.dedupWindow()
+                          - settings.tick();
+            };
   }
 
   // --- Outcomes and health -----------------------------------------------------------------------
@@ -760,7 +913,8 @@
     learn(a, e);
     if (e.outcome() == Outcome.OK) {
       // Guards against a part that is swallowed on its way or there, while others are answered.
-      a.server.out.stream().filter(o -> o.sent < a.sent && ++o.overtaken == OVERTAKEN)
+      a.server.out.stream()
+          .filter(o -> o.sent < a.sent && ++o.overtaken == OVERTAKEN)
           .forEach(o -> dirty.add(o.part.query.inNeed()));
     }
     if (e.outcome() == Outcome.OK && !p.in) {
@@ -781,7 +935,8 @@
     Server s = a.server;
     double took = Math.max(e.elapsed(), now - a.sent);
     // A dead process refuses at once; what takes so long is the way or the handshake.
-    boolean noWay = e.outcome() == Outcome.UNREACHABLE && took > settings.limits().connectTimeout() / 2;
+    boolean noWay =
+        e.outcome() == Outcome.UNREACHABLE && took > settings.limits().connectTimeout() / 2;
     if (a.fresh || noWay && !suspect(s)) {
       way(s.zone).fresh(noWay);
     }
@@ -817,8 +972,10 @@
       }
       case ERROR -> failed(s);
       case FULL -> {
-        // Guards against queues that never drain: what a full one takes in is given up before its turn.
-        // It is sound all the same: a longer pause would leave it idle while the others fill up in turn.
+        // Guards against queues that never drain: what a full one takes in is given up before its
+        // turn.
+        // It is sound all the same: a longer pause would leave it idle while the others fill up in
+        // turn.
         s.fullUntil = now + FULL_FOR * usual;
         s.room.full(s.out.size(), now);
       }
@@ -840,7 +997,8 @@
   private void learnCores(Attempt a) {
     Server s = a.server;
     double work = work(a.part);
-    boolean tells = work >= CORES_TOLD_BY * settings.tick() && s.cold.warmth(a.sent) >= 1 && !s.slow;
+    boolean tells =
+        work >= CORES_TOLD_BY * settings.tick() && s.cold.warmth(a.sent) >= 1 && !s.slow;
     if (a.sent < s.lastHeard && tells) {
       fleet.cores.answered(now - s.lastHeard, work);
     }
@@ -870,8 +1028,9 @@
   }
 
   /**
-   * Guards against servers that swallow parts, all or some: a part called off or timed out long after the
-   * usual time is a failure, though others are answered; where nothing came since, silence is kept.
+   * Guards against servers that swallow parts, all or some: a part called off or timed out long
+   * after the usual time is a failure, though others are answered; where nothing came since,
+   * silence is kept.
    */
   private void unanswered(Attempt a, double took) {
     if (took > silenceAfter(a.server)) {
@@ -884,12 +1043,14 @@
 
   private boolean silent(Server s) {
     double waits = oldestAge(s);
-    return s.lastHeard <= now - waits && now - stall.counted(now - waits) > silenceAfter(s)
+    return s.lastHeard <= now - waits
+        && now - stall.counted(now - waits) > silenceAfter(s)
         && !stall.lasts(now, usual, fleet.servers());
   }
 
   private double silenceAfter(Server s) {
-    // Guards against a server that grows less suspect the longer it keeps silent: each part called off there
+    // Guards against a server that grows less suspect the longer it keeps silent: each part called
+    // off there
     // adds to its smoothed latency, which must not stretch the time it is given without bound.
     return SILENCE_FACTOR * Math.max(usual, Math.min(s.latency, SILENCE_STRETCH * usual));
   }
@@ -907,7 +1068,8 @@
       double unheard = s.out.size() > 0 ? 0 : now - Math.max(s.lastHeard, 0);
       latency += (s.latency - latency) * Math.pow(0.5, unheard / FORGET_HALF);
     }
-    // Guards against one part that is never answered making a server that answers all others look slow.
+    // Guards against one part that is never answered making a server that answers all others look
+    // slow.
     return Math.max(latency, Math.min(oldestAge(s), now - s.lastHeard));
   }
 
@@ -963,7 +1125,8 @@
     } else if (token.startsWith("q")) {
       QueryState q = queries.get(Long.parseLong(token.substring(1)));
       if (q != null) {
-        // An alarm may ring a hair before its time, which is rounded on its way: it is set anew all the same.
+        // An alarm may ring a hair before its time, which is rounded on its way: it is set anew all
+        // the same.
         q.alarm = q.alarm <= now + settings.tick() ? Double.POSITIVE_INFINITY : q.alarm;
         dirty.add(q.inNeed());
       }
--- a/src/main/java/bitternpulley/policy/State.java
+++ b/src/main/java/bitternpulley/policy/State.java
@@ -14,7 +14,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What an instance remembers of servers, queries, parts and attempts. Plain state: {@link Policy} decides. */
+/**
+ * What an instance remembers of servers, queries, parts and attempts. Plain state: {@link Policy}
+ * decides.
+ */
 final class State {
   private State() {}
 
@@ -29,8 +32,10 @@
     double failures;
     int streak;
     boolean down;
+
     /** Slow alone: its queue is kept short until it is nearly as quick as the others. */
     boolean slow;
+
     boolean owed;
     double fullUntil = Double.NEGATIVE_INFINITY;
     double brokenAt = Double.NEGATIVE_INFINITY;
@@ -94,20 +99,26 @@
 
     /** The server of a list entry, new where it was not known. */
     Server get(Router.Member m) {
-      return byName.computeIfAbsent(m.server(), id -> {
-        Server s = new Server();
-        s.id = id;
-        s.zone = m.zone();
-        s.cold = new ColdBudget(settings, now -> portion.at(now), cores);
-        cells.get(Math.floorMod(m.cell(), cells.size())).add(s);
-        return s;
-      });
+      return byName.computeIfAbsent(
+          m.server(),
+          id -> {
+            Server s = new Server();
+            s.id = id;
+            s.zone = m.zone();
+            s.cold = new ColdBudget(settings, now -> portion.at(now), cores);
+            cells.get(Math.floorMod(m.cell(), cells.size())).add(s);
+            return s;
+          });
     }
 
     /** Guards against a list that only grows: servers that are gone and owe nothing are dropped. */
     void prune() {
       for (List<Server> cell : cells) {
-        cell.removeIf(s -> s.state == Router.ServerState.GONE && s.out.isEmpty() && byName.remove(s.id) != null);
+        cell.removeIf(
+            s ->
+                s.state == Router.ServerState.GONE
+                    && s.out.isEmpty()
+                    && byName.remove(s.id) != null);
       }
     }
 
@@ -154,6 +165,7 @@
     double due = Double.POSITIVE_INFINITY;
     boolean in;
     int openCount;
+
     /** From when on a holder could take it, where none could when it was last looked for. */
     double opensAt;
 
@@ -184,10 +196,16 @@
       return openCount > 0 && attempts.stream().anyMatch(a -> a.open && a.server == s);
     }
 
-    /** Till when it is to wait where it was turned away: so many gaps as the square of its attempts so far. */
+    /**
+     * Till when it is to wait where it was turned away: so many gaps as the square of its attempts
+     * so far.
+     */
     double barredUntil(Server s, double gap) {
       double wait = attempts.size() * attempts.size() * gap;
-      return attempts.stream().filter(a -> a.server == s && a.neverRan && !a.open).mapToDouble(a -> a.sent + wait).max()
+      return attempts.stream()
+          .filter(a -> a.server == s && a.neverRan && !a.open)
+          .mapToDouble(a -> a.sent + wait)
+          .max()
           .orElse(Double.NEGATIVE_INFINITY);
     }
 
@@ -203,13 +221,17 @@
     final double aimAt;
     final double endBy;
     final List<PartState> parts = new ArrayList<>();
+
     /** The parts of the step that are not in, and the weight of those that are. */
     final Set<PartState> missing = new LinkedHashSet<>();
+
     double in;
     int step = 1;
     double stepStart;
+
     /** From when on all that is missing is to be looked at. */
     double lookAt = Double.NEGATIVE_INFINITY;
+
     boolean broken;
     boolean culprit;
     double stepAim;
@@ -250,7 +272,8 @@
       return due;
     }
 
-    QueryState(Router.Query query, Settings.QueryClass kind, double now, double aimAt, double endBy) {
+    QueryState(
+        Router.Query query, Settings.QueryClass kind, double now, double aimAt, double endBy) {
       this.query = query;
       this.kind = kind;
       this.stepStart = now;
--- a/src/main/java/bitternpulley/script/Builtins.java
+++ b/src/main/java/bitternpulley/script/Builtins.java
@@ -10,8 +10,30 @@
 
 /** The language's own functions, and the methods of texts, lists and dicts. */
 final class Builtins {
-  private static final Set<String> NAMES = Set.of("len", "range", "str", "int", "float", "bool", "list", "dict", "tuple",
-      "sorted", "reversed", "min", "max", "enumerate", "zip", "abs", "any", "all", "type", "print", "fail", "repr");
+  private static final Set<String> NAMES =
+      Set.of(
+          "len",
+          "range",
+          "str",
+          "int",
+          "float",
+          "bool",
+          "list",
+          "dict",
+          "tuple",
+          "sorted",
+          "reversed",
+          "min",
+          "max",
+          "enumerate",
+          "zip",
+          "abs",
+          "any",
+          "all",
+          "type",
+          "print",
+          "fail",
+          "repr");
 
   private final Meter meter;
   private final Values values;
@@ -26,7 +48,10 @@
   }
 
   Object call(String name, List<Object> plain, Map<String, Host.Value> named, Place at) {
-    boolean reverse = named.containsKey("reverse") && name.equals("sorted") && Values.truth(named.get("reverse").value());
+    boolean reverse =
+        named.containsKey("reverse")
+            && name.equals("sorted")
+            && Values.truth(named.get("reverse").value());
     if (!named.isEmpty() && !(name.equals("sorted") && named.keySet().equals(Set.of("reverse")))) {
       throw new ScriptException(at, name + "() has no '" + named.keySet().iterator().next() + "'");
     }
@@ -43,8 +68,10 @@
       case "range" -> range(plain, at);
       case "min", "max" -> extreme(name, plain, at);
       case "zip" -> zip(plain, at);
-      case "list" -> plain.isEmpty() ? new ArrayList<>() : values.elements(one(name, plain, at), at);
-      case "tuple" -> new Values.Tuple(plain.isEmpty() ? List.of() : values.elements(one(name, plain, at), at));
+      case "list" ->
+          plain.isEmpty() ? new ArrayList<>() : values.elements(one(name, plain, at), at);
+      case "tuple" ->
+          new Values.Tuple(plain.isEmpty() ? List.of() : values.elements(one(name, plain, at), at));
       case "dict" -> plain.isEmpty() ? new LinkedHashMap<>() : dict(one(name, plain, at), at);
       case "sorted" -> sorted(one(name, plain, at), reverse, at);
       default -> single(name, one(name, plain, at), at);
@@ -53,15 +80,18 @@
 
   private Object single(String name, Object v, Place at) {
     return switch (name) {
-      case "len" -> v instanceof String s ? (Object) (long) s.length() : (long) values.elements(v, at).size();
+      case "len" ->
+          v instanceof String s ? (Object) (long) s.length() : (long) values.elements(v, at).size();
       case "str" -> values.text(v, at);
       case "repr" -> values.written(v, at);
       case "int" -> whole(v, at);
       case "float" -> real(v, at);
       case "bool" -> Values.truth(v);
       case "type" -> Values.type(v);
-      case "abs" -> v instanceof Long l && l != Long.MIN_VALUE ? (Object) Math.abs(l) : v instanceof Double d ? Math.abs(d)
-          : refuse(name, v, at);
+      case "abs" ->
+          v instanceof Long l && l != Long.MIN_VALUE
+              ? (Object) Math.abs(l)
+              : v instanceof Double d ? Math.abs(d) : refuse(name, v, at);
       case "any" -> values.elements(v, at).stream().anyMatch(Values::truth);
       case "all" -> values.elements(v, at).stream().allMatch(Values::truth);
       case "reversed" -> reversed(values.elements(v, at));
@@ -164,9 +194,15 @@
 
   private Object whole(Object v, Place at) {
     try {
-      return v instanceof Long ? v : v instanceof Boolean b ? (Object) (b ? 1L : 0L)
-          : v instanceof Double d && Math.abs(d) < 9e18 ? (Object) (long) (double) d
-          : v instanceof String s ? (Object) Long.parseLong(s.strip()) : refuse("int", v, at);
+      return v instanceof Long
+          ? v
+          : v instanceof Boolean b
+              ? (Object) (b ? 1L : 0L)
+              : v instanceof Double d && Math.abs(d) < 9e18
+                  ? (Object) (long) (double) d
+                  : v instanceof String s
+                      ? (Object) Long.parseLong(s.strip())
+                      : refuse("int", v, at);
     } catch (NumberFormatException e) {
       throw new ScriptException(at, values.written(v, at) + " is not a whole number");
     }
@@ -174,8 +210,12 @@
 
   private Object real(Object v, Place at) {
     try {
-      double d = v instanceof Number n ? n.doubleValue() : v instanceof String s ? Double.parseDouble(s.strip())
-          : (Double) refuse("float", v, at);
+      double d =
+          v instanceof Number n
+              ? n.doubleValue()
+              : v instanceof String s
+                  ? Double.parseDouble(s.strip())
+                  : (Double) refuse("float", v, at);
       if (Double.isNaN(d) || Double.isInfinite(d)) {
         throw new ScriptException(at, "a number that is not finite");
       }
@@ -187,18 +227,25 @@
 
   // --- Methods -----------------------------------------------------------------------------------
 
-  Object method(Object of, String name, List<Object> plain, Map<String, Host.Value> named, Place at) {
+  Object method(
+      Object of, String name, List<Object> plain, Map<String, Host.Value> named, Place at) {
     if (of instanceof String s && name.equals("format")) {
       return format(s, plain, named, at);
     }
     if (!named.isEmpty()) {
       throw new ScriptException(at, "." + name + "() takes no arguments by name");
     }
-    Object made = of instanceof String s ? text(s, name, plain, at)
-        : of instanceof Map ? dict(Values.dict(of), name, plain, at)
-        : of instanceof List && !(of instanceof Values.Tuple) ? list(Values.list(of), name, plain, at) : null;
+    Object made =
+        of instanceof String s
+            ? text(s, name, plain, at)
+            : of instanceof Map
+                ? dict(Values.dict(of), name, plain, at)
+                : of instanceof List && !(of instanceof Values.Tuple)
+                    ? list(Values.list(of), name, plain, at)
+                    : null;
     if (made == null) {
-      throw new ScriptException(at, "a " + Values.type(of) + " has no ." + name + "() of " + plain.size() + " arguments");
+      throw new ScriptException(
+          at, "a " + Values.type(of) + " has no ." + name + "() of " + plain.size() + " arguments");
     }
     return made;
   }
@@ -210,7 +257,10 @@
         case "upper" -> s.toUpperCase(Locale.ROOT);
         case "lower" -> s.toLowerCase(Locale.ROOT);
         case "strip" -> s.strip();
-        case "split" -> s.isBlank() ? new ArrayList<>() : new ArrayList<Object>(Arrays.asList(s.strip().split("\\s+")));
+        case "split" ->
+            s.isBlank()
+                ? new ArrayList<>()
+                : new ArrayList<Object>(Arrays.asList(s.strip().split("\\s+")));
         default -> null;
       };
     }
@@ -232,18 +282,27 @@
     if (plain.size() == 2) {
       return name.equals("replace") ? replaced(s, first, (String) plain.get(1), at) : null;
     }
-    return plain.size() != 1 ? null : switch (name) {
-      case "startswith" -> s.startsWith(first);
-      case "endswith" -> s.endsWith(first);
-      case "count" -> (long) (first.isEmpty() ? s.length() + 1 : s.split(java.util.regex.Pattern.quote(first), -1).length - 1);
-      case "find" -> (long) s.indexOf(first);
-      case "split" -> split(s, first, at);
-      default -> null;
-    };
+    return plain.size() != 1
+        ? null
+        : switch (name) {
+          case "startswith" -> s.startsWith(first);
+          case "endswith" -> s.endsWith(first);
+          case "count" ->
+              (long)
+                  (first.isEmpty()
+                      ? s.length() + 1
+                      : s.split(java.util.regex.Pattern.quote(first), -1).length - 1);
+          case "find" -> (long) s.indexOf(first);
+          case "split" -> split(s, first, at);
+          default -> null;
+        };
   }
 
   private Object replaced(String s, String what, String by, Place at) {
-    long times = what.isEmpty() ? s.length() + 1L : s.split(java.util.regex.Pattern.quote(what), -1).length - 1L;
+    long times =
+        what.isEmpty()
+            ? s.length() + 1L
+            : s.split(java.util.regex.Pattern.quote(what), -1).length - 1L;
     meter.make(s.length() + times * by.length(), at);
     return s.replace(what, by);
   }
--- a/src/main/java/bitternpulley/script/Expressions.java
+++ b/src/main/java/bitternpulley/script/Expressions.java
@@ -93,7 +93,9 @@
   public Object visitCompare(ScriptParser.CompareContext c) {
     Object a = of(c.test(0));
     Object b = of(c.test(1));
-    return c.not == null ? values.compare(c.op.getText(), a, b, place(c)) : !values.compare("in", a, b, place(c));
+    return c.not == null
+        ? values.compare(c.op.getText(), a, b, place(c))
+        : !values.compare("in", a, b, place(c));
   }
 
   @Override
@@ -137,15 +139,19 @@
       if (index < 0 || index >= size) {
         throw new ScriptException(place(c), "there is no element " + i + " of " + size);
       }
-      return of instanceof String s ? s.substring((int) index, (int) index + 1) : Values.list(of).get((int) index);
+      return of instanceof String s
+          ? s.substring((int) index, (int) index + 1)
+          : Values.list(of).get((int) index);
     }
-    throw new ScriptException(place(c), "a " + Values.type(of) + " has no elements by " + Values.type(at));
+    throw new ScriptException(
+        place(c), "a " + Values.type(of) + " has no elements by " + Values.type(at));
   }
 
   @Override
   public Object visitSlice(ScriptParser.SliceContext c) {
     Object of = of(c.test(0));
-    int size = of instanceof String s ? s.length() : of instanceof List ? Values.list(of).size() : -1;
+    int size =
+        of instanceof String s ? s.length() : of instanceof List ? Values.list(of).size() : -1;
     if (size < 0) {
       throw new ScriptException(place(c), "a " + Values.type(of) + " cannot be cut");
     }
@@ -182,7 +188,8 @@
     if (c.test() instanceof ScriptParser.MemberContext m) {
       receiver = of(m.test());
       name = m.NAME().getText();
-    } else if (c.test() instanceof ScriptParser.PlainContext p && p.atom() instanceof ScriptParser.ReadContext r) {
+    } else if (c.test() instanceof ScriptParser.PlainContext p
+        && p.atom() instanceof ScriptParser.ReadContext r) {
       name = r.NAME().getText();
       target = scope.get(name);
     } else {
@@ -193,7 +200,8 @@
       Object v = of(a.test());
       if (a.NAME() == null) {
         if (!named.isEmpty()) {
-          throw new ScriptException(place(a), "an argument without a name stands behind one with a name");
+          throw new ScriptException(
+              place(a), "an argument without a name stands behind one with a name");
         }
         plain.add(v);
       } else if (named.put(a.NAME().getText(), new Host.Value(v, place(a))) != null) {
@@ -216,8 +224,11 @@
     if (target == null && name != null && Builtins.knows(name)) {
       return builtins.call(name, plain, named, at);
     }
-    throw new ScriptException(at, target == null ? "nothing is called '" + name + "'"
-        : "a " + Values.type(target) + " cannot be called");
+    throw new ScriptException(
+        at,
+        target == null
+            ? "nothing is called '" + name + "'"
+            : "a " + Values.type(target) + " cannot be called");
   }
 
   @Override
@@ -251,7 +262,9 @@
   public Object visitInteger(ScriptParser.IntegerContext c) {
     String text = c.INTEGER().getText().replace("_", "");
     try {
-      return text.startsWith("0x") || text.startsWith("0X") ? Long.parseLong(text.substring(2), 16) : Long.parseLong(text);
+      return text.startsWith("0x") || text.startsWith("0X")
+          ? Long.parseLong(text.substring(2), 16)
+          : Long.parseLong(text);
     } catch (NumberFormatException e) {
       throw new ScriptException(place(c), "the number is too large");
     }
@@ -290,7 +303,7 @@
         case 't' -> out.append('\t');
         case 'r' -> out.append('\r');
         case '\\', '"', '\'' -> out.append(escaped);
-        case '\n' -> { }
+        case '\n' -> {}
         default -> throw new ScriptException(at, "'\\" + escaped + "' stands for nothing");
       }
     }
@@ -332,20 +345,28 @@
   @Override
   public Object visitListOf(ScriptParser.ListOfContext c) {
     List<Object> made = new ArrayList<>();
-    comprehend(c.clause(), 0, new Scope(scope), in -> {
-      meter.make(1, place(c));
-      made.add(of(c.test(), in));
-    });
+    comprehend(
+        c.clause(),
+        0,
+        new Scope(scope),
+        in -> {
+          meter.make(1, place(c));
+          made.add(of(c.test(), in));
+        });
     return made;
   }
 
   @Override
   public Object visitDictOf(ScriptParser.DictOfContext c) {
     Map<Object, Object> made = new LinkedHashMap<>();
-    comprehend(c.clause(), 0, new Scope(scope), in -> {
-      meter.make(1, place(c));
-      made.put(values.key(of(c.entry().key, in), place(c)), of(c.entry().value, in));
-    });
+    comprehend(
+        c.clause(),
+        0,
+        new Scope(scope),
+        in -> {
+          meter.make(1, place(c));
+          made.put(values.key(of(c.entry().key, in), place(c)), of(c.entry().value, in));
+        });
     return made;
   }
 
--- a/src/main/java/bitternpulley/script/Function.java
+++ b/src/main/java/bitternpulley/script/Function.java
@@ -6,14 +6,22 @@
 final class Function {
   final String name;
   final List<String> parameters;
+
   /** Null for a parameter that must be given. */
   final List<Object> defaults;
+
   final ScriptParser.SuiteContext body;
   final Scope scope;
+
   /** Guards against recursion, which has no bound that a reader could see. */
   boolean running;
 
-  Function(String name, List<String> parameters, List<Object> defaults, ScriptParser.SuiteContext body, Scope scope) {
+  Function(
+      String name,
+      List<String> parameters,
+      List<Object> defaults,
+      ScriptParser.SuiteContext body,
+      Scope scope) {
     this.name = name;
     this.parameters = parameters;
     this.defaults = defaults;
--- a/src/main/java/bitternpulley/script/Host.java
+++ b/src/main/java/bitternpulley/script/Host.java
@@ -8,8 +8,8 @@
   boolean knows(String function);
 
   /**
-   * Calls a function with its arguments by name, each with its place; the result, None for null, is the call's value.
-   * Throws {@link ScriptException} where it cannot be called so.
+   * Calls a function with its arguments by name, each with its place; the result, None for null, is
+   * the call's value. Throws {@link ScriptException} where it cannot be called so.
    */
   Object call(String function, Map<String, Value> arguments, Place at);
 
--- a/src/main/java/bitternpulley/script/Layout.java
+++ b/src/main/java/bitternpulley/script/Layout.java
@@ -11,8 +11,8 @@
 import org.antlr.v4.runtime.TokenSource;
 
 /**
- * Tells lines and blocks by their indentation, after the rules of Starlark's specification, and keeps to the bounds on
- * nesting before the parser, which recurses, gets to see them.
+ * Tells lines and blocks by their indentation, after the rules of Starlark's specification, and
+ * keeps to the bounds on nesting before the parser, which recurses, gets to see them.
  */
 final class Layout {
   /** Columns that a tab stands for. */
@@ -71,7 +71,7 @@
       case "(", "[", "{" -> brackets++;
       case ")", "]", "}" -> brackets = Math.max(0, brackets - 1);
       case "not", "-", "+", "else", "elif" -> prefixes++;
-      default -> { }
+      default -> {}
     }
     // Guards against a text on which a parser that recurses runs out of stack.
     if (brackets > deepest || prefixes > 4 * deepest) {
@@ -97,13 +97,15 @@
       add(newline, ScriptParser.DEDENT);
     }
     if (width != indents.peek()) {
-      throw new ScriptException(new Place(file, newline.getLine() + 1, width + 1),
+      throw new ScriptException(
+          new Place(file, newline.getLine() + 1, width + 1),
           "the line is indented like none of the blocks that it could belong to");
     }
   }
 
   private void end() {
-    Token last = out.isEmpty() ? new CommonToken(ScriptLexer.NEWLINE, "\n") : out.get(out.size() - 1);
+    Token last =
+        out.isEmpty() ? new CommonToken(ScriptLexer.NEWLINE, "\n") : out.get(out.size() - 1);
     if (lineOpen) {
       add(last, ScriptLexer.NEWLINE);
     }
@@ -114,8 +116,14 @@
   }
 
   private void add(Token at, int type) {
-    CommonToken made = new CommonToken(type, type == ScriptLexer.NEWLINE ? "end of line" : type == Token.EOF
-        ? "end of file" : type == ScriptParser.INDENT ? "indentation" : "end of block");
+    CommonToken made =
+        new CommonToken(
+            type,
+            type == ScriptLexer.NEWLINE
+                ? "end of line"
+                : type == Token.EOF
+                    ? "end of file"
+                    : type == ScriptParser.INDENT ? "indentation" : "end of block");
     // A block begins and ends where the next line does.
     boolean nextLine = type == ScriptParser.INDENT || type == ScriptParser.DEDENT;
     made.setLine(at.getLine() + (nextLine ? 1 : 0));
--- a/src/main/java/bitternpulley/script/Meter.java
+++ b/src/main/java/bitternpulley/script/Meter.java
@@ -22,7 +22,8 @@
   void make(long amount, Place at) {
     memory += amount;
     if (amount < 0 || memory > bounds.memory()) {
-      throw new ScriptException(at, "its values take more than " + bounds.memory() + " characters and elements");
+      throw new ScriptException(
+          at, "its values take more than " + bounds.memory() + " characters and elements");
     }
   }
 
--- a/src/main/java/bitternpulley/script/Statements.java
+++ b/src/main/java/bitternpulley/script/Statements.java
@@ -10,7 +10,12 @@
 /** Carries out statements, one after the other. */
 final class Statements {
   /** How a statement ended: by itself, or by leaving what it stands in. */
-  private enum End { ON, NEXT, LEAVE, GIVE }
+  private enum End {
+    ON,
+    NEXT,
+    LEAVE,
+    GIVE
+  }
 
   private final Meter meter;
   private final Expressions expressions;
@@ -36,7 +41,8 @@
       throw new ScriptException(at, "'" + f.name + "' calls itself, which is not allowed");
     }
     if (plain.size() > f.parameters.size()) {
-      throw new ScriptException(at, f.name + "() takes " + f.parameters.size() + " arguments, not " + plain.size());
+      throw new ScriptException(
+          at, f.name + "() takes " + f.parameters.size() + " arguments, not " + plain.size());
     }
     Scope own = new Scope(f.scope);
     Map<String, Host.Value> left = new LinkedHashMap<>(named);
@@ -46,14 +52,16 @@
       if (i < plain.size() && byName != null) {
         throw new ScriptException(byName.at(), "'" + parameter + "' is given twice");
       }
-      Object v = i < plain.size() ? plain.get(i) : byName != null ? byName.value() : f.defaults.get(i);
+      Object v =
+          i < plain.size() ? plain.get(i) : byName != null ? byName.value() : f.defaults.get(i);
       if (v == null) {
         throw new ScriptException(at, f.name + "() needs '" + parameter + "'");
       }
       own.set(parameter, v);
     }
     for (Map.Entry<String, Host.Value> unknown : left.entrySet()) {
-      throw new ScriptException(unknown.getValue().at(), f.name + "() has no '" + unknown.getKey() + "'");
+      throw new ScriptException(
+          unknown.getValue().at(), f.name + "() has no '" + unknown.getKey() + "'");
     }
     f.running = true;
     meter.deeper(at);
@@ -140,7 +148,8 @@
       parameters.add(p.NAME().getText());
       defaults.add(p.test() == null ? null : expressions.of(p.test(), in));
     }
-    in.set(d.NAME().getText(), new Function(d.NAME().getText(), parameters, defaults, d.suite(), in));
+    in.set(
+        d.NAME().getText(), new Function(d.NAME().getText(), parameters, defaults, d.suite(), in));
   }
 
   private End choose(ScriptParser.ConditionalContext c, Scope in) {
@@ -204,8 +213,14 @@
       if (a.target.test().size() != 1) {
         throw new ScriptException(expressions.place(a.target), "'" + op + "' takes one name");
       }
-      value = expressions.values().combine(op.substring(0, op.length() - 1), expressions.of(a.target.test(0), in), value,
-          expressions.place(a));
+      value =
+          expressions
+              .values()
+              .combine(
+                  op.substring(0, op.length() - 1),
+                  expressions.of(a.target.test(0), in),
+                  value,
+                  expressions.place(a));
     }
     if (a.target.test().size() == 1 && a.target.getChildCount() == 1) {
       assign(a.target.test(0), value, in);
@@ -223,9 +238,11 @@
 
   private void assign(ScriptParser.TestContext target, Object value, Scope in) {
     Place at = expressions.place(target);
-    if (target instanceof ScriptParser.PlainContext p && p.atom() instanceof ScriptParser.ReadContext r) {
+    if (target instanceof ScriptParser.PlainContext p
+        && p.atom() instanceof ScriptParser.ReadContext r) {
       in.set(r.NAME().getText(), value);
-    } else if (target instanceof ScriptParser.PlainContext p && p.atom() instanceof ScriptParser.TupleContext t) {
+    } else if (target instanceof ScriptParser.PlainContext p
+        && p.atom() instanceof ScriptParser.TupleContext t) {
       assignAll(t.test(), value, in, at);
     } else if (target instanceof ScriptParser.ItemContext item) {
       store(expressions.of(item.test(0), in), expressions.of(item.test(1), in), value, at);
--- a/src/main/java/bitternpulley/script/Values.java
+++ b/src/main/java/bitternpulley/script/Values.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * What values are and how they combine: {@code Long}, {@code Double}, {@code Boolean}, {@code String}, {@code List} (tuples are
- * lists that cannot be changed), {@code Map}, {@link Function}, {@link None} and what the host gives. The rules are Starlark's.
+ * What values are and how they combine: {@code Long}, {@code Double}, {@code Boolean}, {@code
+ * String}, {@code List} (tuples are lists that cannot be changed), {@code Map}, {@link Function},
+ * {@link None} and what the host gives. The rules are Starlark's.
  */
 final class Values {
   /** Levels of lists in lists that are written out or compared. */
@@ -23,15 +24,37 @@
   }
 
   static String type(Object v) {
-    return v instanceof Long ? "int" : v instanceof Double ? "float" : v instanceof Boolean ? "bool"
-        : v instanceof String ? "string" : v instanceof Map ? "dict" : v instanceof Tuple ? "tuple"
-        : v instanceof List ? "list" : v instanceof Function ? "function" : v instanceof None ? "NoneType" : "value";
+    return v instanceof Long
+        ? "int"
+        : v instanceof Double
+            ? "float"
+            : v instanceof Boolean
+                ? "bool"
+                : v instanceof String
+                    ? "string"
+                    : v instanceof Map
+                        ? "dict"
+                        : v instanceof Tuple
+                            ? "tuple"
+                            : v instanceof List
+                                ? "list"
+                                : v instanceof Function
+                                    ? "function"
+                                    : v instanceof None ? "NoneType" : "value";
   }
 
   static boolean truth(Object v) {
-    return v instanceof Boolean b ? b : v instanceof Long l ? l != 0 : v instanceof Double d ? d != 0
-        : v instanceof String s ? !s.isEmpty() : v instanceof Collection<?> c ? !c.isEmpty()
-        : v instanceof Map<?, ?> m ? !m.isEmpty() : v != None.NONE;
+    return v instanceof Boolean b
+        ? b
+        : v instanceof Long l
+            ? l != 0
+            : v instanceof Double d
+                ? d != 0
+                : v instanceof String s
+                    ? !s.isEmpty()
+                    : v instanceof Collection<?> c
+                        ? !c.isEmpty()
+                        : v instanceof Map<?, ?> m ? !m.isEmpty() : v != None.NONE;
   }
 
   /** A list that cannot be changed. */
@@ -77,12 +100,20 @@
   }
 
   Object key(Object v, Place at) {
-    boolean fits = v instanceof String || v instanceof Long || v instanceof Boolean || v instanceof Double
-        || v instanceof None || v instanceof Tuple t && t.stream().allMatch(e -> !(e instanceof List) || e instanceof Tuple);
+    boolean fits =
+        v instanceof String
+            || v instanceof Long
+            || v instanceof Boolean
+            || v instanceof Double
+            || v instanceof None
+            || v instanceof Tuple t
+                && t.stream().allMatch(e -> !(e instanceof List) || e instanceof Tuple);
     if (!fits) {
       throw new ScriptException(at, "a " + type(v) + " cannot be a key");
     }
-    return v instanceof Double d && d == Math.rint(d) && Math.abs(d) < 1e15 ? (Object) (long) (double) d : v;
+    return v instanceof Double d && d == Math.rint(d) && Math.abs(d) < 1e15
+        ? (Object) (long) (double) d
+        : v;
   }
 
   // --- Arithmetic --------------------------------------------------------------------------------
@@ -119,7 +150,8 @@
     if (op.equals("%") && a instanceof String s) {
       return percent(s, b, at);
     }
-    throw new ScriptException(at, "'" + op + "' does not go with a " + type(a) + " and a " + type(b));
+    throw new ScriptException(
+        at, "'" + op + "' does not go with a " + type(a) + " and a " + type(b));
   }
 
   private Object whole(String op, long x, long y, Place at) {
@@ -149,15 +181,16 @@
     if (y == 0 && !op.equals("+") && !op.equals("-") && !op.equals("*")) {
       throw new ScriptException(at, "division by zero");
     }
-    double made = switch (op) {
-      case "+" -> x + y;
-      case "-" -> x - y;
-      case "*" -> x * y;
-      case "/" -> x / y;
-      case "//" -> Math.floor(x / y);
-      case "%" -> x - y * Math.floor(x / y);
-      default -> throw new ScriptException(at, "'" + op + "' does not go with numbers");
-    };
+    double made =
+        switch (op) {
+          case "+" -> x + y;
+          case "-" -> x - y;
+          case "*" -> x * y;
+          case "/" -> x / y;
+          case "//" -> Math.floor(x / y);
+          case "%" -> x - y * Math.floor(x / y);
+          default -> throw new ScriptException(at, "'" + op + "' does not go with numbers");
+        };
     if (Double.isNaN(made) || Double.isInfinite(made)) {
       throw new ScriptException(at, "the number is too large");
     }
@@ -182,7 +215,9 @@
   }
 
   Object negative(Object v, Place at) {
-    return v instanceof Long l ? whole("-", 0, l, at) : v instanceof Double d ? (Object) (-d) : fail(at, "-", v);
+    return v instanceof Long l
+        ? whole("-", 0, l, at)
+        : v instanceof Double d ? (Object) (-d) : fail(at, "-", v);
   }
 
   private static Object fail(Place at, String op, Object v) {
@@ -219,7 +254,9 @@
   boolean equal(Object a, Object b, int depth, Place at) {
     step(depth, at);
     if (a instanceof Number x && b instanceof Number y) {
-      return a instanceof Long && b instanceof Long ? a.equals(b) : x.doubleValue() == y.doubleValue();
+      return a instanceof Long && b instanceof Long
+          ? a.equals(b)
+          : x.doubleValue() == y.doubleValue();
     }
     if (a instanceof List && b instanceof List) {
       Iterator<Object> x = list(a).iterator();
@@ -232,8 +269,12 @@
       return !x.hasNext() && !y.hasNext() && type(a).equals(type(b));
     }
     if (a instanceof Map && b instanceof Map) {
-      return dict(a).size() == dict(b).size() && dict(a).entrySet().stream().allMatch(
-          e -> dict(b).containsKey(e.getKey()) && equal(e.getValue(), dict(b).get(e.getKey()), depth + 1, at));
+      return dict(a).size() == dict(b).size()
+          && dict(a).entrySet().stream()
+              .allMatch(
+                  e ->
+                      dict(b).containsKey(e.getKey())
+                          && equal(e.getValue(), dict(b).get(e.getKey()), depth + 1, at));
     }
     return a.equals(b);
   }
@@ -288,7 +329,9 @@
     step(depth, at);
     int before = out.length();
     if (v instanceof String s) {
-      out.append('"').append(s.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n")).append('"');
+      out.append('"')
+          .append(s.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n"))
+          .append('"');
     } else if (v instanceof Boolean b) {
       out.append(b ? "True" : "False");
     } else if (v instanceof List) {
@@ -349,9 +392,16 @@
     return switch (letter) {
       case 's' -> text(v, at);
       case 'r' -> written(v, at);
-      case 'd' -> v instanceof Number n ? String.valueOf((long) n.doubleValue()) : (String) fail(at, "%d", v);
-      case 'f' -> v instanceof Number n ? String.format(Locale.ROOT, "%f", n.doubleValue()) : (String) fail(at, "%f", v);
-      case 'g' -> v instanceof Number n ? String.valueOf(n.doubleValue()) : (String) fail(at, "%g", v);
+      case 'd' ->
+          v instanceof Number n
+              ? String.valueOf((long) n.doubleValue())
+              : (String) fail(at, "%d", v);
+      case 'f' ->
+          v instanceof Number n
+              ? String.format(Locale.ROOT, "%f", n.doubleValue())
+              : (String) fail(at, "%f", v);
+      case 'g' ->
+          v instanceof Number n ? String.valueOf(n.doubleValue()) : (String) fail(at, "%g", v);
       default -> throw new ScriptException(at, "'%" + letter + "' is not one of %s %r %d %f %g %%");
     };
   }
--- a/src/main/java/bitternpulley/simhost/Host.java
+++ b/src/main/java/bitternpulley/simhost/Host.java
@@ -6,10 +6,10 @@
 import static bitternpulley.config.Fields.number;
 import static bitternpulley.config.Fields.text;
 
-import bitternpulley.policy.Policy;
-import bitternpulley.routing.Router;
 import bitternpulley.config.ConfigException;
 import bitternpulley.config.SettingsReader;
+import bitternpulley.policy.Policy;
+import bitternpulley.routing.Router;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -23,7 +23,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Translates batches into events for the instances, and their actions into replies. One policy per instance. */
+/**
+ * Translates batches into events for the instances, and their actions into replies. One policy per
+ * instance.
+ */
 public final class Host {
   private final ObjectMapper mapper = new ObjectMapper();
   private final Map<Integer, Router> routers = new HashMap<>();
@@ -75,7 +78,10 @@
     }
   }
 
-  /** A policy that throws has failed, and says so; text that cannot be read is the sender's fault and ends the run. */
+  /**
+   * A policy that throws has failed, and says so; text that cannot be read is the sender's fault
+   * and ends the run.
+   */
   private static void guarded(int who, WireActions out, Runnable step) {
     try {
       step.run();
@@ -89,7 +95,9 @@
 
   private void event(String verb, JsonNode e, int who, double now, WireActions out) {
     if (verb.equals("launch")) {
-      routers.put(who, new Policy(SettingsReader.read(need(e, "profileData")), integer(e, "entropy"), now, out));
+      routers.put(
+          who,
+          new Policy(SettingsReader.read(need(e, "profileData")), integer(e, "entropy"), now, out));
       return;
     }
     if (verb.equals("teardown")) {
@@ -103,26 +111,42 @@
     switch (verb) {
       case "fleet" -> fleet(router, e, now, out);
       case "workItem" -> workItem(router, e, now, out);
-      case "settled" -> router.ended(
-          new Router.Ended(integer(e, "ref"), (int) number(e, "roundNo", 0), text(e, "server"),
-              outcome(text(e, "disposition")), number(e, "elapsed", 0), row(e)), now, out);
+      case "settled" ->
+          router.ended(
+              new Router.Ended(
+                  integer(e, "ref"),
+                  (int) number(e, "roundNo", 0),
+                  text(e, "server"),
+                  outcome(text(e, "disposition")),
+                  number(e, "elapsed", 0),
+                  row(e)),
+              now,
+              out);
       case "hangup" -> router.gone(integer(e, "ref"), now, out);
       case "timer" -> router.alarm(text(e, "token"), now, out);
-      case "checkResult" -> router.probed(
-          new Router.Probed(text(e, "server"), text(e, "disposition").equals("completed"), number(e, "elapsed", 0),
-              row(e)), now, out);
-      default -> { } // streams, peer messages and what later wires add: tolerated
+      case "checkResult" ->
+          router.probed(
+              new Router.Probed(
+                  text(e, "server"),
+                  text(e, "disposition").equals("completed"),
+                  number(e, "elapsed", 0),
+                  row(e)),
+              now,
+              out);
+      default -> {} // streams, peer messages and what later wires add: tolerated
     }
   }
 
   private void fleet(Router router, JsonNode e, double now, WireActions out) {
-    Router.ListKind kind = switch (text(e, "kind")) {
-      case "Partial" -> Router.ListKind.CHANGES;
-      case "Complete" -> Router.ListKind.COMPLETE;
-      case "Persisted" -> Router.ListKind.REMEMBERED;
-      default -> Router.ListKind.FAILED;
-    };
-    List<Router.Member> entries = kind == Router.ListKind.FAILED ? List.of() : lists.get(integer(e, "buffer"));
+    Router.ListKind kind =
+        switch (text(e, "kind")) {
+          case "Partial" -> Router.ListKind.CHANGES;
+          case "Complete" -> Router.ListKind.COMPLETE;
+          case "Persisted" -> Router.ListKind.REMEMBERED;
+          default -> Router.ListKind.FAILED;
+        };
+    List<Router.Member> entries =
+        kind == Router.ListKind.FAILED ? List.of() : lists.get(integer(e, "buffer"));
     if (entries == null) {
       throw new WireException("field 'buffer' names no list");
     }
@@ -134,10 +158,21 @@
     double amount = number(e, "shareOrCount", 0);
     double work = number(e, "expected", 0);
     if (shard < 0) {
-      router.query(new Router.Query(integer(e, "ref"), integer(e, "groupNo"), (int) number(e, "lane", 0),
-          (int) amount, work, flag(e, "isRetry"), number(e, "expiresIn"), (int) number(e, "org", 0)), now, out);
+      router.query(
+          new Router.Query(
+              integer(e, "ref"),
+              integer(e, "groupNo"),
+              (int) number(e, "lane", 0),
+              (int) amount,
+              work,
+              flag(e, "isRetry"),
+              number(e, "expiresIn"),
+              (int) number(e, "org", 0)),
+          now,
+          out);
     } else {
-      router.part(new Router.Part(integer(e, "ref"), integer(e, "groupNo"), shard, amount, work), now, out);
+      router.part(
+          new Router.Part(integer(e, "ref"), integer(e, "groupNo"), shard, amount, work), now, out);
     }
   }
 
@@ -156,13 +191,19 @@
   private static List<Router.Member> members(JsonNode entries) {
     List<Router.Member> read = new ArrayList<>();
     for (JsonNode m : entries) {
-      Router.ServerState state = switch (m.path("availability").asText("live")) {
-        case "quiescing" -> Router.ServerState.DRAINING;
-        case "dead" -> Router.ServerState.GONE;
-        default -> Router.ServerState.LIVE;
-      };
-      read.add(new Router.Member(text(m, "server"), (int) number(m, "regionPart", 0), (int) number(m, "setNo", 0),
-          state, number(m, "startedAt", 0)));
+      Router.ServerState state =
+          switch (m.path("availability").asText("live")) {
+            case "quiescing" -> Router.ServerState.DRAINING;
+            case "dead" -> Router.ServerState.GONE;
+            default -> Router.ServerState.LIVE;
+          };
+      read.add(
+          new Router.Member(
+              text(m, "server"),
+              (int) number(m, "regionPart", 0),
+              (int) number(m, "setNo", 0),
+              state,
+              number(m, "startedAt", 0)));
     }
     return List.copyOf(read);
   }
--- a/src/main/java/bitternpulley/simhost/Main.java
+++ b/src/main/java/bitternpulley/simhost/Main.java
@@ -13,7 +13,8 @@
 
   public static void main(String[] args) throws IOException {
     Host host = new Host();
-    BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
+    BufferedReader in =
+        new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
     Writer out = new OutputStreamWriter(System.out, StandardCharsets.UTF_8);
     long batch = 0;
     for (String line = in.readLine(); line != null; line = in.readLine()) {
--- a/src/main/java/bitternpulley/simhost/WireActions.java
+++ b/src/main/java/bitternpulley/simhost/WireActions.java
@@ -37,35 +37,43 @@
 
   @Override
   public void send(long part, String server, double timeout) {
-    action("issue", () -> {
-      out.writeNumberField("ref", part);
-      out.writeStringField("server", server);
-      out.writeNumberField("patience", timeout);
-    });
+    action(
+        "issue",
+        () -> {
+          out.writeNumberField("ref", part);
+          out.writeStringField("server", server);
+          out.writeNumberField("patience", timeout);
+        });
   }
 
   @Override
   public void cancel(long part, int attempt) {
-    action("callOff", () -> {
-      out.writeNumberField("ref", part);
-      out.writeNumberField("roundNo", attempt);
-    });
+    action(
+        "callOff",
+        () -> {
+          out.writeNumberField("ref", part);
+          out.writeNumberField("roundNo", attempt);
+        });
   }
 
   @Override
   public void answer(long query, boolean whole) {
-    action("gatherUp", () -> {
-      out.writeNumberField("ref", query);
-      out.writeBooleanField("on", whole);
-    });
+    action(
+        "gatherUp",
+        () -> {
+          out.writeNumberField("ref", query);
+          out.writeBooleanField("on", whole);
+        });
   }
 
   @Override
   public void refuse(long query, double pause) {
-    action("turnAway", () -> {
-      out.writeNumberField("ref", query);
-      out.writeNumberField("pause", pause);
-    });
+    action(
+        "turnAway",
+        () -> {
+          out.writeNumberField("ref", query);
+          out.writeNumberField("pause", pause);
+        });
   }
 
   @Override
@@ -75,10 +83,12 @@
 
   @Override
   public void alarmAt(double time, String token) {
-    action("setAlarm", () -> {
-      out.writeNumberField("dueAt", time);
-      out.writeStringField("token", token);
-    });
+    action(
+        "setAlarm",
+        () -> {
+          out.writeNumberField("dueAt", time);
+          out.writeStringField("token", token);
+        });
   }
 
   @Override
--- a/src/main/java/bitternpulley/standin/DiscoveryService.java
+++ b/src/main/java/bitternpulley/standin/DiscoveryService.java
@@ -10,7 +10,10 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** Discovery: each connection is taken for a watch, is told the whole list, then every change and the pulse between. */
+/**
+ * Discovery: each connection is taken for a watch, is told the whole list, then every change and
+ * the pulse between.
+ */
 final class DiscoveryService {
   /** Ms between empty lines while nothing changes. */
   private static final double PULSE = 2000;
@@ -63,7 +66,7 @@
     }
 
     private void write(String text) {
-      connection.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)), () -> { });
+      connection.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)), () -> {});
     }
 
     @Override
--- a/src/main/java/bitternpulley/standin/Fleet.java
+++ b/src/main/java/bitternpulley/standin/Fleet.java
@@ -14,7 +14,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Function;
 
-/** Slot servers in a ring over some zones, discovery that knows them, and the settings of a site that has them. */
+/**
+ * Slot servers in a ring over some zones, discovery that knows them, and the settings of a site
+ * that has them.
+ */
 public final class Fleet {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final String HOSTS = "127.0.3.";
@@ -54,7 +57,10 @@
     this(loop, cells, cores, List.of("gulberg", "johar"));
   }
 
-  /** Starts {@code cells} servers of so many cores each, in these zones by turns; every section is held by two of them. */
+  /**
+   * Starts {@code cells} servers of so many cores each, in these zones by turns; every section is
+   * held by two of them.
+   */
   public Fleet(EventLoop loop, int cells, int cores, List<String> zones) throws IOException {
     this.cores = cores;
     this.zones = List.copyOf(zones);
@@ -140,7 +146,8 @@
   }
 
   /**
-   * A new process of a server: cold, as the settings' rules have it, and checked for what it is sent until it is warm.
+   * A new process of a server: cold, as the settings' rules have it, and checked for what it is
+   * sent until it is warm.
    */
   public void restart(SlotServer server) {
     startedAt.put(server, System.currentTimeMillis());
@@ -161,51 +168,99 @@
   }
 
   private void entry(ArrayNode members, SlotServer s, View view) {
-    members.addObject().put("id", s.id()).put("host_port", view.addresses.apply(s).toString())
-        .put("locality", zones.get(zone(s))).put("cell", s.cell())
-        .put("phase", phases.getOrDefault(s, "up")).put("size", 1.0).put("up_since_ms", startedAt.getOrDefault(s, 0L));
+    members
+        .addObject()
+        .put("id", s.id())
+        .put("host_port", view.addresses.apply(s).toString())
+        .put("locality", zones.get(zone(s)))
+        .put("cell", s.cell())
+        .put("phase", phases.getOrDefault(s, "up"))
+        .put("size", 1.0)
+        .put("up_since_ms", startedAt.getOrDefault(s, 0L));
   }
 
-  /** The configuration of one of several aggregators, in its zone, that has discovery at an address of its own. */
-  public ObjectNode configuration(int number, int instances, String listen, int holds, View view, HostPort discovery) {
-    ObjectNode config = configuration(number, instances, listen, holds).put("discovery", discovery.toString());
+  /**
+   * The configuration of one of several aggregators, in its zone, that has discovery at an address
+   * of its own.
+   */
+  public ObjectNode configuration(
+      int number, int instances, String listen, int holds, View view, HostPort discovery) {
+    ObjectNode config =
+        configuration(number, instances, listen, holds).put("discovery", discovery.toString());
     config.set("known", list(view));
     return config;
   }
 
   /** One of several aggregators' configuration, with its number among them. */
   public ObjectNode configuration(int number, int instances, String listen, int holds) {
-    ObjectNode config = configuration("n" + number, listen, Long.toHexString(0x8c1f30d27a5be964L + number), holds);
-    ((ObjectNode) config.path("settings")).put("instances", instances).put("selfIndex", number).put("zone", number % zones.size());
+    ObjectNode config =
+        configuration("n" + number, listen, Long.toHexString(0x8c1f30d27a5be964L + number), holds);
+    ((ObjectNode) config.path("settings"))
+        .put("instances", instances)
+        .put("selfIndex", number)
+        .put("zone", number % zones.size());
     return config;
   }
 
   /** The aggregator's configuration: three classes of query, as a booking service has them. */
   public ObjectNode configuration(String name, String listen, String seed, int holds) {
-    ObjectNode config = JSON.createObjectNode().put("name", name).put("listen", listen)
-        .put("discovery", common.at().toString()).put("seed", seed);
+    ObjectNode config =
+        JSON.createObjectNode()
+            .put("name", name)
+            .put("listen", listen)
+            .put("discovery", common.at().toString())
+            .put("seed", seed);
     config.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 2048);
     config.set("known", list(common));
-    ObjectNode s = config.putObject("settings").put("tick", 5.0).put("instances", 1).put("selfIndex", 0).put("zone", 0);
+    ObjectNode s =
+        config
+            .putObject("settings")
+            .put("tick", 5.0)
+            .put("instances", 1)
+            .put("selfIndex", 0)
+            .put("zone", 0);
     zones.forEach(s.putArray("failureDomains")::add);
     ArrayNode classes = s.putArray("requestClasses");
     queryClass(classes, "slot-search", "pure", 1);
     queryClass(classes, "slot-booking", "token", 2);
     queryClass(classes, "stock-report", "pure", 5);
-    ObjectNode domain = s.putObject("domain").put("cells", servers.size()).put("shards", servers.size()).put("width", 2);
+    ObjectNode domain =
+        s.putObject("domain")
+            .put("cells", servers.size())
+            .put("shards", servers.size())
+            .put("width", 2);
     domain.putArray("minShare").add(1).add(1).add(0.8);
     domain.putArray("wholeAt").add(1).add(1).add(1);
     domain.putArray("classPartial").add(0.9).add(0.9).add(0.8);
-    s.putObject("policyLimits").put("connectTimeout", 250).put("keepalive", 15000).put("maxAttempts", 4)
-        .put("maxOpen", holds).put("maxRetryAfter", 2000).put("mayCancel", true).put("retryAfter", true)
-        .put("secondCopies", false).put("streamsPerConn", 100);
-    s.putObject("rules").put("answerSlack", 20).put("cold", RuleCheck.COLD_TIME).put("coldFrom", RuleCheck.COLD_FROM)
-        .put("fall", RuleCheck.FALL).put("stopSendingWithin", 250).put("tipMultiple", RuleCheck.TIP);
+    s.putObject("policyLimits")
+        .put("connectTimeout", 250)
+        .put("keepalive", 15000)
+        .put("maxAttempts", 4)
+        .put("maxOpen", holds)
+        .put("maxRetryAfter", 2000)
+        .put("mayCancel", true)
+        .put("retryAfter", true)
+        .put("secondCopies", false)
+        .put("streamsPerConn", 100);
+    s.putObject("rules")
+        .put("answerSlack", 20)
+        .put("cold", RuleCheck.COLD_TIME)
+        .put("coldFrom", RuleCheck.COLD_FROM)
+        .put("fall", RuleCheck.FALL)
+        .put("stopSendingWithin", 250)
+        .put("tipMultiple", RuleCheck.TIP);
     return config;
   }
 
   private static void queryClass(ArrayNode classes, String name, String effect, double worth) {
-    classes.addObject().put("name", name).put("aim", 500).put("deadline", 1500).put("lateWorth", 0.3).put("effect", effect)
-        .put("dedupWindow", 5000).put("worth", worth);
+    classes
+        .addObject()
+        .put("name", name)
+        .put("aim", 500)
+        .put("deadline", 1500)
+        .put("lateWorth", 0.3)
+        .put("effect", effect)
+        .put("dedupWindow", 5000)
+        .put("worth", worth);
   }
 }
--- a/src/main/java/bitternpulley/standin/HollowServers.java
+++ b/src/main/java/bitternpulley/standin/HollowServers.java
@@ -18,14 +18,16 @@
 import java.util.stream.IntStream;
 
 /**
- * Very many slot servers that do no work: each takes frames on a loopback host of its own and answers every part at once. For
- * measurements of what an aggregator's side costs; discovery names them once and then only keeps its watches alive. Connections
- * are spread over a few event loops.
+ * Very many slot servers that do no work: each takes frames on a loopback host of its own and
+ * answers every part at once. For measurements of what an aggregator's side costs; discovery names
+ * them once and then only keeps its watches alive. Connections are spread over a few event loops.
  */
 public final class HollowServers {
   private static final ObjectMapper JSON = new ObjectMapper();
+
   /** Hosts in one block of 127.4.x, of which the last byte runs from 1. */
   private static final int BLOCK = 250;
+
   private static final String ZONE = "a";
 
   private final List<EventLoop> loops;
@@ -40,7 +42,8 @@
     List<HostPort> listening = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       String host = "127.4." + i / BLOCK + "." + (1 + i % BLOCK);
-      listening.add(new StreamServer(Session::new).listen(loops.get(i % loopCount), new HostPort(host, 0)));
+      listening.add(
+          new StreamServer(Session::new).listen(loops.get(i % loopCount), new HostPort(host, 0)));
     }
     at = List.copyOf(listening);
     String whole = list().toString();
@@ -67,8 +70,15 @@
     ObjectNode list = JSON.createObjectNode().put("revision", 1).put("complete", true);
     ArrayNode members = list.putArray("members");
     for (int i = 0; i < at.size(); i++) {
-      members.addObject().put("id", "s" + i).put("host_port", at.get(i).toString()).put("locality", ZONE).put("cell", i)
-          .put("phase", "up").put("size", 1.0).put("up_since_ms", 0);
+      members
+          .addObject()
+          .put("id", "s" + i)
+          .put("host_port", at.get(i).toString())
+          .put("locality", ZONE)
+          .put("cell", i)
+          .put("phase", "up")
+          .put("size", 1.0)
+          .put("up_since_ms", 0);
     }
     return list;
   }
@@ -90,11 +100,13 @@
 
     @Override
     public void received(ByteBuffer bytes) {
-      codec.read(bytes, frame -> {
-        if (frame.letter() == '1') {
-          answer(new String(frame.rest(), StandardCharsets.ISO_8859_1));
-        }
-      });
+      codec.read(
+          bytes,
+          frame -> {
+            if (frame.letter() == '1') {
+              answer(new String(frame.rest(), StandardCharsets.ISO_8859_1));
+            }
+          });
     }
 
     private void answer(String call) {
@@ -105,7 +117,7 @@
         from = line + 1 + Integer.parseInt(words[words.length - 1]);
         parts.incrementAndGet();
         byte[] text = (words[0] + " S 1 -\n5be2a07c19f04d63").getBytes(StandardCharsets.ISO_8859_1);
-        connection.write(FrameCodec.encode('5', text), () -> { });
+        connection.write(FrameCodec.encode('5', text), () -> {});
       }
     }
 
--- a/src/main/java/bitternpulley/standin/RuleCheck.java
+++ b/src/main/java/bitternpulley/standin/RuleCheck.java
@@ -7,26 +7,41 @@
 import java.util.Map;
 
 /**
- * The rules that servers can see, over all of them: at most four attempts a part and never two at once, keyed parts again only
- * within their window, parts only to holders, nothing new to a server that drains, no more work to a cold one than it bears.
- * Parts are forgotten once they are old.
+ * The rules that servers can see, over all of them: at most four attempts a part and never two at
+ * once, keyed parts again only within their window, parts only to holders, nothing new to a server
+ * that drains, no more work to a cold one than it bears. Parts are forgotten once they are old.
  */
 public final class RuleCheck {
   private static final int MOST_ATTEMPTS = 4;
+
   /** Ms: the rules' figures and what a busy machine may add to them. */
   private static final double KEYED_WINDOW = 5000 + 50;
+
   private static final double DRAIN = 250 + 50;
-  /** Ms that the word on a given-up part may be behind the part's next attempt, which goes over another connection. */
+
+  /**
+   * Ms that the word on a given-up part may be behind the part's next attempt, which goes over
+   * another connection.
+   */
   private static final double CROSSING = 100;
+
   private static final double FORGET = 15_000;
   private static final int MOST_BREACHES = 20;
-  /** What the stand-ins' settings say of cold servers: share of capacity at first, ms until warm, window and multiple. */
+
+  /**
+   * What the stand-ins' settings say of cold servers: share of capacity at first, ms until warm,
+   * window and multiple.
+   */
   static final double COLD_FROM = 0.2;
+
   static final double COLD_TIME = 17_000;
   static final double FALL = 1000;
   static final double TIP = 2;
 
-  /** What a cold server is sent: the window it falls in, and the most of what it bears that any window held. */
+  /**
+   * What a cold server is sent: the window it falls in, and the most of what it bears that any
+   * window held.
+   */
   private static final class Cold {
     final int cores;
     final double since;
@@ -56,7 +71,8 @@
   private double sweptAt;
 
   /** An attempt has come in whole; {@code drains} is since when its server drains, or NaN. */
-  public synchronized void begin(String part, boolean keyed, boolean holds, double drains, double now) {
+  public synchronized void begin(
+      String part, boolean keyed, boolean holds, double drains, double now) {
     sweep(now);
     Part p = parts.computeIfAbsent(part, x -> new Part());
     p.first = p.attempts == 0 ? now : p.first;
@@ -110,14 +126,25 @@
     while (c.window.peek()[0] < now - FALL) {
       c.sum -= c.window.poll()[1];
     }
-    double share = c.sum / (TIP * c.cores * (COLD_FROM + (1 - COLD_FROM) * (now - c.since) / COLD_TIME) * FALL);
+    double share =
+        c.sum
+            / (TIP * c.cores * (COLD_FROM + (1 - COLD_FROM) * (now - c.since) / COLD_TIME) * FALL);
     if (share > 1 && c.mostShare <= 1) {
-      breach(server + " was sent " + Math.round(c.sum) + " ms of work within a window while cold, " + share + " of what it bears");
+      breach(
+          server
+              + " was sent "
+              + Math.round(c.sum)
+              + " ms of work within a window while cold, "
+              + share
+              + " of what it bears");
     }
     c.mostShare = Math.max(c.mostShare, share);
   }
 
-  /** The most of what it bears that a server was sent within a window since it started last, while cold; 0 where it was never. */
+  /**
+   * The most of what it bears that a server was sent within a window since it started last, while
+   * cold; 0 where it was never.
+   */
   public synchronized double coldShare(String server) {
     return cold.containsKey(server) ? cold.get(server).mostShare : 0;
   }
--- a/src/main/java/bitternpulley/standin/SlotServer.java
+++ b/src/main/java/bitternpulley/standin/SlotServer.java
@@ -16,17 +16,20 @@
 import java.util.regex.Pattern;
 
 /**
- * One slot server in both dialects over one queue of work. How much work a part is, in microseconds, stands in what is asked:
- * {@code w=9000} in a query's filter or a search's body; without it a part takes {@link #USUAL_WORK}.
+ * One slot server in both dialects over one queue of work. How much work a part is, in
+ * microseconds, stands in what is asked: {@code w=9000} in a query's filter or a search's body;
+ * without it a part takes {@link #USUAL_WORK}.
  */
 public final class SlotServer {
   /** Ms of work of a part that tells none. */
   static final double USUAL_WORK = 10;
+
   private static final Pattern WORK = Pattern.compile("w=([0-9]{1,9})");
   private static final Pattern SECTION = Pattern.compile("_shards:([0-9]{1,6})");
   private static final int MOST_BODY = 64 * 1024;
   private static final int MOST_CONNECTIONS = 2000;
-  private static final HttpServer.Timeouts PATIENT = new HttpServer.Timeouts(60_000, 60_000, 60_000);
+  private static final HttpServer.Timeouts PATIENT =
+      new HttpServer.Timeouts(60_000, 60_000, 60_000);
 
   private final String id;
   private final int cell;
@@ -139,24 +142,28 @@
       if (silent) {
         return;
       }
-      work.submit(workOf(text), new WorkQueue.Job() {
-        @Override
-        public void done() {
-          answer(part, "S", String.format("%016x", part.hashCode()));
-        }
-
-        @Override
-        public void full() {
-          answer(part, "B", "");
-        }
-      });
+      work.submit(
+          workOf(text),
+          new WorkQueue.Job() {
+            @Override
+            public void done() {
+              answer(part, "S", String.format("%016x", part.hashCode()));
+            }
+
+            @Override
+            public void full() {
+              answer(part, "B", "");
+            }
+          });
     }
 
     private void answer(String part, String end, String value) {
       if (out.remove(part)) {
         rules.end(part, now());
-        connection.write(FrameCodec.encode('5', (part + " " + end + " 0 -\n" + value).getBytes(StandardCharsets.UTF_8)),
-            () -> { });
+        connection.write(
+            FrameCodec.encode(
+                '5', (part + " " + end + " 0 -\n" + value).getBytes(StandardCharsets.UTF_8)),
+            () -> {});
       }
     }
 
@@ -174,32 +181,49 @@
       String part = request.head().header("X-Opaque-Id");
       Matcher section = SECTION.matcher(request.head().target());
       if (part == null || !section.find()) {
-        exchange.reply(json(400, "{\"error\":{\"type\":\"parsing_exception\",\"reason\":\"no section\"},\"status\":400}"));
+        exchange.reply(
+            json(
+                400,
+                "{\"error\":{\"type\":\"parsing_exception\",\"reason\":\"no section\"},\"status\":400}"));
         return;
       }
-      rules.begin(part, request.head().header("Idempotency-Key") != null, holds(Integer.parseInt(section.group(1))),
-          drains, now());
+      rules.begin(
+          part,
+          request.head().header("Idempotency-Key") != null,
+          holds(Integer.parseInt(section.group(1))),
+          drains,
+          now());
       boolean[] open = {true};
       exchange.onGone(() -> end(open, part));
       if (silent) {
         return;
       }
-      work.submit(workOf(new String(request.body(), StandardCharsets.UTF_8)), new WorkQueue.Job() {
-        @Override
-        public void done() {
-          end(open, part);
-          exchange.reply(json(200, "{\"took\":1,\"timed_out\":false,\"_shards\":{\"total\":1,\"successful\":1,"
-              + "\"skipped\":0,\"failed\":0},\"hits\":{\"total\":{\"value\":1,\"relation\":\"eq\"},\"hits\":["
-              + "{\"_index\":\"i\",\"_id\":\"" + part.hashCode() + "\",\"_score\":1.0}]}}"));
-        }
-
-        @Override
-        public void full() {
-          end(open, part);
-          exchange.reply(json(429, "{\"error\":{\"type\":\"rejected_execution_exception\",\"reason\":\"full\"},"
-              + "\"status\":429}"));
-        }
-      });
+      work.submit(
+          workOf(new String(request.body(), StandardCharsets.UTF_8)),
+          new WorkQueue.Job() {
+            @Override
+            public void done() {
+              end(open, part);
+              exchange.reply(
+                  json(
+                      200,
+                      "{\"took\":1,\"timed_out\":false,\"_shards\":{\"total\":1,\"successful\":1,"
+                          + "\"skipped\":0,\"failed\":0},\"hits\":{\"total\":{\"value\":1,\"relation\":\"eq\"},\"hits\":["
+                          + "{\"_index\":\"i\",\"_id\":\""
+                          + part.hashCode()
+                          + "\",\"_score\":1.0}]}}"));
+            }
+
+            @Override
+            public void full() {
+              end(open, part);
+              exchange.reply(
+                  json(
+                      429,
+                      "{\"error\":{\"type\":\"rejected_execution_exception\",\"reason\":\"full\"},"
+                          + "\"status\":429}"));
+            }
+          });
     }
 
     private void end(boolean[] open, String part) {
@@ -211,11 +235,14 @@
 
     @Override
     public HttpServer.Response unusable(int status, String reason) {
-      return json(status, "{\"error\":{\"type\":\"illegal_argument_exception\",\"reason\":\"unusable\"}}");
+      return json(
+          status, "{\"error\":{\"type\":\"illegal_argument_exception\",\"reason\":\"unusable\"}}");
     }
 
     private HttpServer.Response json(int status, String body) {
-      return new HttpServer.Response(status, Map.of("Content-Type", "application/json"),
+      return new HttpServer.Response(
+          status,
+          Map.of("Content-Type", "application/json"),
           body.getBytes(StandardCharsets.UTF_8));
     }
   }
--- a/src/main/java/bitternpulley/standin/WorkQueue.java
+++ b/src/main/java/bitternpulley/standin/WorkQueue.java
@@ -3,7 +3,9 @@
 import bitternpulley.net.EventLoop;
 import java.util.ArrayDeque;
 
-/** A machine with cores and a waiting room, first in, first out. All calls come on the loop's turn. */
+/**
+ * A machine with cores and a waiting room, first in, first out. All calls come on the loop's turn.
+ */
 final class WorkQueue {
   /** What becomes of a part. */
   interface Job {
@@ -50,16 +52,19 @@
 
   private void begin(Waiting w, double from) {
     busy++;
-    // Alarms ring late by up to their grid: the next part counts from when this one was due, so that no time of a core is lost.
+    // Alarms ring late by up to their grid: the next part counts from when this one was due, so
+    // that no time of a core is lost.
     double due = from + w.work() * slowness;
-    loop.after(due - now(), () -> {
-      busy--;
-      workDone += w.work();
-      if (!queue.isEmpty()) {
-        begin(queue.poll(), due);
-      }
-      w.job().done();
-    });
+    loop.after(
+        due - now(),
+        () -> {
+          busy--;
+          workDone += w.work();
+          if (!queue.isEmpty()) {
+            begin(queue.poll(), due);
+          }
+          w.job().done();
+        });
   }
 
   private static double now() {
--- a/src/test/java/bitternpulley/PackagesTest.java
+++ b/src/test/java/bitternpulley/PackagesTest.java
@@ -22,15 +22,25 @@
   @DataProvider
   public Object[][] allowed() {
     return new Object[][] {
-        {"routing", Set.of()}, {"net", Set.of()}, {"script", Set.of()}, {"health", Set.of("routing")}, {"policy", Set.of("routing", "health")},
-        {"contracts", Set.of("routing")}, {"membership", Set.of()}, {"leases", Set.of()},
-        {"broker", Set.of("routing", "policy", "contracts", "membership", "leases")},
-        {"peers", Set.of("net", "membership", "leases", "broker", "config")},
-        {"config", Set.of("routing", "net", "contracts", "script", "membership", "leases")},
-        {"admin", Set.of("net", "broker", "contracts", "membership", "leases")}, {"platform", Set.of("routing", "net", "broker", "config", "contracts")},
-        {"opensearch", Set.of("routing", "net", "broker", "config", "contracts")}, {"standin", Set.of("net")}, {"faults", Set.of("net", "standin")},
-        {"measure", Set.of("net", "contracts", "standin", "faults")},
-        {"simhost", Set.of("routing", "policy", "config")}};
+      {"routing", Set.of()},
+      {"net", Set.of()},
+      {"script", Set.of()},
+      {"health", Set.of("routing")},
+      {"policy", Set.of("routing", "health")},
+      {"contracts", Set.of("routing")},
+      {"membership", Set.of()},
+      {"leases", Set.of()},
+      {"broker", Set.of("routing", "policy", "contracts", "membership", "leases")},
+      {"peers", Set.of("net", "membership", "leases", "broker", "config")},
+      {"config", Set.of("routing", "net", "contracts", "script", "membership", "leases")},
+      {"admin", Set.of("net", "broker", "contracts", "membership", "leases")},
+      {"platform", Set.of("routing", "net", "broker", "config", "contracts")},
+      {"opensearch", Set.of("routing", "net", "broker", "config", "contracts")},
+      {"standin", Set.of("net")},
+      {"faults", Set.of("net", "standin")},
+      {"measure", Set.of("net", "contracts", "standin", "faults")},
+      {"simhost", Set.of("routing", "policy", "config")}
+    };
   }
 
   @Test(dataProvider = "allowed")
@@ -45,8 +55,20 @@
             throw new AssertionError(file + " uses " + used);
           }
         }
-        boolean inner = Set.of("routing", "health", "policy", "contracts", "broker", "script", "membership", "leases").contains(name);
-        assertFalse(inner && Pattern.compile("java\\.(net|nio(?!\\.charset))|jackson").matcher(text).find(), file + " knows a wire");
+        boolean inner =
+            Set.of(
+                    "routing",
+                    "health",
+                    "policy",
+                    "contracts",
+                    "broker",
+                    "script",
+                    "membership",
+                    "leases")
+                .contains(name);
+        assertFalse(
+            inner && Pattern.compile("java\\.(net|nio(?!\\.charset))|jackson").matcher(text).find(),
+            file + " knows a wire");
       }
     }
   }
@@ -54,9 +76,29 @@
   @Test
   public void everyPackageIsListed() throws IOException {
     try (Stream<Path> files = Files.list(ROOT)) {
-      List<String> packages = files.filter(Files::isDirectory).map(p -> p.getFileName().toString()).sorted().toList();
-      assertEquals(packages, List.of("admin", "broker", "config", "contracts", "faults", "health", "leases", "measure", "membership", "net", "opensearch",
-          "peers", "platform", "policy", "routing", "script", "simhost", "standin"));
+      List<String> packages =
+          files.filter(Files::isDirectory).map(p -> p.getFileName().toString()).sorted().toList();
+      assertEquals(
+          packages,
+          List.of(
+              "admin",
+              "broker",
+              "config",
+              "contracts",
+              "faults",
+              "health",
+              "leases",
+              "measure",
+              "membership",
+              "net",
+              "opensearch",
+              "peers",
+              "platform",
+              "policy",
+              "routing",
+              "script",
+              "simhost",
+              "standin"));
     }
   }
 }
--- a/src/test/java/bitternpulley/admin/StoredOrdersTest.java
+++ b/src/test/java/bitternpulley/admin/StoredOrdersTest.java
@@ -12,18 +12,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The file of operator overrides as an earlier version wrote it is read, and is written in the same form. */
+/**
+ * The file of operator overrides as an earlier version wrote it is read, and is written in the same
+ * form.
+ */
 class StoredOrdersTest {
   private static final String NAME = "bitternpulley-orders";
   private static final Path STORED = Path.of("src/test/resources/stored").resolve(NAME);
 
-  @TempDir
-  Path folder;
+  @TempDir Path folder;
 
   @Test
   void areReadAsStored() throws IOException {
     Files.copy(STORED, folder.resolve(NAME));
-    assertEquals(new OperatorOrders(Set.of("s1", "s12"), true), new OrdersFile(Optional.of(folder)).read());
+    assertEquals(
+        new OperatorOrders(Set.of("s1", "s12"), true), new OrdersFile(Optional.of(folder)).read());
   }
 
   @Test
@@ -34,6 +37,7 @@
     CompletableFuture<OperatorOrders> done = new CompletableFuture<>();
     file.change(new OperatorOrders.Order("s0", true), (orders, failure) -> done.complete(orders));
     assertEquals(Set.of("s0", "s1", "s12"), done.get().cordoned());
-    assertEquals("cordoned s0\n" + Files.readString(STORED), Files.readString(folder.resolve(NAME)));
+    assertEquals(
+        "cordoned s0\n" + Files.readString(STORED), Files.readString(folder.resolve(NAME)));
   }
 }
--- a/src/test/java/bitternpulley/broker/BrokerTest.java
+++ b/src/test/java/bitternpulley/broker/BrokerTest.java
@@ -18,7 +18,8 @@
 public class BrokerTest implements Dialect {
   private record Due(double at, Runnable task) {}
 
-  private final PriorityQueue<Due> due = new PriorityQueue<>(java.util.Comparator.comparingDouble(Due::at));
+  private final PriorityQueue<Due> due =
+      new PriorityQueue<>(java.util.Comparator.comparingDouble(Due::at));
   private final List<Effect.Answer> answers = new ArrayList<>();
   private final List<AttemptId> started = new ArrayList<>();
   private final Set<String> faults = new HashSet<>();
@@ -32,14 +33,36 @@
     started.clear();
     faults.clear();
     now = 1000;
-    Settings.QueryClass kind = new Settings.QueryClass(
-        "any", 1, 1000, 0, 3000, 0.3, Settings.Effect.KEYED, 400, false, 1, 1, 0.8, 0);
-    Settings settings = new Settings(0, 1, 0, 5, false, true, List.of(kind), List.of(), 1, false,
-        new Settings.Layout(4, 4, 2, 1), new Settings.Limits(4, 50, true, false, false, true, 500, 250),
-        new Settings.Rules(20, 250, 0.2, 10_000, 2, 1000, false, 0, 0, 0, 0), new Settings.Prices(0.05, 0, 0, 0, 0, 0));
-    broker = new Broker(new Reducer(settings, 7, now), () -> now, (ms, task) -> due.add(new Due(now + ms, task)));
-    broker.submit(new Event.ServersListed(Router.ListKind.REMEMBERED, IntStream.range(0, 4).mapToObj(
-        i -> new Router.Member("s" + i, i % 2, i, Router.ServerState.LIVE, 0)).toList()));
+    Settings.QueryClass kind =
+        new Settings.QueryClass(
+            "any", 1, 1000, 0, 3000, 0.3, Settings.Effect.KEYED, 400, false, 1, 1, 0.8, 0);
+    Settings settings =
+        new Settings(
+            0,
+            1,
+            0,
+            5,
+            false,
+            true,
+            List.of(kind),
+            List.of(),
+            1,
+            false,
+            new Settings.Layout(4, 4, 2, 1),
+            new Settings.Limits(4, 50, true, false, false, true, 500, 250),
+            new Settings.Rules(20, 250, 0.2, 10_000, 2, 1000, false, 0, 0, 0, 0),
+            new Settings.Prices(0.05, 0, 0, 0, 0, 0));
+    broker =
+        new Broker(
+            new Reducer(settings, 7, now),
+            () -> now,
+            (ms, task) -> due.add(new Due(now + ms, task)));
+    broker.submit(
+        new Event.ServersListed(
+            Router.ListKind.REMEMBERED,
+            IntStream.range(0, 4)
+                .mapToObj(i -> new Router.Member("s" + i, i % 2, i, Router.ServerState.LIVE, 0))
+                .toList()));
   }
 
   private void failOnce(String step) {
@@ -52,7 +75,9 @@
   public void start(Effect.Start attempt) {
     failOnce("start");
     started.add(attempt.id());
-    due.add(new Due(now + 50, () -> broker.submit(new Event.Ended(attempt.id(), Router.Outcome.OK, null))));
+    due.add(
+        new Due(
+            now + 50, () -> broker.submit(new Event.Ended(attempt.id(), Router.Outcome.OK, null))));
   }
 
   @Override
@@ -83,8 +108,17 @@
   }
 
   private void askAndPlay() {
-    broker.submit(new Event.Taken(new Request(broker.nextId(), this, 0, 3000, false, Router.Terms.OF_CLASS,
-        List.of(new Request.Slice(0, 1, 0)), null)));
+    broker.submit(
+        new Event.Taken(
+            new Request(
+                broker.nextId(),
+                this,
+                0,
+                3000,
+                false,
+                Router.Terms.OF_CLASS,
+                List.of(new Request.Slice(0, 1, 0)),
+                null)));
     while (!due.isEmpty() && due.peek().at() < 10_000) {
       Due next = due.poll();
       now = Math.max(now, next.at());
@@ -92,7 +126,10 @@
     }
   }
 
-  /** Guards against an attempt that stays out for good since its wire failed on it: its part is tried elsewhere at once. */
+  /**
+   * Guards against an attempt that stays out for good since its wire failed on it: its part is
+   * tried elsewhere at once.
+   */
   @Test
   public void anAttemptThatItsWireFailsOnHasEnded() {
     faults.add("start");
--- a/src/test/java/bitternpulley/broker/ContractLogTest.java
+++ b/src/test/java/bitternpulley/broker/ContractLogTest.java
@@ -15,8 +15,18 @@
 /** The lines of the contract log keep their form: tools of operators read them. */
 public class ContractLogTest {
   private static AdmissionControl control() {
-    Contract team = new Contract("team-a", 0.5, 1, 500, true, true, 0.2, 1, 4,
-        Map.of(0, new Router.ClassTerms(500, 1500, 1, 1)));
+    Contract team =
+        new Contract(
+            "team-a",
+            0.5,
+            1,
+            500,
+            true,
+            true,
+            0.2,
+            1,
+            4,
+            Map.of(0, new Router.ClassTerms(500, 1500, 1, 1)));
     AdmissionControl control = new AdmissionControl(new double[] {500, 500}, 2000);
     control.apply(new ContractBook(3, Map.of("team-a", team), null), 0);
     return control;
@@ -29,20 +39,25 @@
   @Test
   public void admissionsAreLoggedWithTheirBasis() {
     Verdict verdict = control().admit(claim("team-a", 0, 2), 1);
-    assertEquals(ContractLog.judged(new Effect.Judged(7, verdict)),
+    assertEquals(
+        ContractLog.judged(new Effect.Judged(7, verdict)),
         "contract request=7 team=team-a version=3 verdict=admitted basis=UNLIMITED booked=2.00");
-    assertEquals(ContractLog.settled(new Effect.Settled((Charge) verdict)),
+    assertEquals(
+        ContractLog.settled(new Effect.Settled((Charge) verdict)),
         "contract settled team=team-a version=3 booked=2.00 used=0.00");
   }
 
   @Test
   public void refusalsAreLoggedWithTheirLimit() {
     AdmissionControl control = control();
-    assertEquals(ContractLog.judged(new Effect.Judged(8, control.admit(claim("team-a", 1, 1), 1))),
+    assertEquals(
+        ContractLog.judged(new Effect.Judged(8, control.admit(claim("team-a", 1, 1), 1))),
         "contract request=8 team=team-a version=3 verdict=refused limit=class pause_ms=0");
-    assertEquals(ContractLog.judged(new Effect.Judged(9, control.admit(claim("other", 0, 1), 1))),
+    assertEquals(
+        ContractLog.judged(new Effect.Judged(9, control.admit(claim("other", 0, 1), 1))),
         "contract request=9 team=other version=3 verdict=refused limit=no contract pause_ms=0");
-    assertEquals(ContractLog.judged(new Effect.Judged(10, control.admit(claim("team-a", 0, 9), 1))),
+    assertEquals(
+        ContractLog.judged(new Effect.Judged(10, control.admit(claim("team-a", 0, 9), 1))),
         "contract request=10 team=team-a version=3 verdict=refused limit=holds pause_ms=0");
   }
 }
--- a/src/test/java/bitternpulley/broker/ReducerTest.java
+++ b/src/test/java/bitternpulley/broker/ReducerTest.java
@@ -29,10 +29,21 @@
   }
 
   private static Settings settings(Settings.Effect effect, double least, boolean copies) {
-    Settings.QueryClass kind = new Settings.QueryClass(
-        "any", 1, 1000, 0, 3000, 0.3, effect, 400, false, least, 1, 0.8, 0);
-    return new Settings(0, 1, 0, 5, false, true, List.of(kind), List.of(), 1, false,
-        new Settings.Layout(4, 4, 2, 1), new Settings.Limits(4, 8, true, copies, false, true, 500, 250),
+    Settings.QueryClass kind =
+        new Settings.QueryClass("any", 1, 1000, 0, 3000, 0.3, effect, 400, false, least, 1, 0.8, 0);
+    return new Settings(
+        0,
+        1,
+        0,
+        5,
+        false,
+        true,
+        List.of(kind),
+        List.of(),
+        1,
+        false,
+        new Settings.Layout(4, 4, 2, 1),
+        new Settings.Limits(4, 8, true, copies, false, true, 500, 250),
         new Settings.Rules(20, 250, 0.2, 10_000, 2, 1000, false, 0, 0, 0, 0),
         new Settings.Prices(0.05, 0, 0, 0, 0, 0));
   }
@@ -46,8 +57,12 @@
     now = 1000;
     effects.clear();
     reducer = new Reducer(settings, 7, now);
-    tell(new Event.ServersListed(Router.ListKind.REMEMBERED, IntStream.range(0, 4).mapToObj(
-        i -> new Router.Member("s" + i, i % 2, i, Router.ServerState.LIVE, 0)).toList()));
+    tell(
+        new Event.ServersListed(
+            Router.ListKind.REMEMBERED,
+            IntStream.range(0, 4)
+                .mapToObj(i -> new Router.Member("s" + i, i % 2, i, Router.ServerState.LIVE, 0))
+                .toList()));
   }
 
   private void tell(Event event) {
@@ -55,8 +70,19 @@
   }
 
   private void ask(long id, int... shards) {
-    tell(new Event.Taken(new Request(id, null, 0, 3000, false, Router.Terms.OF_CLASS,
-        IntStream.of(shards).mapToObj(s -> new Request.Slice(s, 1.0 / shards.length, 0)).toList(), null)));
+    tell(
+        new Event.Taken(
+            new Request(
+                id,
+                null,
+                0,
+                3000,
+                false,
+                Router.Terms.OF_CLASS,
+                IntStream.of(shards)
+                    .mapToObj(s -> new Request.Slice(s, 1.0 / shards.length, 0))
+                    .toList(),
+                null)));
   }
 
   private <T> List<T> all(Class<T> kind) {
@@ -86,7 +112,10 @@
     assertEquals(reducer.open(), 0);
   }
 
-  /** Guards against two attempts out at once: the next one starts only when the server has been told of the first. */
+  /**
+   * Guards against two attempts out at once: the next one starts only when the server has been told
+   * of the first.
+   */
   @Test
   public void anOverdueAttemptIsFollowedOnlyOnceItsServerIsTold() {
     ask(1, 0);
@@ -101,7 +130,10 @@
     assertFalse(start(1).server().equals(start(0).server()));
   }
 
-  /** Guards against a part that a silent server sits on while its other attempts end unsent as second copies. */
+  /**
+   * Guards against a part that a silent server sits on while its other attempts end unsent as
+   * second copies.
+   */
   @Test
   public void whereTheSitePermitsCopiesASilentServersPartIsCalledOffAndTriedElsewhere() {
     begin(settings(Settings.Effect.SAFE, 1, true));
@@ -112,13 +144,15 @@
     }
     effects.clear();
     ask(1, 0);
-    // Looked at as often as its alarms may ring: each look must leave the part's attempts for those that start.
+    // Looked at as often as its alarms may ring: each look must leave the part's attempts for those
+    // that start.
     for (int i = 0; i < 40 && all(Effect.Abandon.class).isEmpty(); i++) {
       now += 50;
       tell(new Event.Alarm("q1"));
     }
     assertEquals(all(Effect.Start.class).size(), 1);
-    assertEquals(all(Effect.Abandon.class).size(), 1, "called off before the client's time is over");
+    assertEquals(
+        all(Effect.Abandon.class).size(), 1, "called off before the client's time is over");
     tell(new Event.Abandoned(start(0).id()));
     assertEquals(start(1).id().number(), 1);
     assertFalse(start(1).server().equals(start(0).server()));
@@ -160,7 +194,9 @@
     assertTrue(answer(0) instanceof Effect.Answer.Failed);
   }
 
-  /** Guards against a repeat whose way to its server takes longer than what is left of its window. */
+  /**
+   * Guards against a repeat whose way to its server takes longer than what is left of its window.
+   */
   @Test
   public void aKeyedRepeatSaysUntilWhenItMayBeSent() {
     begin(settings(Settings.Effect.KEYED, 1));
@@ -184,7 +220,10 @@
     }
   }
 
-  /** As in the simulator: at so many open, further queries are turned away; one that comes below that is let in whole. */
+  /**
+   * As in the simulator: at so many open, further queries are turned away; one that comes below
+   * that is let in whole.
+   */
   @Test
   public void atSoManyHeldFurtherQueriesAreRefusedUnsent() {
     ask(1, 0, 1, 2, 3);
@@ -198,12 +237,15 @@
     assertEquals(all(Effect.Start.class).size(), sent);
   }
 
-  /** Guards against queries of many parts that keep all places though nearly all their parts are in. */
+  /**
+   * Guards against queries of many parts that keep all places though nearly all their parts are in.
+   */
   @Test
   public void aPartThatIsInIsNotHeldAnyMore() {
     ask(1, 0, 1, 2, 3);
     ask(2, 0, 1, 2, 3);
-    all(Effect.Start.class).stream().limit(3)
+    all(Effect.Start.class).stream()
+        .limit(3)
         .forEach(s -> tell(new Event.Ended(s.id(), Router.Outcome.OK, new Word("v"))));
     int replies = all(Effect.Reply.class).size();
     ask(3, 0);
@@ -239,9 +281,19 @@
       tell(new Event.Ended(start(i).id(), Router.Outcome.OK, new Word("a")));
     }
     effects.clear();
-    tell(new Event.Taken(new Request(1, null, 0, 800, false, new Router.Terms(true, true),
-        List.of(new Request.Slice(0, 0.5, 0), new Request.Slice(1, 0.5, 0)), null)));
-    assertEquals(all(Effect.Start.class).size(), 2, "a short time of its own is not refused as a spent one");
+    tell(
+        new Event.Taken(
+            new Request(
+                1,
+                null,
+                0,
+                800,
+                false,
+                new Router.Terms(true, true),
+                List.of(new Request.Slice(0, 0.5, 0), new Request.Slice(1, 0.5, 0)),
+                null)));
+    assertEquals(
+        all(Effect.Start.class).size(), 2, "a short time of its own is not refused as a spent one");
     tell(new Event.Ended(start(0).id(), Router.Outcome.OK, new Word("a")));
     now += 800;
     tell(new Event.Alarm("q1"));
@@ -251,37 +303,72 @@
   /** Where turns came late its answer leaves earlier, and is out of time all the same. */
   @Test
   public void anEndBroughtForwardForLateTurnsIsOutOfTime() {
-    tell(new Event.Taken(new Request(1, null, 0, 3000, false, new Router.Terms(true, true),
-        List.of(new Request.Slice(0, 1, 0)), null, null, 0, new Router.Lateness(0, 300))));
+    tell(
+        new Event.Taken(
+            new Request(
+                1,
+                null,
+                0,
+                3000,
+                false,
+                new Router.Terms(true, true),
+                List.of(new Request.Slice(0, 1, 0)),
+                null,
+                null,
+                0,
+                new Router.Lateness(0, 300))));
     now += 2700;
     tell(new Event.Alarm("q1"));
     assertTrue(((Effect.Answer.Refused) answer(0)).ending().late());
   }
 
-  /** Guards against a client that waits for less than our own lead, and is told at once that its time is over. */
+  /**
+   * Guards against a client that waits for less than our own lead, and is told at once that its
+   * time is over.
+   */
   @Test
   public void oneWhoWaitsForVeryLittleIsNotLateFromTheStart() {
     tell(new Event.ServersListed(Router.ListKind.COMPLETE, List.of()));
-    tell(new Event.Taken(new Request(1, null, 0, 80, false, Router.Terms.OF_CLASS, List.of(new Request.Slice(0, 1, 0)), null)));
+    tell(
+        new Event.Taken(
+            new Request(
+                1,
+                null,
+                0,
+                80,
+                false,
+                Router.Terms.OF_CLASS,
+                List.of(new Request.Slice(0, 1, 0)),
+                null)));
     assertFalse(((Effect.Answer.Refused) answer(0)).ending().late());
   }
 
-  /** Guards against parts that wait on the way to a server while it begins to drain, or leaves the list. */
+  /**
+   * Guards against parts that wait on the way to a server while it begins to drain, or leaves the
+   * list.
+   */
   @Test
   public void whatIsOutAtAServerThatTakesNothingNewIsTakenBack() {
     ask(1, 0);
     String first = start(0).server();
-    Router.Member drains = new Router.Member(first, 0, Integer.parseInt(first.substring(1)), Router.ServerState.DRAINING, 0);
+    Router.Member drains =
+        new Router.Member(
+            first, 0, Integer.parseInt(first.substring(1)), Router.ServerState.DRAINING, 0);
     tell(new Event.ServersListed(Router.ListKind.CHANGES, List.of(drains)));
     assertEquals(all(Effect.Withdraw.class), List.of(new Effect.Withdraw(first)));
     tell(new Event.Ended(start(0).id(), Router.Outcome.MOOT, null));
     String second = start(1).server();
     assertFalse(second.equals(first));
     tell(new Event.ServersListed(Router.ListKind.COMPLETE, List.of(drains)));
-    assertEquals(all(Effect.Withdraw.class), List.of(new Effect.Withdraw(first), new Effect.Withdraw(second)));
+    assertEquals(
+        all(Effect.Withdraw.class),
+        List.of(new Effect.Withdraw(first), new Effect.Withdraw(second)));
   }
 
-  /** Guards against very many parts, most of them long answered, each of which wakes the program when its time is over. */
+  /**
+   * Guards against very many parts, most of them long answered, each of which wakes the program
+   * when its time is over.
+   */
   @Test
   public void theAttemptsOfARequestShareAnAlarm() {
     ask(1, 0, 1, 2, 3);
@@ -290,11 +377,15 @@
     tell(new Event.Ended(start(0).id(), Router.Outcome.OK, new Word("a")));
     now = alarms.get(0).time();
     tell(alarms.get(0).event());
-    assertEquals(all(Effect.Abandon.class).stream().map(Effect.Abandon::id).toList(),
+    assertEquals(
+        all(Effect.Abandon.class).stream().map(Effect.Abandon::id).toList(),
         List.of(start(1).id(), start(2).id(), start(3).id()));
   }
 
-  /** Guards against an alarm that rings for an attempt which has ended and is not set anew for those sent later. */
+  /**
+   * Guards against an alarm that rings for an attempt which has ended and is not set anew for those
+   * sent later.
+   */
   @Test
   public void theSharedAlarmIsSetAnewForWhatIsOutLonger() {
     ask(1, 0, 1);
@@ -308,17 +399,23 @@
   }
 
   private List<Effect.WakeAt> overdueAlarms() {
-    return all(Effect.WakeAt.class).stream().filter(w -> w.event() instanceof Event.Overdue).toList();
+    return all(Effect.WakeAt.class).stream()
+        .filter(w -> w.event() instanceof Event.Overdue)
+        .toList();
   }
 
   /** Guards against sends for a client that has left, at a site where nothing may be called off. */
   @Test
   public void whereNothingMayBeCalledOffWhatIsUnsentIsTakenBackAsItsRequestEnds() {
-    begin(withLimits(settings(Settings.Effect.SAFE, 1), new Settings.Limits(4, 8, false, false, false, true, 500, 250)));
+    begin(
+        withLimits(
+            settings(Settings.Effect.SAFE, 1),
+            new Settings.Limits(4, 8, false, false, false, true, 500, 250)));
     ask(1, 0, 1);
     assertEquals(all(Effect.Start.class).size(), 2);
     tell(new Event.ClientLeft(1));
-    assertEquals(all(Effect.TakeBack.class).stream().map(Effect.TakeBack::id).toList(),
+    assertEquals(
+        all(Effect.TakeBack.class).stream().map(Effect.TakeBack::id).toList(),
         all(Effect.Start.class).stream().map(Effect.Start::id).toList());
     assertEquals(all(Effect.Abandon.class), List.of());
     all(Effect.Start.class).forEach(s -> tell(new Event.Ended(s.id(), Router.Outcome.MOOT, null)));
@@ -326,34 +423,64 @@
   }
 
   private static Settings withLimits(Settings s, Settings.Limits limits) {
-    return new Settings(s.self(), s.instances(), s.zone(), s.tick(), s.listOnRequest(), s.marksRetry(), s.classes(),
-        s.tenants(), s.overShareWorth(), s.worthByWork(), s.layout(), limits, s.rules(), s.prices());
+    return new Settings(
+        s.self(),
+        s.instances(),
+        s.zone(),
+        s.tick(),
+        s.listOnRequest(),
+        s.marksRetry(),
+        s.classes(),
+        s.tenants(),
+        s.overShareWorth(),
+        s.worthByWork(),
+        s.layout(),
+        limits,
+        s.rules(),
+        s.prices());
   }
 
   /** The module, but for one call, counted from the first query on, which throws. */
   private static Router failingAt(Router module, int call, AtomicInteger calls) {
-    return (Router) Proxy.newProxyInstance(Router.class.getClassLoader(), new Class<?>[] {Router.class}, (p, method, given) -> {
-      if ((calls.get() > 0 || method.getName().equals("query")) && calls.incrementAndGet() == call) {
-        throw new IllegalStateException("as asked for, in " + method.getName());
-      }
-      try {
-        return method.invoke(module, given);
-      } catch (InvocationTargetException e) {
-        throw e.getCause();
-      }
-    });
-  }
-
-  /** Plays two queries to their end, where each attempt is answered after 50 ms; effects that hand events back are obeyed. */
+    return (Router)
+        Proxy.newProxyInstance(
+            Router.class.getClassLoader(),
+            new Class<?>[] {Router.class},
+            (p, method, given) -> {
+              if ((calls.get() > 0 || method.getName().equals("query"))
+                  && calls.incrementAndGet() == call) {
+                throw new IllegalStateException("as asked for, in " + method.getName());
+              }
+              try {
+                return method.invoke(module, given);
+              } catch (InvocationTargetException e) {
+                throw e.getCause();
+              }
+            });
+  }
+
+  /**
+   * Plays two queries to their end, where each attempt is answered after 50 ms; effects that hand
+   * events back are obeyed.
+   */
   private int playWithAFaultAt(int call) {
     Settings settings = settings(Settings.Effect.SAFE, 1);
     AtomicInteger calls = new AtomicInteger();
     now = 1000;
     effects.clear();
-    reducer = new Reducer(settings, now,
-        recorder -> failingAt(new bitternpulley.policy.Policy(settings, 7, now, recorder), call, calls));
-    tell(new Event.ServersListed(Router.ListKind.REMEMBERED, IntStream.range(0, 4).mapToObj(
-        i -> new Router.Member("s" + i, i % 2, i, Router.ServerState.LIVE, 0)).toList()));
+    reducer =
+        new Reducer(
+            settings,
+            now,
+            recorder ->
+                failingAt(
+                    new bitternpulley.policy.Policy(settings, 7, now, recorder), call, calls));
+    tell(
+        new Event.ServersListed(
+            Router.ListKind.REMEMBERED,
+            IntStream.range(0, 4)
+                .mapToObj(i -> new Router.Member("s" + i, i % 2, i, Router.ServerState.LIVE, 0))
+                .toList()));
     ask(1, 0, 1);
     ask(2, 2, 3);
     record Due(double at, Event event) {}
@@ -376,16 +503,23 @@
       now = next.at();
       tell(next.event());
       for (Effect.Reply r : all(Effect.Reply.class)) {
-        assertTrue(now <= 4000 || !effects.subList(seen, effects.size()).contains(r), "late, with a fault at call " + call);
+        assertTrue(
+            now <= 4000 || !effects.subList(seen, effects.size()).contains(r),
+            "late, with a fault at call " + call);
       }
     }
-    assertEquals(all(Effect.Reply.class).stream().map(r -> r.request().id()).sorted().toList(), List.of(1L, 2L),
+    assertEquals(
+        all(Effect.Reply.class).stream().map(r -> r.request().id()).sorted().toList(),
+        List.of(1L, 2L),
         "one final answer each, with a fault at call " + call);
     assertEquals(reducer.open(), 0);
     return calls.get();
   }
 
-  /** Guards against requests that are lost since deciding on them failed, at whatever step of their way. */
+  /**
+   * Guards against requests that are lost since deciding on them failed, at whatever step of their
+   * way.
+   */
   @Test
   public void whateverStepFailsEachRequestHasItsOneFinalAnswerInTime() {
     int calls = playWithAFaultAt(-1);
--- a/src/test/java/bitternpulley/broker/SharedCallsTest.java
+++ b/src/test/java/bitternpulley/broker/SharedCallsTest.java
@@ -9,8 +9,16 @@
 
 /** Which attempts of one turn share a call. */
 public class SharedCallsTest {
-  private static final Request REQUEST = new Request(1, null, 0, 1000, false, Router.Terms.OF_CLASS,
-      IntStream.range(0, 9).mapToObj(i -> new Request.Slice(i, 1.0 / 9, 0)).toList(), null);
+  private static final Request REQUEST =
+      new Request(
+          1,
+          null,
+          0,
+          1000,
+          false,
+          Router.Terms.OF_CLASS,
+          IntStream.range(0, 9).mapToObj(i -> new Request.Slice(i, 1.0 / 9, 0)).toList(),
+          null);
 
   private static Effect.Start start(int part, String server) {
     return new Effect.Start(new AttemptId(part, 0), REQUEST, part, server, 500);
@@ -25,22 +33,29 @@
   @Test
   public void attemptsToOneServerShareACallAndOthersStayWhereTheyWere() {
     Effect word = new Effect.Log("word");
-    assertEquals(SharedCalls.join(List.of(start(0, "a"), start(1, "b"), word, start(2, "a")), 16),
-        List.of(new Effect.StartTogether(List.of(start(0, "a"), start(2, "a"))), start(1, "b"), word));
+    assertEquals(
+        SharedCalls.join(List.of(start(0, "a"), start(1, "b"), word, start(2, "a")), 16),
+        List.of(
+            new Effect.StartTogether(List.of(start(0, "a"), start(2, "a"))), start(1, "b"), word));
   }
 
   @Test
   public void aCallHoldsNoMoreThanTheSettingsSay() {
-    assertEquals(SharedCalls.join(List.of(start(0, "a"), start(1, "a"), start(2, "a"), start(3, "a"), start(4, "a")), 2),
-        List.of(new Effect.StartTogether(List.of(start(0, "a"), start(1, "a"))),
-            new Effect.StartTogether(List.of(start(2, "a"), start(3, "a"))), start(4, "a")));
+    assertEquals(
+        SharedCalls.join(
+            List.of(start(0, "a"), start(1, "a"), start(2, "a"), start(3, "a"), start(4, "a")), 2),
+        List.of(
+            new Effect.StartTogether(List.of(start(0, "a"), start(1, "a"))),
+            new Effect.StartTogether(List.of(start(2, "a"), start(3, "a"))),
+            start(4, "a")));
   }
 
   /** Guards against a word that gives an attempt up and goes before the attempt itself. */
   @Test
   public void whatGivesAnAttemptUpStaysBehindIt() {
     Effect abandon = new Effect.Abandon(new AttemptId(2, 0), REQUEST, "a");
-    assertEquals(SharedCalls.join(List.of(start(0, "a"), start(2, "a"), abandon), 16),
+    assertEquals(
+        SharedCalls.join(List.of(start(0, "a"), start(2, "a"), abandon), 16),
         List.of(new Effect.StartTogether(List.of(start(0, "a"), start(2, "a"))), abandon));
   }
 }
--- a/src/test/java/bitternpulley/config/JsonTest.java
+++ b/src/test/java/bitternpulley/config/JsonTest.java
@@ -16,17 +16,31 @@
 
   @Test
   public void theTreeIsTheOneAMapperReads() throws IOException {
-    String text = "{\"a\":[1,-2.5,3000000000,true,false,null,\"\\u00e9\\n\",{}],\"b\":{\"c\":[]},\"d\":1e3}";
+    String text =
+        "{\"a\":[1,-2.5,3000000000,true,false,null,\"\\u00e9\\n\",{}],\"b\":{\"c\":[]},\"d\":1e3}";
     assertEquals(Json.read(bytes(text)), new ObjectMapper().readTree(text));
   }
 
   @DataProvider
   public Object[][] faults() {
-    return new Object[][] {{""}, {"{"}, {"[1,"}, {"{\"a\":1,\"a\":2}"}, {"{} {}"}, {"{}x"}, {"NaN"}, {"{\"a\":01}"},
-        {"[".repeat(5000)}, {"[" + "9".repeat(2000) + "]"}};
+    return new Object[][] {
+      {""},
+      {"{"},
+      {"[1,"},
+      {"{\"a\":1,\"a\":2}"},
+      {"{} {}"},
+      {"{}x"},
+      {"NaN"},
+      {"{\"a\":01}"},
+      {"[".repeat(5000)},
+      {"[" + "9".repeat(2000) + "]"}
+    };
   }
 
-  /** Guards against texts that two readers would read differently, and against those that use up the stack. */
+  /**
+   * Guards against texts that two readers would read differently, and against those that use up the
+   * stack.
+   */
   @Test(dataProvider = "faults")
   public void whatIsNotOneValueIsRefused(String text) {
     expectThrows(IOException.class, () -> Json.read(bytes(text)));
--- a/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
+++ b/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
@@ -21,7 +21,8 @@
   /** Three teams at about half of their shares, on servers that do 1,000 parts a second. */
   private static ContractWorld calm(long seed) {
     ContractWorld w = new ContractWorld(seed, 1000);
-    w.control.apply(book(1, contract("appeal", 0.4), contract("stock", 0.35), contract("booking", 0.25)), 0);
+    w.control.apply(
+        book(1, contract("appeal", 0.4), contract("stock", 0.35), contract("booking", 0.25)), 0);
     w.team("appeal", 50, 4);
     w.team("stock", 9, 20);
     w.team("booking", 120, 1);
@@ -43,8 +44,11 @@
     w.to(7000).forgetCounts();
     w.to(17_000);
     assertTrue(kept(w.teams.get("stock")) >= 0.95, "stock kept " + kept(w.teams.get("stock")));
-    assertTrue(kept(w.teams.get("booking")) >= 0.95, "booking kept " + kept(w.teams.get("booking")));
-    assertTrue(appeal.inTime * 4 >= 0.95 * 0.4 * 1000 * 10, "appeal has " + appeal.inTime * 4 + " parts of its 4000");
+    assertTrue(
+        kept(w.teams.get("booking")) >= 0.95, "booking kept " + kept(w.teams.get("booking")));
+    assertTrue(
+        appeal.inTime * 4 >= 0.95 * 0.4 * 1000 * 10,
+        "appeal has " + appeal.inTime * 4 + " parts of its 4000");
   }
 
   @Test
@@ -75,9 +79,14 @@
     w.rate = 500;
     w.to(13_000).forgetCounts();
     w.to(23_000);
-    for (Map.Entry<String, Double> share : Map.of("appeal", 0.4, "stock", 0.35, "booking", 0.25).entrySet()) {
+    for (Map.Entry<String, Double> share :
+        Map.of("appeal", 0.4, "stock", 0.35, "booking", 0.25).entrySet()) {
       double work = w.teams.get(share.getKey()).workServed / 10;
-      assertEquals(share.getValue() * 500, work, 0.2 * share.getValue() * 500, share.getKey() + " of half the capacity");
+      assertEquals(
+          share.getValue() * 500,
+          work,
+          0.2 * share.getValue() * 500,
+          share.getKey() + " of half the capacity");
     }
     w.rate = 1000;
     w.to(33_000).forgetCounts();
@@ -97,10 +106,13 @@
     w.to(5000).forgetCounts();
     w.to(20_000);
     assertTrue(appeal.told > 300, "told " + appeal.told);
-    assertTrue(appeal.returnedServed >= 0.9 * appeal.told, appeal.returnedServed + " of " + appeal.told);
+    assertTrue(
+        appeal.returnedServed >= 0.9 * appeal.told, appeal.returnedServed + " of " + appeal.told);
   }
 
-  /** Guards against a promise given twice for a place, and against a place gained by asking early. */
+  /**
+   * Guards against a promise given twice for a place, and against a place gained by asking early.
+   */
   @Test
   void oneCallerHasOnePromise() {
     ContractWorld w = calm(7);
@@ -138,7 +150,10 @@
     assertTrue(heavy.settled());
   }
 
-  /** Guards against charges lost or booked twice while contracts change, and against an open query judged by another. */
+  /**
+   * Guards against charges lost or booked twice while contracts change, and against an open query
+   * judged by another.
+   */
   @Test
   void contractsChangeMidRunAndEveryChargeIsSettledOnceByItsOwnVersion() {
     ContractWorld w = calm(9);
@@ -146,9 +161,20 @@
     w.teams.get("appeal").returnsAsTold = true;
     w.to(5000);
     Router.ClassTerms strict = new Router.ClassTerms(300, 900, 1, 2);
-    Contract without = new Contract("booking", 0.25, 1, 500, true, true, 0.2, 1, 1000, Map.of(1, strict));
-    w.at(6000, () -> w.control.apply(book(2, contract("appeal", 0.2), contract("stock", 0.35), contract("booking", 0.25)), w.now));
-    w.at(6080, () -> w.control.apply(book(3, contract("appeal", 0.2), contract("stock", 0.35), without), w.now));
+    Contract without =
+        new Contract("booking", 0.25, 1, 500, true, true, 0.2, 1, 1000, Map.of(1, strict));
+    w.at(
+        6000,
+        () ->
+            w.control.apply(
+                book(
+                    2, contract("appeal", 0.2), contract("stock", 0.35), contract("booking", 0.25)),
+                w.now));
+    w.at(
+        6080,
+        () ->
+            w.control.apply(
+                book(3, contract("appeal", 0.2), contract("stock", 0.35), without), w.now));
     w.at(8000, () -> w.control.apply(book(4, contract("appeal", 0.2), without), w.now));
     w.to(12_000);
     w.teams.values().forEach(t -> t.perSecond = 0);
@@ -158,11 +184,17 @@
       int v = version;
       assertTrue(w.charges.stream().anyMatch(c -> c.version() == v), "some under version " + v);
     }
-    assertTrue(w.charges.stream().noneMatch(c -> c.team().equals("booking") && c.version() >= 3), "the class is withdrawn");
-    assertTrue(w.charges.stream().noneMatch(c -> c.team().equals("stock") && c.version() == 4), "the team is gone");
+    assertTrue(
+        w.charges.stream().noneMatch(c -> c.team().equals("booking") && c.version() >= 3),
+        "the class is withdrawn");
+    assertTrue(
+        w.charges.stream().noneMatch(c -> c.team().equals("stock") && c.version() == 4),
+        "the team is gone");
     for (AccountView a : w.control.accounts(w.now)) {
-      double seen = w.charges.stream().filter(c -> c.team().equals(a.team())).mapToDouble(Charge::used).sum();
-      assertEquals(seen, a.used(), 1e-3 * Math.max(1, seen), a.team() + " is charged what was seen");
+      double seen =
+          w.charges.stream().filter(c -> c.team().equals(a.team())).mapToDouble(Charge::used).sum();
+      assertEquals(
+          seen, a.used(), 1e-3 * Math.max(1, seen), a.team() + " is charged what was seen");
       assertEquals(0, a.held());
     }
   }
@@ -170,7 +202,8 @@
   @Test
   void aRestartStarvesNobodyAndLetsNobodyOverrunForLongerThanASecond() {
     ContractWorld w = new ContractWorld(10, 1000);
-    w.control.apply(book(1, contract("appeal", 0.4), contract("stock", 0.35), contract("booking", 0.25)), 0);
+    w.control.apply(
+        book(1, contract("appeal", 0.4), contract("stock", 0.35), contract("booking", 0.25)), 0);
     Team appeal = w.team("appeal", 1000, 4);
     Team stock = w.team("stock", 9, 20);
     w.to(2000).forgetCounts();
@@ -201,11 +234,16 @@
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
 
-  /** Shares never add up to more than there is, and no team below its guarantee is refused while another borrows. */
+  /**
+   * Shares never add up to more than there is, and no team below its guarantee is refused while
+   * another borrows.
+   */
   @Property(tries = 25)
   void guaranteesHoldWhateverIsAsked(
-      @ForAll @IntRange(min = 1, max = 1000) int seed, @ForAll @IntRange(min = 10, max = 900) int first,
-      @ForAll @IntRange(min = 10, max = 900) int second, @ForAll @IntRange(min = 1, max = 40) int parts) {
+      @ForAll @IntRange(min = 1, max = 1000) int seed,
+      @ForAll @IntRange(min = 10, max = 900) int first,
+      @ForAll @IntRange(min = 10, max = 900) int second,
+      @ForAll @IntRange(min = 1, max = 40) int parts) {
     ContractWorld w = new ContractWorld(seed, 1000);
     w.control.apply(book(1, contract("a", 0.3), contract("b", 0.6)), 0);
     Team a = w.team("a", first, 1);
@@ -217,6 +255,8 @@
     double wantsA = Math.min(first, 300);
     double wantsB = Math.min(second, 600);
     assertTrue(a.workServed / 8 >= 0.8 * wantsA - 5, "a has " + a.workServed / 8 + " of " + wantsA);
-    assertTrue(b.workServed / 8 >= 0.8 * wantsB - 2 * parts, "b has " + b.workServed / 8 + " of " + wantsB);
+    assertTrue(
+        b.workServed / 8 >= 0.8 * wantsB - 2 * parts,
+        "b has " + b.workServed / 8 + " of " + wantsB);
   }
 }
--- a/src/test/java/bitternpulley/contracts/ContractWorld.java
+++ b/src/test/java/bitternpulley/contracts/ContractWorld.java
@@ -1,7 +1,6 @@
 package bitternpulley.contracts;
 
 import bitternpulley.routing.Router;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -10,8 +9,9 @@
 import java.util.Random;
 
 /**
- * A seeded world in virtual time: teams whose clients come at random, one admission control, and servers that do so many parts
- * a second in the order in which they come. Nothing but the control refuses; a query that takes longer than wanted is worth nothing.
+ * A seeded world in virtual time: teams whose clients come at random, one admission control, and
+ * servers that do so many parts a second in the order in which they come. Nothing but the control
+ * refuses; a query that takes longer than wanted is worth nothing.
  */
 final class ContractWorld {
   static final double WANTED = 500;
@@ -21,8 +21,10 @@
     final String id;
     double perSecond;
     final int parts;
+
     /** Times the usual work that each of its parts is. */
     double work = 1;
+
     boolean retriesAtOnce;
     boolean returnsAsTold;
     int asked;
@@ -40,16 +42,22 @@
 
   private record Happening(double at, long order, Runnable what) {}
 
-  final AdmissionControl control = new AdmissionControl(new double[] {WANTED, WANTED, WANTED}, 2000);
+  final AdmissionControl control =
+      new AdmissionControl(new double[] {WANTED, WANTED, WANTED}, 2000);
   final Map<String, Team> teams = new LinkedHashMap<>();
   final List<Charge> charges = new ArrayList<>();
-  private final PriorityQueue<Happening> ahead = new PriorityQueue<>((a, b) -> a.at() != b.at()
-      ? Double.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+  private final PriorityQueue<Happening> ahead =
+      new PriorityQueue<>(
+          (a, b) ->
+              a.at() != b.at()
+                  ? Double.compare(a.at(), b.at())
+                  : Long.compare(a.order(), b.order()));
   private final Random random;
   private long order;
   private long prints;
   private double freeAt;
   double now;
+
   /** Parts of the usual work that the servers do in a second. */
   double rate;
 
@@ -60,7 +68,8 @@
 
   static Contract contract(String id, double share) {
     Router.ClassTerms terms = new Router.ClassTerms(WANTED, 1500, 1, 1);
-    return new Contract(id, share, 1, 500, true, true, 0.2, 100, 100_000, Map.of(0, terms, 1, terms, 2, terms));
+    return new Contract(
+        id, share, 1, 500, true, true, 0.2, 100, 100_000, Map.of(0, terms, 1, terms, 2, terms));
   }
 
   static ContractBook book(int version, Contract... contracts) {
@@ -94,13 +103,16 @@
   }
 
   void forgetCounts() {
-    teams.values().forEach(t -> {
-      t.asked = 0;
-      t.inTime = 0;
-      t.told = 0;
-      t.returnedServed = 0;
-      t.workServed = 0;
-    });
+    teams
+        .values()
+        .forEach(
+            t -> {
+              t.asked = 0;
+              t.inTime = 0;
+              t.told = 0;
+              t.returnedServed = 0;
+              t.workServed = 0;
+            });
   }
 
   private void arrive(Team t) {
@@ -135,15 +147,17 @@
       control.sent(c);
       freeAt = Math.max(freeAt, now) + t.work * 1000 / rate;
       // A part takes 10 ms of a server however idle it is; the rest of its time is queueing.
-      at(freeAt + 10 * t.work, () -> {
-        control.attemptEnded(c, Router.Outcome.OK, now - began, now);
-        if (--left[0] == 0) {
-          control.over(c, true, now);
-          t.inTime += now - meant <= WANTED || asTold && now - began <= WANTED ? 1 : 0;
-          t.returnedServed += asTold ? 1 : 0;
-          t.workServed += t.work * t.parts;
-        }
-      });
+      at(
+          freeAt + 10 * t.work,
+          () -> {
+            control.attemptEnded(c, Router.Outcome.OK, now - began, now);
+            if (--left[0] == 0) {
+              control.over(c, true, now);
+              t.inTime += now - meant <= WANTED || asTold && now - began <= WANTED ? 1 : 0;
+              t.returnedServed += asTold ? 1 : 0;
+              t.workServed += t.work * t.parts;
+            }
+          });
     }
   }
 }
--- a/src/test/java/bitternpulley/health/CoreEstimateTest.java
+++ b/src/test/java/bitternpulley/health/CoreEstimateTest.java
@@ -12,8 +12,12 @@
   private static final double WORK = 100;
   private static final int PAIRS = 2000;
 
-  /** The least and the most cores that an estimate was sure of over many pairs, once it had seen some. */
-  private static double[] sure(int cores, double spread, double overestimate, double busy, long seed) {
+  /**
+   * The least and the most cores that an estimate was sure of over many pairs, once it had seen
+   * some.
+   */
+  private static double[] sure(
+      int cores, double spread, double overestimate, double busy, long seed) {
     Random random = new Random(seed);
     CoreEstimate estimate = new CoreEstimate();
     double sigma = Math.sqrt(Math.log(1 + spread * spread));
--- a/src/test/java/bitternpulley/health/ServerConcurrencyLimitTest.java
+++ b/src/test/java/bitternpulley/health/ServerConcurrencyLimitTest.java
@@ -39,7 +39,9 @@
     room.left(160);
     assertFalse(room.takes(1, false, 200));
     assertFalse(room.takes(0, true, 200));
-    assertTrue(room.takes(0, false, 200), "a server that has none is not left idle till they are forgotten");
+    assertTrue(
+        room.takes(0, false, 200),
+        "a server that has none is not left idle till they are forgotten");
     room.answered(155, true, 0, 300);
     assertEquals(2, taken(false, 300));
     assertTrue(taken(false, 3000) > 2, "nor for good");
--- a/src/test/java/bitternpulley/health/WorkEstimateTest.java
+++ b/src/test/java/bitternpulley/health/WorkEstimateTest.java
@@ -6,7 +6,10 @@
 import org.junit.jupiter.api.Test;
 
 class WorkEstimateTest {
-  /** Guards against a budget that shrinks with load: what waits behind other parts tells nothing of its work. */
+  /**
+   * Guards against a budget that shrinks with load: what waits behind other parts tells nothing of
+   * its work.
+   */
   @Test
   void loadDoesNotStretchIt() {
     WorkEstimate estimate = new WorkEstimate();
@@ -22,8 +25,9 @@
   }
 
   /**
-   * Guards against a jam that keeps itself up: it stretches what lone parts take, by that cold servers were given half of
-   * what they can do, and the jam grew. Its way out is stated: a jam of 1,000 lone answers, ten seconds, moves it by a quarter.
+   * Guards against a jam that keeps itself up: it stretches what lone parts take, by that cold
+   * servers were given half of what they can do, and the jam grew. Its way out is stated: a jam of
+   * 1,000 lone answers, ten seconds, moves it by a quarter.
    */
   @Test
   void aJamIsNotLearned() {
@@ -41,7 +45,10 @@
     assertEquals(60, estimate.work(80), 1, "what lasts is what clients ask for now");
   }
 
-  /** Guards against a budget for parts that are far too small, when the first few answers were quick by chance. */
+  /**
+   * Guards against a budget for parts that are far too small, when the first few answers were quick
+   * by chance.
+   */
   @Test
   void aFewQuickAnswersAreNotBelieved() {
     WorkEstimate estimate = new WorkEstimate();
--- a/src/test/java/bitternpulley/leases/LeaseWorld.java
+++ b/src/test/java/bitternpulley/leases/LeaseWorld.java
@@ -8,7 +8,10 @@
 import java.util.Random;
 import java.util.stream.IntStream;
 
-/** Members and witnesses in virtual time, each on a clock of its own; checks at every step what all may do together. */
+/**
+ * Members and witnesses in virtual time, each on a clock of its own; checks at every step what all
+ * may do together.
+ */
 final class LeaseWorld {
   private static final double STEP = 100;
   private static final double DRIFT = 0.004;
@@ -25,8 +28,10 @@
     double pace;
     double ahead;
     long epoch;
+
     /** Of this process and of those before it, each for itself: two of one member count twice. */
     ArrayDeque<Part> parts = new ArrayDeque<>();
+
     final List<ArrayDeque<Part>> ended = new ArrayList<>();
   }
 
@@ -37,10 +42,13 @@
   double mostDelay = 3;
   boolean[][] cut;
   double now;
+
   /** The most that all might do together in a window so far, in parts of the whole. */
   double most;
+
   private final List<Node> nodes = new ArrayList<>();
-  private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+  private final PriorityQueue<Due> due =
+      new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
   private long order;
 
   LeaseWorld(LeaseTerms terms, long seed) {
@@ -96,7 +104,10 @@
     }
   }
 
-  /** What comes to a process that does not run lies there; what comes to one that is dead may meet the next. */
+  /**
+   * What comes to a process that does not run lies there; what comes to one that is dead may meet
+   * the next.
+   */
   private void arrive(int to, LeaseMessage message) {
     Node n = nodes.get(to);
     if (n.up && now < n.pausedUntil) {
@@ -169,10 +180,13 @@
   /** Cuts these off from all others, both ways, or mends it. */
   void cutOff(List<Integer> some, boolean on) {
     for (int a : some) {
-      IntStream.range(0, nodes.size()).filter(b -> !some.contains(b)).forEach(b -> {
-        cut[a][b] = on;
-        cut[b][a] = on;
-      });
+      IntStream.range(0, nodes.size())
+          .filter(b -> !some.contains(b))
+          .forEach(
+              b -> {
+                cut[a][b] = on;
+                cut[b][a] = on;
+              });
     }
   }
 }
--- a/src/test/java/bitternpulley/leases/LeasesTest.java
+++ b/src/test/java/bitternpulley/leases/LeasesTest.java
@@ -12,7 +12,10 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** All together never take more than the whole, whatever befalls them; and the part of the dead is not left unused. */
+/**
+ * All together never take more than the whole, whatever befalls them; and the part of the dead is
+ * not left unused.
+ */
 class LeasesTest {
   private static final double LASTS = 10_000;
   private static final double EFFECT = 1250;
@@ -26,7 +29,8 @@
     assertTrue(w.most <= 1 + ROUNDING, "seed " + w.seed + ": all together took " + w.most);
   }
 
-  private static void each(int members, int witnesses, java.util.function.Consumer<LeaseWorld> test) {
+  private static void each(
+      int members, int witnesses, java.util.function.Consumer<LeaseWorld> test) {
     for (long seed = 1; seed <= 10; seed++) {
       LeaseWorld w = new LeaseWorld(terms(members, witnesses), seed).run(2.5 * LASTS);
       test.accept(w);
@@ -48,65 +52,85 @@
 
   @Test
   void thePartOfTheDeadGoesToTheOthersAndComesBackToItsNextProcess() {
-    each(5, 3, w -> {
-      w.kill(4);
-      w.run(0.5 * LASTS);
-      parts(w, List.of(0, 1, 2, 3), 1.0 / 5);
-      parts(w.run(LASTS), List.of(0, 1, 2, 3), 1.0 / 4);
-      w.start(4);
-      w.run(0.8 * LASTS);
-      parts(w, List.of(4), 0);
-      parts(w.run(LASTS), List.of(0, 1, 2, 3, 4), 1.0 / 5);
-    });
+    each(
+        5,
+        3,
+        w -> {
+          w.kill(4);
+          w.run(0.5 * LASTS);
+          parts(w, List.of(0, 1, 2, 3), 1.0 / 5);
+          parts(w.run(LASTS), List.of(0, 1, 2, 3), 1.0 / 4);
+          w.start(4);
+          w.run(0.8 * LASTS);
+          parts(w, List.of(4), 0);
+          parts(w.run(LASTS), List.of(0, 1, 2, 3, 4), 1.0 / 5);
+        });
   }
 
   @Test
   void ofTwoSidesOfACutTheSmallerGivesUpItsPartBeforeTheOtherTakesIt() {
-    each(7, 5, w -> {
-      w.cutOff(List.of(0, 1, 6), true);
-      parts(w.run(2 * LASTS), List.of(0, 1, 6), 0);
-      parts(w, List.of(2, 3, 4, 5), 1.0 / 4);
-      w.cutOff(List.of(0, 1, 6), false);
-      parts(w.run(2.5 * LASTS), List.of(0, 1, 2, 3, 4, 5, 6), 1.0 / 7);
-    });
+    each(
+        7,
+        5,
+        w -> {
+          w.cutOff(List.of(0, 1, 6), true);
+          parts(w.run(2 * LASTS), List.of(0, 1, 6), 0);
+          parts(w, List.of(2, 3, 4, 5), 1.0 / 4);
+          w.cutOff(List.of(0, 1, 6), false);
+          parts(w.run(2.5 * LASTS), List.of(0, 1, 2, 3, 4, 5, 6), 1.0 / 7);
+        });
   }
 
   /** Guards against one that hears all, and takes that for being heard. */
   @Test
   void oneThatNobodyHearsHasNoPart() {
-    each(5, 3, w -> {
-      IntStream.range(0, 4).forEach(i -> w.cut[4][i] = true);
-      parts(w.run(2 * LASTS), List.of(4), 0);
-      parts(w, List.of(0, 1, 2, 3), 1.0 / 4);
-    });
+    each(
+        5,
+        3,
+        w -> {
+          IntStream.range(0, 4).forEach(i -> w.cut[4][i] = true);
+          parts(w.run(2 * LASTS), List.of(4), 0);
+          parts(w, List.of(0, 1, 2, 3), 1.0 / 4);
+        });
   }
 
   @Test
   void withoutMostWitnessesNobodyHasAPartAndWithThemAgainAllHave() {
-    each(5, 3, w -> {
-      w.kill(0);
-      parts(w.run(2 * LASTS), List.of(1, 2, 3, 4), 1.0 / 4);
-      w.kill(1);
-      parts(w.run(2 * LASTS), List.of(2, 3, 4), 0);
-      w.start(0);
-      parts(w.run(3 * LASTS), List.of(0, 2, 3, 4), 1.0 / 4);
-    });
+    each(
+        5,
+        3,
+        w -> {
+          w.kill(0);
+          parts(w.run(2 * LASTS), List.of(1, 2, 3, 4), 1.0 / 4);
+          w.kill(1);
+          parts(w.run(2 * LASTS), List.of(2, 3, 4), 0);
+          w.start(0);
+          parts(w.run(3 * LASTS), List.of(0, 2, 3, 4), 1.0 / 4);
+        });
   }
 
   @Test
   void oneThatWakesHasNothingUntilItHasAskedAnew() {
-    each(5, 3, w -> {
-      w.pause(3, 30_000);
-      w.run(29_999);
-      parts(w, List.of(0, 1, 2, 4), 1.0 / 4);
-      assertEquals(0, w.part(3), ROUNDING);
-      parts(w.run(2.5 * LASTS), List.of(0, 1, 2, 3, 4), 1.0 / 5);
-    });
+    each(
+        5,
+        3,
+        w -> {
+          w.pause(3, 30_000);
+          w.run(29_999);
+          parts(w, List.of(0, 1, 2, 4), 1.0 / 4);
+          assertEquals(0, w.part(3), ROUNDING);
+          parts(w.run(2.5 * LASTS), List.of(0, 1, 2, 3, 4), 1.0 / 5);
+        });
   }
 
-  /** Witnesses and others, killed, started anew, stopped, cut one way and both, with loss and delay: by chance, from a seed. */
+  /**
+   * Witnesses and others, killed, started anew, stopped, cut one way and both, with loss and delay:
+   * by chance, from a seed.
+   */
   @Property(tries = 100, seed = "20261202")
-  void whateverHappensAllTogetherTakeNoMoreThanTheWhole(@ForAll long seed, @ForAll @IntRange(min = 1, max = 9) int members,
+  void whateverHappensAllTogetherTakeNoMoreThanTheWhole(
+      @ForAll long seed,
+      @ForAll @IntRange(min = 1, max = 9) int members,
       @ForAll @IntRange(min = 1, max = 5) int witnesses) {
     Random random = new Random(seed);
     LeaseWorld w = new LeaseWorld(terms(members, Math.min(witnesses, members)), seed);
@@ -123,7 +147,10 @@
         }
         case 3 -> w.pause(a, random.nextInt(20_000));
         case 4 -> w.cut[a][b] = !w.cut[a][b];
-        case 5 -> w.cutOff(random.ints(random.nextInt(members), 0, members).distinct().boxed().toList(), random.nextBoolean());
+        case 5 ->
+            w.cutOff(
+                random.ints(random.nextInt(members), 0, members).distinct().boxed().toList(),
+                random.nextBoolean());
         default -> {
           w.loss = random.nextInt(3) == 0 ? 0.4 * random.nextDouble() : 0;
           w.mostDelay = random.nextInt(3) == 0 ? 4000 : 20;
@@ -134,7 +161,10 @@
     }
   }
 
-  /** A holder whose clock is slow and a witness whose clock is fast: still, the one is over before the other lets go. */
+  /**
+   * A holder whose clock is slow and a witness whose clock is fast: still, the one is over before
+   * the other lets go.
+   */
   @Property(tries = 50, seed = "20261202")
   void clocksOfAnotherPaceAreBorne(@ForAll @IntRange(min = 2000, max = 600_000) int lasts) {
     LeaseTerms terms = new LeaseTerms(5, List.of(0), lasts, EFFECT);
@@ -142,7 +172,10 @@
     assertTrue((terms.holds() + terms.effect()) / 0.9951 <= terms.outlasts(terms.lasts()) / 1.0049);
   }
 
-  /** Guards against an answer long on its way, by which a newcomer would take its part while others still have it. */
+  /**
+   * Guards against an answer long on its way, by which a newcomer would take its part while others
+   * still have it.
+   */
   @Test
   void whoIsToWaitWaitsFromWhenItIsToldAndWhoHasEndedAsksNoMore() {
     Leases m = new Leases(2, new LeaseTerms(3, List.of(0), LASTS, EFFECT));
--- a/src/test/java/bitternpulley/membership/HollowMembers.java
+++ b/src/test/java/bitternpulley/membership/HollowMembers.java
@@ -4,7 +4,10 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 
-/** Many members of the program's own state machine in virtual time, for what they send: whoever measures sees each message. */
+/**
+ * Many members of the program's own state machine in virtual time, for what they send: whoever
+ * measures sees each message.
+ */
 public final class HollowMembers {
   private static final double SETTLED_MS = 30_000;
   private static final double SETTLED_MS_EACH = 2;
--- a/src/test/java/bitternpulley/membership/MembershipTable.java
+++ b/src/test/java/bitternpulley/membership/MembershipTable.java
@@ -5,20 +5,28 @@
 import java.util.Random;
 import java.util.stream.IntStream;
 
-/** The table of docs/membership.md, from virtual time: {@code make table-membership}. The plain form from the same seeds. */
+/**
+ * The table of docs/membership.md, from virtual time: {@code make table-membership}. The plain form
+ * from the same seeds.
+ */
 final class MembershipTable {
   private static final double SETTLED = 30_000;
 
   private MembershipTable() {}
 
-  /** The whole table; or one line of it: {@code detect MEMBERS SEEDS}, {@code churn MEMBERS}, {@code deaths MEMBERS LOSS MS}. */
+  /**
+   * The whole table; or one line of it: {@code detect MEMBERS SEEDS}, {@code churn MEMBERS}, {@code
+   * deaths MEMBERS LOSS MS}.
+   */
   public static void main(String[] args) {
     if (args.length > 0) {
       int members = Integer.parseInt(args[1]);
       switch (args[0]) {
         case "detect" -> detection(members, Integer.parseInt(args[2]), false);
         case "churn" -> churn(members);
-        case "deaths" -> falseDeaths(members, Double.parseDouble(args[2]), 1, Double.parseDouble(args[3]), false);
+        case "deaths" ->
+            falseDeaths(
+                members, Double.parseDouble(args[2]), 1, Double.parseDouble(args[3]), false);
         default -> throw new IllegalArgumentException(args[0] + " is no line of the table");
       }
       System.exit(0);
@@ -57,16 +65,26 @@
       w.run(2000);
     }
     double took = w.now - from;
-    System.out.println(String.format(Locale.ROOT, "own, %d members, one in ten started anew in a minute: all known as they run after "
-        + "%.0f ms more; %d verdicts of death", members, took, w.deaths().size()));
+    System.out.println(
+        String.format(
+            Locale.ROOT,
+            "own, %d members, one in ten started anew in a minute: all known as they run after "
+                + "%.0f ms more; %d verdicts of death",
+            members,
+            took,
+            w.deaths().size()));
   }
 
   /** Whether all hold those that were started anew for the process that runs. */
   private static boolean churned(World w, int members) {
-    return IntStream.range(0, members).allMatch(j -> {
-      java.util.List<MemberView> views = w.at(j).members();
-      return IntStream.range(0, members / 10).map(k -> 7 * k % members).allMatch(i -> views.get(i).epoch() == w.at(i).epoch());
-    });
+    return IntStream.range(0, members)
+        .allMatch(
+            j -> {
+              java.util.List<MemberView> views = w.at(j).members();
+              return IntStream.range(0, members / 10)
+                  .map(k -> 7 * k % members)
+                  .allMatch(i -> views.get(i).epoch() == w.at(i).epoch());
+            });
   }
 
   private static void memory() {
@@ -74,15 +92,44 @@
       Membership[] many = new Membership[20];
       long before = used();
       for (int k = 0; k < many.length; k++) {
-        many[k] = new Membership(0, new MemberMetadata("n0", "z0", "r", "b"), 1, IntStream.range(0, members).boxed().toList(),
-            MembershipSettings.USUAL, 1, 1e9);
+        many[k] =
+            new Membership(
+                0,
+                new MemberMetadata("n0", "z0", "r", "b"),
+                1,
+                IntStream.range(0, members).boxed().toList(),
+                MembershipSettings.USUAL,
+                1,
+                1e9);
         for (int i = 1; i < members; i++) {
-          many[k].heard(new Message(Message.Kind.SYNC, i, 1_000_000, 0, 0, 0, 0, java.util.List.of(new GossipUpdate(i, 1_000_000, 0,
-              Standing.ALIVE, -1, new MemberMetadata("node-" + i, "zone", "region", "build"), new MemberPayload(1, new byte[MemberPayload.MOST])))), 1e9);
+          many[k].heard(
+              new Message(
+                  Message.Kind.SYNC,
+                  i,
+                  1_000_000,
+                  0,
+                  0,
+                  0,
+                  0,
+                  java.util.List.of(
+                      new GossipUpdate(
+                          i,
+                          1_000_000,
+                          0,
+                          Standing.ALIVE,
+                          -1,
+                          new MemberMetadata("node-" + i, "zone", "region", "build"),
+                          new MemberPayload(1, new byte[MemberPayload.MOST])))),
+              1e9);
         }
       }
-      System.out.println(members + " members: " + (used() - before) / many.length / members + " bytes a member, all heard of ("
-          + many[0].members().size() + ")");
+      System.out.println(
+          members
+              + " members: "
+              + (used() - before) / many.length / members
+              + " bytes a member, all heard of ("
+              + many[0].members().size()
+              + ")");
     }
   }
 
@@ -92,8 +139,13 @@
   }
 
   private static World world(int members, long seed, boolean plain) {
-    return plain ? new World(members, seed, (number, epoch, chance, now) ->
-        new PlainDetector(number, members, epoch, MembershipSettings.USUAL, chance, now)) : new World(members, seed, MembershipSettings.USUAL);
+    return plain
+        ? new World(
+            members,
+            seed,
+            (number, epoch, chance, now) ->
+                new PlainDetector(number, members, epoch, MembershipSettings.USUAL, chance, now))
+        : new World(members, seed, MembershipSettings.USUAL);
   }
 
   /** From a kill until all live members know. */
@@ -114,9 +166,19 @@
       others += w.deaths().stream().filter(v -> v.of() != killed).count();
     }
     Arrays.sort(took);
-    System.out.println(String.format(Locale.ROOT, "%s, %d members, %d seeds: all know after median %.0f p99 %.0f worst %.0f ms;"
-        + " %.1f messages/s each; %.0f verdicts on others", plain ? "plain" : "own", members, seeds, took[seeds / 2],
-        took[(int) Math.ceil(0.99 * seeds) - 1], took[seeds - 1], messages, others));
+    System.out.println(
+        String.format(
+            Locale.ROOT,
+            "%s, %d members, %d seeds: all know after median %.0f p99 %.0f worst %.0f ms;"
+                + " %.1f messages/s each; %.0f verdicts on others",
+            plain ? "plain" : "own",
+            members,
+            seeds,
+            took[seeds / 2],
+            took[(int) Math.ceil(0.99 * seeds) - 1],
+            took[seeds - 1],
+            messages,
+            others));
   }
 
   /** Nobody is killed; one in ten is paused for 1 to 5 s each minute. */
@@ -137,7 +199,15 @@
       deaths += w.deaths().size();
     }
     double days = seeds * members * ms / 86_400_000;
-    System.out.println(String.format(Locale.ROOT, "%s, %d members, loss %.2f: %.0f verdicts of death an instance-day (%d in %.2f)",
-        plain ? "plain" : "own", members, loss, deaths / days, deaths, days));
+    System.out.println(
+        String.format(
+            Locale.ROOT,
+            "%s, %d members, loss %.2f: %.0f verdicts of death an instance-day (%d in %.2f)",
+            plain ? "plain" : "own",
+            members,
+            loss,
+            deaths / days,
+            deaths,
+            days));
   }
 }
--- a/src/test/java/bitternpulley/membership/PlainDetector.java
+++ b/src/test/java/bitternpulley/membership/PlainDetector.java
@@ -11,8 +11,9 @@
 import java.util.stream.IntStream;
 
 /**
- * SWIM without suspicion and without self-doubt, to compare with: whoever answers neither directly nor through helpers is
- * dead, and all believe it; whoever is heard again is alive again. The same pace, time-outs and helpers as the real one.
+ * SWIM without suspicion and without self-doubt, to compare with: whoever answers neither directly
+ * nor through helpers is dead, and all believe it; whoever is heard again is alive again. The same
+ * pace, time-outs and helpers as the real one.
  */
 final class PlainDetector implements World.Instance {
   private record Asked(int target, int sequence, double at) {}
@@ -63,7 +64,9 @@
       helped = true;
       List<Integer> helpers = alive();
       Collections.shuffle(helpers, random);
-      helpers.stream().filter(h -> h != asked.target()).limit(terms.relays())
+      helpers.stream()
+          .filter(h -> h != asked.target())
+          .limit(terms.relays())
           .forEach(h -> send(h, Kind.RELAY, asked.sequence(), asked.target()));
     }
     if (asked != null && now >= asked.at() + 3 * terms.timeout()) {
@@ -74,7 +77,9 @@
       nextProbe = now + terms.interval();
       if (round.isEmpty()) {
         // The dead as well: that they are back is found out so.
-        List<Integer> all = new ArrayList<>(IntStream.range(0, standings.length).filter(i -> i != self).boxed().toList());
+        List<Integer> all =
+            new ArrayList<>(
+                IntStream.range(0, standings.length).filter(i -> i != self).boxed().toList());
         Collections.shuffle(all, random);
         round.addAll(all);
       }
@@ -107,7 +112,7 @@
           asked = null;
         }
       }
-      default -> { }
+      default -> {}
     }
     return out;
   }
@@ -125,8 +130,11 @@
   }
 
   private List<Integer> alive() {
-    return new ArrayList<>(IntStream.range(0, standings.length).filter(i -> i != self && standings[i] == Standing.ALIVE)
-        .boxed().toList());
+    return new ArrayList<>(
+        IntStream.range(0, standings.length)
+            .filter(i -> i != self && standings[i] == Standing.ALIVE)
+            .boxed()
+            .toList());
   }
 
   private void stands(int number, Standing next, int at) {
@@ -139,7 +147,17 @@
   }
 
   private void send(int to, Kind kind, int number, int target) {
-    out.add(new Output.Send(to, new Message(kind, self, epoch, incarnation, number, target, 0,
-        spread.next(standings.length, null, Message.RUMOR_BYTES, Message.MOST_RUMORS))));
+    out.add(
+        new Output.Send(
+            to,
+            new Message(
+                kind,
+                self,
+                epoch,
+                incarnation,
+                number,
+                target,
+                0,
+                spread.next(standings.length, null, Message.RUMOR_BYTES, Message.MOST_RUMORS))));
   }
 }
--- a/src/test/java/bitternpulley/membership/World.java
+++ b/src/test/java/bitternpulley/membership/World.java
@@ -11,7 +11,10 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 
-/** Many instances in virtual time, with a network that loses, delays, repeats and cuts by seed, one way or both. */
+/**
+ * Many instances in virtual time, with a network that loses, delays, repeats and cuts by seed, one
+ * way or both.
+ */
 final class World {
   record Verdict(int by, int of, Standing before, Standing now, double at) {}
 
@@ -70,8 +73,10 @@
   double mostDelay = 3;
   double repeated;
   long sent;
+
   /** Is shown each message as it is sent. */
-  Consumer<Message> watcher = message -> { };
+  Consumer<Message> watcher = message -> {};
+
   private final Maker maker;
   private final Random random;
   private final List<Node> nodes = new ArrayList<>();
@@ -82,8 +87,19 @@
   double now = 1_000_000_000;
 
   World(int count, long seed, MembershipSettings terms) {
-    this(count, seed, (number, epoch, chance, now) -> new Own(new Membership(number,
-        new MemberMetadata("n" + number, "z" + number % 2, "r", "b"), epoch, IntStream.range(0, count).boxed().toList(), terms, chance, now)));
+    this(
+        count,
+        seed,
+        (number, epoch, chance, now) ->
+            new Own(
+                new Membership(
+                    number,
+                    new MemberMetadata("n" + number, "z" + number % 2, "r", "b"),
+                    epoch,
+                    IntStream.range(0, count).boxed().toList(),
+                    terms,
+                    chance,
+                    now)));
   }
 
   World(int count, long seed, Maker maker) {
@@ -103,7 +119,9 @@
     n.up = true;
     n.starts++;
     int life = n.starts;
-    n.instance = maker.make(i, (long) (now + n.clockAhead) + n.starts, random.nextLong(), now + n.clockAhead);
+    n.instance =
+        maker.make(
+            i, (long) (now + n.clockAhead) + n.starts, random.nextLong(), now + n.clockAhead);
     tick(i, life);
   }
 
@@ -140,7 +158,9 @@
       return;
     }
     int life = nodes.get(to).starts;
-    plan(now + 0.5 + mostDelay * random.nextDouble() + nodes.get(to).late, () -> arrive(to, life, message));
+    plan(
+        now + 0.5 + mostDelay * random.nextDouble() + nodes.get(to).late,
+        () -> arrive(to, life, message));
   }
 
   private void arrive(int to, int life, Message message) {
@@ -217,11 +237,14 @@
 
   /** Whether each that runs holds this member so. */
   boolean allHold(int of, Standing standing) {
-    return IntStream.range(0, size()).filter(i -> i != of && up(i)).allMatch(i -> nodes.get(i).instance.standing(of) == standing);
+    return IntStream.range(0, size())
+        .filter(i -> i != of && up(i))
+        .allMatch(i -> nodes.get(i).instance.standing(of) == standing);
   }
 
   boolean viewsEqual() {
-    return IntStream.range(0, size()).filter(this::up).map(i -> at(i).view()).distinct().count() == 1;
+    return IntStream.range(0, size()).filter(this::up).map(i -> at(i).view()).distinct().count()
+        == 1;
   }
 
   /** Verdicts of death on one that ran. */
--- a/src/test/java/bitternpulley/net/ConnectionTest.java
+++ b/src/test/java/bitternpulley/net/ConnectionTest.java
@@ -39,34 +39,46 @@
     return ByteBuffer.wrap(bytes);
   }
 
-  /** Guards against what waits behind a peer that does not read, and goes to it when nobody wants it any more. */
+  /**
+   * Guards against what waits behind a peer that does not read, and goes to it when nobody wants it
+   * any more.
+   */
   @Test
-  public void whatWaitsBehindAPeerThatDoesNotReadCanBeTakenBackUnlessItHasBegunToGo() throws Exception {
+  public void whatWaitsBehindAPeerThatDoesNotReadCanBeTakenBackUnlessItHasBegunToGo()
+      throws Exception {
     EventLoop loop = new EventLoop();
     try (ServerSocket server = new ServerSocket()) {
       server.setReceiveBufferSize(4096);
       server.bind(new java.net.InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
       Connection[] made = new Connection[1];
-      loop.execute(() -> made[0] = Connection.open(
-          loop, new HostPort("127.0.0.1", server.getLocalPort()), 5000, this, up::countDown));
+      loop.execute(
+          () ->
+              made[0] =
+                  Connection.open(
+                      loop,
+                      new HostPort("127.0.0.1", server.getLocalPort()),
+                      5000,
+                      this,
+                      up::countDown));
       try (Socket peer = server.accept()) {
         peer.setSoTimeout(PATIENCE_MS);
         assertTrue(up.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
         int[] sent = new int[1];
-        loop.inTurn(() -> {
-          ByteBuffer begun;
-          do { // until the machine takes no more of one
-            begun = piece(1);
-            made[0].write(begun, () -> gone++);
-            sent[0]++;
-          } while (gone == sent[0]);
-          ByteBuffer taken = piece(2);
-          made[0].write(taken, () -> gone++);
-          made[0].write(piece(3), () -> gone++);
-          assertFalse(made[0].takeBack(begun), "it is being written");
-          assertTrue(made[0].takeBack(taken));
-          assertFalse(made[0].takeBack(taken), "only once");
-        });
+        loop.inTurn(
+            () -> {
+              ByteBuffer begun;
+              do { // until the machine takes no more of one
+                begun = piece(1);
+                made[0].write(begun, () -> gone++);
+                sent[0]++;
+              } while (gone == sent[0]);
+              ByteBuffer taken = piece(2);
+              made[0].write(taken, () -> gone++);
+              made[0].write(piece(3), () -> gone++);
+              assertFalse(made[0].takeBack(begun), "it is being written");
+              assertTrue(made[0].takeBack(taken));
+              assertFalse(made[0].takeBack(taken), "only once");
+            });
         assertEquals(read(peer, sent[0] + 1), "1".repeat(sent[0]) + "3");
       }
     }
@@ -77,21 +89,29 @@
   public void theReadBufferFollowsWhatComes() throws Exception {
     EventLoop loop = new EventLoop();
     LinkedBlockingQueue<Integer> read = new LinkedBlockingQueue<>();
-    Connection.Owner counts = new Connection.Owner() {
-      @Override
-      public void received(ByteBuffer bytes) {
-        read.add(bytes.remaining());
-      }
+    Connection.Owner counts =
+        new Connection.Owner() {
+          @Override
+          public void received(ByteBuffer bytes) {
+            read.add(bytes.remaining());
+          }
 
-      @Override
-      public void closed() {
-        // as its peer ends it
-      }
-    };
+          @Override
+          public void closed() {
+            // as its peer ends it
+          }
+        };
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       Connection[] made = new Connection[1];
-      loop.execute(() -> made[0] = Connection.open(
-          loop, new HostPort("127.0.0.1", server.getLocalPort()), 5000, counts, () -> { }));
+      loop.execute(
+          () ->
+              made[0] =
+                  Connection.open(
+                      loop,
+                      new HostPort("127.0.0.1", server.getLocalPort()),
+                      5000,
+                      counts,
+                      () -> {}));
       try (Socket peer = server.accept()) {
         peer.getOutputStream().write(new byte[PIECE]);
         await(read, PIECE);
@@ -106,8 +126,9 @@
     }
   }
 
-  private static void await(LinkedBlockingQueue<Integer> read, int bytes) throws InterruptedException {
-    for (int left = bytes; left > 0;) {
+  private static void await(LinkedBlockingQueue<Integer> read, int bytes)
+      throws InterruptedException {
+    for (int left = bytes; left > 0; ) {
       Integer next = read.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
       assertTrue(next != null, left + " bytes did not come");
       left -= next;
--- a/src/test/java/bitternpulley/net/HttpClientTest.java
+++ b/src/test/java/bitternpulley/net/HttpClientTest.java
@@ -50,7 +50,8 @@
 
   private void send(double sendBy) {
     HostPort at = new HostPort("127.0.0.1", server.getLocalPort());
-    loop.execute(() -> client.send(at, ByteBuffer.wrap("GET / HTTP/1.1\r\n\r\n".getBytes()), sendBy, this));
+    loop.execute(
+        () -> client.send(at, ByteBuffer.wrap("GET / HTTP/1.1\r\n\r\n".getBytes()), sendBy, this));
   }
 
   private String next() throws InterruptedException {
@@ -61,7 +62,8 @@
     send(Double.POSITIVE_INFINITY);
     try (Socket one = server.accept()) {
       one.getInputStream().readNBytes(18);
-      one.getOutputStream().write("HTTP/1.1 200 OK\r\n\r\n{\"half\":1}".getBytes(StandardCharsets.US_ASCII));
+      one.getOutputStream()
+          .write("HTTP/1.1 200 OK\r\n\r\n{\"half\":1}".getBytes(StandardCharsets.US_ASCII));
       one.setSoLinger(reset, 0);
     }
   }
--- a/src/test/java/bitternpulley/net/HttpEndingsTest.java
+++ b/src/test/java/bitternpulley/net/HttpEndingsTest.java
@@ -16,11 +16,13 @@
 import org.testng.annotations.Test;
 
 /**
- * What is still owed at the instant in which a client's connection ends. Crossings are forced by holding the loop's turn:
- * what the test writes meanwhile lies in the sockets when the server does what ends the connection.
+ * What is still owed at the instant in which a client's connection ends. Crossings are forced by
+ * holding the loop's turn: what the test writes meanwhile lies in the sockets when the server does
+ * what ends the connection.
  */
 public class HttpEndingsTest implements HttpServer.Handler {
   private static final int PATIENCE_MS = 30_000;
+
   /** More than one read takes, so that bytes lie unread when the connection ends. */
   private static final String LONG = request("/long", "x".repeat(40_000));
 
@@ -79,7 +81,9 @@
 
   private static String line(Socket from) throws IOException {
     StringBuilder line = new StringBuilder();
-    for (int b = from.getInputStream().read(); b >= 0 && b != '\n'; b = from.getInputStream().read()) {
+    for (int b = from.getInputStream().read();
+        b >= 0 && b != '\n';
+        b = from.getInputStream().read()) {
       line.append((char) b);
     }
     return line.toString().strip();
@@ -113,13 +117,14 @@
   /** Nothing is read or written by the server while this happens. */
   private void inOneTurn(Crossing crossing) throws IOException {
     IOException[] failure = new IOException[1];
-    loop.inTurn(() -> {
-      try {
-        crossing.happens();
-      } catch (IOException e) {
-        failure[0] = e;
-      }
-    });
+    loop.inTurn(
+        () -> {
+          try {
+            crossing.happens();
+          } catch (IOException e) {
+            failure[0] = e;
+          }
+        });
     if (failure[0] != null) {
       throw failure[0];
     }
@@ -168,7 +173,8 @@
 
   @Test
   public void whatIsSentAheadIsAnsweredInTurnAndTooMuchOfItIsTold() throws Exception {
-    // Far more than the machine holds unread: once it is written, the server has read more than it keeps.
+    // Far more than the machine holds unread: once it is written, the server has read more than it
+    // keeps.
     int sent = 400;
     try (Socket client = connect(request("/held", ""))) {
       await("under way", () -> open.size() == 1);
@@ -187,15 +193,18 @@
     }
   }
 
-  /** Guards against a request whose client left before it was read: it is not to be begun at all. */
+  /**
+   * Guards against a request whose client left before it was read: it is not to be begun at all.
+   */
   @Test
   public void aRequestThatIsReadWithItsClientsEndBehindItIsNotTakenUp() throws Exception {
     try (Socket first = connect(request("/first", ""))) {
       assertEquals(status(first), 200);
-      inOneTurn(() -> {
-        write(first, request("/left", ""));
-        first.close();
-      });
+      inOneTurn(
+          () -> {
+            write(first, request("/left", ""));
+            first.close();
+          });
     }
     try (Socket next = connect(request("/next", ""))) {
       assertEquals(status(next), 200);
@@ -206,10 +215,11 @@
   private void aRequestCrossesTheEnd(Crossing end) throws Exception {
     try (Socket client = connect(request("/first", ""))) {
       assertEquals(status(client), 200);
-      inOneTurn(() -> {
-        write(client, LONG);
-        end.happens();
-      });
+      inOneTurn(
+          () -> {
+            write(client, LONG);
+            end.happens();
+          });
       assertEquals(client.getInputStream().read(), -1, "an orderly end, with no byte of an answer");
     }
     assertEquals(handled, List.of("/first"), "nothing is taken from behind our end");
@@ -217,10 +227,11 @@
 
   @Test
   public void aRequestThatCrossesTheEndOfARestingConnectionSeesNoReset() throws Exception {
-    aRequestCrossesTheEnd(() -> {
-      server.drain();
-      server.stopListening();
-    });
+    aRequestCrossesTheEnd(
+        () -> {
+          server.drain();
+          server.stopListening();
+        });
   }
 
   @Test
@@ -229,27 +240,32 @@
       assertEquals(status(client), 200);
       write(client, request("/held", ""));
       await("it is read", () -> open.size() == 1);
-      inOneTurn(() -> {
-        server.drain();
-        server.stopListening();
-        open.get(0).reply(unusable(200, "fine"));
-      });
+      inOneTurn(
+          () -> {
+            server.drain();
+            server.stopListening();
+            open.get(0).reply(unusable(200, "fine"));
+          });
       assertEquals(status(client), 200);
       assertEquals(client.getInputStream().read(), -1);
     }
   }
 
-  /** Guards against clients that the machine has accepted and the program has not, when it stops taking more. */
+  /**
+   * Guards against clients that the machine has accepted and the program has not, when it stops
+   * taking more.
+   */
   @Test
   public void whoeverWaitsToBeAcceptedIsServedBeforeTheListenerCloses() throws Exception {
     List<Socket> clients = new ArrayList<>();
-    inOneTurn(() -> {
-      for (int i = 0; i < 20; i++) {
-        clients.add(connect(request("/late", "")));
-      }
-      server.drain();
-      server.stopListening();
-    });
+    inOneTurn(
+        () -> {
+          for (int i = 0; i < 20; i++) {
+            clients.add(connect(request("/late", "")));
+          }
+          server.drain();
+          server.stopListening();
+        });
     for (Socket s : clients) {
       assertEquals(status(s), 200);
       assertEquals(s.getInputStream().read(), -1);
@@ -261,30 +277,36 @@
   /** Guards against a client that has connected, and whose first request is on its way. */
   @Test
   public void aFreshConnectionMayStillAskOnceNoMoreAreTaken() throws Exception {
-    try (Socket other = connect(request("/other", "")); Socket fresh = connect("")) {
+    try (Socket other = connect(request("/other", ""));
+        Socket fresh = connect("")) {
       assertEquals(status(other), 200);
       try (Socket behind = connect(request("/behind", ""))) {
         assertEquals(status(behind), 200, "so the fresh one was accepted before");
-        inOneTurn(() -> {
-          server.drain();
-          server.stopListening();
-          write(fresh, request("/fresh", ""));
-        });
+        inOneTurn(
+            () -> {
+              server.drain();
+              server.stopListening();
+              write(fresh, request("/fresh", ""));
+            });
         assertEquals(status(fresh), 200);
       }
     }
   }
 
-  /** Guards against a program that ends, and resets the connection of a client which is still reading its answer. */
+  /**
+   * Guards against a program that ends, and resets the connection of a client which is still
+   * reading its answer.
+   */
   @Test
   public void somethingIsOwedUntilTheClientHasEndedItsSide() throws Exception {
     try (Socket client = connect(request("/held", ""))) {
       await("under way", () -> open.size() == 1);
-      inOneTurn(() -> {
-        server.drain();
-        server.stopListening();
-        open.get(0).reply(unusable(200, "fine"));
-      });
+      inOneTurn(
+          () -> {
+            server.drain();
+            server.stopListening();
+            open.get(0).reply(unusable(200, "fine"));
+          });
       await("no more are taken", () -> !accepts());
       assertEquals(busy(), 1, "its client has not read it yet");
       assertEquals(status(client), 200);
@@ -293,15 +315,19 @@
     await("its client has left", () -> busy() == 0);
   }
 
-  /** Guards against a request that ends so late that the platform ends the program before its answer. */
+  /**
+   * Guards against a request that ends so late that the platform ends the program before its
+   * answer.
+   */
   @Test
   public void aRequestThatIsHalfReadWhenNoMoreAreTakenIsToldSo() throws Exception {
     try (Socket client = connect(LONG.substring(0, 20_000))) {
       await("it is begun", () -> busy() == 2);
-      inOneTurn(() -> {
-        server.drain();
-        server.stopListening();
-      });
+      inOneTurn(
+          () -> {
+            server.drain();
+            server.stopListening();
+          });
       assertEquals(status(client), 503);
       assertEquals(client.getInputStream().read(), -1);
     }
@@ -311,33 +337,39 @@
   /** The whole answer or an orderly end; never a reset, and nothing is sent on behind our end. */
   private void answeredWholeOrEndedInOrder(Socket client, String target) throws IOException {
     int first = client.getInputStream().read();
-    assertEquals(first < 0 ? 0 : handled.stream().filter(target::equals).count(), first < 0 ? 0 : 1);
+    assertEquals(
+        first < 0 ? 0 : handled.stream().filter(target::equals).count(), first < 0 ? 0 : 1);
     assertEquals(handled.contains(target), first >= 0, "taken, and its client has " + first);
     if (first >= 0) {
       assertEquals(line(client), "TTP/1.1 200 OK");
     }
   }
 
-  /** Ends while the turn is held till they are due: sweep and request race for the next turn, and each order is good. */
+  /**
+   * Ends while the turn is held till they are due: sweep and request race for the next turn, and
+   * each order is good.
+   */
   @Test(invocationCount = 20)
   public void aRequestThatCrossesTheIdleTimeOutIsAnsweredOrSeesAnOrderlyEnd() throws Exception {
     listen(1000, new HttpServer.Timeouts(2000, 2200, 20));
     try (Socket client = connect(request("/first", ""))) {
       assertEquals(status(client), 200);
       double from = loop.now();
-      inOneTurn(() -> {
-        while (loop.now() < from + 30) {
-          Thread.onSpinWait();
-        }
-        write(client, LONG);
-      });
+      inOneTurn(
+          () -> {
+            while (loop.now() < from + 30) {
+              Thread.onSpinWait();
+            }
+            write(client, LONG);
+          });
       answeredWholeOrEndedInOrder(client, "/long");
     }
   }
 
   /** The one longest idle makes room for a newcomer as its next request lies in the socket. */
   @Test(invocationCount = 5)
-  public void aRequestThatCrossesItsConnectionsMakingRoomIsAnsweredOrSeesAnOrderlyEnd() throws Exception {
+  public void aRequestThatCrossesItsConnectionsMakingRoomIsAnsweredOrSeesAnOrderlyEnd()
+      throws Exception {
     int places = 16;
     listen(places, HttpServer.Timeouts.USUAL);
     List<Socket> clients = new ArrayList<>();
@@ -345,10 +377,11 @@
       clients.add(connect(request("/first" + i, "")));
       assertEquals(status(clients.get(i)), 200);
     }
-    inOneTurn(() -> {
-      write(clients.get(0), LONG);
-      clients.add(connect(request("/newcomer", "")));
-    });
+    inOneTurn(
+        () -> {
+          write(clients.get(0), LONG);
+          clients.add(connect(request("/newcomer", "")));
+        });
     answeredWholeOrEndedInOrder(clients.get(0), "/long");
     Socket newcomer = clients.get(clients.size() - 1);
     assertEquals(status(newcomer), 200);
@@ -358,7 +391,8 @@
   }
 
   @Test
-  public void aRequestThatCrossesTheEndOfAQuiescedServersConnectionIsAnsweredOrSeesAnOrderlyEnd() throws Exception {
+  public void aRequestThatCrossesTheEndOfAQuiescedServersConnectionIsAnsweredOrSeesAnOrderlyEnd()
+      throws Exception {
     try (Socket client = connect(request("/first", ""))) {
       assertEquals(status(client), 200);
       loop.execute(() -> server.quiesce(true));
@@ -373,17 +407,24 @@
     assertEquals(handled, List.of("/first", "/other"), "nothing is taken from behind our end");
   }
 
-  /** Guards against an answer that is destroyed by a reset, as what its client sent meanwhile lies unread at the close. */
+  /**
+   * Guards against an answer that is destroyed by a reset, as what its client sent meanwhile lies
+   * unread at the close.
+   */
   @Test
   public void anAnswerThatEndsItsConnectionArrivesWholeWhateverIsSentBehind() throws Exception {
     try (Socket client = connect(request("/held", ""))) {
       await("under way", () -> open.size() == 1);
-      inOneTurn(() -> {
-        server.drain();
-        write(client, LONG);
-        open.get(0).reply(new HttpServer.Response(200, Map.of(), "y".repeat(60_000).getBytes(StandardCharsets.US_ASCII)));
-        write(client, LONG);
-      });
+      inOneTurn(
+          () -> {
+            server.drain();
+            write(client, LONG);
+            open.get(0)
+                .reply(
+                    new HttpServer.Response(
+                        200, Map.of(), "y".repeat(60_000).getBytes(StandardCharsets.US_ASCII)));
+            write(client, LONG);
+          });
       assertEquals(status(client), 200);
       assertEquals(client.getInputStream().read(), -1);
     }
@@ -395,10 +436,11 @@
   public void aSecondAnswerAndOneToWhoHasLeftChangeNothing() throws Exception {
     try (Socket client = connect(request("/held", ""))) {
       await("under way", () -> open.size() == 1);
-      inOneTurn(() -> {
-        open.get(0).reply(unusable(200, "one"));
-        open.get(0).reply(unusable(500, "two"));
-      });
+      inOneTurn(
+          () -> {
+            open.get(0).reply(unusable(200, "one"));
+            open.get(0).reply(unusable(500, "two"));
+          });
       assertEquals(status(client), 200);
       write(client, request("/held2", ""));
       await("under way", () -> open.size() == 2);
--- a/src/test/java/bitternpulley/net/HttpParserTest.java
+++ b/src/test/java/bitternpulley/net/HttpParserTest.java
@@ -18,25 +18,28 @@
 
   private HttpParser parser(boolean responses, long most) {
     seen.clear();
-    return new HttpParser(responses, most, new HttpParser.Sink() {
-      private final StringBuilder body = new StringBuilder();
+    return new HttpParser(
+        responses,
+        most,
+        new HttpParser.Sink() {
+          private final StringBuilder body = new StringBuilder();
 
-      @Override
-      public void head(HttpHead head) {
-        seen.add(head.method() + " " + head.target());
-      }
+          @Override
+          public void head(HttpHead head) {
+            seen.add(head.method() + " " + head.target());
+          }
 
-      @Override
-      public void body(ByteBuffer piece) {
-        body.append(StandardCharsets.ISO_8859_1.decode(piece));
-      }
+          @Override
+          public void body(ByteBuffer piece) {
+            body.append(StandardCharsets.ISO_8859_1.decode(piece));
+          }
 
-      @Override
-      public void end() {
-        seen.add(body.toString());
-        body.setLength(0);
-      }
-    });
+          @Override
+          public void end() {
+            seen.add(body.toString());
+            body.setLength(0);
+          }
+        });
   }
 
   private static ByteBuffer bytes(String text) {
@@ -45,8 +48,9 @@
 
   @Test
   public void readsWholeAndByteByByteAlike() {
-    String two = "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
-        + "POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;e=1\r\nde\r\n1\r\nf\r\n0\r\nT: x\r\n\r\n";
+    String two =
+        "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
+            + "POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;e=1\r\nde\r\n1\r\nf\r\n0\r\nT: x\r\n\r\n";
     HttpParser whole = parser(false, 10);
     ByteBuffer all = bytes(two);
     assertTrue(whole.read(all));
@@ -65,23 +69,30 @@
   @DataProvider
   public Object[][] broken() {
     return new Object[][] {
-        {"GET / HTTP/2\r\n\r\n", 400}, {"get / HTTP/1.1\r\n\r\n", 400}, {"GET / HTTP/1.1\r\nno colon\r\n\r\n", 400},
-        {"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
-        {"POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", 400},
-        {"POST / HTTP/1.1\r\nContent-Length: -3\r\n\r\n", 400}, {"GET / HTTP/1.1\r\nA: \0\r\n\r\n", 400},
-        {"POST / HTTP/1.1\r\nContent-Length : 3\r\n\r\n", 400}, {"GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", 400},
-        {"POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", 400},
-        {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
-        {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", 400},
-        {"POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n", 413},
-        {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nb\r\nabcdefghijk\r\n", 413},
-        {"GET /" + "a".repeat(20_000), 431}, {"GET / HTTP/1.1\r\n" + "A: b\r\n".repeat(5000), 431}};
+      {"GET / HTTP/2\r\n\r\n", 400},
+      {"get / HTTP/1.1\r\n\r\n", 400},
+      {"GET / HTTP/1.1\r\nno colon\r\n\r\n", 400},
+      {"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
+      {"POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", 400},
+      {"POST / HTTP/1.1\r\nContent-Length: -3\r\n\r\n", 400},
+      {"GET / HTTP/1.1\r\nA: \0\r\n\r\n", 400},
+      {"POST / HTTP/1.1\r\nContent-Length : 3\r\n\r\n", 400},
+      {"GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", 400},
+      {"POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", 400},
+      {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
+      {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", 400},
+      {"POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n", 413},
+      {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nb\r\nabcdefghijk\r\n", 413},
+      {"GET /" + "a".repeat(20_000), 431},
+      {"GET / HTTP/1.1\r\n" + "A: b\r\n".repeat(5000), 431}
+    };
   }
 
   @Test(dataProvider = "broken")
   public void whatBreaksTheGrammarOrABoundIsNamed(String text, int status) {
     HttpParser parser = parser(false, 10);
-    assertEquals(expectThrows(HttpException.class, () -> parser.read(bytes(text))).status(), status);
+    assertEquals(
+        expectThrows(HttpException.class, () -> parser.read(bytes(text))).status(), status);
   }
 
   @Test
@@ -99,22 +110,30 @@
   public void framesComeInAnyPiecesAndGarbageIsNoFrame() {
     FrameCodec codec = new FrameCodec();
     List<String> frames = new ArrayList<>();
-    ByteBuffer two = ByteBuffer.allocate(100).put(FrameCodec.encode('1', "abc".getBytes()))
-        .put(FrameCodec.encode('3', new byte[0])).flip();
+    ByteBuffer two =
+        ByteBuffer.allocate(100)
+            .put(FrameCodec.encode('1', "abc".getBytes()))
+            .put(FrameCodec.encode('3', new byte[0]))
+            .flip();
     while (two.hasRemaining()) {
-      codec.read(ByteBuffer.wrap(new byte[] {two.get()}), f -> frames.add(f.letter() + new String(f.rest())));
+      codec.read(
+          ByteBuffer.wrap(new byte[] {two.get()}),
+          f -> frames.add(f.letter() + new String(f.rest())));
     }
     assertEquals(frames, List.of("1abc", "3"));
-    assertThrows(IllegalArgumentException.class,
-        () -> codec.read(ByteBuffer.wrap(new byte[] {-1, -1, -1, 127}), f -> { }));
-    assertThrows(IllegalArgumentException.class,
-        () -> new FrameCodec().read(ByteBuffer.wrap(new byte[4]), f -> { }));
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> codec.read(ByteBuffer.wrap(new byte[] {-1, -1, -1, 127}), f -> {}));
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> new FrameCodec().read(ByteBuffer.wrap(new byte[4]), f -> {}));
   }
 
   @Test
   public void addressesAreNumbersAndAPort() {
     assertEquals(HostPort.parse("127.0.0.1:80"), new HostPort("127.0.0.1", 80));
-    for (String bad : List.of("localhost:80", "127.0.0.1", "127.0.0.1:99999", ":80", "127.0.0.1:x")) {
+    for (String bad :
+        List.of("localhost:80", "127.0.0.1", "127.0.0.1:99999", ":80", "127.0.0.1:x")) {
       assertThrows(IllegalArgumentException.class, () -> HostPort.parse(bad));
     }
   }
