--- a/src/test/java/bitternpulley/net/HttpServerTest.java
+++ b/src/test/java/bitternpulley/net/HttpServerTest.java
@@ -15,14 +15,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What no client of the real program can bring about: a handler that throws, and bounds set very low. */
+/**
+ * What no client of the real program can bring about: a handler that throws, and bounds set very
+ * low.
+ */
 public class HttpServerTest implements HttpServer.Handler {
   private static final int PATIENCE_MS = 30_000;
   private HostPort at;
 
   @BeforeMethod
   public void listen() throws IOException {
-    HttpServer server = new HttpServer(new EventLoop(), 100, 2, new HttpServer.Timeouts(10_000, 50, 10_000), this);
+    HttpServer server =
+        new HttpServer(new EventLoop(), 100, 2, new HttpServer.Timeouts(10_000, 50, 10_000), this);
     at = server.listen(new HostPort("127.0.0.1", 0));
   }
 
@@ -48,7 +52,9 @@
 
   private static String firstLine(Socket socket) throws IOException {
     StringBuilder line = new StringBuilder();
-    for (int b = socket.getInputStream().read(); b >= 0 && b != '\r'; b = socket.getInputStream().read()) {
+    for (int b = socket.getInputStream().read();
+        b >= 0 && b != '\r';
+        b = socket.getInputStream().read()) {
       line.append((char) b);
     }
     return line.toString();
@@ -71,7 +77,8 @@
   /** Guards against connections that are opened and then left. */
   @Test
   public void aConnectionThatSaysNothingIsClosed() throws IOException {
-    HttpServer server = new HttpServer(new EventLoop(), 100, 2, new HttpServer.Timeouts(50, 10_000, 10_000), this);
+    HttpServer server =
+        new HttpServer(new EventLoop(), 100, 2, new HttpServer.Timeouts(50, 10_000, 10_000), this);
     at = server.listen(new HostPort("127.0.0.1", 0));
     try (Socket silent = connect("")) {
       assertEquals(silent.getInputStream().read(), -1);
@@ -82,10 +89,15 @@
   @Test
   public void unfinishedBodiesAreBoundedTogether() throws IOException {
     int most = 2 << 20;
-    HttpServer server = new HttpServer(new EventLoop(), most, 3, new HttpServer.Timeouts(10_000, 10_000, 10_000), this);
+    HttpServer server =
+        new HttpServer(
+            new EventLoop(), most, 3, new HttpServer.Timeouts(10_000, 10_000, 10_000), this);
     at = server.listen(new HostPort("127.0.0.1", 0));
-    String part = "POST / HTTP/1.1\r\nContent-Length: " + most + "\r\n\r\n" + "x".repeat(most - 1000);
-    try (Socket first = connect(part); Socket second = connect(part); Socket third = connect(part)) {
+    String part =
+        "POST / HTTP/1.1\r\nContent-Length: " + most + "\r\n\r\n" + "x".repeat(most - 1000);
+    try (Socket first = connect(part);
+        Socket second = connect(part);
+        Socket third = connect(part)) {
       List<Socket> left = new ArrayList<>(List.of(first, second, third));
       Socket refused = null;
       while (refused == null) {
@@ -106,7 +118,8 @@
   public void theLongestIdleConnectionMakesRoom() throws IOException {
     try (Socket first = connect("GET / HTTP/1.1\r\n\r\n")) {
       assertEquals(firstLine(first), "HTTP/1.1 200 OK");
-      try (Socket second = connect("GET / HTTP/1.1\r\n\r\n"); Socket third = connect("GET / HTTP/1.1\r\n\r\n")) {
+      try (Socket second = connect("GET / HTTP/1.1\r\n\r\n");
+          Socket third = connect("GET / HTTP/1.1\r\n\r\n")) {
         assertEquals(firstLine(second), "HTTP/1.1 200 OK");
         assertEquals(firstLine(third), "HTTP/1.1 200 OK");
         first.getInputStream().readAllBytes();
@@ -115,10 +128,15 @@
     }
   }
 
-  /** Guards against clients that ask once and keep their connection, by which the others come to have none left. */
+  /**
+   * Guards against clients that ask once and keep their connection, by which the others come to
+   * have none left.
+   */
   @Test
   public void whereManyKeepTheirConnectionsAnAnswerEndsItsOwn() throws IOException {
-    HttpServer server = new HttpServer(new EventLoop(), 100, 40, new HttpServer.Timeouts(60_000, 60_000, 60_000), this);
+    HttpServer server =
+        new HttpServer(
+            new EventLoop(), 100, 40, new HttpServer.Timeouts(60_000, 60_000, 60_000), this);
     at = server.listen(new HostPort("127.0.0.1", 0));
     List<Socket> kept = new ArrayList<>();
     try {
@@ -142,12 +160,17 @@
     }
   }
 
-  /** Guards against a client cut off, and its open request lost, since it sent many requests at once. */
+  /**
+   * Guards against a client cut off, and its open request lost, since it sent many requests at
+   * once.
+   */
   @Test
   public void manyRequestsAtOnceWaitUnread() throws IOException {
     int count = 2000;
     try (Socket socket = connect("")) {
-      socket.getOutputStream().write("GET / HTTP/1.1\r\nCookie: obj=1\r\n\r\n".repeat(count).getBytes());
+      socket
+          .getOutputStream()
+          .write("GET / HTTP/1.1\r\nCookie: obj=1\r\n\r\n".repeat(count).getBytes());
       for (int i = 0; i < count; i++) {
         assertEquals(firstLine(socket), "HTTP/1.1 200 OK", "answer " + i);
         socket.getInputStream().skipNBytes("\nContent-Length: 4\r\n\r\nfine".length());
@@ -157,15 +180,16 @@
 
   @Test
   public void pipelinedRequestsAreAnsweredInTurn() throws IOException {
-    try (Socket socket = connect("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nConnection: close\r\n\r\n")) {
+    try (Socket socket =
+        connect("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nConnection: close\r\n\r\n")) {
       String all = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
       assertEquals(all.split("HTTP/1.1 200 OK", -1).length, 3, all);
     }
   }
 
   /**
-   * Guards against an answer that is decided at its time, in an alarm's turn, and goes out only when all that has come in
-   * before is dealt with.
+   * Guards against an answer that is decided at its time, in an alarm's turn, and goes out only
+   * when all that has come in before is dealt with.
    */
   @Test
   public void anAlarmsAnswerDoesNotWaitForWhatHasComeIn() throws Exception {
@@ -173,27 +197,34 @@
     int busy = 40;
     AtomicInteger dealtWith = new AtomicInteger();
     CountDownLatch taken = new CountDownLatch(1);
-    HttpServer server = new HttpServer(loop, 100, 100, HttpServer.Timeouts.USUAL, new HttpServer.Handler() {
-      @Override
-      public void handle(HttpServer.Request request, HttpServer.Exchange exchange) {
-        if (request.head().target().equals("/alarm")) {
-          taken.countDown();
-          loop.after(100, () -> exchange.reply(unusable(200, String.valueOf(dealtWith.get()))));
-          return;
-        }
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(20);
-        while (System.nanoTime() < end) {
-          Thread.onSpinWait();
-        }
-        dealtWith.incrementAndGet();
-        exchange.reply(unusable(200, "fine"));
-      }
-
-      @Override
-      public HttpServer.Response unusable(int status, String reason) {
-        return HttpServerTest.this.unusable(status, reason);
-      }
-    });
+    HttpServer server =
+        new HttpServer(
+            loop,
+            100,
+            100,
+            HttpServer.Timeouts.USUAL,
+            new HttpServer.Handler() {
+              @Override
+              public void handle(HttpServer.Request request, HttpServer.Exchange exchange) {
+                if (request.head().target().equals("/alarm")) {
+                  taken.countDown();
+                  loop.after(
+                      100, () -> exchange.reply(unusable(200, String.valueOf(dealtWith.get()))));
+                  return;
+                }
+                long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(20);
+                while (System.nanoTime() < end) {
+                  Thread.onSpinWait();
+                }
+                dealtWith.incrementAndGet();
+                exchange.reply(unusable(200, "fine"));
+              }
+
+              @Override
+              public HttpServer.Response unusable(int status, String reason) {
+                return HttpServerTest.this.unusable(status, reason);
+              }
+            });
     at = server.listen(new HostPort("127.0.0.1", 0));
     List<Socket> all = new ArrayList<>();
     for (int i = 0; i < busy; i++) {
@@ -205,7 +236,9 @@
         s.getOutputStream().write("GET /busy HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       }
       firstLine(waits);
-      assertTrue(dealtWith.get() < busy / 2, "answered after " + dealtWith.get() + " of " + busy + " others");
+      assertTrue(
+          dealtWith.get() < busy / 2,
+          "answered after " + dealtWith.get() + " of " + busy + " others");
     } finally {
       for (Socket s : all) {
         s.close();
--- a/src/test/java/bitternpulley/net/LoopLagTest.java
+++ b/src/test/java/bitternpulley/net/LoopLagTest.java
@@ -6,7 +6,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** In virtual time: beats and turns as they come to a loop that is on time, is stopped, or has a long turn. */
+/**
+ * In virtual time: beats and turns as they come to a loop that is on time, is stopped, or has a
+ * long turn.
+ */
 public class LoopLagTest {
   private LoopLag lag;
 
@@ -41,7 +44,8 @@
     run(0, 1000);
     lag.turn(1150);
     assertEquals(lag.unread(1150), 150.0);
-    // Whether the beat or a socket gets the first turn after the stop makes no difference, nor how many come before.
+    // Whether the beat or a socket gets the first turn after the stop makes no difference, nor how
+    // many come before.
     lag.beat(1150);
     lag.turn(1170);
     assertEquals(lag.unread(1170), 170.0, "still being read");
@@ -52,7 +56,10 @@
     assertEquals(lag.worst(20_000), 0.0, "forgotten");
   }
 
-  /** A turn that is long, as code not compiled makes it, hides what comes meanwhile just as a stop does. */
+  /**
+   * A turn that is long, as code not compiled makes it, hides what comes meanwhile just as a stop
+   * does.
+   */
   @Test
   public void aLongTurnCountsFromItsBeginning() {
     LoopLag one = new LoopLag();
@@ -79,13 +86,17 @@
     assertEquals(lag.unread(t), 200.0, "since the look at 1,000");
     lag.socketDone(t + 1);
     lag.socket(t + 2, 1150);
-    assertEquals(lag.unread(t + 2), 52.0, "what was waited for from 1,150 on was found by a later look");
+    assertEquals(
+        lag.unread(t + 2), 52.0, "what was waited for from 1,150 on was found by a later look");
     lag.socketDone(t + 3);
     lag.socket(t + 20, 0);
     assertEquals(lag.unread(t + 20), 0.0);
   }
 
-  /** Guards against an instance that is always a little late and comes to count its queries as minutes old. */
+  /**
+   * Guards against an instance that is always a little late and comes to count its queries as
+   * minutes old.
+   */
   @Test
   public void lastingLatenessDoesNotAddUp() {
     LoopLag slow = new LoopLag();
--- a/src/test/java/bitternpulley/opensearch/SearchResponseTest.java
+++ b/src/test/java/bitternpulley/opensearch/SearchResponseTest.java
@@ -24,17 +24,34 @@
   }
 
   private static Search search(long trackTotal) {
-    return new Search("s", List.of(new Search.Part("a", 0), new Search.Part("a", 1)), 0, 0, 3, -1, true, trackTotal,
-        null, JSON.createObjectNode(), answer -> { });
+    return new Search(
+        "s",
+        List.of(new Search.Part("a", 0), new Search.Part("a", 1)),
+        0,
+        0,
+        3,
+        -1,
+        true,
+        trackTotal,
+        null,
+        JSON.createObjectNode(),
+        answer -> {});
   }
 
   private static PartHits part(String total, String... hits) throws IOException {
-    return PartHits.read(json("{'timed_out':false,'_shards':{'failed':0},'hits':{'total':" + total + ",'hits':["
-        + String.join(",", hits) + "]}}"), true);
+    return PartHits.read(
+        json(
+            "{'timed_out':false,'_shards':{'failed':0},'hits':{'total':"
+                + total
+                + ",'hits':["
+                + String.join(",", hits)
+                + "]}}"),
+        true);
   }
 
   private static SearchResponse answered(long trackTotal, Payload first, Payload second) {
-    return SearchResponse.of(search(trackTotal), new Answer.Answered(true, Map.of(0, first, 1, second), Map.of()), 7);
+    return SearchResponse.of(
+        search(trackTotal), new Answer.Answered(true, Map.of(0, first, 1, second), Map.of()), 7);
   }
 
   private static void assertTotal(SearchResponse r, String expected) throws IOException {
@@ -43,9 +60,11 @@
 
   @Test
   public void tiesGoByPartAndPlace() throws IOException {
-    SearchResponse r = answered(100,
-        part("{'value':2,'relation':'eq'}", "{'_id':'x','_score':2}", "{'_id':'y','_score':1}"),
-        part("2", "{'_id':'z','_score':2.0}", "{'_id':'w','_score':1}"));
+    SearchResponse r =
+        answered(
+            100,
+            part("{'value':2,'relation':'eq'}", "{'_id':'x','_score':2}", "{'_id':'y','_score':1}"),
+            part("2", "{'_id':'z','_score':2.0}", "{'_id':'w','_score':1}"));
     assertEquals(r.body().at("/hits/hits").findValuesAsText("_id"), List.of("x", "z", "y"));
     assertTotal(r, "{'value':4,'relation':'eq'}");
   }
@@ -59,10 +78,15 @@
 
   @DataProvider
   public Object[][] notWhole() {
-    return new Object[][] {{"{'timed_out':true,'hits':{'total':1,'hits':[]}}"},
-        {"{'_shards':{'failed':1},'hits':{'total':1,'hits':[]}}"},
-        {"{'terminated_early':true,'hits':{'total':1,'hits':[]}}"}, {"{'hits':{'hits':[]}}"},
-        {"{'hits':{'total':1,'hits':[{'_id':'a','_score':null}]}}"}, {"{'hits':{'total':1}}"}, {"{}"}};
+    return new Object[][] {
+      {"{'timed_out':true,'hits':{'total':1,'hits':[]}}"},
+      {"{'_shards':{'failed':1},'hits':{'total':1,'hits':[]}}"},
+      {"{'terminated_early':true,'hits':{'total':1,'hits':[]}}"},
+      {"{'hits':{'hits':[]}}"},
+      {"{'hits':{'total':1,'hits':[{'_id':'a','_score':null}]}}"},
+      {"{'hits':{'total':1}}"},
+      {"{}"}
+    };
   }
 
   @Test(dataProvider = "notWhole")
@@ -76,9 +100,16 @@
   }
 
   private static SearchResponse ended(boolean refused, boolean late, boolean mayHaveRun) {
-    Answer.Ending ending = new Answer.Ending(late, mayHaveRun,
-        Map.of(1, new Answer.Missing(Outcome.ERROR, "s3", new PartHits.Failure(500, "boom", "it broke"))));
-    return SearchResponse.of(search(1), refused ? new Answer.Refused(1200, ending) : new Answer.Failed(ending), 7);
+    Answer.Ending ending =
+        new Answer.Ending(
+            late,
+            mayHaveRun,
+            Map.of(
+                1,
+                new Answer.Missing(
+                    Outcome.ERROR, "s3", new PartHits.Failure(500, "boom", "it broke"))));
+    return SearchResponse.of(
+        search(1), refused ? new Answer.Refused(1200, ending) : new Answer.Failed(ending), 7);
   }
 
   /** Guards against telling a client that another try is safe when its work may have run. */
--- a/src/test/java/bitternpulley/peers/DatagramBytesTest.java
+++ b/src/test/java/bitternpulley/peers/DatagramBytesTest.java
@@ -18,7 +18,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams between aggregators, byte for byte as recorded: versions of this program meet in one fleet. */
+/**
+ * Datagrams between aggregators, byte for byte as recorded: versions of this program meet in one
+ * fleet.
+ */
 class DatagramBytesTest {
   private static final Path RECORDED = Path.of("src/test/resources/edges/datagrams.txt");
 
@@ -27,12 +30,27 @@
     for (int kind = 0; kind < 5; kind++) {
       List<GossipUpdate> updates = new ArrayList<>();
       for (int state = 0; state < 4; state++) {
-        updates.add(new GossipUpdate(state * 300, 1_700_000_000_000L + state, state, Standing.values()[state], state - 1,
-            state % 2 == 0 ? null : new MemberMetadata("node", "zone", "region", "build"),
-            state < 2 ? null : new MemberPayload(state, new byte[] {1, 2, (byte) 200})));
+        updates.add(
+            new GossipUpdate(
+                state * 300,
+                1_700_000_000_000L + state,
+                state,
+                Standing.values()[state],
+                state - 1,
+                state % 2 == 0 ? null : new MemberMetadata("node", "zone", "region", "build"),
+                state < 2 ? null : new MemberPayload(state, new byte[] {1, 2, (byte) 200})));
       }
-      messages.add(new Message(Message.Kind.values()[kind], 7, 1_700_000_000_123L, 2, 4000 + kind, 11, -12345, 99,
-          updates.subList(0, kind)));
+      messages.add(
+          new Message(
+              Message.Kind.values()[kind],
+              7,
+              1_700_000_000_123L,
+              2,
+              4000 + kind,
+              11,
+              -12345,
+              99,
+              updates.subList(0, kind)));
     }
     return messages;
   }
@@ -41,7 +59,9 @@
     BitSet members = new BitSet();
     members.set(0, 3);
     members.set(77);
-    return List.of(new LeaseMessage.Asked(3, 1_700_000_000_555L, 17), new LeaseMessage.Granted(4, 17, 1234.2, members),
+    return List.of(
+        new LeaseMessage.Asked(3, 1_700_000_000_555L, 17),
+        new LeaseMessage.Granted(4, 17, 1234.2, members),
         new LeaseMessage.Granted(4, 18, 0, new BitSet()));
   }
 
--- a/src/test/java/bitternpulley/peers/EpochFileTest.java
+++ b/src/test/java/bitternpulley/peers/EpochFileTest.java
@@ -9,8 +9,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class EpochFileTest {
-  @TempDir
-  Path folder;
+  @TempDir Path folder;
 
   @Test
   void growsWithEachStartThoughTheClockIsSetBack() throws IOException {
--- a/src/test/java/bitternpulley/peers/PeerCodecTest.java
+++ b/src/test/java/bitternpulley/peers/PeerCodecTest.java
@@ -7,15 +7,15 @@
 import bitternpulley.broker.Event;
 import bitternpulley.leases.LeaseMessage;
 import bitternpulley.leases.LeaseTerms;
+import bitternpulley.membership.GossipUpdate;
 import bitternpulley.membership.MemberMetadata;
-import bitternpulley.membership.ReachabilityReport;
+import bitternpulley.membership.MemberPayload;
 import bitternpulley.membership.Membership;
+import bitternpulley.membership.MembershipSettings;
 import bitternpulley.membership.Message;
 import bitternpulley.membership.Output;
-import bitternpulley.membership.GossipUpdate;
-import bitternpulley.membership.MemberPayload;
+import bitternpulley.membership.ReachabilityReport;
 import bitternpulley.membership.Standing;
-import bitternpulley.membership.MembershipSettings;
 import java.io.IOException;
 import java.util.BitSet;
 import java.util.List;
@@ -31,16 +31,31 @@
   private final PeerCodec codec = new PeerCodec("test");
 
   private static Membership member() {
-    return new Membership(2047, new MemberMetadata("a-name-of-24-characters!", "a-zone-of-24-characters!",
-        "a-region-of-24-character", "a-build-of-24-characters"), (long) NOW, IntStream.range(0, 40).boxed().toList(),
-        MembershipSettings.USUAL, 1, NOW);
+    return new Membership(
+        2047,
+        new MemberMetadata(
+            "a-name-of-24-characters!",
+            "a-zone-of-24-characters!",
+            "a-region-of-24-character",
+            "a-build-of-24-characters"),
+        (long) NOW,
+        IntStream.range(0, 40).boxed().toList(),
+        MembershipSettings.USUAL,
+        1,
+        NOW);
   }
 
   private static List<Message> sent(List<Output> outputs) {
-    return outputs.stream().filter(o -> o instanceof Output.Send).map(o -> ((Output.Send) o).message()).toList();
+    return outputs.stream()
+        .filter(o -> o instanceof Output.Send)
+        .map(o -> ((Output.Send) o).message())
+        .toList();
   }
 
-  /** Whatever the state machine sends fits a datagram and is read back as it was, with the longest names and numbers. */
+  /**
+   * Whatever the state machine sends fits a datagram and is read back as it was, with the longest
+   * names and numbers.
+   */
   @Property(tries = 100)
   void allThatIsSentFitsAndIsReadBack(@ForAll long seed) throws IOException {
     Random random = new Random(seed);
@@ -50,17 +65,41 @@
       now += 100;
       List<Message> out = new java.util.ArrayList<>(sent(m.tick(now)));
       int from = random.nextInt(40);
-      GossipUpdate about = new GossipUpdate(random.nextInt(2048), (long) now - random.nextInt(1000), random.nextInt(1_000_000),
-          Standing.values()[random.nextInt(4)], random.nextInt(2048), random.nextBoolean() ? null
-          : new MemberMetadata("another-name-of-24-chars", "another-zone-of-24-chars", "another-region-of-24-c", "another-build"),
-          random.nextBoolean() ? null : new MemberPayload(i + 1, new byte[random.nextInt(MemberPayload.MOST + 1)]));
+      GossipUpdate about =
+          new GossipUpdate(
+              random.nextInt(2048),
+              (long) now - random.nextInt(1000),
+              random.nextInt(1_000_000),
+              Standing.values()[random.nextInt(4)],
+              random.nextInt(2048),
+              random.nextBoolean()
+                  ? null
+                  : new MemberMetadata(
+                      "another-name-of-24-chars",
+                      "another-zone-of-24-chars",
+                      "another-region-of-24-c",
+                      "another-build"),
+              random.nextBoolean()
+                  ? null
+                  : new MemberPayload(i + 1, new byte[random.nextInt(MemberPayload.MOST + 1)]));
       if (i % 20 == 0) {
         byte[] slot = new byte[ReachabilityReport.PAYLOAD];
         random.nextBytes(slot);
         m.tell(slot);
       }
-      out.addAll(sent(m.heard(new Message(Message.Kind.values()[random.nextInt(5)], from, (long) NOW, i, i, from,
-          random.nextInt(), List.of(about)), now)));
+      out.addAll(
+          sent(
+              m.heard(
+                  new Message(
+                      Message.Kind.values()[random.nextInt(5)],
+                      from,
+                      (long) NOW,
+                      i,
+                      i,
+                      from,
+                      random.nextInt(),
+                      List.of(about)),
+                  now)));
       for (Message message : out) {
         byte[] bytes = codec.encode(message);
         assertTrue(bytes.length <= PeerCodec.MOST_BYTES);
@@ -92,11 +131,16 @@
   void whatConcernsLeasesFitsAndIsReadBack() throws IOException {
     BitSet all = new BitSet();
     all.set(0, LeaseTerms.MOST_MEMBERS);
-    for (LeaseMessage m : List.of(new LeaseMessage.Asked(1499, Long.MAX_VALUE, Integer.MAX_VALUE),
-        new LeaseMessage.Granted(1499, Integer.MAX_VALUE, 600_000, all), new LeaseMessage.Granted(0, 1, 0, new BitSet()))) {
+    for (LeaseMessage m :
+        List.of(
+            new LeaseMessage.Asked(1499, Long.MAX_VALUE, Integer.MAX_VALUE),
+            new LeaseMessage.Granted(1499, Integer.MAX_VALUE, 600_000, all),
+            new LeaseMessage.Granted(0, 1, 0, new BitSet()))) {
       byte[] bytes = codec.encode(m);
       assertTrue(bytes.length <= PeerCodec.MOST_BYTES);
-      assertEquals(new PeerCodec.Datagram(m.from(), new Event.LeaseSaid(m)), codec.decode(bytes, bytes.length));
+      assertEquals(
+          new PeerCodec.Datagram(m.from(), new Event.LeaseSaid(m)),
+          codec.decode(bytes, bytes.length));
     }
     BitSet beyond = new BitSet();
     beyond.set(LeaseTerms.MOST_MEMBERS);
@@ -115,7 +159,15 @@
       return;
     }
     Message message = said.message();
-    Membership m = new Membership(1, new MemberMetadata("n1", "z", "r", "b"), (long) NOW, List.of(0, 1, 2), MembershipSettings.USUAL, 1, NOW);
+    Membership m =
+        new Membership(
+            1,
+            new MemberMetadata("n1", "z", "r", "b"),
+            (long) NOW,
+            List.of(0, 1, 2),
+            MembershipSettings.USUAL,
+            1,
+            NOW);
     m.heard(message, NOW);
     m.tick(NOW + 100);
     assertEquals(3, m.members().size());
--- a/src/test/java/bitternpulley/peers/StoredEpochTest.java
+++ b/src/test/java/bitternpulley/peers/StoredEpochTest.java
@@ -12,8 +12,7 @@
 class StoredEpochTest {
   private static final String NAME = "bitternpulley-epoch";
 
-  @TempDir
-  Path folder;
+  @TempDir Path folder;
 
   @Test
   void theNextStartComesAfterTheStoredOne() throws IOException {
--- a/src/test/java/bitternpulley/platform/DiscoveryTest.java
+++ b/src/test/java/bitternpulley/platform/DiscoveryTest.java
@@ -24,6 +24,7 @@
 /** The watch, whose other side the test plays step by step: each step waits for the one before. */
 public class DiscoveryTest {
   private static final int PATIENCE_MS = 30_000;
+
   /** What a silent watch has missed counts as told so many ms after it fell silent. */
   private static final long TOLD_AFTER = 6000;
 
@@ -59,7 +60,9 @@
   /** The next watch, asked for from this revision, and answered so far. */
   private static Socket watch(ServerSocket of, int from) throws IOException {
     Socket watch = unanswered(of, from);
-    watch.getOutputStream().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
+    watch
+        .getOutputStream()
+        .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
     return watch;
   }
 
@@ -70,18 +73,26 @@
     while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
       head.write(watch.getInputStream().read());
     }
-    assertTrue(head.toString(StandardCharsets.US_ASCII).startsWith("GET /api/targets?watch=1&from=" + from + " "), head.toString());
+    assertTrue(
+        head.toString(StandardCharsets.US_ASCII)
+            .startsWith("GET /api/targets?watch=1&from=" + from + " "),
+        head.toString());
     return watch;
   }
 
   private static void chunk(Socket to, String text) throws IOException {
-    to.getOutputStream().write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes());
+    to.getOutputStream()
+        .write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes());
     to.getOutputStream().flush();
   }
 
   private static String list(int revision, String phase) {
-    return "{\"revision\":" + revision + ",\"complete\":false,\"members\":[{\"id\":\"s{1}\",\"host_port\":\"127.0.0.1:1\","
-        + "\"locality\":\"a\",\"cell\":0,\"phase\":\"" + phase + "\",\"size\":1.0,\"up_since_ms\":0}]}";
+    return "{\"revision\":"
+        + revision
+        + ",\"complete\":false,\"members\":[{\"id\":\"s{1}\",\"host_port\":\"127.0.0.1:1\","
+        + "\"locality\":\"a\",\"cell\":0,\"phase\":\""
+        + phase
+        + "\",\"size\":1.0,\"up_since_ms\":0}]}";
   }
 
   private long next() throws InterruptedException {
@@ -94,7 +105,11 @@
   @Test
   public void aListMayBeIndentedAndComeByteByByte() throws Exception {
     try (Socket watch = watch(agent, 41)) {
-      String text = list(42, "draining").replace(",", ",\r\n  ").replace("[", "[\n    ") + "\n\n" + list(43, "up") + "\n";
+      String text =
+          list(42, "draining").replace(",", ",\r\n  ").replace("[", "[\n    ")
+              + "\n\n"
+              + list(43, "up")
+              + "\n";
       for (int i = 0; i < text.length(); i++) {
         chunk(watch, text.substring(i, i + 1));
       }
@@ -103,11 +118,19 @@
     }
   }
 
-  /** Guards against two lists of which only the first is heard, and a value with brackets and quotes that ends one early. */
+  /**
+   * Guards against two lists of which only the first is heard, and a value with brackets and quotes
+   * that ends one early.
+   */
   @Test
   public void severalListsInOneReadAreAllHeard() throws Exception {
     try (Socket watch = watch(agent, 41)) {
-      chunk(watch, list(42, "up").replace("s{1}", "s}\\\"]{1") + list(43, "draining") + "\n \t\n" + list(44, "up"));
+      chunk(
+          watch,
+          list(42, "up").replace("s{1}", "s}\\\"]{1")
+              + list(43, "draining")
+              + "\n \t\n"
+              + list(44, "up"));
       assertEquals(next(), 42);
       assertEquals(next(), 43);
       assertEquals(next(), 44);
@@ -123,7 +146,10 @@
     }
   }
 
-  /** Guards against a watch that is reset and taken up late: a drain is told as soon as discovery can be asked. */
+  /**
+   * Guards against a watch that is reset and taken up late: a drain is told as soon as discovery
+   * can be asked.
+   */
   @Test
   public void aWatchThatIsResetOrEndsIsTakenUpAtOnceFromWhereItWas() throws Exception {
     int from = 41;
@@ -141,7 +167,10 @@
     watch(agent, from).close();
   }
 
-  /** Guards against waits that a failed past has made long: after a watch that worked they are short again. */
+  /**
+   * Guards against waits that a failed past has made long: after a watch that worked they are short
+   * again.
+   */
   @Test
   public void waitsBeginAnewAfterAWatchThatWorked() throws Exception {
     for (int i = 0; i < 6; i++) {
@@ -155,7 +184,9 @@
     }
     long ended = System.nanoTime();
     watch(agent, 42).close();
-    assertTrue(System.nanoTime() - ended < 200_000_000, "the first wait is at most 50 ms, the longest 250");
+    assertTrue(
+        System.nanoTime() - ended < 200_000_000,
+        "the first wait is at most 50 ms, the longest 250");
   }
 
   private interface Ways {
@@ -180,7 +211,7 @@
 
   @Test
   public void aSilentWatchIsReplacedBeforeWhatItMissedCountsAsTold() throws Exception {
-    fallsSilent(watch -> { });
+    fallsSilent(watch -> {});
   }
 
   @Test
@@ -191,31 +222,38 @@
   /** Guards against bytes that are taken for a sign of life though no whole line ever comes. */
   @Test
   public void oneThatTricklesAndNeverEndsALineIsReplacedInTime() throws Exception {
-    fallsSilent(watch -> {
-      Thread trickle = new Thread(() -> {
-        try {
-          chunk(watch, "{\"revision\":");
-          while (!watch.isClosed()) {
-            chunk(watch, " ");
-            TimeUnit.MILLISECONDS.sleep(100);
-          }
-        } catch (IOException | InterruptedException e) {
-          // it has been replaced
-        }
-      });
-      trickle.setDaemon(true);
-      trickle.start();
-    });
+    fallsSilent(
+        watch -> {
+          Thread trickle =
+              new Thread(
+                  () -> {
+                    try {
+                      chunk(watch, "{\"revision\":");
+                      while (!watch.isClosed()) {
+                        chunk(watch, " ");
+                        TimeUnit.MILLISECONDS.sleep(100);
+                      }
+                    } catch (IOException | InterruptedException e) {
+                      // it has been replaced
+                    }
+                  });
+          trickle.setDaemon(true);
+          trickle.start();
+        });
   }
 
-  /** Guards against watches that come up and say nothing, each of which takes the time in which the next could speak. */
+  /**
+   * Guards against watches that come up and say nothing, each of which takes the time in which the
+   * next could speak.
+   */
   @Test
   public void freshOnesThatAreAnsweredAndSayNothingAreReplacedInTime() throws Exception {
     try (Socket silent = watch(agent, 41)) {
       chunk(silent, list(42, "up") + "\n");
       assertEquals(next(), 42);
       long since = System.nanoTime();
-      try (Socket mute = watch(agent, 42); Socket fresh = watch(agent, 42)) {
+      try (Socket mute = watch(agent, 42);
+          Socket fresh = watch(agent, 42)) {
         chunk(fresh, list(43, "draining") + "\n");
         assertEquals(next(), 43);
         long ms = (System.nanoTime() - since) / 1_000_000;
@@ -225,7 +263,10 @@
     }
   }
 
-  /** Guards against a list that is told late: one that fell silent is heard on until the fresh one speaks. */
+  /**
+   * Guards against a list that is told late: one that fell silent is heard on until the fresh one
+   * speaks.
+   */
   @Test
   public void whatTheSilentOneSaysAfterAllIsHeard() throws Exception {
     try (Socket silent = watch(agent, 41)) {
@@ -247,7 +288,8 @@
       loop.execute(() -> discovery.moveTo(moved));
       chunk(old, list(43, "draining") + "\n");
       assertEquals(next(), 43);
-      try (ServerSocket there = new ServerSocket(moved.port(), 50, InetAddress.getByName("127.0.0.1"))) {
+      try (ServerSocket there =
+          new ServerSocket(moved.port(), 50, InetAddress.getByName("127.0.0.1"))) {
         there.setSoTimeout(PATIENCE_MS);
         try (Socket fresh = watch(there, 43)) {
           chunk(fresh, list(44, "up") + "\n");
@@ -261,11 +303,13 @@
 
   @Test
   public void afterAMoveToASilentAddressTheNewOneIsTriedOn() throws Exception {
-    try (Socket old = watch(agent, 41); ServerSocket silent = listen()) {
+    try (Socket old = watch(agent, 41);
+        ServerSocket silent = listen()) {
       chunk(old, list(42, "up") + "\n");
       assertEquals(next(), 42);
       loop.execute(() -> discovery.moveTo(at(silent)));
-      try (Socket first = unanswered(silent, 42); Socket second = unanswered(silent, 42)) {
+      try (Socket first = unanswered(silent, 42);
+          Socket second = unanswered(silent, 42)) {
         chunk(old, list(43, "draining") + "\n");
         assertEquals(next(), 43, "the old one is heard on");
       }
--- a/src/test/java/bitternpulley/platform/PreparationTest.java
+++ b/src/test/java/bitternpulley/platform/PreparationTest.java
@@ -45,12 +45,17 @@
   /** Guards against a restarted fleet that meets each server all at once, and in the same order. */
   @Test
   public void eachServerIsReachedOnceAndNotInTheListsOrder() throws InterruptedException {
-    loop.execute(() -> {
-      preparation.told(list(IntStream.range(0, 12).mapToObj(i -> entry(i, Router.ServerState.LIVE))));
-      preparation.begin();
-    });
+    loop.execute(
+        () -> {
+          preparation.told(
+              list(IntStream.range(0, 12).mapToObj(i -> entry(i, Router.ServerState.LIVE))));
+          preparation.begin();
+        });
     long before = System.nanoTime();
-    List<String> order = List.of(next(), next(), next(), next(), next(), next(), next(), next(), next(), next(), next(), next());
+    List<String> order =
+        List.of(
+            next(), next(), next(), next(), next(), next(), next(), next(), next(), next(), next(),
+            next());
     assertTrue(System.nanoTime() - before >= 100_000_000, "a pace is kept");
     List<String> listed = IntStream.range(0, 12).mapToObj(i -> "s" + i).toList();
     assertEquals(order.stream().sorted().toList(), listed.stream().sorted().toList());
@@ -60,24 +65,35 @@
   /** Guards against connections to servers that take nothing new, and before the program serves. */
   @Test
   public void oneThatDrainsMeanwhileIsLeftOut() throws InterruptedException {
-    loop.execute(() -> {
-      preparation.told(list(Stream.of(entry(0, Router.ServerState.LIVE), entry(1, Router.ServerState.LIVE))));
-      preparation.told(list(Stream.of(entry(0, Router.ServerState.DRAINING), entry(2, Router.ServerState.LIVE))));
-      assertTrue(opened.isEmpty());
-      preparation.begin();
-    });
+    loop.execute(
+        () -> {
+          preparation.told(
+              list(
+                  Stream.of(entry(0, Router.ServerState.LIVE), entry(1, Router.ServerState.LIVE))));
+          preparation.told(
+              list(
+                  Stream.of(
+                      entry(0, Router.ServerState.DRAINING), entry(2, Router.ServerState.LIVE))));
+          assertTrue(opened.isEmpty());
+          preparation.begin();
+        });
     assertEquals(Stream.of(next(), next()).sorted().toList(), List.of("s1", "s2"));
     loop.execute(() -> preparation.told(list(Stream.of(entry(3, Router.ServerState.LIVE)))));
     assertEquals(next(), "s3", "what joins later is reached as well");
   }
 
-  /** Guards against connections that are closed as idle before the last of very many servers is reached. */
+  /**
+   * Guards against connections that are closed as idle before the last of very many servers is
+   * reached.
+   */
   @Test
   public void veryManyServersAreReachedWithinSeconds() throws InterruptedException {
-    loop.execute(() -> {
-      preparation.told(list(IntStream.range(0, 3500).mapToObj(i -> entry(i, Router.ServerState.LIVE))));
-      preparation.begin();
-    });
+    loop.execute(
+        () -> {
+          preparation.told(
+              list(IntStream.range(0, 3500).mapToObj(i -> entry(i, Router.ServerState.LIVE))));
+          preparation.begin();
+        });
     next();
     long before = System.nanoTime();
     for (int i = 1; i < 3500; i++) {
--- a/src/test/java/bitternpulley/platform/RehearsalTest.java
+++ b/src/test/java/bitternpulley/platform/RehearsalTest.java
@@ -11,14 +11,18 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Guards against a rehearsal that goes no further than the door, and so leaves the code behind it cold. */
+/**
+ * Guards against a rehearsal that goes no further than the door, and so leaves the code behind it
+ * cold.
+ */
 public class RehearsalTest {
   private static final int BODY = 64 * 1024;
 
   @Test
   public void mostMadeUpQueriesRunToTheirAnswer() {
     Map<String, String> told = Map.of("LB_CONFIG", "deploy/rehearsal.json");
-    Rehearsal rehearsal = new Rehearsal(ConfigurationReader.read(told).settings(), BODY, new EventLoop());
+    Rehearsal rehearsal =
+        new Rehearsal(ConfigurationReader.read(told).settings(), BODY, new EventLoop());
     for (int i = 0; i < 100; i++) {
       rehearsal.playOne();
     }
@@ -26,7 +30,10 @@
     assertTrue(rehearsal.answered() > 50, "answered " + rehearsal.answered());
   }
 
-  /** Guards against starts of very many aggregators that rehearse at length for the little traffic that each has. */
+  /**
+   * Guards against starts of very many aggregators that rehearse at length for the little traffic
+   * that each has.
+   */
   @Test
   public void whereAggregatorsAreManyItIsShort() throws InterruptedException {
     EventLoop loop = new EventLoop();
@@ -38,12 +45,17 @@
     assertTrue(rehearsal.played() <= 20, rehearsal.played() + " played");
   }
 
-  /** Guards against code that stays cold for minutes where an aggregator sees a query now and then. */
+  /**
+   * Guards against code that stays cold for minutes where an aggregator sees a query now and then.
+   */
   @Test
   public void itGoesOnInSmallTurnsAndEnds() throws InterruptedException {
     EventLoop loop = new EventLoop();
     Rehearsal rehearsal =
-        new Rehearsal(ConfigurationReader.read(Map.of("LB_CONFIG", "deploy/rehearsal.json")).settings(), BODY, loop);
+        new Rehearsal(
+            ConfigurationReader.read(Map.of("LB_CONFIG", "deploy/rehearsal.json")).settings(),
+            BODY,
+            loop);
     loop.execute(rehearsal::goOn);
     CountDownLatch over = new CountDownLatch(1);
     loop.execute(() -> watch(loop, rehearsal, over));
@@ -62,10 +74,29 @@
   private static Settings withLayout(int sections, int maxOpen) {
     Settings s = ConfigurationReader.read(Map.of("LB_CONFIG", "deploy/rehearsal.json")).settings();
     Settings.Limits l = s.limits();
-    return new Settings(s.self(), s.instances(), s.zone(), s.tick(), s.listOnRequest(), s.marksRetry(), s.classes(),
-        s.tenants(), s.overShareWorth(), s.worthByWork(), new Settings.Layout(sections, sections, 2, 1),
-        new Settings.Limits(l.maxAttempts(), maxOpen, l.cancel(), l.copies(), l.probes(), l.advice(), l.maxAdvice(),
-            l.connectTimeout()), s.rules(), s.prices());
+    return new Settings(
+        s.self(),
+        s.instances(),
+        s.zone(),
+        s.tick(),
+        s.listOnRequest(),
+        s.marksRetry(),
+        s.classes(),
+        s.tenants(),
+        s.overShareWorth(),
+        s.worthByWork(),
+        new Settings.Layout(sections, sections, 2, 1),
+        new Settings.Limits(
+            l.maxAttempts(),
+            maxOpen,
+            l.cancel(),
+            l.copies(),
+            l.probes(),
+            l.advice(),
+            l.maxAdvice(),
+            l.connectTimeout()),
+        s.rules(),
+        s.prices());
   }
 
   /** Guards against a rehearsal that is refused at the door, or breaks, where sections are many. */
@@ -78,10 +109,13 @@
     }
     assertTrue(many.answered() > 15, "answered " + many.answered());
     assertEquals(new Rehearsal(withLayout(24, 200), BODY, new EventLoop()).widest(), 24);
-    assertEquals(new Rehearsal(withLayout(3500, Integer.MAX_VALUE), 4096, new EventLoop()).widest(), 63);
+    assertEquals(
+        new Rehearsal(withLayout(3500, Integer.MAX_VALUE), 4096, new EventLoop()).widest(), 63);
   }
 
-  /** Guards against an aggregator that never becomes ready since its made-up queries cannot be read. */
+  /**
+   * Guards against an aggregator that never becomes ready since its made-up queries cannot be read.
+   */
   @Test
   public void aRehearsalThatBreaksStillEnds() throws InterruptedException {
     EventLoop loop = new EventLoop();
--- a/src/test/java/bitternpulley/platform/SlotServersTest.java
+++ b/src/test/java/bitternpulley/platform/SlotServersTest.java
@@ -41,6 +41,7 @@
 
   /** Each test has its own: the end of a connection may be told after the test that left it. */
   private List<Event> events;
+
   private EventLoop loop;
   private SlotServers servers;
   private ServerSocket server;
@@ -50,10 +51,27 @@
   public void listen() throws IOException {
     events = new CopyOnWriteArrayList<>();
     loop = new EventLoop();
-    servers = new SlotServers(loop, events::add, Clock.system(), new Configuration.Wire(100, 15_000, false), 5000, 10, 4);
-    List<Request.Slice> slices = IntStream.range(0, 9).mapToObj(i -> new Request.Slice(i, 0.1, 0)).toList();
-    request = new Request(1, servers, 0, 3000, false, Router.Terms.OF_CLASS, slices,
-        new PlatformQuery("q", 0, 3000, false, null, "f", slices, null));
+    servers =
+        new SlotServers(
+            loop,
+            events::add,
+            Clock.system(),
+            new Configuration.Wire(100, 15_000, false),
+            5000,
+            10,
+            4);
+    List<Request.Slice> slices =
+        IntStream.range(0, 9).mapToObj(i -> new Request.Slice(i, 0.1, 0)).toList();
+    request =
+        new Request(
+            1,
+            servers,
+            0,
+            3000,
+            false,
+            Router.Terms.OF_CLASS,
+            slices,
+            new PlatformQuery("q", 0, 3000, false, null, "f", slices, null));
     server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
     server.setSoTimeout(PATIENCE_MS);
     loop.execute(() -> servers.address("s", new HostPort("127.0.0.1", server.getLocalPort())));
@@ -65,7 +83,10 @@
   }
 
   private void start(int part, int attempt) {
-    loop.execute(() -> servers.start(new Effect.Start(new AttemptId(part, attempt), request, part, "s", 2000)));
+    loop.execute(
+        () ->
+            servers.start(
+                new Effect.Start(new AttemptId(part, attempt), request, part, "s", 2000)));
   }
 
   private static String call(int part) {
@@ -85,7 +106,11 @@
 
   private List<String> outcomes(int count) throws InterruptedException {
     await(count);
-    return events.stream().map(e -> (Event.Ended) e).map(e -> e.attempt().part() + " " + e.outcome()).sorted().toList();
+    return events.stream()
+        .map(e -> (Event.Ended) e)
+        .map(e -> e.attempt().part() + " " + e.outcome())
+        .sorted()
+        .toList();
   }
 
   @Test
@@ -108,17 +133,29 @@
     }
   }
 
-  /** Guards against a repeat that waits for a connection until its window is over, and goes when that comes up. */
+  /**
+   * Guards against a repeat that waits for a connection until its window is over, and goes when
+   * that comes up.
+   */
   @Test
   public void whatIsTooLateWhenItsConnectionComesUpEndsUnsent() throws Exception {
     double[] now = {0};
-    servers = new SlotServers(loop, events::add, () -> now[0], new Configuration.Wire(100, 15_000, false), 5000, 10, 4);
-    loop.execute(() -> {
-      servers.address("s", new HostPort("127.0.0.1", server.getLocalPort()));
-      servers.start(new Effect.Start(new AttemptId(0, 1), request, 0, "s", 2000, 0));
-      now[0] = 1; // before it can come up
-      servers.start(new Effect.Start(new AttemptId(1, 0), request, 1, "s", 2000));
-    });
+    servers =
+        new SlotServers(
+            loop,
+            events::add,
+            () -> now[0],
+            new Configuration.Wire(100, 15_000, false),
+            5000,
+            10,
+            4);
+    loop.execute(
+        () -> {
+          servers.address("s", new HostPort("127.0.0.1", server.getLocalPort()));
+          servers.start(new Effect.Start(new AttemptId(0, 1), request, 0, "s", 2000, 0));
+          now[0] = 1; // before it can come up
+          servers.start(new Effect.Start(new AttemptId(1, 0), request, 1, "s", 2000));
+        });
     try (Socket first = server.accept()) {
       assertEquals(frame(first), call(1), "the first thing that goes over it");
       assertEquals(outcomes(1), List.of("0 MOOT"));
@@ -143,7 +180,9 @@
     }
   }
 
-  /** Guards against parts whose end is never told, since their connection was left before it broke. */
+  /**
+   * Guards against parts whose end is never told, since their connection was left before it broke.
+   */
   @Test
   public void whatIsOutOnAConnectionThatWasLeftEndsWithIt() throws Exception {
     start(0, 0);
@@ -156,31 +195,49 @@
       await(1);
     }
     await(2);
-    assertEquals(events, List.of(new Event.Abandoned(new AttemptId(0, 0)),
-        new Event.Ended(new AttemptId(1, 0), Router.Outcome.RESET, null)));
+    assertEquals(
+        events,
+        List.of(
+            new Event.Abandoned(new AttemptId(0, 0)),
+            new Event.Ended(new AttemptId(1, 0), Router.Outcome.RESET, null)));
   }
 
   /** Guards against a connection that ends right after an answer and takes another part along. */
   @Test
   public void asARuleAPartHasAConnectionOfItsOwn() throws Exception {
-    servers = new SlotServers(loop, events::add, Clock.system(), new Configuration.Wire(100, 15_000, false), 5000, 10);
+    servers =
+        new SlotServers(
+            loop,
+            events::add,
+            Clock.system(),
+            new Configuration.Wire(100, 15_000, false),
+            5000,
+            10);
     loop.execute(() -> servers.address("s", new HostPort("127.0.0.1", server.getLocalPort())));
     start(0, 0);
     start(1, 0);
-    try (Socket first = server.accept(); Socket second = server.accept()) {
+    try (Socket first = server.accept();
+        Socket second = server.accept()) {
       List<String> calls = List.of(frame(first), frame(second));
       assertTrue(calls.containsAll(List.of(call(0), call(1))), calls.toString());
-      first.getOutputStream().write(answer(calls.indexOf(call(0)) == 0 ? 0 : 1, "00000000000000aa"));
+      first
+          .getOutputStream()
+          .write(answer(calls.indexOf(call(0)) == 0 ? 0 : 1, "00000000000000aa"));
       outcomes(1);
       start(2, 0);
       assertEquals(frame(first), call(2), "over the one that is free again");
     }
   }
 
-  /** Guards against a server that counts as down since the end of an idle connection that made room was not told yet. */
+  /**
+   * Guards against a server that counts as down since the end of an idle connection that made room
+   * was not told yet.
+   */
   @Test
   public void anIdleConnectionMakesRoomAtOnce() throws Exception {
-    servers = new SlotServers(loop, events::add, Clock.system(), new Configuration.Wire(100, 15_000, false), 5000, 1);
+    servers =
+        new SlotServers(
+            loop, events::add, Clock.system(), new Configuration.Wire(100, 15_000, false), 5000, 1);
     try (ServerSocket other = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.2"))) {
       loop.execute(() -> servers.address("s", new HostPort("127.0.0.1", server.getLocalPort())));
       loop.execute(() -> servers.address("t", new HostPort("127.0.0.2", other.getLocalPort())));
@@ -189,7 +246,8 @@
         assertEquals(frame(first), call(0));
         first.getOutputStream().write(answer(0, "00000000000000aa"));
         outcomes(1);
-        loop.execute(() -> servers.start(new Effect.Start(new AttemptId(1, 0), request, 1, "t", 2000)));
+        loop.execute(
+            () -> servers.start(new Effect.Start(new AttemptId(1, 0), request, 1, "t", 2000)));
         try (Socket second = other.accept()) {
           assertEquals(frame(second), call(1));
           assertEquals(first.getInputStream().read(), -1);
@@ -199,7 +257,9 @@
     }
   }
 
-  /** Guards against one spoilt answer that blames a server for all that was out on its connection. */
+  /**
+   * Guards against one spoilt answer that blames a server for all that was out on its connection.
+   */
   @Test
   public void aSpoiltAnswerFailsItsOwnPartAndTakesTheOthersBack() throws Exception {
     start(0, 0);
@@ -211,13 +271,18 @@
       }
       byte[] good = answer(2, "00000000000000aa");
       byte[] bad = FrameCodec.encode('5', "q.1 ? 7 -\n00000000000000aa".getBytes()).array();
-      socket.getOutputStream().write(ByteBuffer.allocate(good.length + bad.length).put(good).put(bad).array());
+      socket
+          .getOutputStream()
+          .write(ByteBuffer.allocate(good.length + bad.length).put(good).put(bad).array());
       assertEquals(outcomes(3), List.of("0 CANCELLED", "1 ERROR", "2 OK"));
       assertEquals(socket.getInputStream().read(), -1, "the connection is of no further use");
     }
   }
 
-  /** Guards against a value cut short by its length, whose rest looks like noise behind a good answer. */
+  /**
+   * Guards against a value cut short by its length, whose rest looks like noise behind a good
+   * answer.
+   */
   @Test
   public void whatFollowsAnAnswerSpoilsOnlyOneCutShort() throws Exception {
     for (int part = 0; part < 2; part++) {
@@ -225,7 +290,13 @@
       try (Socket socket = server.accept()) {
         assertEquals(frame(socket), call(part));
         byte[] answer = answer(part, part == 0 ? "00000000000000aa" : "000000000");
-        socket.getOutputStream().write(ByteBuffer.allocate(answer.length + 7).put(answer).put("0000bad".getBytes()).array());
+        socket
+            .getOutputStream()
+            .write(
+                ByteBuffer.allocate(answer.length + 7)
+                    .put(answer)
+                    .put("0000bad".getBytes())
+                    .array());
         outcomes(part + 1);
         assertEquals(socket.getInputStream().read(), -1);
       }
@@ -248,14 +319,18 @@
     }
   }
 
-  /** Guards against a part sent before a drain was told that goes out after it, once its connection has come up. */
+  /**
+   * Guards against a part sent before a drain was told that goes out after it, once its connection
+   * has come up.
+   */
   @Test
   public void whatWaitsForAConnectionIsTakenBack() throws Exception {
     // In one turn, so that the connection has no chance to come up in between.
-    loop.execute(() -> {
-      servers.start(new Effect.Start(new AttemptId(0, 0), request, 0, "s", 2000));
-      servers.withdraw("s");
-    });
+    loop.execute(
+        () -> {
+          servers.start(new Effect.Start(new AttemptId(0, 0), request, 0, "s", 2000));
+          servers.withdraw("s");
+        });
     assertEquals(outcomes(1), List.of("0 MOOT"));
     start(1, 0);
     try (Socket ended = server.accept()) {
@@ -269,16 +344,28 @@
     }
   }
 
-  /** Guards against a next attempt, at a server nearby, that overtakes the word that this one is given up. */
+  /**
+   * Guards against a next attempt, at a server nearby, that overtakes the word that this one is
+   * given up.
+   */
   @Test
   public void aPartGivenUpIsOutUntilItsWordHasHadTimeToArrive() throws Exception {
     double[] now = {0};
-    servers = new SlotServers(loop, events::add, () -> now[0], new Configuration.Wire(100, 15_000, false), 5000, 10, 4);
-    loop.execute(() -> {
-      servers.address("s", new HostPort("127.0.0.1", server.getLocalPort()));
-      servers.start(new Effect.Start(new AttemptId(0, 0), request, 0, "s", 2000));
-      now[0] = 80; // the time that the connection takes to come up
-    });
+    servers =
+        new SlotServers(
+            loop,
+            events::add,
+            () -> now[0],
+            new Configuration.Wire(100, 15_000, false),
+            5000,
+            10,
+            4);
+    loop.execute(
+        () -> {
+          servers.address("s", new HostPort("127.0.0.1", server.getLocalPort()));
+          servers.start(new Effect.Start(new AttemptId(0, 0), request, 0, "s", 2000));
+          now[0] = 80; // the time that the connection takes to come up
+        });
     try (Socket socket = server.accept()) {
       assertEquals(frame(socket), call(0));
       long before = System.nanoTime();
@@ -306,22 +393,34 @@
     assertEquals(outcomes(1), List.of("0 RESET"));
   }
 
-  /** Guards against parts whose end is never told, since that of another on their connection had one of them given up. */
+  /**
+   * Guards against parts whose end is never told, since that of another on their connection had one
+   * of them given up.
+   */
   @Test
   public void eachPartOnAConnectionThatNeverComesUpEnds() throws Exception {
     server.close();
-    servers = new SlotServers(loop, e -> {
-      events.add(e);
-      if (e instanceof Event.Ended ended && ended.attempt().part() == 0) {
-        servers.abandon(new Effect.Abandon(new AttemptId(1, 0), request, "s"));
-      }
-    }, Clock.system(), new Configuration.Wire(100, 15_000, false), 5000, 10, 4);
-    loop.execute(() -> {
-      servers.address("s", new HostPort("127.0.0.1", server.getLocalPort()));
-      for (int part = 0; part < 3; part++) {
-        servers.start(new Effect.Start(new AttemptId(part, 0), request, part, "s", 2000));
-      }
-    });
+    servers =
+        new SlotServers(
+            loop,
+            e -> {
+              events.add(e);
+              if (e instanceof Event.Ended ended && ended.attempt().part() == 0) {
+                servers.abandon(new Effect.Abandon(new AttemptId(1, 0), request, "s"));
+              }
+            },
+            Clock.system(),
+            new Configuration.Wire(100, 15_000, false),
+            5000,
+            10,
+            4);
+    loop.execute(
+        () -> {
+          servers.address("s", new HostPort("127.0.0.1", server.getLocalPort()));
+          for (int part = 0; part < 3; part++) {
+            servers.start(new Effect.Start(new AttemptId(part, 0), request, part, "s", 2000));
+          }
+        });
     assertEquals(outcomes(3), List.of("0 UNREACHABLE", "1 UNREACHABLE", "2 UNREACHABLE"));
   }
 
@@ -338,11 +437,17 @@
     }
   }
 
-  /** Guards against a frame that crosses the server's close of a connection that has been idle for too long. */
+  /**
+   * Guards against a frame that crosses the server's close of a connection that has been idle for
+   * too long.
+   */
   @Test
-  public void aConnectionIdleForTooLongCarriesNothingMoreHoweverLateItIsLookedAt() throws Exception {
+  public void aConnectionIdleForTooLongCarriesNothingMoreHoweverLateItIsLookedAt()
+      throws Exception {
     double[] now = {0};
-    servers = new SlotServers(loop, events::add, () -> now[0], new Configuration.Wire(100, 1000, false), 5000, 10, 4);
+    servers =
+        new SlotServers(
+            loop, events::add, () -> now[0], new Configuration.Wire(100, 1000, false), 5000, 10, 4);
     loop.execute(() -> servers.address("s", new HostPort("127.0.0.1", server.getLocalPort())));
     start(0, 0);
     try (Socket idle = server.accept()) {
@@ -361,28 +466,35 @@
   /** Guards against sends for nobody, where nothing that has gone may be called off. */
   @Test
   public void anAttemptIsTakenBackOnlyWhileNotAByteOfItHasGone() throws Exception {
-    loop.execute(() -> {
-      servers.start(new Effect.Start(new AttemptId(0, 0), request, 0, "s", 2000));
-      servers.takeBack(new Effect.TakeBack(new AttemptId(0, 0), request));
-    });
+    loop.execute(
+        () -> {
+          servers.start(new Effect.Start(new AttemptId(0, 0), request, 0, "s", 2000));
+          servers.takeBack(new Effect.TakeBack(new AttemptId(0, 0), request));
+        });
     assertEquals(outcomes(1), List.of("0 MOOT"));
     start(1, 0);
     try (Socket socket = server.accept()) {
-      assertEquals(frame(socket), call(1), "over the connection that has come up, and nothing of the other");
+      assertEquals(
+          frame(socket), call(1), "over the connection that has come up, and nothing of the other");
       loop.execute(() -> servers.takeBack(new Effect.TakeBack(new AttemptId(1, 0), request)));
       socket.getOutputStream().write(answer(1, "00000000000000aa"));
       assertEquals(outcomes(2), List.of("0 MOOT", "1 OK"));
     }
   }
 
-  /** Guards against parts that go out over a connection that comes up late, when they were called off or withdrawn before. */
+  /**
+   * Guards against parts that go out over a connection that comes up late, when they were called
+   * off or withdrawn before.
+   */
   @Test
   public void aConnectionThatComesUpLateCarriesNothingThatWasCalledOffBefore() throws Exception {
     try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       busy.setSoTimeout(PATIENCE_MS);
       List<Socket> before = new java.util.ArrayList<>();
       try {
-        for (int i = 0; i < 16; i++) { // until the machine holds no more of them: the next comes up late
+        for (int i = 0;
+            i < 16;
+            i++) { // until the machine holds no more of them: the next comes up late
           Socket s = new Socket();
           before.add(s);
           s.connect(busy.getLocalSocketAddress(), 200);
@@ -396,7 +508,8 @@
       start(1, 0);
       loop.execute(() -> servers.abandon(new Effect.Abandon(new AttemptId(0, 0), request, "s")));
       await(1);
-      assertEquals(events, List.of(new Event.Abandoned(new AttemptId(0, 0))), "at once: it was never sent");
+      assertEquals(
+          events, List.of(new Event.Abandoned(new AttemptId(0, 0))), "at once: it was never sent");
       for (Socket s : before) {
         busy.accept().close();
         s.close();
@@ -448,7 +561,10 @@
     }
   }
 
-  /** Guards against a value that comes after its part was given up and is taken for something, or harms another part. */
+  /**
+   * Guards against a value that comes after its part was given up and is taken for something, or
+   * harms another part.
+   */
   @Test
   public void aValueAfterItsCancelHarmsNoOther() throws Exception {
     start(0, 0);
@@ -469,12 +585,17 @@
   }
 
   private void startTogether(Integer... parts) {
-    loop.execute(() -> servers.startTogether(List.of(parts).stream()
-        .map(p -> new Effect.Start(new AttemptId(p, 0), request, p, "s", 2000)).toList()));
+    loop.execute(
+        () ->
+            servers.startTogether(
+                List.of(parts).stream()
+                    .map(p -> new Effect.Start(new AttemptId(p, 0), request, p, "s", 2000))
+                    .toList()));
   }
 
   private static String calls(int... parts) {
-    return "1" + IntStream.of(parts).mapToObj(p -> call(p).substring(1)).collect(Collectors.joining());
+    return "1"
+        + IntStream.of(parts).mapToObj(p -> call(p).substring(1)).collect(Collectors.joining());
   }
 
   /** Guards against a server that is charged for a call by each part. */
@@ -493,17 +614,21 @@
       first.getOutputStream().write(answer(0, "00000000000000aa"));
       await(4);
       assertTrue(events.contains(new Event.Abandoned(new AttemptId(5, 0))));
-      assertTrue(events.stream().anyMatch(e -> e instanceof Event.Ended d && d.attempt().part() == 0));
+      assertTrue(
+          events.stream().anyMatch(e -> e instanceof Event.Ended d && d.attempt().part() == 0));
     }
   }
 
   @Test
   public void aPartTakenBackBeforeItsCallHasGoneIsNotInItsFrame() throws Exception {
-    loop.execute(() -> {
-      servers.startTogether(IntStream.range(0, 3).mapToObj(
-          p -> new Effect.Start(new AttemptId(p, 0), request, p, "s", 2000)).toList());
-      servers.takeBack(new Effect.TakeBack(new AttemptId(1, 0), request));
-    });
+    loop.execute(
+        () -> {
+          servers.startTogether(
+              IntStream.range(0, 3)
+                  .mapToObj(p -> new Effect.Start(new AttemptId(p, 0), request, p, "s", 2000))
+                  .toList());
+          servers.takeBack(new Effect.TakeBack(new AttemptId(1, 0), request));
+        });
     try (Socket first = server.accept()) {
       assertEquals(frame(first), calls(0, 2));
       assertEquals(outcomes(1), List.of("1 MOOT"));
@@ -519,20 +644,35 @@
     assertEquals(outcomes(3), List.of("0 RESET", "1 RESET", "2 RESET"));
   }
 
-  /** Guards against more parts on a connection than the settings allow, where a call holds more than that. */
+  /**
+   * Guards against more parts on a connection than the settings allow, where a call holds more than
+   * that.
+   */
   @Test
   public void aCallOfMorePartsThanAConnectionCarriesIsTakenApart() throws Exception {
-    servers = new SlotServers(loop, events::add, Clock.system(), new Configuration.Wire(2, 15_000, false), 5000, 10, 4);
+    servers =
+        new SlotServers(
+            loop,
+            events::add,
+            Clock.system(),
+            new Configuration.Wire(2, 15_000, false),
+            5000,
+            10,
+            4);
     loop.execute(() -> servers.address("s", new HostPort("127.0.0.1", server.getLocalPort())));
     startTogether(0, 1, 2);
-    try (Socket first = server.accept(); Socket second = server.accept()) {
+    try (Socket first = server.accept();
+        Socket second = server.accept()) {
       assertEquals(frame(first), call(0));
       assertEquals(frame(first), call(1));
       assertEquals(frame(second), call(2));
     }
   }
 
-  /** Guards against a server that holds no more connections, and counts as down and as restarted by that. */
+  /**
+   * Guards against a server that holds no more connections, and counts as down and as restarted by
+   * that.
+   */
   @Test
   public void whatWaitsForARefusedConnectionGoesOverOneThatIsUp() throws Exception {
     for (int part = 0; part < 4; part++) {
@@ -553,7 +693,8 @@
     await(6);
     start(6, 0);
     await(7);
-    assertTrue(events.contains(new Event.Ended(new AttemptId(6, 0), Router.Outcome.UNREACHABLE, null)),
+    assertTrue(
+        events.contains(new Event.Ended(new AttemptId(6, 0), Router.Outcome.UNREACHABLE, null)),
         "with none up a refusal is one");
   }
 }
--- a/src/test/java/bitternpulley/policy/ManyPartsTest.java
+++ b/src/test/java/bitternpulley/policy/ManyPartsTest.java
@@ -15,16 +15,39 @@
 class ManyPartsTest {
   /** Rounds of which the cheapest counts, so that nothing else on the machine decides. */
   private static final int ROUNDS = 20;
-  /** What a part of a large query may cost, as a multiple of one of a small: looking at all for each would make it 8. */
+
+  /**
+   * What a part of a large query may cost, as a multiple of one of a small: looking at all for each
+   * would make it 8.
+   */
   private static final double MOST = 4;
 
   private static Rig fleet(int cells) {
-    Settings of = Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, Rig.rules(false, 0, 0), 2);
-    Rig rig = new Rig(new Settings(of.self(), of.instances(), of.zone(), of.tick(), false, false, of.classes(),
-        of.tenants(), 1, false, new Settings.Layout(cells, cells, 2, 1),
-        new Settings.Limits(4, 100_000, true, false, false, true, 500, 250), of.rules(), of.prices()));
-    rig.list(Router.ListKind.REMEMBERED, IntStream.range(0, cells)
-        .mapToObj(c -> Rig.member("s" + c, c, Router.ServerState.LIVE, 0)).toArray(Router.Member[]::new));
+    Settings of =
+        Rig.settings(
+            Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, Rig.rules(false, 0, 0), 2);
+    Rig rig =
+        new Rig(
+            new Settings(
+                of.self(),
+                of.instances(),
+                of.zone(),
+                of.tick(),
+                false,
+                false,
+                of.classes(),
+                of.tenants(),
+                1,
+                false,
+                new Settings.Layout(cells, cells, 2, 1),
+                new Settings.Limits(4, 100_000, true, false, false, true, 500, 250),
+                of.rules(),
+                of.prices()));
+    rig.list(
+        Router.ListKind.REMEMBERED,
+        IntStream.range(0, cells)
+            .mapToObj(c -> Rig.member("s" + c, c, Router.ServerState.LIVE, 0))
+            .toArray(Router.Member[]::new));
     return rig;
   }
 
@@ -40,7 +63,8 @@
       rig.now = 20;
       long before = threads.getCurrentThreadCpuTime();
       for (Rig.Send s : sent) {
-        rig.policy.ended(new Router.Ended(s.part(), 0, s.server(), Router.Outcome.OK, 20, null), rig.now, rig);
+        rig.policy.ended(
+            new Router.Ended(s.part(), 0, s.server(), Router.Outcome.OK, 20, null), rig.now, rig);
         rig.policy.settle(rig.now, rig);
       }
       least = Math.min(least, threads.getCurrentThreadCpuTime() - before);
@@ -49,7 +73,10 @@
     return least / parts;
   }
 
-  /** Guards against an aggregator whose processor time goes with the square of the sections that the fleet has. */
+  /**
+   * Guards against an aggregator whose processor time goes with the square of the sections that the
+   * fleet has.
+   */
   @Test
   void anAnswerCostsNoMoreWhereAQueryHasManyParts() {
     costOfAPart(1000);
@@ -68,6 +95,8 @@
     rig.end(11, 0, Router.Outcome.OK);
     rig.end(17, 0, Router.Outcome.ERROR);
     assertEquals(61, rig.sends.size());
-    assertEquals(new Rig.Send(17, rig.sends.get(60).server(), 5, rig.sends.get(60).timeout()), rig.sends.get(60));
+    assertEquals(
+        new Rig.Send(17, rig.sends.get(60).server(), 5, rig.sends.get(60).timeout()),
+        rig.sends.get(60));
   }
 }
--- a/src/test/java/bitternpulley/policy/PolicyTest.java
+++ b/src/test/java/bitternpulley/policy/PolicyTest.java
@@ -13,8 +13,10 @@
 class PolicyTest {
   private static final Settings.Rules FREE = Rig.rules(false, 0, 0);
 
-  private static Rig rig(Settings.Effect effect, double least, int second, boolean copies, Settings.Rules rules) {
-    return new Rig(Rig.settings(Rig.kind(effect, 1000, 3000, 0, least, second), copies, rules, 2)).servers();
+  private static Rig rig(
+      Settings.Effect effect, double least, int second, boolean copies, Settings.Rules rules) {
+    return new Rig(Rig.settings(Rig.kind(effect, 1000, 3000, 0, least, second), copies, rules, 2))
+        .servers();
   }
 
   private static Rig safe() {
@@ -72,7 +74,10 @@
     assertEquals(2, r.sends.stream().map(Rig.Send::server).distinct().count());
   }
 
-  /** By call where calls are shared: where a call costs more than a part, two parts for one shard go in one call. */
+  /**
+   * By call where calls are shared: where a call costs more than a part, two parts for one shard go
+   * in one call.
+   */
   @Test
   void aCallThatIsFormingTakesAPartInAtNoFurtherCost() {
     assertEquals(2, serversOfTwoParts(16, 0));
@@ -82,8 +87,24 @@
 
   private static long serversOfTwoParts(int bundle, double callWork) {
     Settings s = Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 2);
-    Rig r = new Rig(new Settings(0, 2, 0, 1, false, false, s.classes(), List.of(), 1, false,
-        new Settings.Layout(4, 4, 2, bundle, callWork), s.limits(), s.rules(), s.prices())).servers();
+    Rig r =
+        new Rig(
+                new Settings(
+                    0,
+                    2,
+                    0,
+                    1,
+                    false,
+                    false,
+                    s.classes(),
+                    List.of(),
+                    1,
+                    false,
+                    new Settings.Layout(4, 4, 2, bundle, callWork),
+                    s.limits(),
+                    s.rules(),
+                    s.prices()))
+            .servers();
     for (int i = 0; i < 4; i++) {
       serve(r, 10 + i, 100);
     }
@@ -264,7 +285,11 @@
     r.query(2, 3000, new int[] {0});
     r.to(r.now + 400);
     assertEquals(2, r.sent(20));
-    List<String> used = r.sends.stream().filter(s -> s.part() == 20).map(Rig.Send::server).collect(Collectors.toList());
+    List<String> used =
+        r.sends.stream()
+            .filter(s -> s.part() == 20)
+            .map(Rig.Send::server)
+            .collect(Collectors.toList());
     assertEquals(2, used.stream().distinct().count());
   }
 
@@ -289,7 +314,8 @@
     assertEquals("s1", r.sends.get(0).server());
     r.list(Router.ListKind.COMPLETE, Rig.member("s0", 0, Router.ServerState.LIVE, 0));
     r.query(2, 3000, new int[] {0, 1});
-    // Shard 1 has no replica left: nothing is spent on a query that cannot become whole, and its client knows at once.
+    // Shard 1 has no replica left: nothing is spent on a query that cannot become whole, and its
+    // client knows at once.
     assertEquals(List.of("refuse 2 @0"), r.ends);
     r.query(3, 3000, new int[] {0});
     assertEquals("s0", r.sends.get(1).server());
@@ -298,7 +324,9 @@
 
   @Test
   void aRestartUnderAnOldIdIsColdAndGetsNoMoreThanItsShareOfWork() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1))
+            .servers();
     r.twoCores(100);
     serve(r, 1, 100);
     r.to(r.now + 2000);
@@ -311,11 +339,15 @@
     assertEquals(3, r.sends.size());
   }
 
-  /** Guards against two processes of an upgrade that each use the whole of what is meant for one. */
+  /**
+   * Guards against two processes of an upgrade that each use the whole of what is meant for one.
+   */
   @Test
   void twoProcessesOfAnUpgradeShareTheBudgetForColdServersAndThePlacesForQueries() {
     for (Router.Beside other : Router.Beside.values()) {
-      Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1)).servers();
+      Rig r =
+          new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1))
+              .servers();
       r.twoCores(60);
       learn(r, 5, 60);
       r.to(r.now + 2000);
@@ -325,7 +357,8 @@
       for (int i = 0; i < 30; i++) {
         r.query(100 + i, 3000, new int[] {0});
       }
-      // All of it: 2 x 0.2 x 1.8 sure cores x 1000 ms for two instances, 360 ms, of parts of 60 ms; 1000 places.
+      // All of it: 2 x 0.2 x 1.8 sure cores x 1000 ms for two instances, 360 ms, of parts of 60 ms;
+      // 1000 places.
       boolean leaves = other == Router.Beside.SUCCESSOR;
       assertEquals(other == Router.Beside.NONE ? 6 : leaves ? 1 : 4, r.sends.size());
       assertEquals(leaves, r.policy.turnedAway(300).isPresent());
@@ -336,7 +369,9 @@
   /** Guards against a cold server's budget spent on queries that can be answered without it. */
   @Test
   void partsThatCanWaitLeaveSomeOfAColdServersBudget() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 0.5, 0), true, FREE, 1)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 0.5, 0), true, FREE, 1))
+            .servers();
     r.twoCores(100);
     serve(r, 1, 100);
     r.to(r.now + 2000);
@@ -345,10 +380,14 @@
     for (int i = 0; i < 8; i++) {
       r.query(100 + i, 3000, new int[] {0, 1});
     }
-    assertEquals(2, r.sends.stream().filter(s -> s.server().equals("s0")).count(), "not three, as above");
+    assertEquals(
+        2, r.sends.stream().filter(s -> s.server().equals("s0")).count(), "not three, as above");
   }
 
-  /** Guards against a moment in which all servers stand still that has each part called off and sent once more. */
+  /**
+   * Guards against a moment in which all servers stand still that has each part called off and sent
+   * once more.
+   */
   @Test
   void noServerIsSilentWhileNothingComesFromAny() {
     for (boolean all : new boolean[] {true, false}) {
@@ -362,7 +401,8 @@
         if (!all) {
           // All but one go on answering: that one is silent.
           r.query(100 + t, 3000, new int[] {0, 1, 2, 3});
-          List.copyOf(r.sends).stream().filter(s -> s.part() != 10 && !s.server().equals(r.sends.get(0).server()))
+          List.copyOf(r.sends).stream()
+              .filter(s -> s.part() != 10 && !s.server().equals(r.sends.get(0).server()))
               .forEach(s -> r.end(s.part(), 0, Router.Outcome.OK));
         }
       }
@@ -370,10 +410,15 @@
     }
   }
 
-  /** Guards against a rush on a server that seems quick for a moment, since its queue was kept short. */
+  /**
+   * Guards against a rush on a server that seems quick for a moment, since its queue was kept
+   * short.
+   */
   @Test
   void aServerSlowAloneKeepsItsShortQueueUntilItIsNearlyAsQuickAsTheOthers() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0.3, 1, 0), false, FREE, 1)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0.3, 1, 0), false, FREE, 1))
+            .servers();
     for (int i = 0; i < 30; i++) {
       r.query(i, 3000, new int[] {0, 1, 2, 3});
       r.to(r.now + 100);
@@ -387,7 +432,8 @@
     for (int i = 0; i < 20; i++) {
       r.query(100 + i, 3000, new int[] {0});
     }
-    // Its last ten answers took 200 ms, so that it is below 3 times the others' 100, but not below 1.5 times.
+    // Its last ten answers took 200 ms, so that it is below 3 times the others' 100, but not below
+    // 1.5 times.
     assertTrue(r.sends.size() < 7, r.sends.size() + " parts at once");
   }
 
@@ -415,7 +461,10 @@
     assertEquals(1, r.sends.size());
   }
 
-  /** Guards against a part that uses up its attempts in one moment, on a server that ends each at once. */
+  /**
+   * Guards against a part that uses up its attempts in one moment, on a server that ends each at
+   * once.
+   */
   @Test
   void aServerThatRefusesOrIsFullDoesNotTakeAllAttemptsAtOnce() {
     for (Router.Outcome end : List.of(Router.Outcome.UNREACHABLE, Router.Outcome.FULL)) {
@@ -433,10 +482,15 @@
     }
   }
 
-  /** Guards against a slow server's queue kept full by a rush after each refusal, so that none is answered in time. */
+  /**
+   * Guards against a slow server's queue kept full by a rush after each refusal, so that none is
+   * answered in time.
+   */
   @Test
   void aSlowServerThatWasFullGetsNoMoreThanItHasRoomFor() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1))
+            .servers();
     for (int i = 1; i < 40; i++) {
       r.query(i, 3000, new int[] {i % 4 == 0 ? 0 : 1});
       r.to(r.now + (i % 4 == 0 ? 300 : 10));
@@ -452,7 +506,10 @@
     assertEquals(1, r.sends.size(), r.sends.toString());
   }
 
-  /** Guards against a slow server, alone with its sections, that works on parts which nobody awaits any more. */
+  /**
+   * Guards against a slow server, alone with its sections, that works on parts which nobody awaits
+   * any more.
+   */
   @Test
   void aSuspectsAttemptIsLeftWhereNoOtherServerCouldTakeThePart() {
     Rig r = safe();
@@ -466,7 +523,9 @@
 
   @Test
   void aLastTryThatGetsMoreTimeDoesNotMakeFirstTriesLate() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 2)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 2))
+            .servers();
     for (int i = 1; i < 10; i++) {
       r.query(i, 1800, new int[] {0});
       r.end(i * 10, 0, Router.Outcome.OK);
@@ -493,10 +552,26 @@
 
   @Test
   void aTenantOverItsShareWaitsBehindTheOthers() {
-    Settings plain = Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 2);
-    Rig r = new Rig(new Settings(0, 2, 0, 1, false, false, plain.classes(),
-        List.of(new Settings.Tenant("a", 0.5, 0), new Settings.Tenant("b", 0.5, 0)), 0.1, false, plain.layout(),
-        plain.limits(), plain.rules(), plain.prices())).servers();
+    Settings plain =
+        Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 2);
+    Rig r =
+        new Rig(
+                new Settings(
+                    0,
+                    2,
+                    0,
+                    1,
+                    false,
+                    false,
+                    plain.classes(),
+                    List.of(new Settings.Tenant("a", 0.5, 0), new Settings.Tenant("b", 0.5, 0)),
+                    0.1,
+                    false,
+                    plain.layout(),
+                    plain.limits(),
+                    plain.rules(),
+                    plain.prices()))
+            .servers();
     for (int i = 0; i < 20; i++) {
       r.query(1 + i, 3000, new int[] {0});
     }
@@ -510,7 +585,9 @@
 
   @Test
   void aServerLongUnheardGetsItsNextPartOverAFreshConnection() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1))
+            .servers();
     serve(r, 1, 50);
     r.closed.clear();
     r.to(r.now + 100);
@@ -523,13 +600,31 @@
     assertEquals(List.of("s0"), r.closed);
   }
 
-  /** Guards against servers worn out by the handshakes of very many instances, of which each has little to send. */
+  /**
+   * Guards against servers worn out by the handshakes of very many instances, of which each has
+   * little to send.
+   */
   @Test
   void whereHandshakesAreChargedForKeptConnectionsAreUsed() {
     Settings s = Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1);
-    Rig r = new Rig(new Settings(s.self(), s.instances(), s.zone(), s.tick(), s.listOnRequest(), s.marksRetry(),
-        s.classes(), s.tenants(), s.overShareWorth(), s.worthByWork(), s.layout(), s.limits(), s.rules(),
-        new Settings.Prices(0, 0, 0, 0, 0, 0.02))).servers();
+    Rig r =
+        new Rig(
+                new Settings(
+                    s.self(),
+                    s.instances(),
+                    s.zone(),
+                    s.tick(),
+                    s.listOnRequest(),
+                    s.marksRetry(),
+                    s.classes(),
+                    s.tenants(),
+                    s.overShareWorth(),
+                    s.worthByWork(),
+                    s.layout(),
+                    s.limits(),
+                    s.rules(),
+                    new Settings.Prices(0, 0, 0, 0, 0, 0.02)))
+            .servers();
     serve(r, 1, 50);
     r.to(r.now + 5000);
     r.query(3, 3000, new int[] {0});
@@ -586,10 +681,15 @@
     assertEquals(4, r.sends.size());
   }
 
-  /** Guards against one slow server that has all queries held back: fewer parts out would not make it quicker. */
+  /**
+   * Guards against one slow server that has all queries held back: fewer parts out would not make
+   * it quicker.
+   */
   @Test
   void aServerThatIsSlowAloneDoesNotNarrowTheWindow() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 9000, 0.3, 1, 0), false, FREE, 1)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 9000, 0.3, 1, 0), false, FREE, 1))
+            .servers();
     learn(r, 10, 20);
     for (int i = 0; i < 60; i++) {
       r.query(100 + 2 * i, 9000, new int[] {0});
@@ -608,7 +708,9 @@
 
   @Test
   void anUnheardServerCountsAsItsZonesAverage() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 4)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 4))
+            .servers();
     // The servers of its own zone, s0 and s2, answer late.
     for (int i = 0; i < 30; i++) {
       long id = 100 + i;
@@ -625,7 +727,9 @@
         }
       }
     }
-    r.list(Router.ListKind.CHANGES, Rig.member("s5", 1, Router.ServerState.LIVE, 0),
+    r.list(
+        Router.ListKind.CHANGES,
+        Rig.member("s5", 1, Router.ServerState.LIVE, 0),
         Rig.member("s6", 2, Router.ServerState.LIVE, 0));
     r.sends.clear();
     r.query(1, 3000, new int[] {0, 0, 0});
@@ -636,7 +740,9 @@
 
   @Test
   void twoLateAttemptsMakeRoomForAThird() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 4000, 9000, 0, 1, 0), true, FREE, 4)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 4000, 9000, 0, 1, 0), true, FREE, 4))
+            .servers();
     serve(r, 1, 20);
     r.query(2, 9000, new int[] {0});
     r.to(r.now + 1900);
@@ -645,7 +751,8 @@
     assertTrue(r.cancels.contains("20/0"), r.cancels.toString());
     r.end(20, 0, Router.Outcome.CANCELLED);
     assertEquals(3, r.sent(20));
-    assertEquals(3, r.sends.stream().filter(s -> s.part() == 20).map(Rig.Send::server).distinct().count());
+    assertEquals(
+        3, r.sends.stream().filter(s -> s.part() == 20).map(Rig.Send::server).distinct().count());
   }
 
   @Test
@@ -656,7 +763,8 @@
       r.to(10 + i);
       r.end(10 + i, 0, Router.Outcome.RESET);
     }
-    // Broken everywhere, answered nowhere: one part is tried again, and the query ends when that breaks too.
+    // Broken everywhere, answered nowhere: one part is tried again, and the query ends when that
+    // breaks too.
     assertEquals(5, r.sends.size());
     long again = r.sends.get(4).part();
     r.to(20);
@@ -680,7 +788,9 @@
 
   @Test
   void freshConnectionsStopWhereNewOnesAreWhatFails() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1))
+            .servers();
     serve(r, 1, 20);
     for (int i = 0; i < 4; i++) {
       r.to(r.now + 1000);
@@ -715,7 +825,9 @@
 
   /** Sends to the only holder of a shard once it is back from a refused connection. */
   private static long sentAfterRefusal(double after) {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1))
+            .servers();
     serve(r, 1, 100);
     r.query(2, 3000, new int[] {0});
     r.to(r.now + after);
@@ -752,7 +864,9 @@
   /** Guards against a full server left idle for seconds: its queue moves on in a moment. */
   @Test
   void aFullServerIsAskedAgainAfterAMoment() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1))
+            .servers();
     learn(r, 4, 20);
     r.query(90, 3000, new int[] {0});
     r.end(900, 0, Router.Outcome.FULL);
@@ -766,7 +880,9 @@
   /** Guards against a server held for dead since one of its connections broke. */
   @Test
   void oneBrokenConnectionSpeaksAgainstNoServer() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1))
+            .servers();
     learn(r, 4, 20);
     r.query(90, 3000, new int[] {0});
     r.end(900, 0, Router.Outcome.RESET);
@@ -775,10 +891,15 @@
     assertEquals(2, r.sent(900), "and the part is sent again");
   }
 
-  /** Guards against one connection's end that makes its server suspect, since many parts were out on it. */
+  /**
+   * Guards against one connection's end that makes its server suspect, since many parts were out on
+   * it.
+   */
   @Test
   void theEndOfOneConnectionCountsOnce() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1))
+            .servers();
     learn(r, 4, 20);
     for (int i = 0; i < 4; i++) {
       r.query(90 + i, 3000, new int[] {0});
@@ -791,10 +912,15 @@
     assertFalse(r.cancels.contains("950/0"), "called off there as at a suspect");
   }
 
-  /** Guards against a part swallowed by a server that answers all others: it is called off, and makes no server slow. */
+  /**
+   * Guards against a part swallowed by a server that answers all others: it is called off, and
+   * makes no server slow.
+   */
   @Test
   void aPartThatOthersOvertakeIsCalledOffAndSpeaksAgainstNoServer() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1))
+            .servers();
     learn(r, 4, 20);
     r.query(90, 3000, new int[] {0});
     r.to(r.now + 1);
@@ -809,13 +935,33 @@
     assertTrue(r.cancels.contains("900/0"), r.cancels.toString());
   }
 
-  /** Of 60 instances that all have a part for a cold server, so many are let as it has borne parts since its start. */
+  /**
+   * Of 60 instances that all have a part for a cold server, so many are let as it has borne parts
+   * since its start.
+   */
   private static int letAtAge(double age, boolean twoCores) {
     int let = 0;
     for (int self = 0; self < 60; self++) {
-      Settings s = Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1);
-      Rig r = new Rig(new Settings(self, 60, 0, 1, false, false, s.classes(), List.of(), 1, false, s.layout(),
-          s.limits(), s.rules(), s.prices())).servers();
+      Settings s =
+          Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1);
+      Rig r =
+          new Rig(
+                  new Settings(
+                      self,
+                      60,
+                      0,
+                      1,
+                      false,
+                      false,
+                      s.classes(),
+                      List.of(),
+                      1,
+                      false,
+                      s.layout(),
+                      s.limits(),
+                      s.rules(),
+                      s.prices()))
+              .servers();
       if (twoCores) {
         r.twoCores(100);
       }
@@ -828,10 +974,14 @@
     return let;
   }
 
-  /** Guards against a cold server that all instances of a fleet count on: their turns sum to what it bears. */
+  /**
+   * Guards against a cold server that all instances of a fleet count on: their turns sum to what it
+   * bears.
+   */
   @Test
   void instancesTakeTurnsAtAColdServer() {
-    // 2 x 0.2 x 1.8 sure cores x 1000 ms are 720 ms in the first window, seven parts of the 100 ms that one needs, and it warms
+    // 2 x 0.2 x 1.8 sure cores x 1000 ms are 720 ms in the first window, seven parts of the 100 ms
+    // that one needs, and it warms
     // up meanwhile: nine turns come, the first of them at once, and that has just lapsed.
     assertEquals(8, letAtAge(1000, true));
     assertEquals(1, letAtAge(50, true));
@@ -864,10 +1014,15 @@
     assertEquals(List.of("refuse 1 @0"), r.ends);
   }
 
-  /** Guards against a part that sits with a suspect for as long as that one's own, stretched figure says. */
+  /**
+   * Guards against a part that sits with a suspect for as long as that one's own, stretched figure
+   * says.
+   */
   @Test
   void aSuspectsAttemptIsCalledOffByTheTimeOfTheOthers() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 9000, 0.3, 1, 0), false, FREE, 2)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 9000, 0.3, 1, 0), false, FREE, 2))
+            .servers();
     learn(r, 4, 100);
     String suspect = null;
     for (int i = 0; i < 3; i++) {
@@ -893,7 +1048,9 @@
   /** Guards against silence that is measured by a latency which silence itself has stretched. */
   @Test
   void aSlowServersSilenceIsMeasuredByTheOthers() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 9000, 0.3, 1, 0), false, FREE, 2)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 9000, 0.3, 1, 0), false, FREE, 2))
+            .servers();
     learn(r, 4, 100);
     r.list(Router.ListKind.CHANGES, Rig.member("s1", 1, Router.ServerState.DRAINING, 0));
     for (int i = 0; i < 4; i++) {
@@ -912,7 +1069,9 @@
   /** Guards against a list of servers that grows all day, as ever new ones replace those before. */
   @Test
   void serversThatAreGoneAreForgotten() {
-    State.Fleet fleet = new State.Fleet(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 2));
+    State.Fleet fleet =
+        new State.Fleet(
+            Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 2));
     for (int i = 0; i < 100; i++) {
       fleet.get(Rig.member("n" + i, i, Router.ServerState.LIVE, 0)).state = Router.ServerState.GONE;
     }
@@ -922,7 +1081,9 @@
     fleet.prune();
     assertEquals(List.of(owing), List.copyOf(fleet.servers()));
     assertEquals(List.of(owing), fleet.holders(0));
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 9000, 0.3, 1, 0), false, FREE, 2)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 9000, 0.3, 1, 0), false, FREE, 2))
+            .servers();
     r.list(Router.ListKind.CHANGES, Rig.member("s0", 0, Router.ServerState.GONE, 0));
     r.list(Router.ListKind.CHANGES, Rig.member("s0", 0, Router.ServerState.LIVE, 0));
     r.query(1, 9000, new int[] {0});
--- a/src/test/java/bitternpulley/policy/Rig.java
+++ b/src/test/java/bitternpulley/policy/Rig.java
@@ -21,13 +21,27 @@
 
   static Settings.QueryClass kind(
       Settings.Effect effect, double aim, double deadline, double late, double least, int second) {
-    return new Settings.QueryClass("any", 1, aim, 0, deadline, late, effect, 400, false, least, 1, 0.9, second);
-  }
-
-  static Settings settings(Settings.QueryClass kind, boolean copies, Settings.Rules rules, int width) {
-    return new Settings(0, 2, 0, 1, false, false, List.of(kind), List.of(), 1, false,
-        new Settings.Layout(4, 4, width, 1), new Settings.Limits(4, 1000, true, copies, false, true, 500, 250),
-        rules, new Settings.Prices(0, 0, 0, 0, 0, 0));
+    return new Settings.QueryClass(
+        "any", 1, aim, 0, deadline, late, effect, 400, false, least, 1, 0.9, second);
+  }
+
+  static Settings settings(
+      Settings.QueryClass kind, boolean copies, Settings.Rules rules, int width) {
+    return new Settings(
+        0,
+        2,
+        0,
+        1,
+        false,
+        false,
+        List.of(kind),
+        List.of(),
+        1,
+        false,
+        new Settings.Layout(4, 4, width, 1),
+        new Settings.Limits(4, 1000, true, copies, false, true, 500, 250),
+        rules,
+        new Settings.Prices(0, 0, 0, 0, 0, 0));
   }
 
   static Settings.Rules rules(boolean budgeted, double floor, double share) {
@@ -40,13 +54,19 @@
 
   /** One server in each of four cells, s0 to s3, all long warm. */
   Rig servers() {
-    list(Router.ListKind.REMEMBERED, member("s0", 0, Router.ServerState.LIVE, 0),
-        member("s1", 1, Router.ServerState.LIVE, 0), member("s2", 2, Router.ServerState.LIVE, 0),
+    list(
+        Router.ListKind.REMEMBERED,
+        member("s0", 0, Router.ServerState.LIVE, 0),
+        member("s1", 1, Router.ServerState.LIVE, 0),
+        member("s2", 2, Router.ServerState.LIVE, 0),
         member("s3", 3, Router.ServerState.LIVE, 0));
     return this;
   }
 
-  /** Has it seen that servers work on two parts of so many ms at once, at one that holds the last shard alone. */
+  /**
+   * Has it seen that servers work on two parts of so many ms at once, at one that holds the last
+   * shard alone.
+   */
   Rig twoCores(double ms) {
     for (int i = 0; i < 40; i++) {
       query(500_000 + 2 * i, 3000, new int[] {3});
@@ -70,7 +90,10 @@
     policy.settle(now, this);
   }
 
-  /** A query whose parts, numbered from 10 times its id, lie on the given shards with the given weights. */
+  /**
+   * A query whose parts, numbered from 10 times its id, lie on the given shards with the given
+   * weights.
+   */
   void query(long id, double left, int[] shards, double... weights) {
     policy.query(new Router.Query(id, id, 0, shards.length, 0, false, left, 0), now, this);
     parts(id, id * 10, shards, weights);
--- a/src/test/java/bitternpulley/policy/SilentQueryTest.java
+++ b/src/test/java/bitternpulley/policy/SilentQueryTest.java
@@ -11,14 +11,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A query whose section nobody can take in time is told so at once; while a stated event may change that, it waits. */
+/**
+ * A query whose section nobody can take in time is told so at once; while a stated event may change
+ * that, it waits.
+ */
 class SilentQueryTest {
   private static Rig rig(double late, double least) {
     return rig(Settings.Effect.SAFE, late, least, Rig.rules(false, 0, 0));
   }
 
   private static Rig rig(Settings.Effect effect, double late, double least, Settings.Rules rules) {
-    Rig r = new Rig(Rig.settings(Rig.kind(effect, 2000, 6000, late, least, 0), false, rules, 2)).servers();
+    Rig r =
+        new Rig(Rig.settings(Rig.kind(effect, 2000, 6000, late, least, 0), false, rules, 2))
+            .servers();
     for (int i = 0; i < 30; i++) {
       r.query(100 + i, 6000, new int[] {2});
       r.to(r.now + 100);
@@ -50,14 +55,23 @@
   /** An instance that has just started cannot tell a later try from a first one. */
   @Test
   void refusedAtOnceByAnInstanceThatKnowsNothing() {
-    Rig r = new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 2000, 6000, 0.3, 1, 0), false, Rig.rules(false, 0, 0), 2))
-        .servers();
+    Rig r =
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Effect.SAFE, 2000, 6000, 0.3, 1, 0),
+                    false,
+                    Rig.rules(false, 0, 0),
+                    2))
+            .servers();
     tell(r, Router.ServerState.GONE);
     r.query(1, 1586, new int[] {0, 2});
     assertEquals(List.of("refuse 1 @0"), r.ends);
   }
 
-  /** What was begun while there was a holder: a part that was turned away finds the other one gone as well. */
+  /**
+   * What was begun while there was a holder: a part that was turned away finds the other one gone
+   * as well.
+   */
   @Test
   void givenUpWithinALookOnceTheLastHolderIsGone() {
     Rig r = rig(0.3, 1);
@@ -111,8 +125,15 @@
   /** Others' parts use up the budget for a cold server; it opens as the window passes. */
   @Test
   void waitsForRoomAtAColdHolder() {
-    Rig r = rig(Settings.Effect.SAFE, 0.3, 1, new Settings.Rules(20, 500, 0.2, 10_000, 2, 1000, false, 0, 0, 1000, 0));
-    r.list(Router.ListKind.CHANGES, Rig.member("s0", 0, Router.ServerState.LIVE, r.now),
+    Rig r =
+        rig(
+            Settings.Effect.SAFE,
+            0.3,
+            1,
+            new Settings.Rules(20, 500, 0.2, 10_000, 2, 1000, false, 0, 0, 1000, 0));
+    r.list(
+        Router.ListKind.CHANGES,
+        Rig.member("s0", 0, Router.ServerState.LIVE, r.now),
         Rig.member("s1", 1, Router.ServerState.GONE, 0));
     for (int i = 1; i <= 12; i++) {
       r.query(i, 6000, new int[] {0});
@@ -137,12 +158,17 @@
     assertFalse(r.ends.stream().anyMatch(e -> e.startsWith("refuse")));
   }
 
-  /** The bytes may have come that long before, and turns come late: its end is reckoned from there. */
+  /**
+   * The bytes may have come that long before, and turns come late: its end is reckoned from there.
+   */
   @Test
   void endsByTheClientsTimeThoughItLayUnread() {
     Rig r = rig(0.3, 1);
-    r.policy.query(new Router.Query(1, 1, 0, 1, 0, false, 6000, 0, Router.Terms.OF_CLASS,
-        new Router.Lateness(150, 100)), r.now, r);
+    r.policy.query(
+        new Router.Query(
+            1, 1, 0, 1, 0, false, 6000, 0, Router.Terms.OF_CLASS, new Router.Lateness(150, 100)),
+        r.now,
+        r);
     double taken = r.now;
     r.parts(1, 10, new int[] {0});
     r.to(taken + 6000);
--- a/src/test/java/bitternpulley/policy/SourceLimitsTest.java
+++ b/src/test/java/bitternpulley/policy/SourceLimitsTest.java
@@ -25,7 +25,8 @@
     String text = Files.readString(POLICY);
     assertTrue(!text.contains("simhost") && !text.contains("jackson"));
     assertTrue(text.startsWith("// The interface of this module is Router.java"));
-    assertTrue(Files.readString(Path.of("deploy/balancer.toml"))
-        .contains("policy = [\"src/main/java/bitternpulley/policy/Policy.java\"]"));
+    assertTrue(
+        Files.readString(Path.of("deploy/balancer.toml"))
+            .contains("policy = [\"src/main/java/bitternpulley/policy/Policy.java\"]"));
   }
 }
--- a/src/test/java/bitternpulley/process/AttemptLog.java
+++ b/src/test/java/bitternpulley/process/AttemptLog.java
@@ -8,9 +8,15 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** What reached the stand-in slot servers, in either dialect, and the one set of rule checks over it. */
+/**
+ * What reached the stand-in slot servers, in either dialect, and the one set of rule checks over
+ * it.
+ */
 final class AttemptLog {
-  /** One attempt as its server saw it; {@code ended} by its answer, a cancel or the end of its connection. */
+  /**
+   * One attempt as its server saw it; {@code ended} by its answer, a cancel or the end of its
+   * connection.
+   */
   static final class Attempt {
     final String dialect;
     final String part;
@@ -40,7 +46,10 @@
   private final List<Attempt> attempts = new ArrayList<>();
   private final List<String> broken = new ArrayList<>();
 
-  /** Notes an attempt. Two servers' threads may read a cancel and the next attempt in either order, so it waits. */
+  /**
+   * Notes an attempt. Two servers' threads may read a cancel and the next attempt in either order,
+   * so it waits.
+   */
   synchronized Attempt begin(Attempt a) {
     long end = System.currentTimeMillis() + CROSSING_MS;
     while (attempts.stream().anyMatch(o -> o.part.equals(a.part) && !o.over())) {
@@ -79,13 +88,19 @@
   /** The rules that a slot server can see, the same for both dialects. */
   static void check(List<Attempt> of, List<String> broken) {
     Map<String, List<Attempt>> parts = of.stream().collect(Collectors.groupingBy(a -> a.part));
-    parts.forEach((part, tries) -> {
-      assertTrue(tries.size() <= MOST_ATTEMPTS, part + " was tried " + tries.size() + " times");
-      assertEquals(tries.stream().map(a -> String.valueOf(a.key)).distinct().count(), 1, part + " changes its key");
-      long span = tries.get(tries.size() - 1).at - tries.get(0).at;
-      assertTrue(tries.get(0).key == null || span <= WINDOW_MS * 1_000_000, part + " left its window");
-      tries.forEach(a -> assertTrue(a.server.holds(a.section), part + " went to " + a.server.id));
-    });
+    parts.forEach(
+        (part, tries) -> {
+          assertTrue(tries.size() <= MOST_ATTEMPTS, part + " was tried " + tries.size() + " times");
+          assertEquals(
+              tries.stream().map(a -> String.valueOf(a.key)).distinct().count(),
+              1,
+              part + " changes its key");
+          long span = tries.get(tries.size() - 1).at - tries.get(0).at;
+          assertTrue(
+              tries.get(0).key == null || span <= WINDOW_MS * 1_000_000, part + " left its window");
+          tries.forEach(
+              a -> assertTrue(a.server.holds(a.section), part + " went to " + a.server.id));
+        });
     assertEquals(broken, List.of());
   }
 
--- a/src/test/java/bitternpulley/process/ContractsProcessTest.java
+++ b/src/test/java/bitternpulley/process/ContractsProcessTest.java
@@ -33,19 +33,33 @@
   }
 
   private String teams(String secret, int holds) {
-    String hash = HexFormat.of().formatHex(
-        Recognition.hash(HexFormat.of().parseHex(SALT), secret.getBytes(StandardCharsets.UTF_8)));
-    return "opensearch(listen = '" + d.searchListen + "', server_port = " + d.searchPort + ", indices = {"
+    String hash =
+        HexFormat.of()
+            .formatHex(
+                Recognition.hash(
+                    HexFormat.of().parseHex(SALT), secret.getBytes(StandardCharsets.UTF_8)));
+    return "opensearch(listen = '"
+        + d.searchListen
+        + "', server_port = "
+        + d.searchPort
+        + ", indices = {"
         + "'slots': {'class': 'slot-search'}, 'bookings': {'class': 'slot-booking', 'sections': [0]}})\n"
         + "accounts(list = True)\n"
-        + "contract(id = 'app', share = 0.5, holds = " + holds + ", platform = ['slot-search'], classes = {'slot-search': terms()})\n"
+        + "contract(id = 'app', share = 0.5, holds = "
+        + holds
+        + ", platform = ['slot-search'], classes = {'slot-search': terms()})\n"
         + "contract(id = 'desk', share = 0.2, platform = ['stock-report'], classes = {'stock-report': terms()})\n"
         + "contract(id = 'partners', share = 0.3, classes = {'slot-booking': terms(), 'slot-search': terms()}, "
-        + "keys = [{'id': 'p', 'salt': '" + SALT + "', 'sha256': '" + hash + "'}])\n";
+        + "keys = [{'id': 'p', 'salt': '"
+        + SALT
+        + "', 'sha256': '"
+        + hash
+        + "'}])\n";
   }
 
   private static String key(String secret) {
-    return "Authorization: ApiKey " + Base64.getEncoder().encodeToString(("p:" + secret).getBytes(StandardCharsets.UTF_8));
+    return "Authorization: ApiKey "
+        + Base64.getEncoder().encodeToString(("p:" + secret).getBytes(StandardCharsets.UTF_8));
   }
 
   private Reply booking(String secret, String token) throws Exception {
@@ -58,7 +72,10 @@
     Reply wrong = booking("another", "t2");
     assertEquals(wrong.status(), 401);
     assertEquals(wrong.headers().get("www-authenticate"), "ApiKey");
-    assertEquals(d.search("/bookings/_search", "{}", "Idempotency-Key: t3").status(), 401, "no key, and no index of a team");
+    assertEquals(
+        d.search("/bookings/_search", "{}", "Idempotency-Key: t3").status(),
+        401,
+        "no key, and no index of a team");
     assertEquals(d.ask("slot-search", "q1", 0).status(), 200);
     Reply nobody = d.ask("slot-booking", "q2", 0);
     assertEquals(nobody.status(), 429, "a class that no team has on this front");
@@ -101,30 +118,38 @@
     try (java.net.Socket client = Deployment.connect(d.listen)) {
       client.getOutputStream().write(Deployment.query("slot-search", "open", 4.0, 2).getBytes());
       Deployment.await("it is sent", () -> !d.log.all().isEmpty());
-      Files.writeString(script(), teams(SECRET, 2).lines().filter(l -> !l.contains("'app'"))
-          .reduce("", (a, b) -> a + b + "\n"));
+      Files.writeString(
+          script(),
+          teams(SECRET, 2)
+              .lines()
+              .filter(l -> !l.contains("'app'"))
+              .reduce("", (a, b) -> a + b + "\n"));
       d.mustOrder("reload");
       d.servers.forEach(s -> s.act = (index, section) -> StandIn.Act.SERVE);
       assertEquals(Deployment.reply(client).status(), 200);
     }
-    Deployment.await("its team is gone", () -> {
-      try {
-        return d.ask("slot-search", "x" + System.nanoTime(), 0).body().contains("no contract");
-      } catch (java.io.IOException e) {
-        throw new AssertionError(e);
-      }
-    });
+    Deployment.await(
+        "its team is gone",
+        () -> {
+          try {
+            return d.ask("slot-search", "x" + System.nanoTime(), 0).body().contains("no contract");
+          } catch (java.io.IOException e) {
+            throw new AssertionError(e);
+          }
+        });
   }
 
   @Test
   public void aFaultyScriptEndsTheProgramAndNamesTheKey() throws Exception {
     try (Deployment bad = new Deployment()) {
       Path file = bad.folder().resolve("broker.star");
-      Files.writeString(file, "contract(id = 'a', share = 2, classes = {'slot-search': terms()})\n");
+      Files.writeString(
+          file, "contract(id = 'a', share = 2, classes = {'slot-search': terms()})\n");
       bad.withBroker(file).start();
       assertTrue(bad.process.waitFor(30, java.util.concurrent.TimeUnit.SECONDS));
       assertEquals(bad.process.exitValue(), 2);
-      Deployment.await("the key", () -> bad.output.stream().anyMatch(l -> l.contains("'contracts.0.share'")));
+      Deployment.await(
+          "the key", () -> bad.output.stream().anyMatch(l -> l.contains("'contracts.0.share'")));
     }
   }
 }
--- a/src/test/java/bitternpulley/process/Deployment.java
+++ b/src/test/java/bitternpulley/process/Deployment.java
@@ -28,7 +28,10 @@
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
 
-/** The real program as a process, with stand-ins of ours for discovery and the slot servers, all on loopback. */
+/**
+ * The real program as a process, with stand-ins of ours for discovery and the slot servers, all on
+ * loopback.
+ */
 final class Deployment implements AutoCloseable {
   static final ObjectMapper JSON = new ObjectMapper();
   static final int CELLS = 6;
@@ -48,8 +51,10 @@
   private final ObjectNode config = JSON.createObjectNode();
   private final Path folder;
   private int revision = 41;
+
   /** What each watch is told first, and when. */
   volatile Supplier<ObjectNode> firstWord = () -> list(false, List.of(), "up");
+
   Process process;
   private final List<ProcessHandle> beside = new ArrayList<>();
 
@@ -65,12 +70,16 @@
     searchListen = "127.0.0.1:" + freePort();
     admin = "127.0.0.1:" + freePort();
     StandIn.daemon(() -> serveDiscovery(discovery));
-    config.put("name", "n0").put("listen", listen).put("discovery", "127.0.0.1:" + discovery.getLocalPort())
+    config
+        .put("name", "n0")
+        .put("listen", listen)
+        .put("discovery", "127.0.0.1:" + discovery.getLocalPort())
         .put("seed", "8c1f30d27a5be964");
     config.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 1024);
     config.set("known", list(true, servers, "up"));
     config.set("settings", settings());
-    ObjectNode search = JSON.createObjectNode().put("listen", searchListen).put("server_port", port);
+    ObjectNode search =
+        JSON.createObjectNode().put("listen", searchListen).put("server_port", port);
     ObjectNode indices = search.putObject("indices");
     indices.putObject("slots").put("class", "slot-search");
     indices.putObject("clinics").put("class", "slot-search");
@@ -85,26 +94,54 @@
 
   /** A port free on all hosts of the stand-ins and the program. */
   private static int freePort() throws IOException {
-    return Ports.free(IntStream.rangeClosed(0, CELLS).mapToObj(i -> i == 0 ? "127.0.0.1" : "127.0.1." + i).toList());
+    return Ports.free(
+        IntStream.rangeClosed(0, CELLS)
+            .mapToObj(i -> i == 0 ? "127.0.0.1" : "127.0.1." + i)
+            .toList());
   }
 
   private static ObjectNode settings() {
-    ObjectNode s = JSON.createObjectNode().put("tick", 5.0).put("instances", 1).put("selfIndex", 0).put("zone", 0);
+    ObjectNode s =
+        JSON.createObjectNode()
+            .put("tick", 5.0)
+            .put("instances", 1)
+            .put("selfIndex", 0)
+            .put("zone", 0);
     s.putArray("failureDomains").add("gulberg").add("johar");
     ArrayNode classes = s.putArray("requestClasses");
     for (String name : List.of("slot-search", "slot-booking", "stock-report")) {
-      classes.addObject().put("name", name).put("aim", 2000).put("deadline", 5000).put("lateWorth", 0.3)
-          .put("effect", name.equals("slot-booking") ? "token" : "pure").put("dedupWindow", 5000).put("worth", 1);
+      classes
+          .addObject()
+          .put("name", name)
+          .put("aim", 2000)
+          .put("deadline", 5000)
+          .put("lateWorth", 0.3)
+          .put("effect", name.equals("slot-booking") ? "token" : "pure")
+          .put("dedupWindow", 5000)
+          .put("worth", 1);
     }
-    ObjectNode domain = s.putObject("domain").put("cells", CELLS).put("shards", CELLS).put("width", 2);
+    ObjectNode domain =
+        s.putObject("domain").put("cells", CELLS).put("shards", CELLS).put("width", 2);
     domain.putArray("minShare").add(1).add(1).add(0.8);
     domain.putArray("wholeAt").add(1).add(1).add(1);
     domain.putArray("classPartial").add(0.9).add(0.9).add(0.8);
-    s.putObject("policyLimits").put("connectTimeout", 250).put("keepalive", 15000).put("maxAttempts", 4)
-        .put("maxOpen", 200).put("maxRetryAfter", 2000).put("mayCancel", true).put("retryAfter", true)
-        .put("secondCopies", false).put("streamsPerConn", 100);
-    s.putObject("rules").put("answerSlack", 20).put("cold", 17000).put("coldFrom", 0.2).put("fall", 1000)
-        .put("stopSendingWithin", 250).put("tipMultiple", 2);
+    s.putObject("policyLimits")
+        .put("connectTimeout", 250)
+        .put("keepalive", 15000)
+        .put("maxAttempts", 4)
+        .put("maxOpen", 200)
+        .put("maxRetryAfter", 2000)
+        .put("mayCancel", true)
+        .put("retryAfter", true)
+        .put("secondCopies", false)
+        .put("streamsPerConn", 100);
+    s.putObject("rules")
+        .put("answerSlack", 20)
+        .put("cold", 17000)
+        .put("coldFrom", 0.2)
+        .put("fall", 1000)
+        .put("stopSendingWithin", 250)
+        .put("tipMultiple", 2);
     return s;
   }
 
@@ -112,9 +149,15 @@
     ObjectNode list = JSON.createObjectNode().put("revision", 41).put("complete", complete);
     ArrayNode members = list.putArray("members");
     for (StandIn s : of) {
-      members.addObject().put("id", s.id).put("host_port", s.host + ":" + s.framePort())
-          .put("locality", s.cell % 2 == 0 ? "gulberg" : "johar").put("cell", s.cell).put("phase", phase)
-          .put("size", 1.0).put("up_since_ms", 0);
+      members
+          .addObject()
+          .put("id", s.id)
+          .put("host_port", s.host + ":" + s.framePort())
+          .put("locality", s.cell % 2 == 0 ? "gulberg" : "johar")
+          .put("cell", s.cell)
+          .put("phase", phase)
+          .put("size", 1.0)
+          .put("up_since_ms", 0);
     }
     return list;
   }
@@ -125,7 +168,10 @@
     return this;
   }
 
-  /** Starts the program with the flags of the deploy file's {@code run}, on the classes just compiled. */
+  /**
+   * Starts the program with the flags of the deploy file's {@code run}, on the classes just
+   * compiled.
+   */
   Deployment start() throws IOException {
     run(Node.command(), Map.of());
     return this;
@@ -133,39 +179,55 @@
 
   /** Starts the program as {@code nohup} and some service managers do: with SIGHUP ignored. */
   Deployment startWithHangupIgnored() throws IOException {
-    List<String> ignoring = new ArrayList<>(List.of("/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
+    List<String> ignoring =
+        new ArrayList<>(List.of("/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
     ignoring.addAll(Node.command());
     run(ignoring, Map.of());
     return this;
   }
 
-  /** Holds the clients' listening socket in a process of its own, which starts the program whenever asked to. */
+  /**
+   * Holds the clients' listening socket in a process of its own, which starts the program whenever
+   * asked to.
+   */
   Deployment holdSocket() throws IOException {
-    List<String> holder = new ArrayList<>(List.of("perl", "-MIO::Socket::INET", "-e", "$| = 1; $SIG{CHLD} = 'IGNORE'; "
-        + "$s = IO::Socket::INET->new(LocalAddr => shift, Listen => 512, ReuseAddr => 1) or die $!; "
-        + "while (<STDIN>) { chomp; $ENV{LB_ADMIN} = $_; "
-        + "if (!($p = fork)) { open(STDIN, '<&', $s) or die $!; exec @ARGV } print \"pid $p\\n\" }", listen));
+    List<String> holder =
+        new ArrayList<>(
+            List.of(
+                "perl",
+                "-MIO::Socket::INET",
+                "-e",
+                "$| = 1; $SIG{CHLD} = 'IGNORE'; "
+                    + "$s = IO::Socket::INET->new(LocalAddr => shift, Listen => 512, ReuseAddr => 1) or die $!; "
+                    + "while (<STDIN>) { chomp; $ENV{LB_ADMIN} = $_; "
+                    + "if (!($p = fork)) { open(STDIN, '<&', $s) or die $!; exec @ARGV } print \"pid $p\\n\" }",
+                listen));
     holder.addAll(Node.command());
     run(holder, Map.of("LB_PASSED_SOCKET", "0"));
     return this;
   }
 
-  /** Starts the program on the socket that is held, and waits until it takes clients at this door. */
+  /**
+   * Starts the program on the socket that is held, and waits until it takes clients at this door.
+   */
   ProcessHandle startBeside() throws IOException {
     admin = "127.0.0.1:" + freePort();
     int before = beside.size();
     process.getOutputStream().write((admin + "\n").getBytes());
     process.getOutputStream().flush();
     await("its id", () -> output.stream().filter(l -> l.startsWith("pid ")).count() > before);
-    String last = output.stream().filter(l -> l.startsWith("pid ")).reduce((a, b) -> b).orElseThrow();
+    String last =
+        output.stream().filter(l -> l.startsWith("pid ")).reduce((a, b) -> b).orElseThrow();
     beside.add(ProcessHandle.of(Long.parseLong(last.substring(4))).orElseThrow());
-    await("a yes", () -> {
-      try {
-        return order("health").startsWith("200");
-      } catch (IOException e) {
-        return false;
-      }
-    });
+    await(
+        "a yes",
+        () -> {
+          try {
+            return order("health").startsWith("200");
+          } catch (IOException e) {
+            return false;
+          }
+        });
     return beside.get(before);
   }
 
@@ -173,16 +235,28 @@
     Path file = folder.resolve("config.json");
     Files.writeString(file, config.toString());
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-    builder.environment().putAll(Map.of("LB_CONFIG", file.toString(), "LB_OPENSEARCH",
-        folder.resolve("opensearch.json").toString(), "LB_ADMIN", admin, "TMPDIR", folder.toString()));
+    builder
+        .environment()
+        .putAll(
+            Map.of(
+                "LB_CONFIG",
+                file.toString(),
+                "LB_OPENSEARCH",
+                folder.resolve("opensearch.json").toString(),
+                "LB_ADMIN",
+                admin,
+                "TMPDIR",
+                folder.toString()));
     builder.environment().putAll(environment);
     builder.environment().putAll(more);
     process = builder.start();
-    StandIn.daemon(() -> {
-      try (BufferedReader lines = new BufferedReader(new InputStreamReader(process.getInputStream()))) {
-        lines.lines().forEach(output::add);
-      }
-    });
+    StandIn.daemon(
+        () -> {
+          try (BufferedReader lines =
+              new BufferedReader(new InputStreamReader(process.getInputStream()))) {
+            lines.lines().forEach(output::add);
+          }
+        });
   }
 
   Deployment startAndAwaitReady() throws IOException {
@@ -190,13 +264,15 @@
   }
 
   Deployment awaitReady() {
-    await("ready", () -> {
-      try {
-        return call(listen, "GET /-/ready HTTP/1.1\r\n\r\n", "").status == 200;
-      } catch (IOException e) {
-        return false;
-      }
-    });
+    await(
+        "ready",
+        () -> {
+          try {
+            return call(listen, "GET /-/ready HTTP/1.1\r\n\r\n", "").status == 200;
+          } catch (IOException e) {
+            return false;
+          }
+        });
     return this;
   }
 
@@ -223,23 +299,28 @@
       Socket socket = at.accept();
       String target = StandIn.head(socket.getInputStream())[0];
       watches.add(target);
-      socket.getOutputStream().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
+      socket
+          .getOutputStream()
+          .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
       String first = firstWord.get() + "\n";
-      socket.getOutputStream().write((Integer.toHexString(first.length()) + "\r\n" + first + "\r\n").getBytes());
+      socket
+          .getOutputStream()
+          .write((Integer.toHexString(first.length()) + "\r\n" + first + "\r\n").getBytes());
       watching.add(socket);
     }
   }
 
   /** Has discovery take watches and say nothing on them until then. */
   void keepDiscoverySilent(CountDownLatch until) {
-    firstWord = () -> {
-      try {
-        until.await();
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
-      }
-      return list(false, List.of(), "up");
-    };
+    firstWord =
+        () -> {
+          try {
+            until.await();
+          } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+          }
+          return list(false, List.of(), "up");
+        };
   }
 
   /** Tells a change of one server, split in two in the middle of the line. */
@@ -261,7 +342,9 @@
     String line = list + "\n";
     Socket socket = watching.get(watching.size() - 1);
     for (String piece : List.of(line.substring(0, 20), line.substring(20))) {
-      socket.getOutputStream().write((Integer.toHexString(piece.length()) + "\r\n" + piece + "\r\n").getBytes());
+      socket
+          .getOutputStream()
+          .write((Integer.toHexString(piece.length()) + "\r\n" + piece + "\r\n").getBytes());
       socket.getOutputStream().flush();
     }
   }
@@ -350,7 +433,8 @@
     String[] head = StandIn.head(in);
     Map<String, String> headers = StandIn.headers(head);
     byte[] body = in.readNBytes(Integer.parseInt(headers.get("content-length")));
-    return new Reply(Integer.parseInt(head[0].split(" ")[1]), headers, new String(body, StandardCharsets.UTF_8));
+    return new Reply(
+        Integer.parseInt(head[0].split(" ")[1]), headers, new String(body, StandardCharsets.UTF_8));
   }
 
   /** A platform query of a class over some sections of equal weight, as it goes over the wire. */
@@ -360,8 +444,18 @@
     for (int s : sections) {
       slices.addObject().put("slice", s).put("mass", 1.0 / sections.length);
     }
-    return "POST /" + requestClass + " HTTP/1.1\r\nHost: b\r\nRequest-Id: " + id + "\r\nRequest-Timeout: " + seconds
-        + "\r\nIdempotency-Key: k-" + id + "\r\nContent-Length: " + body.toString().length() + "\r\n\r\n" + body;
+    return "POST /"
+        + requestClass
+        + " HTTP/1.1\r\nHost: b\r\nRequest-Id: "
+        + id
+        + "\r\nRequest-Timeout: "
+        + seconds
+        + "\r\nIdempotency-Key: k-"
+        + id
+        + "\r\nContent-Length: "
+        + body.toString().length()
+        + "\r\n\r\n"
+        + body;
   }
 
   Reply ask(String requestClass, String id, int... sections) throws IOException {
@@ -369,9 +463,16 @@
   }
 
   Reply search(String target, String body, String... headers) throws IOException {
-    return call(searchListen, "POST " + target + " HTTP/1.1\r\nHost: b\r\nContent-Length: "
-        + body.getBytes(StandardCharsets.UTF_8).length + "\r\n"
-        + String.join("", Arrays.stream(headers).map(h -> h + "\r\n").toList()) + "\r\n", body);
+    return call(
+        searchListen,
+        "POST "
+            + target
+            + " HTTP/1.1\r\nHost: b\r\nContent-Length: "
+            + body.getBytes(StandardCharsets.UTF_8).length
+            + "\r\n"
+            + String.join("", Arrays.stream(headers).map(h -> h + "\r\n").toList())
+            + "\r\n",
+        body);
   }
 
   @Override
--- a/src/test/java/bitternpulley/process/DescriptorsProcessTest.java
+++ b/src/test/java/bitternpulley/process/DescriptorsProcessTest.java
@@ -15,10 +15,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** More idle clients than the program has descriptors for, while discovery is away: who needs one keeps it. */
+/**
+ * More idle clients than the program has descriptors for, while discovery is away: who needs one
+ * keeps it.
+ */
 public class DescriptorsProcessTest extends ProcessTest {
   private static final int SOCKETS = 160;
   private static final int IDLE = 400;
+
   /** What discovery has counts as told so long after it can be reached again. */
   private static final long TOLD_WITHIN = TimeUnit.SECONDS.toNanos(6);
 
@@ -82,14 +86,17 @@
     Deployment.await("a fresh watch", () -> d.watches.size() > watched);
     d.tell(leaves, "draining");
     assertTrue(System.nanoTime() - from < TOLD_WITHIN, "the watch came too late");
-    Deployment.await("it is heeded", () -> {
-      try {
-        int before = leaves.heads.size();
-        return d.ask("slot-search", "w" + System.nanoTime(), 1, 2).status() == 200 && leaves.heads.size() == before;
-      } catch (IOException e) {
-        throw new AssertionError(e);
-      }
-    });
+    Deployment.await(
+        "it is heeded",
+        () -> {
+          try {
+            int before = leaves.heads.size();
+            return d.ask("slot-search", "w" + System.nanoTime(), 1, 2).status() == 200
+                && leaves.heads.size() == before;
+          } catch (IOException e) {
+            throw new AssertionError(e);
+          }
+        });
     int before = d.log.all().size();
     for (int i = 0; i < 10; i++) {
       assertEquals(d.ask("slot-search", "x" + i, 1, 2).status(), 200);
--- a/src/test/java/bitternpulley/process/EndingsProcessTest.java
+++ b/src/test/java/bitternpulley/process/EndingsProcessTest.java
@@ -18,11 +18,18 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What is owed as clients leave, as the program ends, and as it starts anew: through the real program. */
+/**
+ * What is owed as clients leave, as the program ends, and as it starts anew: through the real
+ * program.
+ */
 public class EndingsProcessTest extends ProcessTest {
   /** A request whose client has left while it waited is not sent on so many ms later. */
   private static final long GONE_FOR = 300;
-  /** The platform may kill the program so many ms after the longest deadline, which counts as 3 s at most. */
+
+  /**
+   * The platform may kill the program so many ms after the longest deadline, which counts as 3 s at
+   * most.
+   */
   private static final long KILL_AFTER = 3700;
 
   private void everyServer(Act act) {
@@ -35,12 +42,18 @@
     return client;
   }
 
-  /** Many more than the servers have room for, so that most wait for their first attempt; then all leave. */
+  /**
+   * Many more than the servers have room for, so that most wait for their first attempt; then all
+   * leave.
+   */
   private void aBurstLeaves(boolean reset) throws Exception {
     everyServer(Act.SILENT);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
-      clients.add(send(Deployment.query(i % 3 == 0 ? "slot-booking" : "slot-search", "b" + reset + i, 4.5, i % 6)));
+      clients.add(
+          send(
+              Deployment.query(
+                  i % 3 == 0 ? "slot-booking" : "slot-search", "b" + reset + i, 4.5, i % 6)));
     }
     Deployment.await("some are sent", () -> d.log.all().size() >= 4);
     for (Socket s : clients) {
@@ -53,15 +66,19 @@
     for (int i = 0; i < 6; i++) {
       int section = i;
       // Where nothing may be called off, what has gone keeps its room until its time is over.
-      Deployment.await("there is room again", () -> {
-        try {
-          return d.ask("slot-search", "after" + System.nanoTime(), section).status() == 200;
-        } catch (IOException e) {
-          throw new AssertionError(e);
-        }
-      });
+      Deployment.await(
+          "there is room again",
+          () -> {
+            try {
+              return d.ask("slot-search", "after" + System.nanoTime(), section).status() == 200;
+            } catch (IOException e) {
+              throw new AssertionError(e);
+            }
+          });
     }
-    assertTrue(d.log.all().subList(sent, d.log.all().size()).stream().allMatch(a -> a.part.startsWith("after")),
+    assertTrue(
+        d.log.all().subList(sent, d.log.all().size()).stream()
+            .allMatch(a -> a.part.startsWith("after")),
         d.log.all().toString());
   }
 
@@ -71,7 +88,9 @@
     aBurstLeaves(true);
   }
 
-  /** Where nothing may be called off, what has gone runs on; what has not is not sent for nobody. */
+  /**
+   * Where nothing may be called off, what has gone runs on; what has not is not sent for nobody.
+   */
   @Test
   public void nothingIsSentForClientsThatHaveLeftWhereNothingMayBeCalledOff() throws Exception {
     d.close();
@@ -86,16 +105,22 @@
     long ms = (System.nanoTime() - toldAt) / 1_000_000;
     assertEquals(d.process.exitValue(), 0);
     assertTrue(ms < KILL_AFTER, "it took " + ms + " ms");
-    assertFalse(d.output.stream().anyMatch(l -> l.contains("ERROR") || l.contains("SEVERE")), d.output.toString());
+    assertFalse(
+        d.output.stream().anyMatch(l -> l.contains("ERROR") || l.contains("SEVERE")),
+        d.output.toString());
   }
 
-  /** In flight at servers that hang, half read, keyed and possibly run: each has its one answer, and SIGTERM comes twice. */
+  /**
+   * In flight at servers that hang, half read, keyed and possibly run: each has its one answer, and
+   * SIGTERM comes twice.
+   */
   @Test
   public void whateverIsUnderWayAtSigtermHasItsOneAnswer() throws Exception {
     everyServer(Act.SILENT);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      clients.add(send(Deployment.query(i % 2 == 0 ? "slot-booking" : "slot-search", "h" + i, 1.5, i)));
+      clients.add(
+          send(Deployment.query(i % 2 == 0 ? "slot-booking" : "slot-search", "h" + i, 1.5, i)));
     }
     Deployment.await("some are sent", () -> d.log.all().size() >= 3);
     String half = Deployment.query("slot-search", "half", 1.5, 0);
@@ -110,15 +135,20 @@
     for (int i = 0; i < clients.size(); i++) {
       Reply reply = Deployment.reply(clients.get(i));
       String part = "h" + i + ".";
-      boolean keyedAndSent = i % 2 == 0 && d.log.all().stream().anyMatch(a -> a.part.startsWith(part));
-      assertTrue(reply.status() == 500 || !keyedAndSent && reply.status() == 429, "it may have run: " + i + " " + reply);
+      boolean keyedAndSent =
+          i % 2 == 0 && d.log.all().stream().anyMatch(a -> a.part.startsWith(part));
+      assertTrue(
+          reply.status() == 500 || !keyedAndSent && reply.status() == 429,
+          "it may have run: " + i + " " + reply);
       assertEquals(clients.get(i).getInputStream().read(), -1, "one answer, and an orderly end");
       clients.get(i).close();
     }
     endsInTime(toldAt);
   }
 
-  /** Clients that go on sending on the connection they have, up to its end, and come again at once. */
+  /**
+   * Clients that go on sending on the connection they have, up to its end, and come again at once.
+   */
   @Test
   public void clientsThatGoOnSendingUpToTheEndLoseNothing() throws Exception {
     int count = 8;
@@ -127,30 +157,33 @@
     CountDownLatch ended = new CountDownLatch(count);
     for (int c = 0; c < count; c++) {
       int me = c;
-      StandIn.daemon(() -> {
-        try (Socket mine = Deployment.connect(d.listen)) {
-          for (int n = 0; ; n++) {
-            try {
-              mine.getOutputStream().write(Deployment.query("slot-search", "c" + me + "-" + n, 2, n % 6).getBytes());
-              Reply reply = Deployment.reply(mine);
-              answers.incrementAndGet();
-              if (reply.status() != 200 && reply.status() != 429) {
-                faults.add(reply.toString());
-              }
-              if ("close".equals(reply.headers().get("connection"))) {
-                break;
+      StandIn.daemon(
+          () -> {
+            try (Socket mine = Deployment.connect(d.listen)) {
+              for (int n = 0; ; n++) {
+                try {
+                  mine.getOutputStream()
+                      .write(
+                          Deployment.query("slot-search", "c" + me + "-" + n, 2, n % 6).getBytes());
+                  Reply reply = Deployment.reply(mine);
+                  answers.incrementAndGet();
+                  if (reply.status() != 200 && reply.status() != 429) {
+                    faults.add(reply.toString());
+                  }
+                  if ("close".equals(reply.headers().get("connection"))) {
+                    break;
+                  }
+                } catch (java.io.EOFException e) {
+                  break; // an orderly end between requests: this one goes to another aggregator
+                } catch (IOException e) {
+                  faults.add(e.toString());
+                  break;
+                }
               }
-            } catch (java.io.EOFException e) {
-              break; // an orderly end between requests: this one goes to another aggregator
-            } catch (IOException e) {
-              faults.add(e.toString());
-              break;
+            } finally {
+              ended.countDown();
             }
-          }
-        } finally {
-          ended.countDown();
-        }
-      });
+          });
     }
     Deployment.await("all have been served", () -> answers.get() > 20 * count);
     long toldAt = System.nanoTime();
@@ -160,10 +193,14 @@
     endsInTime(toldAt);
   }
 
-  /** A client that rests on its connection, and one that never reads its answer's end, do not keep the program. */
+  /**
+   * A client that rests on its connection, and one that never reads its answer's end, do not keep
+   * the program.
+   */
   @Test
   public void restingClientsDoNotKeepTheProgram() throws Exception {
-    try (Socket resting = send(Deployment.query("slot-search", "r", 2, 0)); Socket silent = Deployment.connect(d.listen)) {
+    try (Socket resting = send(Deployment.query("slot-search", "r", 2, 0));
+        Socket silent = Deployment.connect(d.listen)) {
       assertEquals(Deployment.reply(resting).status(), 200);
       long toldAt = System.nanoTime();
       d.process.destroy();
@@ -182,14 +219,16 @@
     d.start();
     Deployment.await("it has asked discovery", () -> !d.watches.isEmpty());
     Socket[] client = new Socket[1];
-    Deployment.await("it listens", () -> {
-      try {
-        client[0] = send(Deployment.query("slot-search", "early", 2, 0));
-        return true;
-      } catch (IOException e) {
-        return false;
-      }
-    });
+    Deployment.await(
+        "it listens",
+        () -> {
+          try {
+            client[0] = send(Deployment.query("slot-search", "early", 2, 0));
+            return true;
+          } catch (IOException e) {
+            return false;
+          }
+        });
     long toldAt = System.nanoTime();
     d.process.destroy();
     int status = Deployment.reply(client[0]).status();
@@ -234,7 +273,10 @@
     assertEquals(d.ask("slot-search", "known", 0, 1).status(), 200);
   }
 
-  /** Guards against a rush of starts in which each waits for the others' part of the machine, or for discovery. */
+  /**
+   * Guards against a rush of starts in which each waits for the others' part of the machine, or for
+   * discovery.
+   */
   @Test
   public void manyThatStartAtOnceWithDiscoverySilentAreReadyInTime() throws Exception {
     CountDownLatch never = new CountDownLatch(1);
@@ -263,14 +305,17 @@
   public void aServerThatAWholeListLeavesOutGetsNothingNew() throws Exception {
     StandIn left = d.servers.get(2); // of the zone that is asked first
     d.tellAll(d.servers.stream().filter(s -> s != left).toList());
-    Deployment.await("it is heeded", () -> {
-      try {
-        int before = left.heads.size();
-        return d.ask("slot-search", "w" + System.nanoTime(), 1, 2).status() == 200 && left.heads.size() == before;
-      } catch (IOException e) {
-        throw new AssertionError(e);
-      }
-    });
+    Deployment.await(
+        "it is heeded",
+        () -> {
+          try {
+            int before = left.heads.size();
+            return d.ask("slot-search", "w" + System.nanoTime(), 1, 2).status() == 200
+                && left.heads.size() == before;
+          } catch (IOException e) {
+            throw new AssertionError(e);
+          }
+        });
     int before = left.heads.size();
     for (int i = 0; i < 10; i++) {
       assertEquals(d.ask("slot-search", "x" + i, 1, 2).status(), 200);
@@ -279,8 +324,14 @@
   }
 
   private long held(String of) throws IOException {
-    try (var lines = java.nio.file.Files.lines(java.nio.file.Path.of("/proc", String.valueOf(d.process.pid()), "status"))) {
-      return lines.filter(l -> l.startsWith(of)).mapToLong(l -> Long.parseLong(l.replaceAll("[^0-9]", ""))).findFirst().orElseThrow();
+    try (var lines =
+        java.nio.file.Files.lines(
+            java.nio.file.Path.of("/proc", String.valueOf(d.process.pid()), "status"))) {
+      return lines
+          .filter(l -> l.startsWith(of))
+          .mapToLong(l -> Long.parseLong(l.replaceAll("[^0-9]", "")))
+          .findFirst()
+          .orElseThrow();
     }
   }
 
@@ -288,14 +339,18 @@
     return new java.io.File("/proc/" + d.process.pid() + "/fd").list().length;
   }
 
-  /** Floods: much at once, silent connections, bodies that never end; sound clients are served beside them. */
+  /**
+   * Floods: much at once, silent connections, bodies that never end; sound clients are served
+   * beside them.
+   */
   @Test
   public void soundClientsAreServedBesideAFlood() throws Exception {
     List<Socket> bad = new ArrayList<>();
     for (int i = 0; i < 150; i++) {
       Socket s = Deployment.connect(d.listen);
       bad.add(s);
-      String much = "POST /slot-search HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" + "x".repeat(50_000);
+      String much =
+          "POST /slot-search HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" + "x".repeat(50_000);
       if (i % 3 != 0) {
         s.getOutputStream().write((i % 3 == 1 ? much : "x".repeat(50_000)).getBytes());
       }
@@ -316,7 +371,10 @@
           String line = StandIn.head(s.getInputStream())[0];
           told += line.matches("HTTP/1.1 (400|408|413|431|503) .*") ? 1 : 0;
         } catch (java.io.EOFException e) {
-          told += bad.indexOf(s) % 3 == 0 ? 1 : 0; // it said nothing, and its connection was ended in order
+          told +=
+              bad.indexOf(s) % 3 == 0
+                  ? 1
+                  : 0; // it said nothing, and its connection was ended in order
         }
         s.close();
       }
--- a/src/test/java/bitternpulley/process/LeasesProcessTest.java
+++ b/src/test/java/bitternpulley/process/LeasesProcessTest.java
@@ -13,8 +13,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Five processes that share what cold servers bear by leases, under load, with faults between them: all parts together are
- * looked at each time, and what cold servers were sent at the end.
+ * Five processes that share what cold servers bear by leases, under load, with faults between them:
+ * all parts together are looked at each time, and what cold servers were sent at the end.
  */
 public class LeasesProcessTest {
   private static final int NODES = 5;
@@ -25,8 +25,13 @@
 
   @BeforeClass
   public void start() throws Exception {
-    c = new Cluster("leases-test", NODES, 1, "membership(deployment = 'test')\nleases(lasts_s = 4)\n",
-        "mvn test -Dtest=LeasesProcessTest");
+    c =
+        new Cluster(
+            "leases-test",
+            NODES,
+            1,
+            "membership(deployment = 'test')\nleases(lasts_s = 4)\n",
+            "mvn test -Dtest=LeasesProcessTest");
     callers = new Callers(c, 1, 60);
     until("all have a fifth", Map.of(0, 0.2, 1, 0.2, 2, 0.2, 3, 0.2, 4, 0.2));
   }
@@ -39,17 +44,24 @@
   }
 
   /** Waits until these parts hold, and never sees all together take more than the whole. */
-  private void until(String what, Map<Integer, Double> parts) throws IOException, InterruptedException {
-    c.until(what, PATIENCE, () -> {
-      try {
-        Map<Integer, Double> now = c.parts();
-        assertTrue(now.values().stream().mapToDouble(p -> p).sum() <= 1 + ROUNDING, "all together: " + now);
-        return now.keySet().equals(parts.keySet())
-            && now.entrySet().stream().allMatch(e -> Math.abs(e.getValue() - parts.get(e.getKey())) < ROUNDING);
-      } catch (IOException e) {
-        return false;
-      }
-    });
+  private void until(String what, Map<Integer, Double> parts)
+      throws IOException, InterruptedException {
+    c.until(
+        what,
+        PATIENCE,
+        () -> {
+          try {
+            Map<Integer, Double> now = c.parts();
+            assertTrue(
+                now.values().stream().mapToDouble(p -> p).sum() <= 1 + ROUNDING,
+                "all together: " + now);
+            return now.keySet().equals(parts.keySet())
+                && now.entrySet().stream()
+                    .allMatch(e -> Math.abs(e.getValue() - parts.get(e.getKey())) < ROUNDING);
+          } catch (IOException e) {
+            return false;
+          }
+        });
   }
 
   @Test
--- a/src/test/java/bitternpulley/process/MembershipProcessTest.java
+++ b/src/test/java/bitternpulley/process/MembershipProcessTest.java
@@ -12,7 +12,10 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Five processes that find out who of them is here, with faults between them; asserted over all of them. */
+/**
+ * Five processes that find out who of them is here, with faults between them; asserted over all of
+ * them.
+ */
 public class MembershipProcessTest {
   private static final int NODES = 5;
   private static final double PATIENCE = 40_000;
@@ -20,7 +23,13 @@
 
   @BeforeClass
   public void start() throws Exception {
-    c = new Cluster("membership-test", NODES, 1, "membership(deployment = 'test')\n", "mvn test -Dtest=MembershipProcessTest");
+    c =
+        new Cluster(
+            "membership-test",
+            NODES,
+            1,
+            "membership(deployment = 'test')\n",
+            "mvn test -Dtest=MembershipProcessTest");
     c.until("all find each other", PATIENCE, () -> allAlive() && c.viewsEqual());
   }
 
@@ -55,14 +64,16 @@
   @Test(dependsOnMethods = "oneStoppedForThreeSecondsIsNotCalledDead")
   public void lossAndOneWayCutsKillNobody() throws Exception {
     long before = deaths(c);
-    Scenario.of("""
+    Scenario.of(
+            """
         0 lose 0.2 nodes = nodes
         0 delay 5 60 nodes = nodes
         0 repeat 0.1 nodes = nodes
         0 garble 0.05 nodes = nodes
         0 cut n0 > n1
         6000 heal nodes = nodes
-        """).play(c);
+        """)
+        .play(c);
     c.until("all alive and agreed", PATIENCE, () -> allAlive() && c.viewsEqual());
     assertEquals(deaths(c), before);
   }
@@ -78,17 +89,25 @@
     assertTrue(c.members(0).path("members").get(2).path("epoch").asLong() > epoch);
   }
 
-  /** An upgrade, or somebody's mistake: the second process of a name waits, and is another one once the first has ended. */
+  /**
+   * An upgrade, or somebody's mistake: the second process of a name waits, and is another one once
+   * the first has ended.
+   */
   @Test(dependsOnMethods = "aMinorityCutOffJudgesNobody")
   public void aSecondProcessOfANameChangesNothingUntilTheFirstHasEnded() throws Exception {
     long epoch = c.members(1).path("members").get(0).path("epoch").asLong();
     try (Node twin = c.node(0).twin().awaitReady()) {
-      assertTrue(twin.order("members").startsWith("400 membership is off, or waits for its address"), twin.order("members"));
+      assertTrue(
+          twin.order("members").startsWith("400 membership is off, or waits for its address"),
+          twin.order("members"));
       assertTrue(IntStream.range(1, NODES).allMatch(i -> c.holds(i, 0, "alive")));
       assertEquals(c.members(1).path("members").get(0).path("epoch").asLong(), epoch);
       c.does("kill n0");
-      c.until("the second is known for another process", PATIENCE, () -> c.allHold(0, "alive")
-          && c.running().stream().allMatch(i -> epochOfFirst(i) > epoch));
+      c.until(
+          "the second is known for another process",
+          PATIENCE,
+          () ->
+              c.allHold(0, "alive") && c.running().stream().allMatch(i -> epochOfFirst(i) > epoch));
       assertTrue(twin.order("members").startsWith("200 "), twin.order("members"));
     }
   }
@@ -105,10 +124,15 @@
   public void aMinorityCutOffJudgesNobody() throws Exception {
     long before = c.node(3).log().lines().filter(l -> l.contains(" is dead, was ")).count();
     c.does("cut n3,n4 = n0,n1,n2");
-    c.until("the majority knows", PATIENCE, () ->
-        IntStream.range(0, 3).allMatch(i -> c.holds(i, 3, "dead") && c.holds(i, 4, "dead")));
+    c.until(
+        "the majority knows",
+        PATIENCE,
+        () -> IntStream.range(0, 3).allMatch(i -> c.holds(i, 3, "dead") && c.holds(i, 4, "dead")));
     c.does("heal n3,n4 = n0,n1,n2");
     c.until("all alive and agreed", PATIENCE, () -> allAlive() && c.viewsEqual());
-    assertEquals(c.node(3).log().lines().filter(l -> l.contains(" is dead, was ")).count(), before, c.node(3).log());
+    assertEquals(
+        c.node(3).log().lines().filter(l -> l.contains(" is dead, was ")).count(),
+        before,
+        c.node(3).log());
   }
 }
--- a/src/test/java/bitternpulley/process/OperatorsProcessTest.java
+++ b/src/test/java/bitternpulley/process/OperatorsProcessTest.java
@@ -28,7 +28,9 @@
         silent.add(Deployment.connect(d.admin));
       }
       assertTrue(d.order("health").startsWith("200"));
-      for (String bad : List.of("cordon nobody", "uncordon nobody", "cordon", "health now", "  ", "x".repeat(600))) {
+      for (String bad :
+          List.of(
+              "cordon nobody", "uncordon nobody", "cordon", "health now", "  ", "x".repeat(600))) {
         assertTrue(d.order(bad).startsWith("400"), bad);
       }
     } finally {
@@ -38,7 +40,10 @@
     }
   }
 
-  /** Guards against a server that is used while it is out, or left unused for good once it is let back in. */
+  /**
+   * Guards against a server that is used while it is out, or left unused for good once it is let
+   * back in.
+   */
   @Test
   public void aCordonedServerGetsNothingWhateverDiscoveryTells() throws IOException {
     StandIn out = d.servers.get(1);
@@ -57,7 +62,8 @@
     assertEquals(out.heads.size(), before);
     out.drainingSince = 0;
     d.mustOrder("uncordon s1");
-    Deployment.await("it is used again", () -> status("u", 0, 1) == 200 && out.heads.size() > before);
+    Deployment.await(
+        "it is used again", () -> status("u", 0, 1) == 200 && out.heads.size() > before);
   }
 
   private int status(String id, int... sections) {
@@ -68,7 +74,10 @@
     }
   }
 
-  /** Guards against orders that end with the process, and against a file that keeps the program from starting. */
+  /**
+   * Guards against orders that end with the process, and against a file that keeps the program from
+   * starting.
+   */
   @Test
   public void ordersOutliveTheProcessAndAFileThatCannotBeReadDoesNotEndIt() throws Exception {
     d.mustOrder("cordon s1");
@@ -82,16 +91,21 @@
     Files.write(d.folder().resolve("bitternpulley-orders"), new byte[] {-1, 0, 7});
     d.process.destroyForcibly().waitFor();
     d.startAndAwaitReady();
-    Deployment.await("it is logged", () -> d.output.stream().anyMatch(l -> l.contains("orders cannot be used")));
+    Deployment.await(
+        "it is logged", () -> d.output.stream().anyMatch(l -> l.contains("orders cannot be used")));
     d.servers.get(1).drainingSince = 0;
     d.mustOrder("cordon s2");
     assertEquals(Files.readString(d.folder().resolve("bitternpulley-orders")), "cordoned s2\n");
   }
 
-  /** Guards against clients that are held while the aggregator is to be emptied, and against cut requests. */
+  /**
+   * Guards against clients that are held while the aggregator is to be emptied, and against cut
+   * requests.
+   */
   @Test
   public void aQuiescedAggregatorServesWhatComesAndKeepsNoConnection() throws IOException {
-    try (Socket idle = Deployment.connect(d.listen); Socket kept = Deployment.connect(d.listen)) {
+    try (Socket idle = Deployment.connect(d.listen);
+        Socket kept = Deployment.connect(d.listen)) {
       idle.getOutputStream().write(Deployment.query("slot-search", "first", 4, 0).getBytes());
       assertEquals(Deployment.reply(idle).status(), 200);
       d.mustOrder("quiesce");
@@ -110,12 +124,16 @@
     }
   }
 
-  /** Guards against a program that goes on with the old discovery without a word, where its caller ignores SIGHUP. */
+  /**
+   * Guards against a program that goes on with the old discovery without a word, where its caller
+   * ignores SIGHUP.
+   */
   @Test
   public void whereSighupIsIgnoredTheLogSaysSoAndTheDoorReloads() throws Exception {
     d.close();
     d = new Deployment().startWithHangupIgnored().awaitReady();
-    assertTrue(d.output.stream().anyMatch(l -> l.contains("SIGHUP is ignored")), d.output.toString());
+    assertTrue(
+        d.output.stream().anyMatch(l -> l.contains("SIGHUP is ignored")), d.output.toString());
     Deployment.await("a watch", () -> !d.watches.isEmpty());
     String before = d.config().toString();
     d.moveDiscovery();
@@ -134,7 +152,10 @@
     assertEquals(status("on", 0, 1), 200);
   }
 
-  /** Guards against requests that an upgrade costs, orders that it forgets, and a log that ends with the socket. */
+  /**
+   * Guards against requests that an upgrade costs, orders that it forgets, and a log that ends with
+   * the socket.
+   */
   @Test
   public void anUpgradeCutsNoRequestAndKeepsOrders() throws Exception {
     d.close();
@@ -146,7 +167,8 @@
     for (StandIn s : d.servers) {
       s.act = (index, section) -> section == 2 ? Act.SILENT : Act.SERVE;
     }
-    try (Socket held = Deployment.connect(d.listen); Socket idle = Deployment.connect(d.listen)) {
+    try (Socket held = Deployment.connect(d.listen);
+        Socket idle = Deployment.connect(d.listen)) {
       idle.getOutputStream().write(Deployment.query("slot-search", "idle", 4, 3).getBytes());
       assertEquals(Deployment.reply(idle).headers().get("connection"), null);
       held.getOutputStream().write(Deployment.query("slot-search", "held", 4.5, 2).getBytes());
@@ -155,17 +177,19 @@
       d.mustOrder("cordon s4");
       int before = d.servers.get(4).heads.size();
       old.destroy();
-      Deployment.await("the old one takes nothing more", () -> {
-        try {
-          String now = d.admin;
-          d.admin = oldDoor;
-          String answer = d.order("health");
-          d.admin = now;
-          return answer.startsWith("400");
-        } catch (IOException e) {
-          throw new AssertionError(e);
-        }
-      });
+      Deployment.await(
+          "the old one takes nothing more",
+          () -> {
+            try {
+              String now = d.admin;
+              d.admin = oldDoor;
+              String answer = d.order("health");
+              d.admin = now;
+              return answer.startsWith("400");
+            } catch (IOException e) {
+              throw new AssertionError(e);
+            }
+          });
       for (StandIn s : d.servers) {
         s.act = (index, section) -> Act.SERVE;
       }
@@ -193,7 +217,9 @@
     d.holdSocket().startBeside();
     d.servers.forEach(s -> s.act = (index, section) -> Act.SILENT);
     try (Socket first = Deployment.connect(d.listen)) {
-      first.getOutputStream().write(Deployment.query("slot-search", "first", 4, 0, 1, 2, 3, 4, 5).getBytes());
+      first
+          .getOutputStream()
+          .write(Deployment.query("slot-search", "first", 4, 0, 1, 2, 3, 4, 5).getBytes());
       Deployment.await("six parts held", () -> d.log.all().size() == 6);
       assertEquals(status("second", 0, 1, 2, 3, 4, 5), 429, "7 are more than its part of 8");
       assertEquals(d.log.all().size(), 6);
--- a/src/test/java/bitternpulley/process/ProcessTest.java
+++ b/src/test/java/bitternpulley/process/ProcessTest.java
@@ -27,7 +27,8 @@
   protected void restartHolding(int most) throws IOException {
     d.close();
     d = new Deployment();
-    ((com.fasterxml.jackson.databind.node.ObjectNode) d.config().at("/settings/policyLimits")).put("maxOpen", most);
+    ((com.fasterxml.jackson.databind.node.ObjectNode) d.config().at("/settings/policyLimits"))
+        .put("maxOpen", most);
     d.startAndAwaitReady();
   }
 
--- a/src/test/java/bitternpulley/process/SearchProcessTest.java
+++ b/src/test/java/bitternpulley/process/SearchProcessTest.java
@@ -39,20 +39,38 @@
     Reply r = d.search("/slots/_search?from=3&size=7", ANY);
     assertEquals(r.status(), 200, r.body());
     // Document i of section s scores 100 - i - s/10: the order is by i, then by s.
-    assertEquals(ids(r), List.of("slots-3-0", "slots-4-0", "slots-5-0", "slots-0-1", "slots-1-1", "slots-2-1",
-        "slots-3-1"));
+    assertEquals(
+        ids(r),
+        List.of(
+            "slots-3-0",
+            "slots-4-0",
+            "slots-5-0",
+            "slots-0-1",
+            "slots-1-1",
+            "slots-2-1",
+            "slots-3-1"));
     JsonNode body = r.json();
     assertEquals(body.at("/hits/total").toString(), "{\"value\":120,\"relation\":\"eq\"}");
     assertEquals(body.at("/hits/max_score").asDouble(), 100.0);
-    assertEquals(body.path("_shards").toString(), "{\"total\":6,\"successful\":6,\"skipped\":0,\"failed\":0}");
+    assertEquals(
+        body.path("_shards").toString(),
+        "{\"total\":6,\"successful\":6,\"skipped\":0,\"failed\":0}");
     assertFalse(body.path("timed_out").asBoolean());
     assertEquals(d.log.of("opensearch").stream().map(a -> a.section % 2).distinct().count(), 2);
-    assertEquals(d.search("/slots/_search?track_total_hits=50", ANY).json().at("/hits/total").toString(),
+    assertEquals(
+        d.search("/slots/_search?track_total_hits=50", ANY).json().at("/hits/total").toString(),
         "{\"value\":50,\"relation\":\"gte\"}");
-    assertTrue(d.search("/slots/_search?track_total_hits=false", ANY).json().at("/hits/total").isMissingNode());
+    assertTrue(
+        d.search("/slots/_search?track_total_hits=false", ANY)
+            .json()
+            .at("/hits/total")
+            .isMissingNode());
   }
 
-  /** Guards against noise behind a good answer that ends the call which follows on the same connection. */
+  /**
+   * Guards against noise behind a good answer that ends the call which follows on the same
+   * connection.
+   */
   @Test
   public void noiseBehindAGoodAnswerSpoilsNothing() throws IOException {
     d.servers.forEach(s -> s.act = (index, section) -> Act.NOISE_BEHIND);
@@ -65,14 +83,21 @@
 
   @Test
   public void aServerThatAnswersOneIndexAndFailsAnotherIsReplacedForThatOne() throws IOException {
-    d.servers.forEach(s -> s.act =
-        (index, section) -> index.equals("clinics") && s.cell % 2 == 0 ? Act.ERROR : Act.SERVE);
+    d.servers.forEach(
+        s ->
+            s.act =
+                (index, section) ->
+                    index.equals("clinics") && s.cell % 2 == 0 ? Act.ERROR : Act.SERVE);
     Reply r = d.search("/slots,clinics/_search?size=12", ANY);
     assertEquals(r.status(), 200, r.body());
     assertEquals(r.json().at("/_shards/total").asInt(), 12);
     assertEquals(r.json().at("/_shards/failed").asInt(), 0);
-    assertEquals(ids(r).stream().map(i -> i.split("-")[0]).collect(Collectors.groupingBy(i -> i,
-        Collectors.counting())).toString(), "{slots=6, clinics=6}");
+    assertEquals(
+        ids(r).stream()
+            .map(i -> i.split("-")[0])
+            .collect(Collectors.groupingBy(i -> i, Collectors.counting()))
+            .toString(),
+        "{slots=6, clinics=6}");
   }
 
   @Test
@@ -111,9 +136,16 @@
 
   @Test
   public void whatCannotBeMergedIsTurnedDown() throws IOException {
-    for (String body : List.of("{\"aggs\":{}}", "{\"sort\":[{\"day\":\"asc\"}]}", "{\"sort\":[\"_score\",\"day\"]}",
-        "{\"collapse\":{\"field\":\"x\"}}", "{\"search_after\":[1]}", "{\"sort\":{\"_score\":\"asc\"}}",
-        "{\"from\":9999,\"size\":2}", "{\"size\":-1}")) {
+    for (String body :
+        List.of(
+            "{\"aggs\":{}}",
+            "{\"sort\":[{\"day\":\"asc\"}]}",
+            "{\"sort\":[\"_score\",\"day\"]}",
+            "{\"collapse\":{\"field\":\"x\"}}",
+            "{\"search_after\":[1]}",
+            "{\"sort\":{\"_score\":\"asc\"}}",
+            "{\"from\":9999,\"size\":2}",
+            "{\"size\":-1}")) {
       assertError(d.search("/slots/_search", body), 400, "illegal_argument_exception");
     }
     assertError(d.search("/slots/_search", "{\"sorts\":1}"), 400, "parsing_exception");
@@ -123,7 +155,8 @@
     assertError(d.search("/slots,nowhere/_search", ANY), 404, "index_not_found_exception");
     assertError(d.search("/slots/_search", " ".repeat(70_000)), 413, "content_too_long_exception");
     assertEquals(d.log.all().size(), 0);
-    assertEquals(d.search("/slots/_search", "{\"sort\":[{\"_score\":{\"order\":\"desc\"}}]}").status(), 200);
+    assertEquals(
+        d.search("/slots/_search", "{\"sort\":[{\"_score\":{\"order\":\"desc\"}}]}").status(), 200);
   }
 
   @Test
@@ -148,7 +181,9 @@
     restartHolding(7);
     d.servers.forEach(s -> s.act = (index, section) -> Act.SILENT);
     try (Socket holder = Deployment.connect(d.searchListen)) {
-      holder.getOutputStream().write("POST /slots/_search HTTP/1.1\r\nContent-Length: 0\r\n\r\n".getBytes());
+      holder
+          .getOutputStream()
+          .write("POST /slots/_search HTTP/1.1\r\nContent-Length: 0\r\n\r\n".getBytes());
       Deployment.await("six parts held", () -> d.log.all().size() == 6);
       Reply r = d.search("/slots/_search", ANY);
       assertError(r, 429, "rejected_execution_exception");
@@ -160,8 +195,11 @@
 
   @Test
   public void eachSearchOfAnMsearchHasItsOwnFate() throws IOException {
-    String body = "{}\n" + ANY + "\n{\"index\":\"nowhere\"}\n{}\n{\"index\":[\"stock\"]}\n{\"size\":1}\n"
-        + "{\"index\":\"bookings\"}\n{}\n{}\n{\"aggs\":{}}\n";
+    String body =
+        "{}\n"
+            + ANY
+            + "\n{\"index\":\"nowhere\"}\n{}\n{\"index\":[\"stock\"]}\n{\"size\":1}\n"
+            + "{\"index\":\"bookings\"}\n{}\n{}\n{\"aggs\":{}}\n";
     Reply r = d.search("/slots/_msearch", body, "Idempotency-Key: m");
     assertEquals(r.status(), 200, r.body());
     List<Integer> statuses = new ArrayList<>();
@@ -182,25 +220,30 @@
     List<Thread> clients = new ArrayList<>();
     for (int c = 0; c < 4; c++) {
       int client = c;
-      Thread thread = new Thread(() -> {
-        try {
-          for (int i = 0; i < 15; i++) {
-            String id = "m" + client + "-" + i;
-            boolean booking = i % 3 == 0;
-            Reply r = client % 2 == 0
-                ? d.ask(booking ? "slot-booking" : "slot-search", id, i % 6, (i + 1) % 6)
-                : booking ? d.search("/bookings/_search", ANY, "Idempotency-Key: " + id)
-                : d.search("/slots/_search", ANY);
-            synchronized (platform) {
-              (client % 2 == 0 ? platform : searches).add(r);
-            }
-          }
-        } catch (IOException | AssertionError e) {
-          synchronized (platform) {
-            failed.add(e);
-          }
-        }
-      });
+      Thread thread =
+          new Thread(
+              () -> {
+                try {
+                  for (int i = 0; i < 15; i++) {
+                    String id = "m" + client + "-" + i;
+                    boolean booking = i % 3 == 0;
+                    Reply r =
+                        client % 2 == 0
+                            ? d.ask(
+                                booking ? "slot-booking" : "slot-search", id, i % 6, (i + 1) % 6)
+                            : booking
+                                ? d.search("/bookings/_search", ANY, "Idempotency-Key: " + id)
+                                : d.search("/slots/_search", ANY);
+                    synchronized (platform) {
+                      (client % 2 == 0 ? platform : searches).add(r);
+                    }
+                  }
+                } catch (IOException | AssertionError e) {
+                  synchronized (platform) {
+                    failed.add(e);
+                  }
+                }
+              });
       clients.add(thread);
       thread.start();
     }
@@ -219,6 +262,10 @@
   }
 
   private static String statuses(List<Reply> replies) {
-    return replies.stream().map(Reply::status).sorted(Comparator.naturalOrder()).toList().toString();
+    return replies.stream()
+        .map(Reply::status)
+        .sorted(Comparator.naturalOrder())
+        .toList()
+        .toString();
   }
 }
--- a/src/test/java/bitternpulley/process/SeveralProcessesTest.java
+++ b/src/test/java/bitternpulley/process/SeveralProcessesTest.java
@@ -20,8 +20,10 @@
 public class SeveralProcessesTest {
   private static final int NODES = 3;
   private static final int CELLS = 6;
+
   /** Ms that the protocol adds to each time limit. */
   private static final double SLACK = 50;
+
   private final List<Node> nodes = new ArrayList<>();
   private Fleet fleet;
 
@@ -29,7 +31,9 @@
   public void start() throws Exception {
     fleet = new Fleet(new EventLoop(), CELLS, 2);
     for (int i = 0; i < NODES; i++) {
-      nodes.add(new Node("n" + i, fleet.configuration(i, NODES, "127.0.0.1:" + Ports.free(), 200), null).start());
+      nodes.add(
+          new Node("n" + i, fleet.configuration(i, NODES, "127.0.0.1:" + Ports.free(), 200), null)
+              .start());
     }
     for (Node n : nodes) {
       n.awaitReady();
@@ -47,7 +51,8 @@
   private record Ended(Deployment.Reply reply, double ms) {}
 
   /** A query to each, of which one is stopped just before and goes on after so many ms. */
-  private List<Ended> askAll(String name, double seconds, long stoppedMs, int... sections) throws Exception {
+  private List<Ended> askAll(String name, double seconds, long stoppedMs, int... sections)
+      throws Exception {
     List<Socket> sockets = new ArrayList<>();
     for (Node n : nodes) {
       sockets.add(Deployment.connect(n.front().toString()));
@@ -55,30 +60,36 @@
     nodes.get(1).pause();
     long sent = System.nanoTime();
     for (int i = 0; i < NODES; i++) {
-      sockets.get(i).getOutputStream().write(
-          Deployment.query("slot-search", name + i, seconds, sections).getBytes());
+      sockets
+          .get(i)
+          .getOutputStream()
+          .write(Deployment.query("slot-search", name + i, seconds, sections).getBytes());
     }
     List<Ended> ended = new ArrayList<>();
-    Thread wakes = new Thread(() -> {
-      try {
-        TimeUnit.MILLISECONDS.sleep(stoppedMs);
-        nodes.get(1).resume();
-      } catch (InterruptedException | IOException e) {
-        throw new IllegalStateException(e);
-      }
-    });
+    Thread wakes =
+        new Thread(
+            () -> {
+              try {
+                TimeUnit.MILLISECONDS.sleep(stoppedMs);
+                nodes.get(1).resume();
+              } catch (InterruptedException | IOException e) {
+                throw new IllegalStateException(e);
+              }
+            });
     wakes.start();
     List<Thread> readers = new ArrayList<>();
     Ended[] found = new Ended[NODES];
     for (int i = 0; i < NODES; i++) {
       int n = i;
-      Thread reader = new Thread(() -> {
-        try (Socket s = sockets.get(n)) {
-          found[n] = new Ended(Deployment.reply(s), (System.nanoTime() - sent) / 1e6);
-        } catch (IOException e) {
-          throw new IllegalStateException(e);
-        }
-      });
+      Thread reader =
+          new Thread(
+              () -> {
+                try (Socket s = sockets.get(n)) {
+                  found[n] = new Ended(Deployment.reply(s), (System.nanoTime() - sent) / 1e6);
+                } catch (IOException e) {
+                  throw new IllegalStateException(e);
+                }
+              });
       reader.start();
       readers.add(reader);
     }
@@ -90,7 +101,10 @@
     return ended;
   }
 
-  /** Guards against answers reckoned from the read: the query lay unread while the process was stopped. */
+  /**
+   * Guards against answers reckoned from the read: the query lay unread while the process was
+   * stopped.
+   */
   @Test
   public void whatLayUnreadIsAnsweredInItsClientsTime() throws Exception {
     fleet.servers().get(2).silent(true);
@@ -113,14 +127,20 @@
       Node n = nodes.get(i);
       // Each hears of it in its own time; what it has sent before is served.
       int[] tries = {0};
-      Deployment.await("n" + i + " hears of the drains", () -> {
-        try {
-          return Deployment.call(n.front().toString(),
-              Deployment.query("slot-search", id + tries[0]++, 1.2, 0), "").status() == 429;
-        } catch (IOException e) {
-          throw new IllegalStateException(e);
-        }
-      });
+      Deployment.await(
+          "n" + i + " hears of the drains",
+          () -> {
+            try {
+              return Deployment.call(
+                          n.front().toString(),
+                          Deployment.query("slot-search", id + tries[0]++, 1.2, 0),
+                          "")
+                      .status()
+                  == 429;
+            } catch (IOException e) {
+              throw new IllegalStateException(e);
+            }
+          });
     }
     for (Ended e : askAll("nobody", 1.2, 150, 0, 2)) {
       assertEquals(e.reply().status(), 429, e.toString());
--- a/src/test/java/bitternpulley/script/ScriptRunnerTest.java
+++ b/src/test/java/bitternpulley/script/ScriptRunnerTest.java
@@ -24,27 +24,34 @@
   }
 
   private String run(String text, Bounds bounds) {
-    return new ScriptRunner(bounds, new Host() {
-      @Override
-      public boolean knows(String function) {
-        return function.equals("note");
-      }
+    return new ScriptRunner(
+            bounds,
+            new Host() {
+              @Override
+              public boolean knows(String function) {
+                return function.equals("note");
+              }
 
-      @Override
-      public Object call(String function, Map<String, Value> arguments, Place at) {
-        arguments.forEach((k, v) -> calls.add(at + " " + k + "=" + v.value() + " at " + v.at()));
-        return null;
-      }
-    }).run("t.star", text);
+              @Override
+              public Object call(String function, Map<String, Value> arguments, Place at) {
+                arguments.forEach(
+                    (k, v) -> calls.add(at + " " + k + "=" + v.value() + " at " + v.at()));
+                return null;
+              }
+            })
+        .run("t.star", text);
   }
 
   @Test
   void functionsLoopsAndTextsDoWhatStarlarkSays() {
-    String text = """
+    String text =
+        """
         # two teams of equal shares
         def team(name, share = 0.5, *_):
           return name
-        """.replace(", *_", "") + """
+        """
+                .replace(", *_", "")
+            + """
         names = ["%s-%d" % (n, i) for n in ["a", "b"] for i in range(3) if i != 1]
         total = 0
         for i, n in enumerate(names):
@@ -59,48 +66,90 @@
         print(d, "k" in d, "z" not in d, d.get("z"), [1, 2, 3][-2:], "{} of {t}".format(1, t = 3))
         print(sorted([3, 1, 2], reverse = True), max(4, 2), len("abc"), not [] and True, 1 if 0 else 2)
         """;
-    assertEquals("""
+    assertEquals(
+        """
         ["a-0", "a-2", "b-0", "b-2"] 15 x -4 2 3.5
         {"k": 1, "l": [6, 2], "m": (1,)} True True None [2, 3] 1 of 3
         [3, 2, 1] 4 3 True 2
-        """, run(text));
+        """,
+        run(text));
   }
 
   @Test
   void theHostHearsOfArgumentsAndWhereTheyStand() {
     run("x = 3\nnote(a = x,\n     b = [x] * 2)\n");
-    assertEquals(List.of("t.star:2:1 a=3 at t.star:2:6", "t.star:2:1 b=[3, 3] at t.star:3:6"), calls);
+    assertEquals(
+        List.of("t.star:2:1 a=3 at t.star:2:6", "t.star:2:1 b=[3, 3] at t.star:3:6"), calls);
   }
 
   @ParameterizedTest
-  @CsvSource(delimiter = '|', value = {
-      "x = 1 +|1:8", "x = y|1:5", "def f():\\n  return f()\\nf()|2:10", "for i in 3:\\n  pass|1:1", "1 / 0|1:1",
-      "while True:\\n  pass|1:7", "x = [1][4]|1:5", "x = {}['a']|1:5", "\\n  x = 1|2:1", "if 1:\\n    x = 1\\n  y = 2|3:3",
-      "x = 'a\\nb'|1:5", "return 1|1:1", "break|1:1", "note(3)|1:1", "x = 99999999999999999999|1:5", "f = 1\\nf()|2:1",
-      "x = 'a'.nothing()|1:5", "(1, 2)[0] = 3|1:1", "a, b = [1]|1:1", "fail('no')|1:1", "x = \"%d\" % 'a'|1:5", "x = $|1:5",
-      "x = 9223372036854775807 + 1|1:5", "def f(a, a):\\n  pass|1:10", "x = 1 < 'a'|1:5"})
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "x = 1 +|1:8",
+        "x = y|1:5",
+        "def f():\\n  return f()\\nf()|2:10",
+        "for i in 3:\\n  pass|1:1",
+        "1 / 0|1:1",
+        "while True:\\n  pass|1:7",
+        "x = [1][4]|1:5",
+        "x = {}['a']|1:5",
+        "\\n  x = 1|2:1",
+        "if 1:\\n    x = 1\\n  y = 2|3:3",
+        "x = 'a\\nb'|1:5",
+        "return 1|1:1",
+        "break|1:1",
+        "note(3)|1:1",
+        "x = 99999999999999999999|1:5",
+        "f = 1\\nf()|2:1",
+        "x = 'a'.nothing()|1:5",
+        "(1, 2)[0] = 3|1:1",
+        "a, b = [1]|1:1",
+        "fail('no')|1:1",
+        "x = \"%d\" % 'a'|1:5",
+        "x = $|1:5",
+        "x = 9223372036854775807 + 1|1:5",
+        "def f(a, a):\\n  pass|1:10",
+        "x = 1 < 'a'|1:5"
+      })
   void whatIsWrongHasItsPlace(String text, String place) {
-    ScriptException e = assertThrows(ScriptException.class, () -> run(text.replace("\\n", "\n") + "\n"));
+    ScriptException e =
+        assertThrows(ScriptException.class, () -> run(text.replace("\\n", "\n") + "\n"));
     assertEquals("t.star:" + place, String.valueOf(e.place()), e.getMessage());
   }
 
-  /** Guards against texts that take all time, memory or stack: each of these has an end of its own. */
+  /**
+   * Guards against texts that take all time, memory or stack: each of these has an end of its own.
+   */
   @Test
   void everyTextComesToAnEnd() {
-    for (String text : List.of(
-        "x = [0] * 100000000000\n", "x = 'a' * 999999999\n", "x = range(9999999999)\n",
-        "x = 'a'\nfor i in range(99):\n  x += x\n", "x = [1]\nfor i in range(99):\n  x.extend(x)\n",
-        "for i in range(10000):\n  for j in range(10000):\n    pass\n", "x = " + "(".repeat(5000) + "1" + ")".repeat(5000) + "\n",
-        "x = " + "not ".repeat(20000) + "1\n", "x = " + "-".repeat(20000) + "1\n", "x = " + "1 + ".repeat(200000) + "1\n",
-        "x = " + "1 if 1 else ".repeat(20000) + "1\n", "for i in range(9000000):\n  print('aaaaaaaaaaaaaaaaaaaaaaaaaaaaa')\n",
-        "x = []\nx.append(x)\nprint(x)\n", "x = []\ny = []\nx.append(y)\ny.append(x)\nz = x == y\n", "x" + "[0]".repeat(50000) + "\n",
-        "x = 'a'" + ".upper()".repeat(50000) + "\n", "x = 1" + " and 1".repeat(100000) + "\n")) {
+    for (String text :
+        List.of(
+            "x = [0] * 100000000000\n",
+            "x = 'a' * 999999999\n",
+            "x = range(9999999999)\n",
+            "x = 'a'\nfor i in range(99):\n  x += x\n",
+            "x = [1]\nfor i in range(99):\n  x.extend(x)\n",
+            "for i in range(10000):\n  for j in range(10000):\n    pass\n",
+            "x = " + "(".repeat(5000) + "1" + ")".repeat(5000) + "\n",
+            "x = " + "not ".repeat(20000) + "1\n",
+            "x = " + "-".repeat(20000) + "1\n",
+            "x = " + "1 + ".repeat(200000) + "1\n",
+            "x = " + "1 if 1 else ".repeat(20000) + "1\n",
+            "for i in range(9000000):\n  print('aaaaaaaaaaaaaaaaaaaaaaaaaaaaa')\n",
+            "x = []\nx.append(x)\nprint(x)\n",
+            "x = []\ny = []\nx.append(y)\ny.append(x)\nz = x == y\n",
+            "x" + "[0]".repeat(50000) + "\n",
+            "x = 'a'" + ".upper()".repeat(50000) + "\n",
+            "x = 1" + " and 1".repeat(100000) + "\n")) {
       long before = System.nanoTime();
       try {
         run(text, new Bounds(1 << 20, 64, 200_000, 1_000_000, 10_000));
         throw new AssertionError("has no bound: " + text.substring(0, Math.min(60, text.length())));
       } catch (ScriptException e) {
-        assertTrue(System.nanoTime() - before < 20e9, "took long: " + text.substring(0, Math.min(60, text.length())));
+        assertTrue(
+            System.nanoTime() - before < 20e9,
+            "took long: " + text.substring(0, Math.min(60, text.length())));
       }
     }
   }
@@ -109,20 +158,77 @@
   void arithmeticIsThatOfWholeNumbers(@ForAll int a, @ForAll int b, @ForAll int c) {
     String by = c == 0 ? "1" : "(" + c + ")";
     long d = c == 0 ? 1 : c;
-    long expected = (long) a - (long) b * 3 + Math.floorDiv((long) a, d) - Math.floorMod((long) b, d);
-    assertEquals(expected + "\n", run("print((" + a + ") - (" + b + ") * 3 + (" + a + ") // " + by + " - (" + b + ") % " + by
-        + ")\n"));
+    long expected =
+        (long) a - (long) b * 3 + Math.floorDiv((long) a, d) - Math.floorMod((long) b, d);
+    assertEquals(
+        expected + "\n",
+        run(
+            "print(("
+                + a
+                + ") - ("
+                + b
+                + ") * 3 + ("
+                + a
+                + ") // "
+                + by
+                + " - ("
+                + b
+                + ") % "
+                + by
+                + ")\n"));
   }
 
   @Provide
   Arbitrary<String> texts() {
-    Arbitrary<String> words = Arbitraries.of("x", " = ", "1", "(", ")", "[", "]", "{", "}", ":", ",", "\n", "\n  ", "\n    ",
-        "if ", "else", "for ", " in ", "def f", "return ", "'a'", "%", "*", "+", "-", "not ", ".get", "range(9)", "\\", "\"", "#",
-        "\t", "é", "\u0000", "lambda", "and ", "|", "==", "note(", "a=");
+    Arbitrary<String> words =
+        Arbitraries.of(
+            "x",
+            " = ",
+            "1",
+            "(",
+            ")",
+            "[",
+            "]",
+            "{",
+            "}",
+            ":",
+            ",",
+            "\n",
+            "\n  ",
+            "\n    ",
+            "if ",
+            "else",
+            "for ",
+            " in ",
+            "def f",
+            "return ",
+            "'a'",
+            "%",
+            "*",
+            "+",
+            "-",
+            "not ",
+            ".get",
+            "range(9)",
+            "\\",
+            "\"",
+            "#",
+            "\t",
+            "é",
+            "\u0000",
+            "lambda",
+            "and ",
+            "|",
+            "==",
+            "note(",
+            "a=");
     return words.list().ofMaxSize(40).map(l -> String.join("", l));
   }
 
-  /** Guards against a text that the reader breaks on in any other way than by saying what is wrong with it. */
+  /**
+   * Guards against a text that the reader breaks on in any other way than by saying what is wrong
+   * with it.
+   */
   @Property(tries = 3000)
   void whateverTheTextNothingElseIsThrown(@ForAll("texts") String text) {
     try {
--- a/src/test/java/bitternpulley/trace/DecisionTraceTest.java
+++ b/src/test/java/bitternpulley/trace/DecisionTraceTest.java
@@ -22,16 +22,18 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Every decision of the core and of the routing policy over seeded days, on the settings of the sites under deploy/sites. The
- * digests are of effects in neutral words: a rename or a move leaves them, a changed decision does not.
+ * Every decision of the core and of the routing policy over seeded days, on the settings of the
+ * sites under deploy/sites. The digests are of effects in neutral words: a rename or a move leaves
+ * them, a changed decision does not.
  *
- * <p>To record a digest after a change of decisions that is meant, copy what the failing test saw into
- * {@code src/test/resources/traces/decisions.txt}.
+ * <p>To record a digest after a change of decisions that is meant, copy what the failing test saw
+ * into {@code src/test/resources/traces/decisions.txt}.
  */
 class DecisionTraceTest {
   private static final Path FOLDER = Path.of("src/test/resources/traces");
   private static final double LENGTH_MS = 20_000;
-  private static final List<String> SITES = List.of("quetta-desk", "sialkot-depots", "sukkur-ledger", "multan-rolls");
+  private static final List<String> SITES =
+      List.of("quetta-desk", "sialkot-depots", "sukkur-ledger", "multan-rolls");
   private static final long[] SEEDS = {1, 2};
 
   /** What happens on a day. */
@@ -51,7 +53,9 @@
           TraceServers.Behaviour behaviour = all[i];
           int server = i;
           world.at(TraceWorld.BEGIN + 2000 * i, () -> world.servers.behave(server, behaviour));
-          world.at(TraceWorld.BEGIN + 2000 * i + 4500, () -> world.servers.behave(server, TraceServers.Behaviour.SOUND));
+          world.at(
+              TraceWorld.BEGIN + 2000 * i + 4500,
+              () -> world.servers.behave(server, TraceServers.Behaviour.SOUND));
         }
       }
     },
@@ -59,15 +63,18 @@
       @Override
       void plan(TraceWorld world, Day.Site site) {
         world.load(12, end(), 6, List.of());
-        world.at(TraceWorld.BEGIN + 4000, () -> world.load(5, TraceWorld.BEGIN + 12_000, 6, List.of()));
+        world.at(
+            TraceWorld.BEGIN + 4000, () -> world.load(5, TraceWorld.BEGIN + 12_000, 6, List.of()));
       }
     },
     MANY_PARTS {
       @Override
       void plan(TraceWorld world, Day.Site site) {
         world.load(120, end(), 30, List.of());
-        world.at(TraceWorld.BEGIN + 5000, () -> world.servers.behave(4, TraceServers.Behaviour.HANGS));
-        world.at(TraceWorld.BEGIN + 9000, () -> world.servers.behave(4, TraceServers.Behaviour.SOUND));
+        world.at(
+            TraceWorld.BEGIN + 5000, () -> world.servers.behave(4, TraceServers.Behaviour.HANGS));
+        world.at(
+            TraceWorld.BEGIN + 9000, () -> world.servers.behave(4, TraceServers.Behaviour.SOUND));
       }
     },
     ROLLING_RESTART {
@@ -75,20 +82,30 @@
       void plan(TraceWorld world, Day.Site site) {
         world.load(25, end(), 6, List.of());
         world.at(TraceWorld.BEGIN + 900, world::failedList);
-        world.at(TraceWorld.BEGIN + 1500, () -> world.everywhere(new Event.UpgradePeerChanged(Router.Beside.PREDECESSOR)));
-        world.at(TraceWorld.BEGIN + 6000, () -> world.everywhere(new Event.UpgradePeerChanged(Router.Beside.NONE)));
-        world.at(TraceWorld.BEGIN + 17_000, () -> world.everywhere(new Event.UpgradePeerChanged(Router.Beside.SUCCESSOR)));
+        world.at(
+            TraceWorld.BEGIN + 1500,
+            () -> world.everywhere(new Event.UpgradePeerChanged(Router.Beside.PREDECESSOR)));
+        world.at(
+            TraceWorld.BEGIN + 6000,
+            () -> world.everywhere(new Event.UpgradePeerChanged(Router.Beside.NONE)));
+        world.at(
+            TraceWorld.BEGIN + 17_000,
+            () -> world.everywhere(new Event.UpgradePeerChanged(Router.Beside.SUCCESSOR)));
         for (int i = 0; i < 8; i++) {
           int server = i;
           double at = TraceWorld.BEGIN + 2000 + 1500 * i;
           world.at(at, () -> change(world, server, "DRAINING"));
           world.at(at + 500, () -> change(world, server, "GONE"));
-          world.at(at + 1200, () -> {
-            world.servers.restart(server, world.now);
-            world.list(Router.ListKind.CHANGES, server);
-          });
+          world.at(
+              at + 1200,
+              () -> {
+                world.servers.restart(server, world.now);
+                world.list(Router.ListKind.CHANGES, server);
+              });
         }
-        world.at(TraceWorld.BEGIN + 15_000, () -> world.list(Router.ListKind.COMPLETE, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10));
+        world.at(
+            TraceWorld.BEGIN + 15_000,
+            () -> world.list(Router.ListKind.COMPLETE, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10));
       }
     },
     OPERATOR_COMMANDS {
@@ -109,7 +126,9 @@
       void plan(TraceWorld world, Day.Site site) {
         world.contracts(site.book());
         world.load(18, end(), 6, site.teams());
-        world.at(TraceWorld.BEGIN + 4000, () -> world.load(6, TraceWorld.BEGIN + 10_000, 6, site.teams()));
+        world.at(
+            TraceWorld.BEGIN + 4000,
+            () -> world.load(6, TraceWorld.BEGIN + 10_000, 6, site.teams()));
         world.at(TraceWorld.BEGIN + 12_000, () -> world.contracts(site.book().as(2)));
         world.at(TraceWorld.BEGIN + 16_000, () -> world.contracts(ContractBook.NONE));
       }
@@ -121,10 +140,12 @@
         world.load(25, end(), 6, List.of());
         for (int i = 0; i < 6; i++) {
           int server = i;
-          world.at(TraceWorld.BEGIN + 3000 + 2000 * i, () -> {
-            world.servers.restart(server, world.now);
-            world.list(Router.ListKind.CHANGES, server);
-          });
+          world.at(
+              TraceWorld.BEGIN + 3000 + 2000 * i,
+              () -> {
+                world.servers.restart(server, world.now);
+                world.list(Router.ListKind.CHANGES, server);
+              });
         }
         world.at(TraceWorld.BEGIN + 18_000, () -> world.everywhere(new Event.PeersLeave()));
       }
@@ -158,7 +179,9 @@
 
   /** The recorded digests whose names begin so. */
   static List<String> recorded(String file, String beginning) throws IOException {
-    return Files.readAllLines(FOLDER.resolve(file)).stream().filter(l -> l.startsWith(beginning)).toList();
+    return Files.readAllLines(FOLDER.resolve(file)).stream()
+        .filter(l -> l.startsWith(beginning))
+        .toList();
   }
 
   @ParameterizedTest
@@ -169,7 +192,8 @@
       for (long seed : SEEDS) {
         TraceWorld world = new TraceWorld(self -> settings(site, self), seed);
         day.plan(world, contracts(site));
-        seen.add(day + " " + site + " " + seed + " " + world.run(TraceWorld.BEGIN + LENGTH_MS + 10_000));
+        seen.add(
+            day + " " + site + " " + seed + " " + world.run(TraceWorld.BEGIN + LENGTH_MS + 10_000));
       }
     }
     assertEquals(String.join("\n", recorded("decisions.txt", day + " ")), String.join("\n", seen));
@@ -191,7 +215,9 @@
     if (!site.equals("quetta-desk")) {
       return new Day.Site(ContractBook.NONE, List.of());
     }
-    return new Day.Site(BrokerConfigurationReader.read(FOLDER.resolve("teams.star"), Optional.of(settings(site, 0))).book(),
+    return new Day.Site(
+        BrokerConfigurationReader.read(FOLDER.resolve("teams.star"), Optional.of(settings(site, 0)))
+            .book(),
         List.of("desk", "desk", "sums"));
   }
 }
--- a/src/test/java/bitternpulley/trace/EffectLines.java
+++ b/src/test/java/bitternpulley/trace/EffectLines.java
@@ -21,7 +21,16 @@
       digest.add(now, instance, "together", e.starts().size());
       e.starts().forEach(s -> add(digest, instance, now, s));
     } else if (effect instanceof Effect.Start e) {
-      digest.add(now, instance, "start", id(e.id()), e.request().id(), e.slice(), e.server(), e.timeout(), e.sendBy());
+      digest.add(
+          now,
+          instance,
+          "start",
+          id(e.id()),
+          e.request().id(),
+          e.slice(),
+          e.server(),
+          e.timeout(),
+          e.sendBy());
     } else if (effect instanceof Effect.Abandon e) {
       digest.add(now, instance, "cancel", id(e.id()), e.request().id(), e.server());
     } else if (effect instanceof Effect.TakeBack e) {
@@ -43,7 +52,8 @@
     } else if (effect instanceof Effect.Judged e) {
       digest.add(now, instance, "judged", e.request(), verdict(e.verdict()));
     } else if (effect instanceof Effect.Settled e) {
-      digest.add(now, instance, "settled", e.charge().team(), e.charge().booked(), e.charge().used());
+      digest.add(
+          now, instance, "settled", e.charge().team(), e.charge().booked(), e.charge().used());
     } else if (effect instanceof Effect.Tell e) {
       digest.add(now, instance, "gossip", e.to(), gossip(e.message()));
     } else if (effect instanceof Effect.TellOfLease e) {
@@ -57,13 +67,44 @@
 
   /** A membership message by its numbers. */
   static String gossip(Message m) {
-    StringBuilder line = new StringBuilder(m.kind().ordinal() + "/" + m.from() + "/" + m.epoch() + "/" + m.incarnation()
-        + "/" + m.sequence() + "/" + m.target() + "/" + m.view() + "/" + m.told());
+    StringBuilder line =
+        new StringBuilder(
+            m.kind().ordinal()
+                + "/"
+                + m.from()
+                + "/"
+                + m.epoch()
+                + "/"
+                + m.incarnation()
+                + "/"
+                + m.sequence()
+                + "/"
+                + m.target()
+                + "/"
+                + m.view()
+                + "/"
+                + m.told());
     for (GossipUpdate r : m.rumors()) {
-      line.append(" [").append(r.number()).append('/').append(r.epoch()).append('/').append(r.incarnation()).append('/')
-          .append(r.standing().ordinal()).append('/').append(r.accuser()).append('/')
-          .append(r.card() == null ? "-" : r.card().name() + r.card().zone() + r.card().region() + r.card().build())
-          .append('/').append(r.slot() == null ? "-" : r.slot().count() + ":" + java.util.Arrays.hashCode(r.slot().bytes()))
+      line.append(" [")
+          .append(r.number())
+          .append('/')
+          .append(r.epoch())
+          .append('/')
+          .append(r.incarnation())
+          .append('/')
+          .append(r.standing().ordinal())
+          .append('/')
+          .append(r.accuser())
+          .append('/')
+          .append(
+              r.card() == null
+                  ? "-"
+                  : r.card().name() + r.card().zone() + r.card().region() + r.card().build())
+          .append('/')
+          .append(
+              r.slot() == null
+                  ? "-"
+                  : r.slot().count() + ":" + java.util.Arrays.hashCode(r.slot().bytes()))
           .append(']');
     }
     return line.toString();
@@ -74,23 +115,58 @@
       return "request " + a.from() + " " + a.epoch() + " " + a.sequence();
     }
     LeaseMessage.Granted g = (LeaseMessage.Granted) message;
-    return "grant " + g.from() + " " + g.sequence() + " " + Double.toHexString(g.after()) + " " + g.named();
+    return "grant "
+        + g.from()
+        + " "
+        + g.sequence()
+        + " "
+        + Double.toHexString(g.after())
+        + " "
+        + g.named();
   }
 
   private static String verdict(Verdict verdict) {
     if (verdict instanceof Verdict.Refused no) {
-      return "refused " + no.team() + " " + no.version() + " " + no.limit().ordinal() + " " + Double.toHexString(no.pause());
+      return "refused "
+          + no.team()
+          + " "
+          + no.version()
+          + " "
+          + no.limit().ordinal()
+          + " "
+          + Double.toHexString(no.pause());
     }
     Charge c = (Charge) verdict;
-    return "admitted " + c.team() + " " + c.version() + " " + c.basis().ordinal() + " " + Double.toHexString(c.booked());
+    return "admitted "
+        + c.team()
+        + " "
+        + c.version()
+        + " "
+        + c.basis().ordinal()
+        + " "
+        + Double.toHexString(c.booked());
   }
 
   private static void reply(TraceDigest digest, int instance, double now, Effect.Reply e) {
     long request = e.request().id();
     if (e.answer() instanceof Effect.Answer.Answered a) {
-      digest.add(now, instance, "answered", request, a.whole(), new TreeMap<>(a.values()).keySet(), missing(a.missing()));
+      digest.add(
+          now,
+          instance,
+          "answered",
+          request,
+          a.whole(),
+          new TreeMap<>(a.values()).keySet(),
+          missing(a.missing()));
     } else if (e.answer() instanceof Effect.Answer.Refused r) {
-      digest.add(now, instance, "refused", request, r.pause(), ending(r.ending()), r.contract() == null ? "-" : verdict(r.contract()));
+      digest.add(
+          now,
+          instance,
+          "refused",
+          request,
+          r.pause(),
+          ending(r.ending()),
+          r.contract() == null ? "-" : verdict(r.contract()));
     } else if (e.answer() instanceof Effect.Answer.Failed f) {
       digest.add(now, instance, "failed", request, ending(f.ending()));
     } else {
@@ -104,8 +180,15 @@
 
   private static String missing(Map<Integer, Effect.Answer.Missing> missing) {
     StringBuilder line = new StringBuilder();
-    new TreeMap<>(missing).forEach((part, m) -> line.append(part).append('=').append(outcome(m.outcome())).append('@')
-        .append(m.server()).append(','));
+    new TreeMap<>(missing)
+        .forEach(
+            (part, m) ->
+                line.append(part)
+                    .append('=')
+                    .append(outcome(m.outcome()))
+                    .append('@')
+                    .append(m.server())
+                    .append(','));
     return line.toString();
   }
 
--- a/src/test/java/bitternpulley/trace/HedgingTraceTest.java
+++ b/src/test/java/bitternpulley/trace/HedgingTraceTest.java
@@ -23,8 +23,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The routing policy alone, as the simulator drives it, where the site permits hedged requests: more than one attempt of a part
- * may be out, and a query may have a second step. The digests are of actions in neutral words.
+ * The routing policy alone, as the simulator drives it, where the site permits hedged requests:
+ * more than one attempt of a part may be out, and a query may have a second step. The digests are
+ * of actions in neutral words.
  */
 class HedgingTraceTest {
   private static final Path FOLDER = Path.of("src/test/resources/traces");
@@ -38,12 +39,17 @@
         seen.add("HEDGING " + site + " " + seed + " " + new Play(settings(site), seed).run());
       }
     }
-    assertEquals(String.join("\n", DecisionTraceTest.recorded("decisions.txt", "HEDGING ")), String.join("\n", seen));
+    assertEquals(
+        String.join("\n", DecisionTraceTest.recorded("decisions.txt", "HEDGING ")),
+        String.join("\n", seen));
   }
 
   private static Settings settings(String site) throws IOException {
     JsonNode in = Json.read(Files.readAllBytes(FOLDER.resolve(site + ".json")));
-    ((ObjectNode) in.get("policyLimits")).put("secondCopies", true).put("mayCancel", true).put("maxAttempts", 4);
+    ((ObjectNode) in.get("policyLimits"))
+        .put("secondCopies", true)
+        .put("mayCancel", true)
+        .put("maxAttempts", 4);
     return SettingsReader.read(in);
   }
 
@@ -74,7 +80,11 @@
     }
 
     String run() {
-      router.members(Router.ListKind.COMPLETE, IntStream.range(0, servers.size()).mapToObj(this::member).toList(), now, this);
+      router.members(
+          Router.ListKind.COMPLETE,
+          IntStream.range(0, servers.size()).mapToObj(this::member).toList(),
+          now,
+          this);
       router.settle(now, this);
       arrive();
       TraceServers.Behaviour[] all = TraceServers.Behaviour.values();
@@ -82,10 +92,12 @@
         TraceServers.Behaviour behaviour = all[i];
         int server = i;
         at(2000 * i, () -> servers.behave(server, behaviour));
-        at(2000 * i + 4500, () -> {
-          servers.restart(server, now);
-          router.members(Router.ListKind.CHANGES, List.of(member(server)), now, this);
-        });
+        at(
+            2000 * i + 4500,
+            () -> {
+              servers.restart(server, now);
+              router.members(Router.ListKind.CHANGES, List.of(member(server)), now, this);
+            });
       }
       while (!due.isEmpty() && due.peek().at() < LENGTH_MS + 10_000) {
         Due next = due.poll();
@@ -97,7 +109,8 @@
     }
 
     private Router.Member member(int server) {
-      return new Router.Member("s" + server, server % 2, server, Router.ServerState.LIVE, servers.startedAt(server));
+      return new Router.Member(
+          "s" + server, server % 2, server, Router.ServerState.LIVE, servers.startedAt(server));
     }
 
     private void at(double time, Runnable task) {
@@ -111,17 +124,21 @@
       long id = ++lastId;
       int queryClass = random.nextInt(settings.classes().size());
       int parts = 1 + random.nextInt(8);
-      double time = settings.classes().get(queryClass).deadline() * (0.4 + 0.6 * random.nextDouble());
-      Router.Query query = new Router.Query(id, id, queryClass, parts, 0, random.nextInt(6) == 0, time, 0);
+      double time =
+          settings.classes().get(queryClass).deadline() * (0.4 + 0.6 * random.nextDouble());
+      Router.Query query =
+          new Router.Query(id, id, queryClass, parts, 0, random.nextInt(6) == 0, time, 0);
       open.put(id, query);
       router.query(query, now, this);
       parts(id, parts);
       if (random.nextInt(10) == 0) {
-        at(now + time * random.nextDouble(), () -> {
-          if (open.remove(id) != null) {
-            router.gone(id, now, this);
-          }
-        });
+        at(
+            now + time * random.nextDouble(),
+            () -> {
+              if (open.remove(id) != null) {
+                router.gone(id, now, this);
+              }
+            });
       }
       at(now - Math.log(1 - random.nextDouble()) * 30, this::arrive);
     }
@@ -129,8 +146,15 @@
     private void parts(long query, int parts) {
       int first = random.nextInt(settings.layout().shards());
       for (int i = 0; i < parts; i++) {
-        router.part(new Router.Part(++lastId, query, (first + i) % settings.layout().shards(), 1.0 / parts,
-            random.nextInt(3) == 0 ? 50 : 0), now, this);
+        router.part(
+            new Router.Part(
+                ++lastId,
+                query,
+                (first + i) % settings.layout().shards(),
+                1.0 / parts,
+                random.nextInt(3) == 0 ? 50 : 0),
+            now,
+            this);
       }
     }
 
@@ -142,14 +166,18 @@
       running.put(key, new Running(part, number, server, now));
       TraceServers.End end = servers.take(Integer.parseInt(server.substring(1)), 45, now);
       double ends = end.outcome().equals("NEVER") ? timeout : Math.min(timeout, end.afterMs());
-      Router.Outcome outcome = ends == timeout ? Router.Outcome.TIMEOUT : Router.Outcome.valueOf(end.outcome());
+      Router.Outcome outcome =
+          ends == timeout ? Router.Outcome.TIMEOUT : Router.Outcome.valueOf(end.outcome());
       at(now + ends, () -> end(key, outcome));
     }
 
     private void end(String key, Router.Outcome outcome) {
       Running r = running.remove(key);
       if (r != null) {
-        router.ended(new Router.Ended(r.part(), r.number(), r.server(), outcome, now - r.sentAt(), null), now, this);
+        router.ended(
+            new Router.Ended(r.part(), r.number(), r.server(), outcome, now - r.sentAt(), null),
+            now,
+            this);
       }
     }
 
--- a/src/test/java/bitternpulley/trace/TraceDigest.java
+++ b/src/test/java/bitternpulley/trace/TraceDigest.java
@@ -22,8 +22,10 @@
 
   /** Adds a line; a double enters with all of its bits. */
   public void add(Object... words) {
-    String line = Arrays.stream(words)
-        .map(w -> w instanceof Double d ? Double.toHexString(d) : String.valueOf(w)).collect(Collectors.joining(" "));
+    String line =
+        Arrays.stream(words)
+            .map(w -> w instanceof Double d ? Double.toHexString(d) : String.valueOf(w))
+            .collect(Collectors.joining(" "));
     digest.update((line + "\n").getBytes(StandardCharsets.UTF_8));
     lines++;
   }
--- a/src/test/java/bitternpulley/trace/TraceServers.java
+++ b/src/test/java/bitternpulley/trace/TraceServers.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Random;
 
-/** Slot servers of a trace: each queues its parts on two cores, and fails in the way that it is set to. */
+/**
+ * Slot servers of a trace: each queues its parts on two cores, and fails in the way that it is set
+ * to.
+ */
 final class TraceServers {
   private static final int CORES = 2;
   private static final double QUEUE_LIMIT_MS = 900;
@@ -76,10 +79,15 @@
     return switch (server.behaviour) {
       case SOUND -> work(server, workMs, now, travel);
       case SLOW -> work(server, workMs * 5, now, travel);
-      case ERRORS -> random.nextInt(3) == 0 ? work(server, workMs, now, travel) : new End("ERROR", travel);
-      case FULL -> random.nextInt(4) == 0 ? work(server, workMs, now, travel) : new End("FULL", travel);
+      case ERRORS ->
+          random.nextInt(3) == 0 ? work(server, workMs, now, travel) : new End("ERROR", travel);
+      case FULL ->
+          random.nextInt(4) == 0 ? work(server, workMs, now, travel) : new End("FULL", travel);
       case HANGS -> new End("NEVER", 0);
-      case RESETS -> random.nextInt(2) == 0 ? work(server, workMs, now, travel) : new End("RESET", 20 * travel);
+      case RESETS ->
+          random.nextInt(2) == 0
+              ? work(server, workMs, now, travel)
+              : new End("RESET", 20 * travel);
       case REFUSES -> new End("UNREACHABLE", travel);
     };
   }
