--- a/src/test/java/bitternpulley/trace/TraceWorld.java
+++ b/src/test/java/bitternpulley/trace/TraceWorld.java
@@ -24,8 +24,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Some instances of the real core and its real policy before the same slot servers, in virtual time and by seed. Every effect
- * goes into a digest, so that a change of any decision changes it.
+ * Some instances of the real core and its real policy before the same slot servers, in virtual time
+ * and by seed. Every effect goes into a digest, so that a change of any decision changes it.
  */
 final class TraceWorld {
   static final double BEGIN = 1_000_000;
@@ -42,7 +42,8 @@
   private final Settings settings;
   private final List<Reducer> instances = new ArrayList<>();
   private final Map<String, Running> running = new HashMap<>();
-  private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+  private final PriorityQueue<Due> due =
+      new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
   private long order;
   private long requests;
 
@@ -72,7 +73,9 @@
     return digest.end();
   }
 
-  /** All instances hear of these servers as they now are, each a little later than the one before. */
+  /**
+   * All instances hear of these servers as they now are, each a little later than the one before.
+   */
   void list(Router.ListKind kind, int... named) {
     List<Router.Member> members = IntStream.of(named).mapToObj(this::member).toList();
     for (int i = 0; i < instances.size(); i++) {
@@ -80,13 +83,19 @@
       if (now == BEGIN) {
         submit(instance, new Event.ServersListed(kind, members));
       } else {
-        at(now + 10 + 40 * random.nextDouble(), () -> submit(instance, new Event.ServersListed(kind, members)));
+        at(
+            now + 10 + 40 * random.nextDouble(),
+            () -> submit(instance, new Event.ServersListed(kind, members)));
       }
     }
   }
 
   private Router.Member member(int server) {
-    return new Router.Member("s" + server, server % 2, server, Router.ServerState.valueOf(servers.state(server)),
+    return new Router.Member(
+        "s" + server,
+        server % 2,
+        server,
+        Router.ServerState.valueOf(servers.state(server)),
         servers.startedAt(server));
   }
 
@@ -114,8 +123,17 @@
     LeaseTerms terms = new LeaseTerms(instances.size(), all, 8000, 1500);
     for (int i = 0; i < instances.size(); i++) {
       submit(i, new Event.LeasesApply(new Leases(i, terms)));
-      submit(i, new Event.PeersBegin(new Membership(i, new MemberMetadata("n" + i, "z" + i % 2, "r", "b"), (long) now, all,
-          MembershipSettings.USUAL, 77 + i, now)));
+      submit(
+          i,
+          new Event.PeersBegin(
+              new Membership(
+                  i,
+                  new MemberMetadata("n" + i, "z" + i % 2, "r", "b"),
+                  (long) now,
+                  all,
+                  MembershipSettings.USUAL,
+                  77 + i,
+                  now)));
       beat(i);
     }
   }
@@ -125,11 +143,15 @@
     at(now + 100 + random.nextDouble(), () -> beat(instance));
   }
 
-  /** Queries come at random gaps of so many ms in the mean; by {@code team} where it is not null. */
+  /**
+   * Queries come at random gaps of so many ms in the mean; by {@code team} where it is not null.
+   */
   void load(double meanGapMs, double until, int mostParts, List<String> teams) {
     if (now < until) {
       ask(random.nextInt(instances.size()), mostParts, teams);
-      at(now - Math.log(1 - random.nextDouble()) * meanGapMs, () -> load(meanGapMs, until, mostParts, teams));
+      at(
+          now - Math.log(1 - random.nextDouble()) * meanGapMs,
+          () -> load(meanGapMs, until, mostParts, teams));
     }
   }
 
@@ -141,14 +163,37 @@
     double[] weights = random.doubles(parts).map(w -> 0.2 + w).toArray();
     double sum = java.util.Arrays.stream(weights).sum();
     boolean hinted = random.nextInt(3) == 0;
-    List<Request.Slice> slices = IntStream.range(0, parts).mapToObj(i -> new Request.Slice(
-        (first + i) % settings.layout().shards(), weights[i] / sum, hinted ? 60 * weights[i] : 0)).toList();
+    List<Request.Slice> slices =
+        IntStream.range(0, parts)
+            .mapToObj(
+                i ->
+                    new Request.Slice(
+                        (first + i) % settings.layout().shards(),
+                        weights[i] / sum,
+                        hinted ? 60 * weights[i] : 0))
+            .toList();
     double time = listed.deadline() * (0.3 + 0.7 * random.nextDouble());
     String team = teams.isEmpty() ? null : teams.get(queryClass % teams.size());
-    Router.Lateness late = random.nextInt(5) == 0 ? new Router.Lateness(20 * random.nextDouble(), 10) : Router.Lateness.NONE;
+    Router.Lateness late =
+        random.nextInt(5) == 0
+            ? new Router.Lateness(20 * random.nextDouble(), 10)
+            : Router.Lateness.NONE;
     long id = ++requests;
-    submit(instance, new Event.Taken(new Request(id, null, queryClass, time, random.nextInt(6) == 0,
-        new Router.Terms(random.nextInt(8) == 0, random.nextInt(8) == 0), slices, null, team, id % 50, late)));
+    submit(
+        instance,
+        new Event.Taken(
+            new Request(
+                id,
+                null,
+                queryClass,
+                time,
+                random.nextInt(6) == 0,
+                new Router.Terms(random.nextInt(8) == 0, random.nextInt(8) == 0),
+                slices,
+                null,
+                team,
+                id % 50,
+                late)));
     if (random.nextInt(12) == 0) {
       at(now + time * random.nextDouble(), () -> submit(instance, new Event.ClientLeft(id)));
     }
@@ -171,8 +216,16 @@
     } else if (effect instanceof Effect.TakeBack e) {
       unsend(instance, e.id().part() + "/" + e.id().number());
     } else if (effect instanceof Effect.Withdraw e) {
-      running.entrySet().stream().filter(r -> r.getValue().instance() == instance && r.getValue().start().server().equals(e.server()))
-          .map(Map.Entry::getKey).sorted().map(k -> k.substring(k.indexOf(':') + 1)).toList().forEach(k -> unsend(instance, k));
+      running.entrySet().stream()
+          .filter(
+              r ->
+                  r.getValue().instance() == instance
+                      && r.getValue().start().server().equals(e.server()))
+          .map(Map.Entry::getKey)
+          .sorted()
+          .map(k -> k.substring(k.indexOf(':') + 1))
+          .toList()
+          .forEach(k -> unsend(instance, k));
     } else if (effect instanceof Effect.WakeAt e) {
       at(e.time(), () -> submit(instance, e.event()));
     } else if (effect instanceof Effect.Keep e) {
@@ -202,7 +255,8 @@
     String key = instance + ":" + e.id().part() + "/" + e.id().number();
     running.put(key, new Running(instance, e, now));
     double hint = e.request().slices().get(e.slice()).work();
-    TraceServers.End end = servers.take(Integer.parseInt(e.server().substring(1)), hint > 0 ? hint : 45, now);
+    TraceServers.End end =
+        servers.take(Integer.parseInt(e.server().substring(1)), hint > 0 ? hint : 45, now);
     if (!end.outcome().equals("NEVER")) {
       at(now + end.afterMs(), () -> end(key, Router.Outcome.valueOf(end.outcome())));
     }
