--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test lint run measure-contracts bench-contracts measure-membership measure-membership-many measure-membership-case bench-membership table-membership measure-scale-servers measure-scale-control
+.PHONY: build test lint format run measure-contracts bench-contracts measure-membership measure-membership-many measure-membership-case bench-membership table-membership measure-scale-servers measure-scale-control
 
 build:
 	mvn -q -DskipTests package
@@ -6,8 +6,12 @@
 test:
 	mvn -B -ntp verify
 
+# Formatter, compiler warnings, Error Prone and Checkstyle, as `mvn verify` runs them too.
 lint:
-	mvn -q -B -ntp -Plint -DskipTests clean test-compile
+	mvn -q -B -ntp clean process-test-classes spotless:check
+
+format:
+	mvn -q -B -ntp spotless:apply
 
 # Needs LB_CONFIG; see README.md.
 run: build
--- a/src/main/java/bitternpulley/Main.java
+++ b/src/main/java/bitternpulley/Main.java
@@ -11,7 +11,7 @@
 
   public static void main(String[] args) throws IOException {
     String what =
-        args.length == 1 || args.length == 2 && args[0].equals("check")
+        args.length == 1 || (args.length == 2 && args[0].equals("check"))
             ? args[0] + "/" + args.length
             : "";
     switch (what) {
--- a/src/test/java/bitternpulley/net/HttpEndingsTest.java
+++ b/src/test/java/bitternpulley/net/HttpEndingsTest.java
@@ -196,6 +196,7 @@
   /**
    * Guards against a request whose client left before it was read: it is not to be begun at all.
    */
+  @SuppressWarnings("try") // the early close is the disconnect under test
   @Test
   public void aRequestThatIsReadWithItsClientsEndBehindItIsNotTakenUp() throws Exception {
     try (Socket first = connect(request("/first", ""))) {
@@ -490,6 +491,7 @@
     return count[0];
   }
 
+  @SuppressWarnings("try") // the connection itself is under test
   private boolean accepts() {
     try (Socket probe = new Socket(at.host(), at.port())) {
       return true;
--- a/src/test/java/bitternpulley/platform/DiscoveryTest.java
+++ b/src/test/java/bitternpulley/platform/DiscoveryTest.java
@@ -267,6 +267,7 @@
    * Guards against a list that is told late: one that fell silent is heard on until the fresh one
    * speaks.
    */
+  @SuppressWarnings("try") // the connection itself is under test
   @Test
   public void whatTheSilentOneSaysAfterAllIsHeard() throws Exception {
     try (Socket silent = watch(agent, 41)) {
@@ -301,6 +302,7 @@
     }
   }
 
+  @SuppressWarnings("try") // the connection itself is under test
   @Test
   public void afterAMoveToASilentAddressTheNewOneIsTriedOn() throws Exception {
     try (Socket old = watch(agent, 41);
--- a/src/test/java/bitternpulley/process/EndingsProcessTest.java
+++ b/src/test/java/bitternpulley/process/EndingsProcessTest.java
@@ -238,6 +238,7 @@
     endsInTime(toldAt);
   }
 
+  @SuppressWarnings("try") // the early close is the disconnect under test
   @Test
   public void sigtermDuringSighupEndsInOrder() throws Exception {
     everyServer(Act.SILENT);
