--- a/src/main/java/bitternpulley/Aggregator.java
+++ b/src/main/java/bitternpulley/Aggregator.java
@@ -308,13 +308,13 @@
       listen(at -> front.listen(PassedListener.inherited(loop)), config.listen());
       // Whether one is being replaced is not told; if so, what it has taken till its grace ends is
       // past its deadline then.
-      broker.submit(new Event.UpgradePeerChanged(Router.Beside.PREDECESSOR));
+      broker.submit(new Event.UpgradePeerChanged(Router.HotRestartRole.PREDECESSOR));
       loop.after(
           GRACE + longestDeadline(),
           () ->
               broker.submit(
                   new Event.UpgradePeerChanged(
-                      draining ? Router.Beside.SUCCESSOR : Router.Beside.NONE)));
+                      draining ? Router.HotRestartRole.SUCCESSOR : Router.HotRestartRole.NONE)));
     }
     rehearsed = true;
     LOG.log(
@@ -458,7 +458,7 @@
           if (config.operations().passedSocket()) {
             // What comes from now on is for the process that takes over.
             front.stopAccepting();
-            broker.submit(new Event.UpgradePeerChanged(Router.Beside.SUCCESSOR));
+            broker.submit(new Event.UpgradePeerChanged(Router.HotRestartRole.SUCCESSOR));
           }
           fronts()
               .forEach(
--- a/src/main/java/bitternpulley/broker/Accounts.java
+++ b/src/main/java/bitternpulley/broker/Accounts.java
@@ -36,10 +36,12 @@
       return;
     }
     if (control == null) {
-      double mostPause = settings.limits().advice() ? settings.limits().maxAdvice() : 0;
+      double mostPause =
+          settings.limits().retryAfterAllowed() ? settings.limits().maxRetryAfter() : 0;
       control =
           new AdmissionControl(
-              settings.classes().stream().mapToDouble(c -> c.aim()).toArray(), mostPause);
+              settings.classes().stream().mapToDouble(c -> c.latencyObjective()).toArray(),
+              mostPause);
     }
     control.apply(book, now);
   }
--- a/src/main/java/bitternpulley/broker/Dialect.java
+++ b/src/main/java/bitternpulley/broker/Dialect.java
@@ -4,7 +4,7 @@
 
 /** A wire, seen from the core: it carries out attempts and delivers answers. Calls never block. */
 public interface Dialect {
-  /** Sends an attempt; its end comes back as {@link Event.Ended}. */
+  /** Sends an attempt; its end comes back as {@link Event.AttemptEnded}. */
   void start(Effect.Start attempt);
 
   /**
--- a/src/main/java/bitternpulley/broker/Event.java
+++ b/src/main/java/bitternpulley/broker/Event.java
@@ -22,7 +22,7 @@
   record ClientLeft(long request) implements Event {}
 
   /** Discovery has told a list of servers or a change. */
-  record ServersListed(Router.ListKind kind, List<Router.Member> members) implements Event {}
+  record ServersListed(Router.ListKind kind, List<Router.Endpoint> members) implements Event {}
 
   /** An attempt has ended by itself; {@code value} is what it brought, or null. */
   record Ended(AttemptId attempt, Router.Outcome outcome, Payload value) implements OfAttempt {}
@@ -60,7 +60,7 @@
   record OrdersChanged(OperatorOrders standing) implements Event {}
 
   /** Another process of this aggregator runs at the same time, or none does any more. */
-  record UpgradePeerChanged(Router.Beside other) implements Event {}
+  record UpgradePeerChanged(Router.HotRestartRole other) implements Event {}
 
   /** Other contracts are in force from now on. */
   record Agreed(ContractBook book) implements Event {}
--- a/src/main/java/bitternpulley/broker/OpenRequests.java
+++ b/src/main/java/bitternpulley/broker/OpenRequests.java
@@ -104,8 +104,8 @@
         new Open(
             r,
             charge,
-            now + timeLeft - r.late().unread(),
-            now + r.late().left(timeLeft, Math.min(LATE, LATE_SHARE * timeLeft)),
+            now + timeLeft - r.late().unreadFor(),
+            now + r.late().timeLeft(timeLeft, Math.min(LATE, LATE_SHARE * timeLeft)),
             nextPart);
     requests.put(r.id(), open);
     nextPart += open.parts();
--- a/src/main/java/bitternpulley/broker/Reducer.java
+++ b/src/main/java/bitternpulley/broker/Reducer.java
@@ -42,7 +42,7 @@
     // permits second copies,
     // counts on copies that end unsent: a part's attempts would be used up while a silent server
     // sits on the first.
-    this(settings, now, recorder -> new Policy(settings.withoutCopies(), seed, now, recorder));
+    this(settings, now, recorder -> new Policy(settings.withoutHedging(), seed, now, recorder));
   }
 
   /** As above, with another module. */
@@ -84,13 +84,13 @@
       Event next = inner.poll();
       try {
         apply(next);
-        router.settle(now, recorder);
+        router.completeBatch(now, recorder);
       } catch (RuntimeException e) {
         LOG.log(Level.ERROR, "the module failed on " + next, e);
         failed(next);
       }
     }
-    return SharedCalls.join(effects, settings.layout().bundle());
+    return SharedCalls.join(effects, settings.layout().maxPartsPerCall());
   }
 
   private void apply(Event event) {
@@ -100,10 +100,10 @@
       Open left = forget(e.request());
       if (left != null) {
         accounts.over(left.charge, false, now, effects);
-        router.gone(e.request(), now, recorder);
+        router.onClientDisconnected(e.request(), now, recorder);
       }
     } else if (event instanceof Event.ServersListed e) {
-      router.members(e.kind(), roster.told(e), now, recorder);
+      router.onServersChanged(e.kind(), roster.told(e), now, recorder);
       withdraw();
     } else if (event instanceof Event.Agreed e) {
       accounts.apply(e.book(), now);
@@ -116,9 +116,14 @@
     } else if (event instanceof Event.Faulted e) {
       faulted(e);
     } else if (event instanceof Event.Unsent e) {
-      router.ended(
-          new Router.Ended(
-              e.attempt().part(), e.attempt().number(), e.server(), Router.Outcome.MOOT, 0, null),
+      router.onAttemptEnded(
+          new Router.AttemptEnded(
+              e.attempt().part(),
+              e.attempt().number(),
+              e.server(),
+              Router.Outcome.NOT_SENT,
+              0,
+              null),
           now,
           recorder);
     } else if (event instanceof Event.Abandoned e) {
@@ -131,12 +136,12 @@
     } else if (event instanceof Event.TimeExpired e) {
       drop(e.request());
     } else if (event instanceof Event.UpgradePeerChanged e) {
-      router.beside(e.other());
+      router.onHotRestart(e.other());
     } else if (event instanceof Event.Alarm e) {
-      router.alarm(e.token(), now, recorder);
+      router.onAlarm(e.token(), now, recorder);
     } else {
       if (event instanceof Event.LeasesApply e) {
-        router.portion(e.leases()::at);
+        router.useQuota(e.leases()::at);
       }
       peers.apply(event, now, effects);
     }
@@ -146,10 +151,10 @@
   private void stands(OperatorOrders fresh) {
     ServerDirectory.Change change = roster.stands(fresh);
     if (!change.out().isEmpty()) {
-      router.members(Router.ListKind.CHANGES, change.out(), now, recorder);
+      router.onServersChanged(Router.ListKind.CHANGES, change.out(), now, recorder);
       withdraw();
     }
-    change.back().forEach(m -> router.readmitted(m, now, recorder));
+    change.back().forEach(m -> router.onServerReadmitted(m, now, recorder));
     if (change.quiesces()) {
       effects.add(new Effect.Quiesce(change.quiesced()));
     }
@@ -193,17 +198,17 @@
   }
 
   private void hold(Request r, Charge charge) {
-    Router.Terms terms = charge == null ? r.terms() : r.terms().under(charge.terms());
+    Router.Terms terms = charge == null ? r.terms() : r.terms().underContract(charge.terms());
     double timeLeft =
         charge == null ? r.timeLeft() : Math.min(r.timeLeft(), charge.terms().deadline());
-    OptionalDouble full = router.turnedAway(held.count());
+    OptionalDouble full = router.rejectionDelay(held.count());
     Open open = held.hold(r, charge, timeLeft, now);
     if (full.isPresent()) {
       end(r.id(), new Effect.Answer.Refused(full.getAsDouble(), Effect.Answer.Ending.UNTRIED));
       return;
     }
     double work = r.slices().stream().mapToDouble(Request.Slice::work).sum();
-    router.query(
+    router.onQuery(
         new Router.Query(
             r.id(),
             r.id(),
@@ -219,7 +224,7 @@
         recorder);
     for (int i = 0; i < r.slices().size(); i++) {
       Request.Slice s = r.slices().get(i);
-      router.part(
+      router.onPart(
           new Router.Part(held.holdPart(open, i), r.id(), s.shard(), s.weight(), s.work()),
           now,
           recorder);
@@ -243,8 +248,9 @@
     }
     held.tidy(id.part());
     accounts.attemptEnded(p.open.charge, outcome, now - out.sentAt, now, effects);
-    router.ended(
-        new Router.Ended(id.part(), id.number(), out.server, outcome, now - out.sentAt, null),
+    router.onAttemptEnded(
+        new Router.AttemptEnded(
+            id.part(), id.number(), out.server, outcome, now - out.sentAt, null),
         now,
         recorder);
   }
@@ -261,7 +267,7 @@
     long id = held.part(e.attempt().part()).open.request.id();
     end(id, new Effect.Answer.Faulty(e.reason()));
     ended(e.attempt(), Router.Outcome.ERROR, e.reason());
-    router.gone(id, now, recorder);
+    router.onClientDisconnected(id, now, recorder);
   }
 
   /**
@@ -289,8 +295,8 @@
   /** Guards against a repeat that waits for a connection until its window is over. */
   private double sendBy(Part p) {
     Settings.QueryClass kind = settings.classes().get(p.open.request.requestClass());
-    return kind.effect() == Settings.Effect.KEYED
-        ? p.mayRunFrom + kind.dedupWindow()
+    return kind.idempotency() == Settings.Idempotency.KEYED
+        ? p.mayRunFrom + kind.idempotencyWindow()
         : Double.POSITIVE_INFINITY;
   }
 
@@ -343,7 +349,7 @@
     end(id, new Effect.Answer.Failed(held.ending(open, now)));
     held.outOf(open).forEach(out -> giveUp(out, Router.Outcome.CANCELLED));
     try {
-      router.gone(id, now, recorder);
+      router.onClientDisconnected(id, now, recorder);
     } catch (RuntimeException e) {
       LOG.log(Level.ERROR, "the module failed on the end of request " + id, e);
     }
@@ -360,7 +366,7 @@
 
   private Open forget(long id) {
     Open open = held.forget(id);
-    if (open != null && !settings.limits().cancel()) {
+    if (open != null && !settings.limits().cancellationAllowed()) {
       // Where what is out may be called off, the module does so.
       held.outOf(open).forEach(out -> effects.add(new Effect.TakeBack(out.id, open.request)));
     }
@@ -399,21 +405,21 @@
     }
 
     @Override
-    public void answer(long query, boolean whole) {
+    public void answer(long query, boolean complete) {
       Open open = held.request(query);
       if (open != null) {
         end(
             query,
             new Effect.Answer.Answered(
-                whole, new TreeMap<>(open.values), held.ending(open, now).missing()));
+                complete, new TreeMap<>(open.values), held.ending(open, now).missing()));
       }
     }
 
     @Override
-    public void refuse(long query, double pause) {
+    public void reject(long query, double retryAfter) {
       Open open = held.request(query);
       if (open != null) {
-        end(query, new Effect.Answer.Refused(pause, held.ending(open, now)));
+        end(query, new Effect.Answer.Refused(retryAfter, held.ending(open, now)));
       }
     }
 
@@ -426,17 +432,17 @@
     }
 
     @Override
-    public void alarmAt(double time, String token) {
+    public void scheduleAlarm(double time, String token) {
       effects.add(new Effect.WakeAt(time, new Event.Alarm(token)));
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
       // Discovery is always watched here; the module need not ask.
     }
 
     @Override
-    public void close(String server) {
+    public void closeIdleConnections(String server) {
       effects.add(new Effect.CloseIdle(server));
     }
 
--- a/src/main/java/bitternpulley/broker/ServerDirectory.java
+++ b/src/main/java/bitternpulley/broker/ServerDirectory.java
@@ -9,15 +9,15 @@
  * What discovery last said of each server that is there, with the operators' orders laid over it.
  */
 final class ServerDirectory {
-  private final Map<String, Router.Member> listed = new HashMap<>();
+  private final Map<String, Router.Endpoint> listed = new HashMap<>();
   private OperatorOrders standing = OperatorOrders.NOTHING;
 
   /** Takes in a list or a change and returns its members as the module is to hear of them. */
-  List<Router.Member> told(Event.ServersListed e) {
+  List<Router.Endpoint> told(Event.ServersListed e) {
     if (e.kind() != Router.ListKind.CHANGES) {
       listed.clear();
     }
-    for (Router.Member m : e.members()) {
+    for (Router.Endpoint m : e.members()) {
       if (m.state() == Router.ServerState.GONE) {
         listed.remove(m.server());
       } else {
@@ -31,16 +31,16 @@
    * A cordoned server drains, whatever discovery says of it meanwhile, so that the module's own
    * rule on that holds.
    */
-  private Router.Member asOrdered(Router.Member m) {
+  private Router.Endpoint asOrdered(Router.Endpoint m) {
     return m.state() == Router.ServerState.LIVE && standing.cordoned().contains(m.server())
-        ? new Router.Member(
+        ? new Router.Endpoint(
             m.server(), m.zone(), m.cell(), Router.ServerState.DRAINING, m.startedAt())
         : m;
   }
 
   /** Whether new work may go there: it is listed, does not drain and is not cordoned. */
   boolean takesWork(String server) {
-    Router.Member m = listed.get(server);
+    Router.Endpoint m = listed.get(server);
     return m != null && asOrdered(m).state() == Router.ServerState.LIVE;
   }
 
@@ -54,13 +54,13 @@
    * clients are sent away.
    */
   record Change(
-      List<Router.Member> out, List<Router.Member> back, boolean quiesces, boolean quiesced) {}
+      List<Router.Endpoint> out, List<Router.Endpoint> back, boolean quiesces, boolean quiesced) {}
 
   /** Puts other orders in force. */
   Change stands(OperatorOrders fresh) {
     OperatorOrders before = standing;
     standing = fresh;
-    List<Router.Member> out =
+    List<Router.Endpoint> out =
         listed.values().stream()
             .filter(
                 m ->
@@ -68,7 +68,7 @@
                         && !before.cordoned().contains(m.server()))
             .map(this::asOrdered)
             .toList();
-    List<Router.Member> back =
+    List<Router.Endpoint> back =
         before.cordoned().stream()
             .filter(s -> !fresh.cordoned().contains(s))
             .map(listed::get)
--- a/src/main/java/bitternpulley/config/ConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/ConfigurationReader.java
@@ -63,7 +63,7 @@
         seed(in),
         (int) sockets,
         list,
-        SettingsReader.read(settings).withTickOfAtLeast(LEAST_TICK),
+        SettingsReader.read(settings).withMinimumTick(LEAST_TICK),
         new Configuration.Wire(
             (int) streams,
             keepalive,
--- a/src/main/java/bitternpulley/config/ContractsReader.java
+++ b/src/main/java/bitternpulley/config/ContractsReader.java
@@ -81,7 +81,7 @@
       throw script.fault(at + "/ceiling", "is below the share of " + share);
     }
     Map<Integer, Router.ClassTerms> classes = classes(in.get("classes"), at + "/classes");
-    int places = settings.map(s -> s.limits().maxOpen()).orElse(Integer.MAX_VALUE);
+    int places = settings.map(s -> s.limits().maxPending()).orElse(Integer.MAX_VALUE);
     int holds = in.path("holds").asInt(places);
     if (holds > places) {
       throw script.fault(at + "/holds", "is more than the site's " + places);
@@ -177,9 +177,9 @@
 
   /** A contract may want more of its class than the site does, never less. */
   private Router.ClassTerms terms(JsonNode in, Settings.QueryClass site, String at) {
-    double wanted = in.path("wanted_ms").asDouble(site.aim());
-    if (wanted > site.aim()) {
-      throw script.fault(at + "/wanted_ms", "is past the site's " + site.aim());
+    double wanted = in.path("wanted_ms").asDouble(site.latencyObjective());
+    if (wanted > site.latencyObjective()) {
+      throw script.fault(at + "/wanted_ms", "is past the site's " + site.latencyObjective());
     }
     double giveUp = in.path("give_up_ms").asDouble(site.deadline());
     if (giveUp > site.deadline()) {
@@ -188,10 +188,11 @@
     if (giveUp < wanted) {
       throw script.fault(at + "/give_up_ms", "is before the wanted time of " + wanted);
     }
-    double least = in.path("least_share").asDouble(site.leastShare());
-    if (least < site.leastShare()) {
-      throw script.fault(at + "/least_share", "is laxer than the site's " + site.leastShare());
+    double least = in.path("least_share").asDouble(site.minimumShare());
+    if (least < site.minimumShare()) {
+      throw script.fault(at + "/least_share", "is laxer than the site's " + site.minimumShare());
     }
-    return new Router.ClassTerms(wanted, giveUp, least, in.path("worth").asDouble(site.worth()));
+    return new Router.ClassTerms(
+        wanted, giveUp, least, in.path("worth").asDouble(site.priorityWeight()));
   }
 }
--- a/src/main/java/bitternpulley/config/LeaseConfiguration.java
+++ b/src/main/java/bitternpulley/config/LeaseConfiguration.java
@@ -54,7 +54,10 @@
     // a connection before.
     LeaseTerms terms =
         new LeaseTerms(
-            members, who, lasts, settings.rules().tipWindow() + settings.limits().connectTimeout());
+            members,
+            who,
+            lasts,
+            settings.rules().overloadWindow() + settings.limits().connectTimeout());
     if (terms.holds() < LEAST_USE * terms.lasts()) {
       throw new ConfigException(
           "'leases.lasts_s' is too short: of "
--- a/src/main/java/bitternpulley/config/ServerList.java
+++ b/src/main/java/bitternpulley/config/ServerList.java
@@ -17,7 +17,7 @@
 public record ServerList(long revision, boolean complete, List<Entry> entries) {
 
   /** A server and where this aggregator reaches it. */
-  public record Entry(Router.Member member, HostPort address) {}
+  public record Entry(Router.Endpoint member, HostPort address) {}
 
   /**
    * Reads a list; {@code zones} are the names that the settings number. An entry that cannot be
@@ -58,7 +58,8 @@
     }
     int zone = Math.max(0, zones.indexOf(m.path("locality").asText("")));
     return new Entry(
-        new Router.Member(id, zone, (int) number(m, "cell", 0), state, figure(m, "up_since_ms", 0)),
+        new Router.Endpoint(
+            id, zone, (int) number(m, "cell", 0), state, figure(m, "up_since_ms", 0)),
         address);
   }
 
--- a/src/main/java/bitternpulley/config/SettingsReader.java
+++ b/src/main/java/bitternpulley/config/SettingsReader.java
@@ -81,11 +81,11 @@
     return read;
   }
 
-  private static Settings.Effect effect(String word) {
+  private static Settings.Idempotency effect(String word) {
     return switch (word) {
-      case "pure" -> Settings.Effect.SAFE;
-      case "token" -> Settings.Effect.KEYED;
-      default -> Settings.Effect.UNSAFE;
+      case "pure" -> Settings.Idempotency.IDEMPOTENT;
+      case "token" -> Settings.Idempotency.KEYED;
+      default -> Settings.Idempotency.NON_IDEMPOTENT;
     };
   }
 
@@ -126,8 +126,8 @@
         figure(r, "mustAskIn", 0));
   }
 
-  private static Settings.Prices prices(JsonNode c) {
-    return new Settings.Prices(
+  private static Settings.Costs prices(JsonNode c) {
+    return new Settings.Costs(
         figure(c, "crossZone", 0),
         figure(c, "waste", 0),
         figure(c, "lateFail", 0),
--- a/src/main/java/bitternpulley/contracts/AdmissionControl.java
+++ b/src/main/java/bitternpulley/contracts/AdmissionControl.java
@@ -167,7 +167,10 @@
    */
   private static Router.ClassTerms ahead(Router.ClassTerms terms) {
     return new Router.ClassTerms(
-        terms.aim(), terms.deadline(), terms.leastShare(), PROMISED_WORTH * terms.worth());
+        terms.latencyObjective(),
+        terms.deadline(),
+        terms.minimumShare(),
+        PROMISED_WORTH * terms.priorityWeight());
   }
 
   /**
@@ -327,7 +330,7 @@
     } else if (!outcome.neverRan()) {
       charge.used += work.estimate(charge.queryClass);
       capacity.ended(outcome == Router.Outcome.CANCELLED || outcome == Router.Outcome.ERROR);
-    } else if (outcome == Router.Outcome.FULL) {
+    } else if (outcome == Router.Outcome.REJECTED) {
       capacity.ended(false);
     }
     settle(charge, now);
--- a/src/main/java/bitternpulley/health/ColdBudget.java
+++ b/src/main/java/bitternpulley/health/ColdBudget.java
@@ -19,24 +19,24 @@
   private static final int LOOKS = 4;
 
   private final Settings settings;
-  private final Router.Portion portion;
+  private final Router.QuotaShare portion;
   private final CoreEstimate cores;
   private final WindowCount sent;
   private double since = Double.NEGATIVE_INFINITY;
 
   /** One whose instance has an even part, and that knows of one core. */
   public ColdBudget(Settings settings) {
-    this(settings, Router.Portion.EVEN, new CoreEstimate());
+    this(settings, Router.QuotaShare.EVEN, new CoreEstimate());
   }
 
   /**
    * One whose instance has such a part of what all may send together to servers of so many cores.
    */
-  public ColdBudget(Settings settings, Router.Portion portion, CoreEstimate cores) {
+  public ColdBudget(Settings settings, Router.QuotaShare portion, CoreEstimate cores) {
     this.settings = settings;
     this.portion = portion;
     this.cores = cores;
-    sent = new WindowCount(settings.rules().tipWindow());
+    sent = new WindowCount(settings.rules().overloadWindow());
   }
 
   /** It counts as started then, unless it is known to have started later. */
@@ -48,9 +48,10 @@
   public double warmth(double now) {
     Settings.Rules rules = settings.rules();
     double age = Math.max(0, now - since);
-    return age >= rules.coldTime()
+    return age >= rules.warmupTime()
         ? 1
-        : rules.coldFrom() + (1 - rules.coldFrom()) * age / rules.coldTime();
+        : rules.warmupStartFraction()
+            + (1 - rules.warmupStartFraction()) * age / rules.warmupTime();
   }
 
   /** A part of so much work has gone to it. */
@@ -70,14 +71,14 @@
       double work, boolean canWait, double share, double at, double spent, double part) {
     Settings.Rules rules = settings.rules();
     double warm = warmth(at);
-    if (warm >= 1 || rules.tipMultiple() <= 0) {
+    if (warm >= 1 || rules.overloadMultiple() <= 0) {
       return true;
     }
     if (part <= 0) {
       return false;
     }
-    double rate = share * rules.tipMultiple() * cores.sure();
-    double mine = part * rate * warm * rules.tipWindow() / settings.instances();
+    double rate = share * rules.overloadMultiple() * cores.sure();
+    double mine = part * rate * warm * rules.overloadWindow() / settings.instances();
     // Turns go by the numbers configured: those of instances that are away pass unused. Who has an
     // even part or more, as all
     // have that may act, uses no more than that by its turns.
@@ -93,7 +94,7 @@
   private boolean hasTurn(double age, double partsPerMs) {
     long latest = (long) Math.floor(borne(age, partsPerMs));
     long mine = latest - Math.floorMod(latest - settings.self(), (long) settings.instances());
-    double before = age - settings.rules().tipWindow();
+    double before = age - settings.rules().overloadWindow();
     return mine >= 0 && (before < 0 || mine > borne(before, partsPerMs));
   }
 
@@ -104,7 +105,8 @@
   private double borne(double age, double partsPerMs) {
     Settings.Rules rules = settings.rules();
     return partsPerMs
-        * (rules.coldFrom() * age + (1 - rules.coldFrom()) * age * age / (2 * rules.coldTime()));
+        * (rules.warmupStartFraction() * age
+            + (1 - rules.warmupStartFraction()) * age * age / (2 * rules.warmupTime()));
   }
 
   /**
@@ -112,7 +114,7 @@
    * {@code until}.
    */
   public double opensAt(double work, boolean canWait, double share, double now, double until) {
-    double step = settings.rules().tipWindow() / LOOKS;
+    double step = settings.rules().overloadWindow() / LOOKS;
     double part = portion.at(now);
     for (double at = now; at <= until; at += step) {
       if (allows(work, canWait, share, at, sent.sumAt(at), part)) {
--- a/src/main/java/bitternpulley/health/TenantShares.java
+++ b/src/main/java/bitternpulley/health/TenantShares.java
@@ -32,6 +32,6 @@
   /** Whether a tenant asks for more than its share. */
   public boolean isOver(int tenant, double now) {
     return tenant < byTenant.size()
-        && byTenant.get(tenant).sum(now) > SLACK * tenants.get(tenant).share() * asked.sum(now);
+        && byTenant.get(tenant).sum(now) > SLACK * tenants.get(tenant).quota() * asked.sum(now);
   }
 }
--- a/src/main/java/bitternpulley/opensearch/SearchFront.java
+++ b/src/main/java/bitternpulley/opensearch/SearchFront.java
@@ -273,10 +273,10 @@
             body,
             config);
     Settings.QueryClass kind = settings.classes().get(search[0].requestClass());
-    if (kind.effect() == Settings.Effect.KEYED && asker.token() == null) {
+    if (kind.idempotency() == Settings.Idempotency.KEYED && asker.token() == null) {
       throw SearchException.illegal("class [" + kind.name() + "] needs an Idempotency-Key header");
     }
-    int most = settings.limits().maxOpen() - 1;
+    int most = settings.limits().maxPending() - 1;
     if (search[0].parts().size() > most) {
       // Guards against a refusal that invites another try of what will never fit.
       throw SearchException.illegal(
--- a/src/main/java/bitternpulley/opensearch/SearchServers.java
+++ b/src/main/java/bitternpulley/opensearch/SearchServers.java
@@ -86,7 +86,7 @@
                           switch (how) {
                             case MAYBE_SENT -> Outcome.RESET;
                             case NEVER_SENT -> Outcome.UNREACHABLE;
-                            case NOT_IN_TIME -> Outcome.MOOT;
+                            case NOT_IN_TIME -> Outcome.NOT_SENT;
                           };
                       broker.submit(
                           new Event.Ended(
@@ -118,7 +118,7 @@
     if (left != null && !left.call().begun()) {
       out.remove(attempt.id());
       left.call().drop();
-      loop.execute(() -> broker.submit(new Event.Ended(attempt.id(), Outcome.MOOT, null)));
+      loop.execute(() -> broker.submit(new Event.Ended(attempt.id(), Outcome.NOT_SENT, null)));
     }
   }
 
@@ -131,7 +131,7 @@
             .toList();
     for (AttemptId a : unsent) {
       out.remove(a).call().drop();
-      broker.submit(new Event.Ended(a, Outcome.MOOT, null));
+      broker.submit(new Event.Ended(a, Outcome.NOT_SENT, null));
     }
   }
 
@@ -219,7 +219,7 @@
           new Event.Ended(
               id,
               failure.type().endsWith("rejected_execution_exception")
-                  ? Outcome.FULL
+                  ? Outcome.REJECTED
                   : Outcome.ERROR,
               failure);
       default -> new Event.Ended(id, Outcome.ERROR, failure);
--- a/src/main/java/bitternpulley/platform/Frames.java
+++ b/src/main/java/bitternpulley/platform/Frames.java
@@ -81,7 +81,7 @@
         switch (words[1]) {
           case "S" -> Outcome.OK;
           case "E" -> Outcome.ERROR;
-          case "B" -> Outcome.FULL;
+          case "B" -> Outcome.REJECTED;
           default -> throw new IllegalArgumentException("an answer that ends '" + words[1] + "'");
         };
     return new Answer(words[0], outcome, outcome == Outcome.OK ? value(rest, line + 1) : null);
--- a/src/main/java/bitternpulley/platform/PlatformQuery.java
+++ b/src/main/java/bitternpulley/platform/PlatformQuery.java
@@ -48,7 +48,8 @@
       throw new HttpException(405, "a query is a POST");
     }
     Settings.QueryClass kind = settings.classes().get(requestClass);
-    String token = kind.effect() == Settings.Effect.KEYED ? word(in, "Idempotency-Key") : null;
+    String token =
+        kind.idempotency() == Settings.Idempotency.KEYED ? word(in, "Idempotency-Key") : null;
     JsonNode body = body(in.body());
     JsonNode filter = body.path("filter");
     require(filter.isTextual(), "'filter' is not text");
--- a/src/main/java/bitternpulley/platform/QueryFront.java
+++ b/src/main/java/bitternpulley/platform/QueryFront.java
@@ -81,7 +81,7 @@
                   query.requestClass(),
                   query.timeLeft(),
                   query.retry(),
-                  Router.Terms.OF_CLASS,
+                  Router.Terms.CLASS_DEFAULT,
                   query.slices(),
                   query,
                   recognition.get().byClass(query.requestClass()),
--- a/src/main/java/bitternpulley/platform/Rehearsal.java
+++ b/src/main/java/bitternpulley/platform/Rehearsal.java
@@ -113,7 +113,7 @@
         new Event.ServersListed(
             Router.ListKind.REMEMBERED,
             IntStream.range(0, settings.layout().cells())
-                .mapToObj(c -> new Router.Member("r" + c, c % 2, c, Router.ServerState.LIVE, 0))
+                .mapToObj(c -> new Router.Endpoint("r" + c, c % 2, c, Router.ServerState.LIVE, 0))
                 .toList()));
   }
 
@@ -214,7 +214,7 @@
    * body that is taken.
    */
   int widest() {
-    long held = settings.limits().maxOpen() / LONGEST_HELD - 1;
+    long held = settings.limits().maxPending() / LONGEST_HELD - 1;
     long fits = (mostBody - REST_BYTES) / PART_BYTES;
     return (int) Math.max(1, Math.min(settings.layout().shards(), Math.min(held, fits)));
   }
--- a/src/main/java/bitternpulley/platform/SlotConnection.java
+++ b/src/main/java/bitternpulley/platform/SlotConnection.java
@@ -260,7 +260,7 @@
     List<AttemptId> waiting = List.copyOf(parts.keySet());
     waiting.forEach(this::remove);
     close();
-    waiting.forEach(a -> owner.tell(new Event.Ended(a, Outcome.MOOT, null)));
+    waiting.forEach(a -> owner.tell(new Event.Ended(a, Outcome.NOT_SENT, null)));
   }
 
   /**
@@ -271,7 +271,7 @@
     if (these.isEmpty()) {
       return;
     }
-    loop.execute(() -> these.forEach(a -> owner.tell(new Event.Ended(a, Outcome.MOOT, null))));
+    loop.execute(() -> these.forEach(a -> owner.tell(new Event.Ended(a, Outcome.NOT_SENT, null))));
   }
 
   private void remove(AttemptId attempt) {
--- a/src/main/java/bitternpulley/policy/Policy.java
+++ b/src/main/java/bitternpulley/policy/Policy.java
@@ -228,25 +228,26 @@
                       new ArrivalRecord(RECORD_STEPS, RECORD_AGE)
                     }));
     firstLatency =
-        FIRST_LATENCY * settings.classes().stream().mapToDouble(c -> c.aim()).min().orElse(1);
+        FIRST_LATENCY
+            * settings.classes().stream().mapToDouble(c -> c.latencyObjective()).min().orElse(1);
     usual = firstLatency;
     settings.classes().forEach(c -> firstTries.add(new FirstTries()));
     tenants = new TenantShares(settings.tenants());
-    taken = new WindowCount(rules.extraWindow() - settings.tick());
-    extras = new WindowCount(rules.extraWindow() + settings.tick());
-    if (settings.listOnRequest()) {
-      out.watch();
+    taken = new WindowCount(rules.retryBudgetWindow() - settings.tick());
+    extras = new WindowCount(rules.retryBudgetWindow() + settings.tick());
+    if (settings.endpointsOnRequest()) {
+      out.watchEndpoints();
     }
   }
 
   // --- The list of servers -----------------------------------------------------------------------
 
   @Override
-  public void members(ListKind kind, List<Member> entries, double now, Actions out) {
+  public void onServersChanged(ListKind kind, List<Endpoint> entries, double now, Actions out) {
     at(now, out);
     if (kind == ListKind.FAILED) {
-      if (settings.listOnRequest()) {
-        out.alarmAt(now + watchGap * (1 + random.nextDouble()), "watch");
+      if (settings.endpointsOnRequest()) {
+        out.scheduleAlarm(now + watchGap * (1 + random.nextDouble()), "watch");
         watchGap = Math.min(2 * watchGap, WATCH_GAP_MOST);
       }
       return;
@@ -257,7 +258,7 @@
       limit.startFor(fleet.servers().size());
     }
     if (kind != ListKind.CHANGES) {
-      Set<String> named = entries.stream().map(Member::server).collect(Collectors.toSet());
+      Set<String> named = entries.stream().map(Endpoint::server).collect(Collectors.toSet());
       fleet.servers().stream()
           .filter(s -> !named.contains(s.id))
           .forEach(s -> s.state = ServerState.GONE);
@@ -267,13 +268,13 @@
 
   /** It counts as started just now, and is owed a part as soon as the cold budget allows. */
   @Override
-  public void readmitted(Member m, double now, Actions out) {
+  public void onServerReadmitted(Endpoint m, double now, Actions out) {
     at(now, out);
-    note(new Member(m.server(), m.zone(), m.cell(), m.state(), now));
+    note(new Endpoint(m.server(), m.zone(), m.cell(), m.state(), now));
     fleet.get(m).owed = true;
   }
 
-  private void note(Member m) {
+  private void note(Endpoint m) {
     Server s = fleet.get(m);
     if (s.trialGap == 0) {
       s.trialGap = TRIAL_GAP;
@@ -292,38 +293,43 @@
   // --- A query and its parts arrive --------------------------------------------------------------
 
   @Override
-  public void beside(Beside other) {
+  public void onHotRestart(HotRestartRole role) {
     share =
-        other == Beside.NONE ? 1 : other == Beside.SUCCESSOR ? LEAVING_SHARE : 1 - LEAVING_SHARE;
+        role == HotRestartRole.NONE
+            ? 1
+            : role == HotRestartRole.SUCCESSOR ? LEAVING_SHARE : 1 - LEAVING_SHARE;
   }
 
   @Override
-  public void portion(Portion portion) {
+  public void useQuota(QuotaShare portion) {
     fleet.portion = portion;
   }
 
   @Override
-  public OptionalDouble turnedAway(int held) {
-    return held < share * settings.limits().maxOpen()
+  public OptionalDouble rejectionDelay(int pending) {
+    return pending < share * settings.limits().maxPending()
         ? OptionalDouble.empty()
         : OptionalDouble.of(advice());
   }
 
   @Override
-  public void query(Query query, double now, Actions out) {
+  public void onQuery(Query query, double now, Actions out) {
     at(now, out);
     taken.add(now, 1);
     tenants.asked(query.tenant(), query.parts(), now);
     int c = query.queryClass();
-    Settings.QueryClass kind = query.terms().of(settings.classes().get(c));
-    double aim = Math.min(kind.aim() + kind.aimStretch() * query.work(), kind.deadline());
-    if (!query.terms().ownTime() && firstTries.get(c).isLater(query.timeLeft())) {
+    Settings.QueryClass kind = query.terms().applyTo(settings.classes().get(c));
+    double aim =
+        Math.min(
+            kind.latencyObjective() + kind.objectiveStretch() * query.estimatedWork(),
+            kind.deadline());
+    if (!query.terms().clientSetTimeout() && firstTries.get(c).isLater(query.timeLeft())) {
       // The client's clock has run since its first try, and this one has what is left of the
       // deadline.
       aim -= kind.deadline() - query.timeLeft();
     }
-    double end = now + query.late().left(query.timeLeft(), lead);
-    aim -= query.late().unread() + lead;
+    double end = now + query.lateness().timeLeft(query.timeLeft(), lead);
+    aim -= query.lateness().unreadFor() + lead;
     QueryState q = new QueryState(query, kind, now, Math.min(now + aim, end), end);
     queries.put(query.id(), q);
     byNumber.put(query.number(), q);
@@ -331,7 +337,7 @@
   }
 
   @Override
-  public void part(Part part, double now, Actions out) {
+  public void onPart(Part part, double now, Actions out) {
     at(now, out);
     taken.add(now, 1);
     QueryState q = byNumber.get(part.number());
@@ -359,7 +365,7 @@
         reachable += p.part.weight();
       }
     }
-    if (room > 0 && reachable >= q.kind.leastShare() - ROUNDING) {
+    if (room > 0 && reachable >= q.kind.minimumShare() - ROUNDING) {
       return false;
     }
     giveUp(q);
@@ -395,7 +401,7 @@
     }
     int open = queries.values().stream().mapToInt(q -> 1 + q.missing.size()).sum();
     for (int i = order.size() - 1;
-        i >= 0 && open > OPEN_SHARE * share * settings.limits().maxOpen();
+        i >= 0 && open > OPEN_SHARE * share * settings.limits().maxPending();
         i--) {
       if (held.contains(order.get(i))) {
         open -= order.get(i).missing.size() + 1;
@@ -406,12 +412,13 @@
 
   private double worthPerWork(QueryState q) {
     double worth =
-        q.kind.worth() * (tenants.isOver(q.query.tenant(), now) ? settings.overShareWorth() : 1);
-    return settings.worthByWork() ? worth : worth / q.parts.size();
+        q.kind.priorityWeight()
+            * (tenants.isOver(q.query.tenant(), now) ? settings.overQuotaWeight() : 1);
+    return settings.weightByWork() ? worth : worth / q.parts.size();
   }
 
   private boolean isTimely(Attempt a, double took) {
-    return took <= limit.timely(a.part.query.kind.aim(), work(a.part));
+    return took <= limit.timely(a.part.query.kind.latencyObjective(), work(a.part));
   }
 
   private void steerLimit(Attempt a, double took) {
@@ -425,7 +432,7 @@
   }
 
   @Override
-  public void settle(double now, Actions out) {
+  public void completeBatch(double now, Actions out) {
     at(now, out);
     while (freed || !dirty.isEmpty()) {
       freed = false;
@@ -468,14 +475,14 @@
   private void startStep(QueryState q) {
     q.stepStart = now;
     q.arrivals.start(now);
-    q.stepAim = q.aimAt - (q.step == 1 && q.kind.secondStep() > 0 ? SECOND_STEP * usual : 0);
+    q.stepAim = q.aimAt - (q.step == 1 && q.kind.secondStepParts() > 0 ? SECOND_STEP * usual : 0);
     q.stepAim = Math.max(q.stepAim, q.stepStart);
     double aimLeft = q.stepAim - q.stepStart;
     ArrivalRecord record = record(q);
     double wait = aimLeft;
     if (!record.thin(now, RECORD_LEAST)) {
       wait = record.best(t -> worthAt(q, t), w -> valueOf(q, w));
-      wait = q.kind.lateWorth() > 0 ? wait : Math.min(wait, aimLeft);
+      wait = q.kind.latePriorityWeight() > 0 ? wait : Math.min(wait, aimLeft);
     }
     q.waitUntil = q.stepStart + wait;
     q.extendTo = -1;
@@ -485,16 +492,18 @@
   private double worthAt(QueryState q, double wait) {
     return q.stepStart + wait <= q.stepAim
         ? 1
-        : q.stepStart + wait <= q.endBy ? q.kind.lateWorth() : 0;
+        : q.stepStart + wait <= q.endBy ? q.kind.latePriorityWeight() : 0;
   }
 
   /** What an answer from so much weight earns, as a share of a whole one's worth. */
   private double valueOf(QueryState q, double weight) {
-    double need = q.step == 1 ? q.kind.wholeShare() : 1;
+    double need = q.step == 1 ? q.kind.completeShare() : 1;
     if (weight >= need - ROUNDING) {
       return 1;
     }
-    return weight >= q.kind.leastShare() - ROUNDING ? q.kind.partialWorth() * weight / need : 0;
+    return weight >= q.kind.minimumShare() - ROUNDING
+        ? q.kind.partialPriorityWeight() * weight / need
+        : 0;
   }
 
   // --- When to answer ----------------------------------------------------------------------------
@@ -508,17 +517,17 @@
       return false;
     }
     double in = q.in;
-    double need = q.step == 1 ? q.kind.wholeShare() : 1;
+    double need = q.step == 1 ? q.kind.completeShare() : 1;
     if (q.missing.isEmpty() || (q.step == 1 && in >= need - ROUNDING)) {
       answer(q, q.whole);
       return true;
     }
-    boolean may = in >= q.kind.leastShare() - ROUNDING && q.kind.mayAnswerInPart();
+    boolean may = in >= q.kind.minimumShare() - ROUNDING && q.kind.allowsPartialAnswer();
     if (may && (now >= q.endBy || now >= waitEnd(q, in) || endsEarly(q))) {
       answer(q, false);
       return true;
     }
-    boolean worthless = q.kind.lateWorth() <= 0 && now >= q.aimAt;
+    boolean worthless = q.kind.latePriorityWeight() <= 0 && now >= q.aimAt;
     if (now >= q.endBy || worthless || q.culprit) {
       giveUp(q);
       return true;
@@ -531,8 +540,8 @@
    * once.
    */
   private boolean hopeless(QueryState q) {
-    double need = q.step == 1 ? q.kind.wholeShare() : 1;
-    double hope = 1 + ROUNDING - (q.kind.mayAnswerInPart() ? q.kind.leastShare() : need);
+    double need = q.step == 1 ? q.kind.completeShare() : 1;
+    double hope = 1 + ROUNDING - (q.kind.allowsPartialAnswer() ? q.kind.minimumShare() : need);
     for (PartState p : q.missing) {
       hope -= isLost(p) ? p.part.weight() : 0;
     }
@@ -546,7 +555,7 @@
   private double waitEnd(QueryState q, double in) {
     // Cost past the aim: no wait goes beyond it where a late whole answer pays less than what is in
     // hand.
-    boolean mayRunLate = valueOf(q, in) < q.kind.lateWorth();
+    boolean mayRunLate = valueOf(q, in) < q.kind.latePriorityWeight();
     if (now < q.waitUntil || heaviestIn(q, EXTEND_SHARE)) {
       return q.waitUntil;
     }
@@ -593,10 +602,10 @@
         .orElse(isLost(p) ? Double.POSITIVE_INFINITY : now + usual);
   }
 
-  private void answer(QueryState q, boolean whole) {
-    out.answer(q.query.id(), whole);
+  private void answer(QueryState q, boolean complete) {
+    out.answer(q.query.id(), complete);
     for (PartState p : q.parts) {
-      if (!p.in && !whole) {
+      if (!p.in && !complete) {
         // Guards against a wait that talks itself down: a part cut off by the answer is censored,
         // not
         // absent, and counts as due by the aim, which brings back the longest wait that costs
@@ -607,12 +616,12 @@
       }
     }
     record(q).add(q.arrivals);
-    if (q.step == 1 && q.kind.secondStep() > 0) {
+    if (q.step == 1 && q.kind.secondStepParts() > 0) {
       dropParts(q);
       q.clear();
       q.arrivals = new ArrivalRecord.Step();
       q.step = 2;
-      q.whole = whole;
+      q.whole = complete;
       q.awaitsParts = true;
       wakeAt(q, q.endBy);
     } else {
@@ -625,10 +634,10 @@
    */
   private void giveUp(QueryState q) {
     boolean harmless =
-        q.kind.effect() == Settings.Effect.SAFE
+        q.kind.idempotency() == Settings.Idempotency.IDEMPOTENT
             || q.parts.stream().noneMatch(PartState::mayHaveRun);
     if (harmless) {
-      out.refuse(q.query.id(), advice());
+      out.reject(q.query.id(), advice());
     } else {
       out.fail(q.query.id());
     }
@@ -640,7 +649,9 @@
 
   /** The client is told to come back when what is out now should have been served. */
   private double advice() {
-    return settings.limits().advice() ? Math.min(settings.limits().maxAdvice(), ADVICE * usual) : 0;
+    return settings.limits().retryAfterAllowed()
+        ? Math.min(settings.limits().maxRetryAfter(), ADVICE * usual)
+        : 0;
   }
 
   private void end(QueryState q) {
@@ -662,7 +673,7 @@
   }
 
   private void cancel(PartState p, Attempt a) {
-    if (a.open && !a.cancelled && settings.limits().cancel()) {
+    if (a.open && !a.cancelled && settings.limits().cancellationAllowed()) {
       a.cancelled = true;
       out.cancel(p.part.id(), a.number);
     }
@@ -711,9 +722,9 @@
       // Guards against connections that die silently while idle and swallow what is sent next,
       // unless new
       // ones are what fails: then the open ones are kept.
-      a.fresh = way(s.zone).trustsFresh() && settings.prices().handshake() <= 0;
+      a.fresh = way(s.zone).trustsFresh() && settings.costs().handshake() <= 0;
       if (a.fresh) {
-        out.close(s.id);
+        out.closeIdleConnections(s.id);
       }
     }
     s.owed = false;
@@ -722,7 +733,7 @@
     s.joined(now);
     partsOut++;
     s.cold.sent(now, work(p));
-    double end = p.query.kind.lateWorth() > 0 ? p.query.endBy : p.query.aimAt;
+    double end = p.query.kind.latePriorityWeight() > 0 ? p.query.endBy : p.query.aimAt;
     out.send(p.part.id(), s.id, Math.max(1, end - now + settings.tick()));
   }
 
@@ -749,12 +760,13 @@
       // slow.
       boolean trial = forSend && (s.owed || suspect(s) && now >= s.trialAt);
       int rank = p.tried(s) || suspect(s) && !trial ? 1 : 0;
-      double far = s.zone == settings.zone() ? 0 : ZONE_BAND * settings.prices().crossZone();
+      double far = s.zone == settings.zone() ? 0 : ZONE_BAND * settings.costs().crossZone();
       double arrives = way(s.zone).arrives();
       // By call where calls are shared: one that is forming takes a part in, and costs no more by
       // itself.
       Settings.Layout layout = settings.layout();
-      double call = s.forms(now, layout.bundle()) ? 0 : layout.callWork() / Math.max(1, work(p));
+      double call =
+          s.forms(now, layout.maxPartsPerCall()) ? 0 : layout.callWork() / Math.max(1, work(p));
       double cost =
           trial ? 0 : expected(s) * (s.out.size() + 1 + call) * (1 + far) / (arrives * arrives);
       if (best == null
@@ -797,7 +809,7 @@
   private boolean canWait(QueryState q) {
     boolean early = now < q.stepStart + LATE_FACTOR * usual;
     boolean spared =
-        q.kind.mayAnswerInPart() && (early || q.due() >= q.kind.leastShare() - ROUNDING);
+        q.kind.allowsPartialAnswer() && (early || q.due() >= q.kind.minimumShare() - ROUNDING);
     return now >= q.aimAt || spared;
   }
 
@@ -820,9 +832,10 @@
       return a.sent + LATE_FACTOR_SUSPECT * usual;
     }
     double landing = p.query.waitUntil - LANDING_ROOM * usual;
-    double counted = p.query.stepStart + rules.extraWindow() - HOLD;
+    double counted = p.query.stepStart + rules.retryBudgetWindow() - HOLD;
     return Math.max(
-        a.sent + LATE_FACTOR * usual, rules.budgeted() ? Math.min(landing, counted) : landing);
+        a.sent + LATE_FACTOR * usual,
+        rules.retriesBudgeted() ? Math.min(landing, counted) : landing);
   }
 
   /**
@@ -830,13 +843,13 @@
    * suspect.
    */
   private void further(PartState p) {
-    if (settings.limits().copies()) {
+    if (settings.limits().hedgingAllowed()) {
       Server s = pick(p, false);
       boolean straggler = suspect(p.lastOpen().server) || p.query.in >= STRAGGLERS_AFTER;
       if (straggler && s != null && (!suspect(s) || now >= s.trialAt) && mayTryAgain(p, true)) {
         send(p, s);
       }
-    } else if (p.query.kind.effect() != Settings.Effect.UNSAFE
+    } else if (p.query.kind.idempotency() != Settings.Idempotency.NON_IDEMPOTENT
         && budget(true)
         && (p.lastOpen().overtaken >= OVERTAKEN
             || suspect(p.lastOpen().server)
@@ -856,7 +869,9 @@
   /** The one gate for every attempt beyond a part's first. */
   private boolean mayTryAgain(PartState p, boolean copy) {
     QueryState q = p.query;
-    boolean copies = settings.limits().copies() && q.kind.effect() != Settings.Effect.UNSAFE;
+    boolean copies =
+        settings.limits().hedgingAllowed()
+            && q.kind.idempotency() != Settings.Idempotency.NON_IDEMPOTENT;
     // Guards against queries that crash what begins them: broken somewhere and answered nowhere,
     // only one of
     // its parts is tried again, and if that breaks too the query is the common cause and is given
@@ -871,8 +886,8 @@
   }
 
   private boolean budget(boolean copy) {
-    double allowed = rules.extraFloor() + rules.extraShare() * taken.sum(now);
-    return !rules.budgeted() || extras.sum(now) + 1 <= allowed * (copy ? COPY_BUDGET : 1);
+    double allowed = rules.retryBudgetFloor() + rules.retryBudgetShare() * taken.sum(now);
+    return !rules.retriesBudgeted() || extras.sum(now) + 1 <= allowed * (copy ? COPY_BUDGET : 1);
   }
 
   /** A part that has no attempt out and may have none any more, or can have none in time. */
@@ -884,13 +899,13 @@
     boolean spent = p.attempts.size() >= settings.limits().maxAttempts();
     return spent
         || p.mayHaveRun()
-            && switch (p.query.kind.effect()) {
-              case SAFE -> false;
-              case UNSAFE -> true;
+            && switch (p.query.kind.idempotency()) {
+              case IDEMPOTENT -> false;
+              case NON_IDEMPOTENT -> true;
               case KEYED ->
                   now
                       > p.attempts.stream().filter(a -> !a.neverRan).findFirst().orElseThrow().sent
-                          + p.query.kind.dedupWindow()
+                          + p.query.kind.idempotencyWindow()
                           - settings.tick();
             };
   }
@@ -898,7 +913,7 @@
   // --- Outcomes and health -----------------------------------------------------------------------
 
   @Override
-  public void ended(Ended e, double now, Actions out) {
+  public void onAttemptEnded(AttemptEnded e, double now, Actions out) {
     at(now, out);
     PartState p = parts.get(e.part());
     if (p == null || e.attempt() >= p.attempts.size() || !p.attempts.get(e.attempt()).open) {
@@ -931,7 +946,7 @@
     }
   }
 
-  private void learn(Attempt a, Ended e) {
+  private void learn(Attempt a, AttemptEnded e) {
     Server s = a.server;
     double took = Math.max(e.elapsed(), now - a.sent);
     // A dead process refuses at once; what takes so long is the way or the handshake.
@@ -971,7 +986,7 @@
         unanswered(a, took);
       }
       case ERROR -> failed(s);
-      case FULL -> {
+      case REJECTED -> {
         // Guards against queues that never drain: what a full one takes in is given up before its
         // turn.
         // It is sound all the same: a longer pause would leave it idle while the others fill up in
@@ -1080,13 +1095,13 @@
 
   /** The work of a part: as hinted, else by what answers take. */
   private double work(PartState p) {
-    return p.part.work() > 0 ? p.part.work() : estimate.work(usual);
+    return p.part.estimatedWork() > 0 ? p.part.estimatedWork() : estimate.work(usual);
   }
 
   // --- Alarms and ends ---------------------------------------------------------------------------
 
   private void wake(QueryState q) {
-    double next = q.kind.lateWorth() > 0 && now >= q.aimAt ? q.endBy : q.aimAt;
+    double next = q.kind.latePriorityWeight() > 0 && now >= q.aimAt ? q.endBy : q.aimAt;
     if (!q.awaitsParts) {
       next = earliest(next, q.waitUntil);
       next = earliest(earliest(next, q.extendTo), q.stepAim);
@@ -1113,15 +1128,15 @@
   private void wakeAt(QueryState q, double time) {
     if (time < q.alarm) {
       q.alarm = time;
-      out.alarmAt(time, "q" + q.query.id());
+      out.scheduleAlarm(time, "q" + q.query.id());
     }
   }
 
   @Override
-  public void alarm(String token, double now, Actions out) {
+  public void onAlarm(String token, double now, Actions out) {
     at(now, out);
     if (token.equals("watch")) {
-      out.watch();
+      out.watchEndpoints();
     } else if (token.startsWith("q")) {
       QueryState q = queries.get(Long.parseLong(token.substring(1)));
       if (q != null) {
@@ -1134,7 +1149,7 @@
   }
 
   @Override
-  public void gone(long query, double now, Actions out) {
+  public void onClientDisconnected(long query, double now, Actions out) {
     at(now, out);
     QueryState q = queries.get(query);
     if (q != null) {
--- a/src/main/java/bitternpulley/policy/State.java
+++ b/src/main/java/bitternpulley/policy/State.java
@@ -82,7 +82,7 @@
     private final Settings.Layout layout;
     private final Map<String, Server> byName = new LinkedHashMap<>();
     private final List<List<Server>> cells = new ArrayList<>();
-    Router.Portion portion = Router.Portion.EVEN;
+    Router.QuotaShare portion = Router.QuotaShare.EVEN;
     final CoreEstimate cores = new CoreEstimate();
 
     Fleet(Settings settings) {
@@ -98,7 +98,7 @@
     }
 
     /** The server of a list entry, new where it was not known. */
-    Server get(Router.Member m) {
+    Server get(Router.Endpoint m) {
       return byName.computeIfAbsent(
           m.server(),
           id -> {
@@ -125,7 +125,7 @@
     /** The servers that hold a shard, in the order of their cells. */
     List<Server> holders(int shard) {
       List<Server> found = new ArrayList<>();
-      for (int j = 0; j < layout.width(); j++) {
+      for (int j = 0; j < layout.replicas(); j++) {
         found.addAll(cells.get(Math.floorMod(shard + j, layout.cells())));
       }
       return found;
--- a/src/main/java/bitternpulley/routing/Router.java
+++ b/src/main/java/bitternpulley/routing/Router.java
@@ -5,8 +5,8 @@
 
 /**
  * The decisions of one front node: events in, {@link Actions} out. Every event carries the clock in
- * milliseconds; events that came together are closed by {@link #settle}. An implementation keeps no
- * state outside itself.
+ * milliseconds; events that came together are closed by {@link #completeBatch}. An implementation
+ * keeps no state outside itself.
  */
 public interface Router {
 
@@ -14,12 +14,12 @@
   enum Outcome {
     OK(false),
     ERROR(false),
-    FULL(true),
+    REJECTED(true),
     TIMEOUT(false),
     UNREACHABLE(true),
     RESET(false),
     CANCELLED(false),
-    MOOT(true);
+    NOT_SENT(true);
 
     private final boolean neverRan;
 
@@ -37,7 +37,7 @@
    * Which other process of the same instance runs at the same time, with which this one shares all
    * limits.
    */
-  enum Beside {
+  enum HotRestartRole {
     NONE,
     PREDECESSOR,
     SUCCESSOR
@@ -59,24 +59,26 @@
   }
 
   /** One server of a list; {@code startedAt} 0 means long ago. */
-  record Member(String server, int zone, int cell, ServerState state, double startedAt) {}
+  record Endpoint(String server, int zone, int cell, ServerState state, double startedAt) {}
 
   /**
    * How late the instance itself was with a query: ms for which its bytes may have lain unread, and
    * by which the instance's turns came late of late, which its answer may meet as well.
    */
-  record Lateness(double unread, double turns) {
+  record Lateness(double unreadFor, double loopLag) {
     public static final Lateness NONE = new Lateness(0, 0);
 
     /** Share of a client's time that is kept for turns which come late, however late they came. */
-    private static final double TURNS_MOST = 0.125;
+    private static final double MAX_LOOP_LAG_SHARE = 0.125;
 
     /**
      * Of the ms that a client said it would wait, those until its answer has to leave; {@code lead}
      * of them at least are for its way.
      */
-    public double left(double told, double lead) {
-      return told - unread - Math.max(lead, Math.min(turns, TURNS_MOST * told));
+    public double timeLeft(double clientTimeout, double minimumLead) {
+      return clientTimeout
+          - unreadFor
+          - Math.max(minimumLead, Math.min(loopLag, MAX_LOOP_LAG_SHARE * clientTimeout));
     }
   }
 
@@ -86,12 +88,12 @@
       long number,
       int queryClass,
       int parts,
-      double work,
+      double estimatedWork,
       boolean retry,
       double timeLeft,
       int tenant,
       Terms terms,
-      Lateness late) {
+      Lateness lateness) {
 
     /** A query on its class's own terms. */
     public Query(
@@ -112,7 +114,7 @@
           retry,
           timeLeft,
           tenant,
-          Terms.OF_CLASS,
+          Terms.CLASS_DEFAULT,
           Lateness.NONE);
     }
   }
@@ -121,8 +123,8 @@
    * What is asked for beside the class: nothing but the whole, or a time of its own that tells of
    * no retry, by the client; and what its team's contract says of the class, or null.
    */
-  record Terms(boolean wholeOnly, boolean ownTime, ClassTerms contract) {
-    public static final Terms OF_CLASS = new Terms(false, false);
+  record Terms(boolean completeOnly, boolean clientSetTimeout, ClassTerms contract) {
+    public static final Terms CLASS_DEFAULT = new Terms(false, false);
 
     /** Terms without a contract. */
     public Terms(boolean wholeOnly, boolean ownTime) {
@@ -130,14 +132,15 @@
     }
 
     /** The same under a contract. */
-    public Terms under(ClassTerms agreed) {
-      return new Terms(wholeOnly, ownTime, agreed);
+    public Terms underContract(ClassTerms contractTerms) {
+      return new Terms(completeOnly, clientSetTimeout, contractTerms);
     }
 
     /** The class as these terms have it. */
-    public Settings.QueryClass of(Settings.QueryClass listed) {
-      Settings.QueryClass kind = contract == null ? listed : listed.under(contract);
-      return wholeOnly ? kind.wholeOnly() : kind;
+    public Settings.QueryClass applyTo(Settings.QueryClass configured) {
+      Settings.QueryClass queryClass =
+          contract == null ? configured : configured.underContract(contract);
+      return completeOnly ? queryClass.completeOnly() : queryClass;
     }
   }
 
@@ -145,13 +148,14 @@
    * What a contract says of a class: times in ms, the least share of the weight, the worth; never
    * laxer than the site's.
    */
-  record ClassTerms(double aim, double deadline, double leastShare, double worth) {}
+  record ClassTerms(
+      double latencyObjective, double deadline, double minimumShare, double priorityWeight) {}
 
   /** A part of a query's current step. */
-  record Part(long id, long number, int shard, double weight, double work) {}
+  record Part(long id, long number, int shard, double weight, double estimatedWork) {}
 
   /** The one end of an attempt; {@code load} is null where no report came with it. */
-  record Ended(
+  record AttemptEnded(
       long part, int attempt, String server, Outcome outcome, double elapsed, double[] load) {}
 
   /** The answer to a probe. */
@@ -168,22 +172,22 @@
     /**
      * Answers a query from the parts that are in: its final answer, or the end of its first step.
      */
-    void answer(long query, boolean whole);
+    void answer(long query, boolean complete);
 
     /** Refuses a query: trying again is harmless, best after {@code pause}. */
-    void refuse(long query, double pause);
+    void reject(long query, double retryAfter);
 
     /** Fails a query: nothing is promised. */
     void fail(long query);
 
-    /** Asks for {@link #alarm} at a time. */
-    void alarmAt(double time, String token);
+    /** Asks for {@link #onAlarm} at a time. */
+    void scheduleAlarm(double time, String token);
 
     /** Asks discovery for changes from now on. */
-    void watch();
+    void watchEndpoints();
 
     /** Closes the idle connections to a server, so that the next part goes over a fresh one. */
-    void close(String server);
+    void closeIdleConnections(String server);
 
     /** Probes a server. */
     void probe(String server);
@@ -193,57 +197,57 @@
   }
 
   /** The list of servers, or a change to it, or the news that asking for it failed. */
-  void members(ListKind kind, List<Member> entries, double now, Actions out);
+  void onServersChanged(ListKind kind, List<Endpoint> entries, double now, Actions out);
 
   /** An operator has let a server back in: nobody knows what it went through meanwhile. */
-  default void readmitted(Member server, double now, Actions out) {
-    members(ListKind.CHANGES, List.of(server), now, out);
+  default void onServerReadmitted(Endpoint server, double now, Actions out) {
+    onServersChanged(ListKind.CHANGES, List.of(server), now, out);
   }
 
   /** Another process of this instance runs beside this one from now on, or none does any more. */
-  default void beside(Beside other) {}
+  default void onHotRestart(HotRestartRole role) {}
 
   /**
    * This instance's part of what all may do together at a time, in parts of an even one by the
    * number configured: more than 1 where fewer may act, 0 where this one may not.
    */
-  interface Portion {
+  interface QuotaShare {
     /** As configured. */
-    Portion EVEN = now -> 1;
+    QuotaShare EVEN = now -> 1;
 
     double at(double now);
   }
 
-  /** This instance's part goes by so from now on; {@link Portion#EVEN} at first. */
-  default void portion(Portion portion) {}
+  /** This instance's part goes by so from now on; {@link QuotaShare#EVEN} at first. */
+  default void useQuota(QuotaShare share) {}
 
   /**
    * Whether a query is turned away unseen, since so many queries and parts that are not in are held
    * already: the pause its client is advised, or empty where there is room. As in the simulator,
    * what is held goes beyond the limit by one query at most.
    */
-  default OptionalDouble turnedAway(int held) {
+  default OptionalDouble rejectionDelay(int pending) {
     return OptionalDouble.empty();
   }
 
   /** A query arrives. */
-  void query(Query query, double now, Actions out);
+  void onQuery(Query query, double now, Actions out);
 
   /** A part of a query arrives, right after it or after the answer to its first step. */
-  void part(Part part, double now, Actions out);
+  void onPart(Part part, double now, Actions out);
 
   /** An attempt has ended. */
-  void ended(Ended ended, double now, Actions out);
+  void onAttemptEnded(AttemptEnded ended, double now, Actions out);
 
   /** The client has left, or waits no longer. */
-  void gone(long query, double now, Actions out);
+  void onClientDisconnected(long query, double now, Actions out);
 
   /** An alarm is due. */
-  void alarm(String token, double now, Actions out);
+  void onAlarm(String token, double now, Actions out);
 
   /** A probe has ended; a router that sends none need not care. */
   default void probed(Probed probed, double now, Actions out) {}
 
   /** All that happened at this time has been told. */
-  void settle(double now, Actions out);
+  void completeBatch(double now, Actions out);
 }
--- a/src/main/java/bitternpulley/routing/Settings.java
+++ b/src/main/java/bitternpulley/routing/Settings.java
@@ -11,131 +11,131 @@
     int instances,
     int zone,
     double tick,
-    boolean listOnRequest,
+    boolean endpointsOnRequest,
     boolean marksRetry,
     List<QueryClass> classes,
     List<Tenant> tenants,
-    double overShareWorth,
-    boolean worthByWork,
+    double overQuotaWeight,
+    boolean weightByWork,
     Layout layout,
     Limits limits,
     Rules rules,
-    Prices prices) {
+    Costs costs) {
 
   /** The same for a program that deals with what has come in no more often than so. */
-  public Settings withTickOfAtLeast(double least) {
+  public Settings withMinimumTick(double minimum) {
     return new Settings(
         self,
         instances,
         zone,
-        Math.max(tick, least),
-        listOnRequest,
+        Math.max(tick, minimum),
+        endpointsOnRequest,
         marksRetry,
         classes,
         tenants,
-        overShareWorth,
-        worthByWork,
+        overQuotaWeight,
+        weightByWork,
         layout,
         limits,
         rules,
-        prices);
+        costs);
   }
 
   /**
    * The same for a caller that carries one attempt of a part at a time, whatever the site permits.
    */
-  public Settings withoutCopies() {
+  public Settings withoutHedging() {
     return new Settings(
         self,
         instances,
         zone,
         tick,
-        listOnRequest,
+        endpointsOnRequest,
         marksRetry,
         classes,
         tenants,
-        overShareWorth,
-        worthByWork,
+        overQuotaWeight,
+        weightByWork,
         layout,
-        limits.withoutCopies(),
+        limits.withoutHedging(),
         rules,
-        prices);
+        costs);
   }
 
   /** What a class lets happen to a part that may have run before. */
-  public enum Effect {
-    SAFE,
+  public enum Idempotency {
+    IDEMPOTENT,
     KEYED,
-    UNSAFE
+    NON_IDEMPOTENT
   }
 
   /** A class of queries; fractions are of a step's weight, times are in milliseconds. */
   public record QueryClass(
       String name,
-      double worth,
-      double aim,
-      double aimStretch,
+      double priorityWeight,
+      double latencyObjective,
+      double objectiveStretch,
       double deadline,
-      double lateWorth,
-      Effect effect,
-      double dedupWindow,
+      double latePriorityWeight,
+      Idempotency idempotency,
+      double idempotencyWindow,
       boolean stream,
-      double leastShare,
-      double wholeShare,
-      double partialWorth,
-      int secondStep) {
+      double minimumShare,
+      double completeShare,
+      double partialPriorityWeight,
+      int secondStepParts) {
 
     /** Whether an answer from less than the whole may be given. */
-    public boolean mayAnswerInPart() {
-      return leastShare < wholeShare;
+    public boolean allowsPartialAnswer() {
+      return minimumShare < completeShare;
     }
 
     /** The same class as a contract has it. */
-    public QueryClass under(Router.ClassTerms agreed) {
+    public QueryClass underContract(Router.ClassTerms contractTerms) {
       return new QueryClass(
           name,
-          agreed.worth(),
-          agreed.aim(),
-          aimStretch,
-          agreed.deadline(),
-          lateWorth,
-          effect,
-          dedupWindow,
+          contractTerms.priorityWeight(),
+          contractTerms.latencyObjective(),
+          objectiveStretch,
+          contractTerms.deadline(),
+          latePriorityWeight,
+          idempotency,
+          idempotencyWindow,
           stream,
-          Math.min(wholeShare, agreed.leastShare()),
-          wholeShare,
-          partialWorth,
-          secondStep);
+          Math.min(completeShare, contractTerms.minimumShare()),
+          completeShare,
+          partialPriorityWeight,
+          secondStepParts);
     }
 
     /** The same class for a client that takes no answer in part. */
-    public QueryClass wholeOnly() {
+    public QueryClass completeOnly() {
       return new QueryClass(
           name,
-          worth,
-          aim,
-          aimStretch,
+          priorityWeight,
+          latencyObjective,
+          objectiveStretch,
           deadline,
-          lateWorth,
-          effect,
-          dedupWindow,
+          latePriorityWeight,
+          idempotency,
+          idempotencyWindow,
           stream,
-          wholeShare,
-          wholeShare,
-          partialWorth,
-          secondStep);
+          completeShare,
+          completeShare,
+          partialPriorityWeight,
+          secondStepParts);
     }
   }
 
   /** A tenant and the fraction of the service allotted to it. */
-  public record Tenant(String name, double share, double perSecond) {}
+  public record Tenant(String name, double quota, double ratePerSecond) {}
 
   /**
    * Where shards lie: shard s is held by cells s to s + width - 1, counted around the ring. Up to
-   * {@code bundle} parts share a call, which costs its server {@code callWork} ms beside the work
-   * of the parts.
+   * {@code maxPartsPerCall} parts share a call, which costs its server {@code callWork} ms beside
+   * the work of the parts.
    */
-  public record Layout(int shards, int cells, int width, int bundle, double callWork) {
+  public record Layout(int shards, int cells, int replicas, int maxPartsPerCall, double callWork) {
     /** A layout in which calls cost nothing by themselves. */
     public Layout(int shards, int cells, int width, int bundle) {
       this(shards, cells, width, bundle, 0);
@@ -145,42 +145,50 @@
   /** What the site permits. */
   public record Limits(
       int maxAttempts,
-      int maxOpen,
-      boolean cancel,
-      boolean copies,
-      boolean probes,
-      boolean advice,
-      double maxAdvice,
+      int maxPending,
+      boolean cancellationAllowed,
+      boolean hedgingAllowed,
+      boolean healthChecksAllowed,
+      boolean retryAfterAllowed,
+      double maxRetryAfter,
       double connectTimeout) {
 
-    Limits withoutCopies() {
+    Limits withoutHedging() {
       return new Limits(
-          maxAttempts, maxOpen, cancel, false, probes, advice, maxAdvice, connectTimeout);
+          maxAttempts,
+          maxPending,
+          cancellationAllowed,
+          false,
+          healthChecksAllowed,
+          retryAfterAllowed,
+          maxRetryAfter,
+          connectTimeout);
     }
   }
 
   /**
-   * The figures of the rules; {@code budgeted} tells whether further attempts are rationed at all.
+   * The figures of the rules; {@code retriesBudgeted} tells whether further attempts are rationed
+   * at all.
    */
   public record Rules(
       double answerSlack,
       double drainGrace,
-      double coldFrom,
-      double coldTime,
-      double tipMultiple,
-      double tipWindow,
-      boolean budgeted,
-      double extraFloor,
-      double extraShare,
-      double extraWindow,
-      double askWithin) {}
+      double warmupStartFraction,
+      double warmupTime,
+      double overloadMultiple,
+      double overloadWindow,
+      boolean retriesBudgeted,
+      double retryBudgetFloor,
+      double retryBudgetShare,
+      double retryBudgetWindow,
+      double requestWithin) {}
 
   /** What the site charges, in shares of the result. */
-  public record Prices(
+  public record Costs(
       double crossZone,
       double waste,
       double lateFail,
       double connection,
-      double probe,
+      double healthCheck,
       double handshake) {}
 }
--- a/src/main/java/bitternpulley/simhost/Host.java
+++ b/src/main/java/bitternpulley/simhost/Host.java
@@ -30,7 +30,7 @@
 public final class Host {
   private final ObjectMapper mapper = new ObjectMapper();
   private final Map<Integer, Router> routers = new HashMap<>();
-  private final Map<Long, List<Router.Member>> lists = new HashMap<>();
+  private final Map<Long, List<Router.Endpoint>> lists = new HashMap<>();
 
   /** Answers one line of the wire. */
   public String reply(String line) {
@@ -73,7 +73,7 @@
     for (int who : touched) {
       Router router = routers.get(who);
       if (router != null) {
-        guarded(who, out, () -> router.settle(now, out.of(who)));
+        guarded(who, out, () -> router.completeBatch(now, out.of(who)));
       }
     }
   }
@@ -112,8 +112,8 @@
       case "fleet" -> fleet(router, e, now, out);
       case "workItem" -> workItem(router, e, now, out);
       case "settled" ->
-          router.ended(
-              new Router.Ended(
+          router.onAttemptEnded(
+              new Router.AttemptEnded(
                   integer(e, "ref"),
                   (int) number(e, "roundNo", 0),
                   text(e, "server"),
@@ -122,8 +122,8 @@
                   row(e)),
               now,
               out);
-      case "hangup" -> router.gone(integer(e, "ref"), now, out);
-      case "timer" -> router.alarm(text(e, "token"), now, out);
+      case "hangup" -> router.onClientDisconnected(integer(e, "ref"), now, out);
+      case "timer" -> router.onAlarm(text(e, "token"), now, out);
       case "checkResult" ->
           router.probed(
               new Router.Probed(
@@ -145,12 +145,12 @@
           case "Persisted" -> Router.ListKind.REMEMBERED;
           default -> Router.ListKind.FAILED;
         };
-    List<Router.Member> entries =
+    List<Router.Endpoint> entries =
         kind == Router.ListKind.FAILED ? List.of() : lists.get(integer(e, "buffer"));
     if (entries == null) {
       throw new WireException("field 'buffer' names no list");
     }
-    router.members(kind, entries, now, out);
+    router.onServersChanged(kind, entries, now, out);
   }
 
   private static void workItem(Router router, JsonNode e, double now, WireActions out) {
@@ -158,7 +158,7 @@
     double amount = number(e, "shareOrCount", 0);
     double work = number(e, "expected", 0);
     if (shard < 0) {
-      router.query(
+      router.onQuery(
           new Router.Query(
               integer(e, "ref"),
               integer(e, "groupNo"),
@@ -171,7 +171,7 @@
           now,
           out);
     } else {
-      router.part(
+      router.onPart(
           new Router.Part(integer(e, "ref"), integer(e, "groupNo"), shard, amount, work), now, out);
     }
   }
@@ -188,8 +188,8 @@
     return row;
   }
 
-  private static List<Router.Member> members(JsonNode entries) {
-    List<Router.Member> read = new ArrayList<>();
+  private static List<Router.Endpoint> members(JsonNode entries) {
+    List<Router.Endpoint> read = new ArrayList<>();
     for (JsonNode m : entries) {
       Router.ServerState state =
           switch (m.path("availability").asText("live")) {
@@ -198,7 +198,7 @@
             default -> Router.ServerState.LIVE;
           };
       read.add(
-          new Router.Member(
+          new Router.Endpoint(
               text(m, "server"),
               (int) number(m, "regionPart", 0),
               (int) number(m, "setNo", 0),
@@ -211,12 +211,12 @@
   private static Router.Outcome outcome(String word) {
     return switch (word) {
       case "completed" -> Router.Outcome.OK;
-      case "saturated" -> Router.Outcome.FULL;
+      case "saturated" -> Router.Outcome.REJECTED;
       case "overdue" -> Router.Outcome.TIMEOUT;
       case "refused_conn" -> Router.Outcome.UNREACHABLE;
       case "severed" -> Router.Outcome.RESET;
       case "recalled" -> Router.Outcome.CANCELLED;
-      case "superseded" -> Router.Outcome.MOOT;
+      case "superseded" -> Router.Outcome.NOT_SENT;
       default -> Router.Outcome.ERROR;
     };
   }
--- a/src/main/java/bitternpulley/simhost/WireActions.java
+++ b/src/main/java/bitternpulley/simhost/WireActions.java
@@ -57,22 +57,22 @@
   }
 
   @Override
-  public void answer(long query, boolean whole) {
+  public void answer(long query, boolean complete) {
     action(
         "gatherUp",
         () -> {
           out.writeNumberField("ref", query);
-          out.writeBooleanField("on", whole);
+          out.writeBooleanField("on", complete);
         });
   }
 
   @Override
-  public void refuse(long query, double pause) {
+  public void reject(long query, double retryAfter) {
     action(
         "turnAway",
         () -> {
           out.writeNumberField("ref", query);
-          out.writeNumberField("pause", pause);
+          out.writeNumberField("pause", retryAfter);
         });
   }
 
@@ -82,7 +82,7 @@
   }
 
   @Override
-  public void alarmAt(double time, String token) {
+  public void scheduleAlarm(double time, String token) {
     action(
         "setAlarm",
         () -> {
@@ -92,12 +92,12 @@
   }
 
   @Override
-  public void watch() {
+  public void watchEndpoints() {
     action("tail", () -> out.writeBooleanField("on", true));
   }
 
   @Override
-  public void close(String server) {
+  public void closeIdleConnections(String server) {
     action("hangUp", () -> out.writeStringField("server", server));
   }
 
--- a/src/test/java/bitternpulley/broker/BrokerTest.java
+++ b/src/test/java/bitternpulley/broker/BrokerTest.java
@@ -35,7 +35,7 @@
     now = 1000;
     Settings.QueryClass kind =
         new Settings.QueryClass(
-            "any", 1, 1000, 0, 3000, 0.3, Settings.Effect.KEYED, 400, false, 1, 1, 0.8, 0);
+            "any", 1, 1000, 0, 3000, 0.3, Settings.Idempotency.KEYED, 400, false, 1, 1, 0.8, 0);
     Settings settings =
         new Settings(
             0,
@@ -51,7 +51,7 @@
             new Settings.Layout(4, 4, 2, 1),
             new Settings.Limits(4, 50, true, false, false, true, 500, 250),
             new Settings.Rules(20, 250, 0.2, 10_000, 2, 1000, false, 0, 0, 0, 0),
-            new Settings.Prices(0.05, 0, 0, 0, 0, 0));
+            new Settings.Costs(0.05, 0, 0, 0, 0, 0));
     broker =
         new Broker(
             new Reducer(settings, 7, now),
@@ -61,7 +61,7 @@
         new Event.ServersListed(
             Router.ListKind.REMEMBERED,
             IntStream.range(0, 4)
-                .mapToObj(i -> new Router.Member("s" + i, i % 2, i, Router.ServerState.LIVE, 0))
+                .mapToObj(i -> new Router.Endpoint("s" + i, i % 2, i, Router.ServerState.LIVE, 0))
                 .toList()));
   }
 
@@ -116,7 +116,7 @@
                 0,
                 3000,
                 false,
-                Router.Terms.OF_CLASS,
+                Router.Terms.CLASS_DEFAULT,
                 List.of(new Request.Slice(0, 1, 0)),
                 null)));
     while (!due.isEmpty() && due.peek().at() < 10_000) {
--- a/src/test/java/bitternpulley/broker/FleetTest.java
+++ b/src/test/java/bitternpulley/broker/FleetTest.java
@@ -59,7 +59,7 @@
   private static Settings settings(int self) {
     Settings.QueryClass kind =
         new Settings.QueryClass(
-            "any", 1, 500, 0, 1500, 0.3, Settings.Effect.SAFE, 400, false, 1, 1, 0.8, 0);
+            "any", 1, 500, 0, 1500, 0.3, Settings.Idempotency.IDEMPOTENT, 400, false, 1, 1, 0.8, 0);
     return new Settings(
         self,
         INSTANCES,
@@ -74,11 +74,11 @@
         new Settings.Layout(SECTIONS, SERVERS, 2, 1),
         new Settings.Limits(4, 500, true, false, false, true, 500, 250),
         new Settings.Rules(20, 250, COLD_FROM, COLD_TIME, TIP, WINDOW, false, 0, 0, 0, 0),
-        new Settings.Prices(0.05, 0, 0, 0.02, 0.08, 0.08));
+        new Settings.Costs(0.05, 0, 0, 0.02, 0.08, 0.08));
   }
 
-  private static Router.Member member(int i, Router.ServerState state, double started) {
-    return new Router.Member("s" + i, i % 2, i, state, started);
+  private static Router.Endpoint member(int i, Router.ServerState state, double started) {
+    return new Router.Endpoint("s" + i, i % 2, i, state, started);
   }
 
   @BeforeMethod
@@ -136,7 +136,7 @@
               random.nextInt(INSTANCES),
               new Event.Taken(
                   new Request(
-                      ++asked, null, 0, 1500, false, Router.Terms.OF_CLASS, slices, null))));
+                      ++asked, null, 0, 1500, false, Router.Terms.CLASS_DEFAULT, slices, null))));
     }
     return asked;
   }
--- a/src/test/java/bitternpulley/broker/ReducerTest.java
+++ b/src/test/java/bitternpulley/broker/ReducerTest.java
@@ -24,11 +24,11 @@
   private Reducer reducer;
   private double now;
 
-  private static Settings settings(Settings.Effect effect, double least) {
+  private static Settings settings(Settings.Idempotency effect, double least) {
     return settings(effect, least, false);
   }
 
-  private static Settings settings(Settings.Effect effect, double least, boolean copies) {
+  private static Settings settings(Settings.Idempotency effect, double least, boolean copies) {
     Settings.QueryClass kind =
         new Settings.QueryClass("any", 1, 1000, 0, 3000, 0.3, effect, 400, false, least, 1, 0.8, 0);
     return new Settings(
@@ -45,12 +45,12 @@
         new Settings.Layout(4, 4, 2, 1),
         new Settings.Limits(4, 8, true, copies, false, true, 500, 250),
         new Settings.Rules(20, 250, 0.2, 10_000, 2, 1000, false, 0, 0, 0, 0),
-        new Settings.Prices(0.05, 0, 0, 0, 0, 0));
+        new Settings.Costs(0.05, 0, 0, 0, 0, 0));
   }
 
   @BeforeMethod
   public void begin() {
-    begin(settings(Settings.Effect.SAFE, 1));
+    begin(settings(Settings.Idempotency.IDEMPOTENT, 1));
   }
 
   private void begin(Settings settings) {
@@ -61,7 +61,7 @@
         new Event.ServersListed(
             Router.ListKind.REMEMBERED,
             IntStream.range(0, 4)
-                .mapToObj(i -> new Router.Member("s" + i, i % 2, i, Router.ServerState.LIVE, 0))
+                .mapToObj(i -> new Router.Endpoint("s" + i, i % 2, i, Router.ServerState.LIVE, 0))
                 .toList()));
   }
 
@@ -78,7 +78,7 @@
                 0,
                 3000,
                 false,
-                Router.Terms.OF_CLASS,
+                Router.Terms.CLASS_DEFAULT,
                 IntStream.of(shards)
                     .mapToObj(s -> new Request.Slice(s, 1.0 / shards.length, 0))
                     .toList(),
@@ -136,7 +136,7 @@
    */
   @Test
   public void whereTheSitePermitsCopiesASilentServersPartIsCalledOffAndTriedElsewhere() {
-    begin(settings(Settings.Effect.SAFE, 1, true));
+    begin(settings(Settings.Idempotency.IDEMPOTENT, 1, true));
     for (int i = 0; i < 10; i++) {
       ask(100 + i, 2);
       now += 10;
@@ -186,7 +186,7 @@
 
   @Test
   public void aKeyedRequestThatMayHaveRunFailsAndIsNotRefused() {
-    begin(settings(Settings.Effect.KEYED, 1));
+    begin(settings(Settings.Idempotency.KEYED, 1));
     ask(1, 0);
     now += 500;
     tell(new Event.Ended(start(0).id(), Router.Outcome.RESET, null));
@@ -199,11 +199,11 @@
    */
   @Test
   public void aKeyedRepeatSaysUntilWhenItMayBeSent() {
-    begin(settings(Settings.Effect.KEYED, 1));
+    begin(settings(Settings.Idempotency.KEYED, 1));
     ask(1, 0);
     assertEquals(start(0).sendBy(), Double.POSITIVE_INFINITY);
     now += 10;
-    tell(new Event.Ended(start(0).id(), Router.Outcome.FULL, null));
+    tell(new Event.Ended(start(0).id(), Router.Outcome.REJECTED, null));
     awaitStart(1);
     assertEquals(start(1).sendBy(), Double.POSITIVE_INFINITY, "the first never ran");
     double second = now;
@@ -275,7 +275,7 @@
 
   @Test
   public void aClientsOwnTimeIsNoSignOfARetryAndWholeOnlyIsKept() {
-    begin(settings(Settings.Effect.SAFE, 0.5));
+    begin(settings(Settings.Idempotency.IDEMPOTENT, 0.5));
     for (int i = 0; i < 10; i++) {
       ask(10 + i, 0);
       tell(new Event.Ended(start(i).id(), Router.Outcome.OK, new Word("a")));
@@ -337,7 +337,7 @@
                 0,
                 80,
                 false,
-                Router.Terms.OF_CLASS,
+                Router.Terms.CLASS_DEFAULT,
                 List.of(new Request.Slice(0, 1, 0)),
                 null)));
     assertFalse(((Effect.Answer.Refused) answer(0)).ending().late());
@@ -351,12 +351,12 @@
   public void whatIsOutAtAServerThatTakesNothingNewIsTakenBack() {
     ask(1, 0);
     String first = start(0).server();
-    Router.Member drains =
-        new Router.Member(
+    Router.Endpoint drains =
+        new Router.Endpoint(
             first, 0, Integer.parseInt(first.substring(1)), Router.ServerState.DRAINING, 0);
     tell(new Event.ServersListed(Router.ListKind.CHANGES, List.of(drains)));
     assertEquals(all(Effect.Withdraw.class), List.of(new Effect.Withdraw(first)));
-    tell(new Event.Ended(start(0).id(), Router.Outcome.MOOT, null));
+    tell(new Event.Ended(start(0).id(), Router.Outcome.NOT_SENT, null));
     String second = start(1).server();
     assertFalse(second.equals(first));
     tell(new Event.ServersListed(Router.ListKind.COMPLETE, List.of(drains)));
@@ -409,7 +409,7 @@
   public void whereNothingMayBeCalledOffWhatIsUnsentIsTakenBackAsItsRequestEnds() {
     begin(
         withLimits(
-            settings(Settings.Effect.SAFE, 1),
+            settings(Settings.Idempotency.IDEMPOTENT, 1),
             new Settings.Limits(4, 8, false, false, false, true, 500, 250)));
     ask(1, 0, 1);
     assertEquals(all(Effect.Start.class).size(), 2);
@@ -418,7 +418,8 @@
         all(Effect.TakeBack.class).stream().map(Effect.TakeBack::id).toList(),
         all(Effect.Start.class).stream().map(Effect.Start::id).toList());
     assertEquals(all(Effect.Abandon.class), List.of());
-    all(Effect.Start.class).forEach(s -> tell(new Event.Ended(s.id(), Router.Outcome.MOOT, null)));
+    all(Effect.Start.class)
+        .forEach(s -> tell(new Event.Ended(s.id(), Router.Outcome.NOT_SENT, null)));
     assertEquals(all(Effect.Reply.class), List.of());
   }
 
@@ -428,16 +429,16 @@
         s.instances(),
         s.zone(),
         s.tick(),
-        s.listOnRequest(),
+        s.endpointsOnRequest(),
         s.marksRetry(),
         s.classes(),
         s.tenants(),
-        s.overShareWorth(),
-        s.worthByWork(),
+        s.overQuotaWeight(),
+        s.weightByWork(),
         s.layout(),
         limits,
         s.rules(),
-        s.prices());
+        s.costs());
   }
 
   /** The module, but for one call, counted from the first query on, which throws. */
@@ -464,7 +465,7 @@
    * events back are obeyed.
    */
   private int playWithAFaultAt(int call) {
-    Settings settings = settings(Settings.Effect.SAFE, 1);
+    Settings settings = settings(Settings.Idempotency.IDEMPOTENT, 1);
     AtomicInteger calls = new AtomicInteger();
     now = 1000;
     effects.clear();
@@ -479,7 +480,7 @@
         new Event.ServersListed(
             Router.ListKind.REMEMBERED,
             IntStream.range(0, 4)
-                .mapToObj(i -> new Router.Member("s" + i, i % 2, i, Router.ServerState.LIVE, 0))
+                .mapToObj(i -> new Router.Endpoint("s" + i, i % 2, i, Router.ServerState.LIVE, 0))
                 .toList()));
     ask(1, 0, 1);
     ask(2, 2, 3);
--- a/src/test/java/bitternpulley/broker/SharedCallsTest.java
+++ b/src/test/java/bitternpulley/broker/SharedCallsTest.java
@@ -16,7 +16,7 @@
           0,
           1000,
           false,
-          Router.Terms.OF_CLASS,
+          Router.Terms.CLASS_DEFAULT,
           IntStream.range(0, 9).mapToObj(i -> new Request.Slice(i, 1.0 / 9, 0)).toList(),
           null);
 
--- a/src/test/java/bitternpulley/config/BrokerConfigurationTest.java
+++ b/src/test/java/bitternpulley/config/BrokerConfigurationTest.java
@@ -57,7 +57,7 @@
         example.book().contracts().stream().map(Contract::id).toList(),
         java.util.List.of("donor-app", "stock-desk", "partners"));
     Contract partners = example.book().of("partners");
-    assertEquals(partners.classes().get(1).worth(), 2.0);
+    assertEquals(partners.classes().get(1).priorityWeight(), 2.0);
     assertTrue(example.recognition().hasFallback());
   }
 
--- a/src/test/java/bitternpulley/config/ConfigurationTest.java
+++ b/src/test/java/bitternpulley/config/ConfigurationTest.java
@@ -44,7 +44,7 @@
     assertEquals(c.known().revision(), 4);
     assertEquals(
         c.known().entries().get(0).member(),
-        new Router.Member("s-1", 1, 2, Router.ServerState.DRAINING, 7));
+        new Router.Endpoint("s-1", 1, 2, Router.ServerState.DRAINING, 7));
   }
 
   /**
--- a/src/test/java/bitternpulley/health/ColdBudgetFleetTest.java
+++ b/src/test/java/bitternpulley/health/ColdBudgetFleetTest.java
@@ -45,7 +45,7 @@
         new Settings.Layout(4, 4, 2, 1),
         new Settings.Limits(4, 1000, true, false, false, true, 500, 250),
         new Settings.Rules(20, 500, COLD_FROM, COLD_TIME, MULTIPLE, WINDOW, false, 0, 0, 1000, 0),
-        new Settings.Prices(0, 0, 0, 0, 0, 0));
+        new Settings.Costs(0, 0, 0, 0, 0, 0));
   }
 
   /**
@@ -62,7 +62,7 @@
    */
   private void play(int instances, int away, double work, double chance, long seed) {
     Random random = new Random(seed);
-    Router.Portion portion = now -> (double) instances / (instances - away);
+    Router.QuotaShare portion = now -> (double) instances / (instances - away);
     List<ColdBudget> budgets = new ArrayList<>();
     boolean[] waits = new boolean[instances];
     for (int i = 0; i < instances; i++) {
--- a/src/test/java/bitternpulley/health/ColdBudgetTest.java
+++ b/src/test/java/bitternpulley/health/ColdBudgetTest.java
@@ -30,7 +30,7 @@
                 new Settings.Layout(4, 4, 2, 1),
                 new Settings.Limits(4, 1000, true, false, false, true, 500, 250),
                 new Settings.Rules(20, 500, 0.2, 17_000, 2, 1000, false, 0, 0, 1000, 0),
-                new Settings.Prices(0, 0, 0, 0, 0, 0)));
+                new Settings.Costs(0, 0, 0, 0, 0, 0)));
     cold.startedAt(0);
     return cold;
   }
--- a/src/test/java/bitternpulley/platform/PreparationTest.java
+++ b/src/test/java/bitternpulley/platform/PreparationTest.java
@@ -24,7 +24,7 @@
   private Preparation preparation;
 
   private static ServerList.Entry entry(int n, Router.ServerState state) {
-    return new ServerList.Entry(new Router.Member("s" + n, 0, n, state, 0), null);
+    return new ServerList.Entry(new Router.Endpoint("s" + n, 0, n, state, 0), null);
   }
 
   private static ServerList list(Stream<ServerList.Entry> entries) {
--- a/src/test/java/bitternpulley/platform/RehearsalTest.java
+++ b/src/test/java/bitternpulley/platform/RehearsalTest.java
@@ -79,24 +79,24 @@
         s.instances(),
         s.zone(),
         s.tick(),
-        s.listOnRequest(),
+        s.endpointsOnRequest(),
         s.marksRetry(),
         s.classes(),
         s.tenants(),
-        s.overShareWorth(),
-        s.worthByWork(),
+        s.overQuotaWeight(),
+        s.weightByWork(),
         new Settings.Layout(sections, sections, 2, 1),
         new Settings.Limits(
             l.maxAttempts(),
             maxOpen,
-            l.cancel(),
-            l.copies(),
-            l.probes(),
-            l.advice(),
-            l.maxAdvice(),
+            l.cancellationAllowed(),
+            l.hedgingAllowed(),
+            l.healthChecksAllowed(),
+            l.retryAfterAllowed(),
+            l.maxRetryAfter(),
             l.connectTimeout()),
         s.rules(),
-        s.prices());
+        s.costs());
   }
 
   /** Guards against a rehearsal that is refused at the door, or breaks, where sections are many. */
--- a/src/test/java/bitternpulley/platform/SlotServersTest.java
+++ b/src/test/java/bitternpulley/platform/SlotServersTest.java
@@ -69,7 +69,7 @@
             0,
             3000,
             false,
-            Router.Terms.OF_CLASS,
+            Router.Terms.CLASS_DEFAULT,
             slices,
             new PlatformQuery("q", 0, 3000, false, null, "f", slices, null));
     server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
@@ -158,7 +158,7 @@
         });
     try (Socket first = server.accept()) {
       assertEquals(frame(first), call(1), "the first thing that goes over it");
-      assertEquals(outcomes(1), List.of("0 MOOT"));
+      assertEquals(outcomes(1), List.of("0 NOT_SENT"));
       start(0, 2);
       assertEquals(frame(first), call(0), "its name has not been used there");
     }
@@ -331,7 +331,7 @@
           servers.start(new Effect.Start(new AttemptId(0, 0), request, 0, "s", 2000));
           servers.withdraw("s");
         });
-    assertEquals(outcomes(1), List.of("0 MOOT"));
+    assertEquals(outcomes(1), List.of("0 NOT_SENT"));
     start(1, 0);
     try (Socket ended = server.accept()) {
       assertEquals(ended.getInputStream().read(), -1, "not a byte of it went");
@@ -340,7 +340,7 @@
       assertEquals(frame(sent), call(1));
       loop.execute(() -> servers.withdraw("s"));
       sent.getOutputStream().write(answer(1, "00000000000000aa"));
-      assertEquals(outcomes(2), List.of("0 MOOT", "1 OK"), "what has gone is awaited");
+      assertEquals(outcomes(2), List.of("0 NOT_SENT", "1 OK"), "what has gone is awaited");
     }
   }
 
@@ -471,14 +471,14 @@
           servers.start(new Effect.Start(new AttemptId(0, 0), request, 0, "s", 2000));
           servers.takeBack(new Effect.TakeBack(new AttemptId(0, 0), request));
         });
-    assertEquals(outcomes(1), List.of("0 MOOT"));
+    assertEquals(outcomes(1), List.of("0 NOT_SENT"));
     start(1, 0);
     try (Socket socket = server.accept()) {
       assertEquals(
           frame(socket), call(1), "over the connection that has come up, and nothing of the other");
       loop.execute(() -> servers.takeBack(new Effect.TakeBack(new AttemptId(1, 0), request)));
       socket.getOutputStream().write(answer(1, "00000000000000aa"));
-      assertEquals(outcomes(2), List.of("0 MOOT", "1 OK"));
+      assertEquals(outcomes(2), List.of("0 NOT_SENT", "1 OK"));
     }
   }
 
@@ -631,7 +631,7 @@
         });
     try (Socket first = server.accept()) {
       assertEquals(frame(first), calls(0, 2));
-      assertEquals(outcomes(1), List.of("1 MOOT"));
+      assertEquals(outcomes(1), List.of("1 NOT_SENT"));
     }
   }
 
--- a/src/test/java/bitternpulley/policy/ManyPartsTest.java
+++ b/src/test/java/bitternpulley/policy/ManyPartsTest.java
@@ -25,7 +25,10 @@
   private static Rig fleet(int cells) {
     Settings of =
         Rig.settings(
-            Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, Rig.rules(false, 0, 0), 2);
+            Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0),
+            false,
+            Rig.rules(false, 0, 0),
+            2);
     Rig rig =
         new Rig(
             new Settings(
@@ -42,12 +45,12 @@
                 new Settings.Layout(cells, cells, 2, 1),
                 new Settings.Limits(4, 100_000, true, false, false, true, 500, 250),
                 of.rules(),
-                of.prices()));
+                of.costs()));
     rig.list(
         Router.ListKind.REMEMBERED,
         IntStream.range(0, cells)
             .mapToObj(c -> Rig.member("s" + c, c, Router.ServerState.LIVE, 0))
-            .toArray(Router.Member[]::new));
+            .toArray(Router.Endpoint[]::new));
     return rig;
   }
 
@@ -63,9 +66,11 @@
       rig.now = 20;
       long before = threads.getCurrentThreadCpuTime();
       for (Rig.Send s : sent) {
-        rig.policy.ended(
-            new Router.Ended(s.part(), 0, s.server(), Router.Outcome.OK, 20, null), rig.now, rig);
-        rig.policy.settle(rig.now, rig);
+        rig.policy.onAttemptEnded(
+            new Router.AttemptEnded(s.part(), 0, s.server(), Router.Outcome.OK, 20, null),
+            rig.now,
+            rig);
+        rig.policy.completeBatch(rig.now, rig);
       }
       least = Math.min(least, threads.getCurrentThreadCpuTime() - before);
       assertEquals(List.of("whole 1 @20"), rig.ends);
--- a/src/test/java/bitternpulley/policy/PolicyTest.java
+++ b/src/test/java/bitternpulley/policy/PolicyTest.java
@@ -14,13 +14,13 @@
   private static final Settings.Rules FREE = Rig.rules(false, 0, 0);
 
   private static Rig rig(
-      Settings.Effect effect, double least, int second, boolean copies, Settings.Rules rules) {
+      Settings.Idempotency effect, double least, int second, boolean copies, Settings.Rules rules) {
     return new Rig(Rig.settings(Rig.kind(effect, 1000, 3000, 0, least, second), copies, rules, 2))
         .servers();
   }
 
   private static Rig safe() {
-    return rig(Settings.Effect.SAFE, 1, 0, true, FREE);
+    return rig(Settings.Idempotency.IDEMPOTENT, 1, 0, true, FREE);
   }
 
   private static void serve(Rig r, long id, double after) {
@@ -39,7 +39,7 @@
 
   @Test
   void aHandfulOfStepsIsNoRecord() {
-    Rig r = rig(Settings.Effect.SAFE, 0.5, 0, false, FREE);
+    Rig r = rig(Settings.Idempotency.IDEMPOTENT, 0.5, 0, false, FREE);
     learn(r, 19, 100);
     double start = r.now;
     r.query(2, 3000, new int[] {0, 1, 2, 3}, 0.4, 0.3, 0.2, 0.1);
@@ -58,7 +58,7 @@
     serve(r, 1, 50);
     assertEquals(List.of("whole 1 @50"), r.ends);
     r.end(10, 0, Router.Outcome.OK);
-    r.policy.gone(1, r.now, r);
+    r.policy.onClientDisconnected(1, r.now, r);
     assertEquals(1, r.ends.size());
   }
 
@@ -86,7 +86,8 @@
   }
 
   private static long serversOfTwoParts(int bundle, double callWork) {
-    Settings s = Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 2);
+    Settings s =
+        Rig.settings(Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), true, FREE, 2);
     Rig r =
         new Rig(
                 new Settings(
@@ -103,7 +104,7 @@
                     new Settings.Layout(4, 4, 2, bundle, callWork),
                     s.limits(),
                     s.rules(),
-                    s.prices()))
+                    s.costs()))
             .servers();
     for (int i = 0; i < 4; i++) {
       serve(r, 10 + i, 100);
@@ -133,7 +134,7 @@
 
   @Test
   void waitsForTheLatestRecordedArrivalBeforeTheAim() {
-    Rig r = rig(Settings.Effect.SAFE, 0.5, 0, false, FREE);
+    Rig r = rig(Settings.Idempotency.IDEMPOTENT, 0.5, 0, false, FREE);
     serve(r, 1, 300);
     learn(r, 19, 100);
     double start = r.now;
@@ -150,7 +151,7 @@
 
   @Test
   void extendsWhileHeavyPartsAreMissingAndEndsOnceTheyLand() {
-    Rig r = rig(Settings.Effect.SAFE, 0.5, 0, false, FREE);
+    Rig r = rig(Settings.Idempotency.IDEMPOTENT, 0.5, 0, false, FREE);
     r.query(3, 3000, new int[] {0, 1, 2, 3}, 0.4, 0.3, 0.2, 0.1);
     r.to(100);
     r.end(30, 0, Router.Outcome.OK);
@@ -174,7 +175,8 @@
   }
 
   private static List<String> sixTenthsIn(double lateWorth) {
-    Settings.QueryClass kind = Rig.kind(Settings.Effect.SAFE, 1000, 3000, lateWorth, 0.5, 0);
+    Settings.QueryClass kind =
+        Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, lateWorth, 0.5, 0);
     Rig r = new Rig(Rig.settings(kind, false, FREE, 2)).servers();
     r.query(3, 3000, new int[] {0, 1, 2, 3}, 0.4, 0.3, 0.2, 0.1);
     r.to(100);
@@ -186,7 +188,7 @@
 
   @Test
   void aPartCutOffCountsAsDueByTheAim() {
-    Rig r = rig(Settings.Effect.SAFE, 0.5, 0, false, FREE);
+    Rig r = rig(Settings.Idempotency.IDEMPOTENT, 0.5, 0, false, FREE);
     learn(r, 20, 100);
     double start = r.now;
     r.query(2, 3000, new int[] {0, 1, 2, 3}, 0.4, 0.3, 0.2, 0.1);
@@ -207,7 +209,7 @@
 
   @Test
   void neverAnswersBelowTheLeastShare() {
-    Rig r = rig(Settings.Effect.SAFE, 0.5, 0, false, FREE);
+    Rig r = rig(Settings.Idempotency.IDEMPOTENT, 0.5, 0, false, FREE);
     r.query(1, 3000, new int[] {0, 1, 2, 3}, 0.4, 0.3, 0.2, 0.1);
     r.to(100);
     r.end(10, 0, Router.Outcome.OK);
@@ -217,7 +219,7 @@
 
   @Test
   void aSecondStepIsWholeOnlyAfterAWholeFirst() {
-    Rig r = rig(Settings.Effect.SAFE, 0.5, 2, false, FREE);
+    Rig r = rig(Settings.Idempotency.IDEMPOTENT, 0.5, 2, false, FREE);
     r.query(1, 3000, new int[] {0, 1});
     r.to(50);
     r.end(10, 0, Router.Outcome.OK);
@@ -232,7 +234,7 @@
 
   @Test
   void anUnsafePartThatMayHaveRunIsFailedAtOnceAndNeverSentAgain() {
-    Rig r = rig(Settings.Effect.UNSAFE, 1, 0, true, FREE);
+    Rig r = rig(Settings.Idempotency.NON_IDEMPOTENT, 1, 0, true, FREE);
     r.query(1, 3000, new int[] {0});
     r.to(40);
     r.end(10, 0, Router.Outcome.RESET);
@@ -242,10 +244,10 @@
 
   @Test
   void anUnsafePartProvenNotToHaveRunIsSentAgain() {
-    Rig r = rig(Settings.Effect.UNSAFE, 1, 0, true, FREE);
+    Rig r = rig(Settings.Idempotency.NON_IDEMPOTENT, 1, 0, true, FREE);
     r.query(1, 3000, new int[] {0});
     r.to(40);
-    r.end(10, 0, Router.Outcome.FULL);
+    r.end(10, 0, Router.Outcome.REJECTED);
     assertEquals(2, r.sent(10));
     r.end(10, 1, Router.Outcome.OK);
     assertEquals(List.of("whole 1 @40"), r.ends);
@@ -253,13 +255,13 @@
 
   @Test
   void aKeyedPartIsNotSentAgainAfterItsWindow() {
-    Rig r = rig(Settings.Effect.KEYED, 1, 0, false, FREE);
+    Rig r = rig(Settings.Idempotency.KEYED, 1, 0, false, FREE);
     r.query(1, 3000, new int[] {0});
     r.to(500);
     r.end(10, 0, Router.Outcome.ERROR);
     assertEquals(1, r.sent(10));
     assertEquals(1, r.ends.size());
-    Rig s = rig(Settings.Effect.KEYED, 1, 0, false, FREE);
+    Rig s = rig(Settings.Idempotency.KEYED, 1, 0, false, FREE);
     s.query(1, 3000, new int[] {0});
     s.to(300);
     s.end(10, 0, Router.Outcome.ERROR);
@@ -268,7 +270,7 @@
 
   @Test
   void neverTwoAttemptsAtOnceWhereCopiesAreForbidden() {
-    Rig r = rig(Settings.Effect.SAFE, 1, 0, false, FREE);
+    Rig r = rig(Settings.Idempotency.IDEMPOTENT, 1, 0, false, FREE);
     serve(r, 1, 20);
     r.query(2, 3000, new int[] {0});
     r.to(r.now + 900);
@@ -295,11 +297,11 @@
 
   @Test
   void furtherAttemptsKeepToTheBudget() {
-    Rig r = rig(Settings.Effect.SAFE, 1, 0, false, Rig.rules(true, 2, 0));
+    Rig r = rig(Settings.Idempotency.IDEMPOTENT, 1, 0, false, Rig.rules(true, 2, 0));
     r.query(1, 3000, new int[] {0, 1, 2, 3});
     r.to(10);
     for (int i = 0; i < 4; i++) {
-      r.end(10 + i, 0, Router.Outcome.FULL);
+      r.end(10 + i, 0, Router.Outcome.REJECTED);
     }
     assertEquals(6, r.sends.size());
     r.to(900);
@@ -325,7 +327,9 @@
   @Test
   void aRestartUnderAnOldIdIsColdAndGetsNoMoreThanItsShareOfWork() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), true, FREE, 1))
             .servers();
     r.twoCores(100);
     serve(r, 1, 100);
@@ -344,14 +348,19 @@
    */
   @Test
   void twoProcessesOfAnUpgradeShareTheBudgetForColdServersAndThePlacesForQueries() {
-    for (Router.Beside other : Router.Beside.values()) {
+    for (Router.HotRestartRole other : Router.HotRestartRole.values()) {
       Rig r =
-          new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1))
+          new Rig(
+                  Rig.settings(
+                      Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0),
+                      true,
+                      FREE,
+                      1))
               .servers();
       r.twoCores(60);
       learn(r, 5, 60);
       r.to(r.now + 2000);
-      r.policy.beside(other);
+      r.policy.onHotRestart(other);
       r.list(Router.ListKind.CHANGES, Rig.member("s0", 0, Router.ServerState.LIVE, r.now));
       r.sends.clear();
       for (int i = 0; i < 30; i++) {
@@ -359,10 +368,10 @@
       }
       // All of it: 2 x 0.2 x 1.8 sure cores x 1000 ms for two instances, 360 ms, of parts of 60 ms;
       // 1000 places.
-      boolean leaves = other == Router.Beside.SUCCESSOR;
-      assertEquals(other == Router.Beside.NONE ? 6 : leaves ? 1 : 4, r.sends.size());
-      assertEquals(leaves, r.policy.turnedAway(300).isPresent());
-      assertEquals(other != Router.Beside.NONE, r.policy.turnedAway(900).isPresent());
+      boolean leaves = other == Router.HotRestartRole.SUCCESSOR;
+      assertEquals(other == Router.HotRestartRole.NONE ? 6 : leaves ? 1 : 4, r.sends.size());
+      assertEquals(leaves, r.policy.rejectionDelay(300).isPresent());
+      assertEquals(other != Router.HotRestartRole.NONE, r.policy.rejectionDelay(900).isPresent());
     }
   }
 
@@ -370,7 +379,12 @@
   @Test
   void partsThatCanWaitLeaveSomeOfAColdServersBudget() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 0.5, 0), true, FREE, 1))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 0.5, 0),
+                    true,
+                    FREE,
+                    1))
             .servers();
     r.twoCores(100);
     serve(r, 1, 100);
@@ -391,7 +405,7 @@
   @Test
   void noServerIsSilentWhileNothingComesFromAny() {
     for (boolean all : new boolean[] {true, false}) {
-      Rig r = rig(Settings.Effect.SAFE, 1, 0, false, FREE);
+      Rig r = rig(Settings.Idempotency.IDEMPOTENT, 1, 0, false, FREE);
       learn(r, 30, 20);
       r.sends.clear();
       r.query(1, 3000, new int[] {0, 1, 2, 3, 0, 1, 2, 3});
@@ -417,7 +431,12 @@
   @Test
   void aServerSlowAloneKeepsItsShortQueueUntilItIsNearlyAsQuickAsTheOthers() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0.3, 1, 0), false, FREE, 1))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0.3, 1, 0),
+                    false,
+                    FREE,
+                    1))
             .servers();
     for (int i = 0; i < 30; i++) {
       r.query(i, 3000, new int[] {0, 1, 2, 3});
@@ -467,7 +486,7 @@
    */
   @Test
   void aServerThatRefusesOrIsFullDoesNotTakeAllAttemptsAtOnce() {
-    for (Router.Outcome end : List.of(Router.Outcome.UNREACHABLE, Router.Outcome.FULL)) {
+    for (Router.Outcome end : List.of(Router.Outcome.UNREACHABLE, Router.Outcome.REJECTED)) {
       Rig r = safe();
       r.query(1, 3000, new int[] {0});
       r.end(10, 0, end);
@@ -489,7 +508,9 @@
   @Test
   void aSlowServerThatWasFullGetsNoMoreThanItHasRoomFor() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), true, FREE, 1))
             .servers();
     for (int i = 1; i < 40; i++) {
       r.query(i, 3000, new int[] {i % 4 == 0 ? 0 : 1});
@@ -497,7 +518,7 @@
       r.end(i * 10, 0, Router.Outcome.OK);
     }
     r.query(50, 3000, new int[] {0});
-    r.end(500, 0, Router.Outcome.FULL);
+    r.end(500, 0, Router.Outcome.REJECTED);
     r.sends.clear();
     r.to(r.now + 500);
     for (int i = 51; i < 57; i++) {
@@ -524,7 +545,9 @@
   @Test
   void aLastTryThatGetsMoreTimeDoesNotMakeFirstTriesLate() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 2))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), true, FREE, 2))
             .servers();
     for (int i = 1; i < 10; i++) {
       r.query(i, 1800, new int[] {0});
@@ -553,7 +576,8 @@
   @Test
   void aTenantOverItsShareWaitsBehindTheOthers() {
     Settings plain =
-        Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 2);
+        Rig.settings(
+            Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), false, FREE, 2);
     Rig r =
         new Rig(
                 new Settings(
@@ -570,12 +594,12 @@
                     plain.layout(),
                     plain.limits(),
                     plain.rules(),
-                    plain.prices()))
+                    plain.costs()))
             .servers();
     for (int i = 0; i < 20; i++) {
       r.query(1 + i, 3000, new int[] {0});
     }
-    r.policy.query(new Router.Query(50, 50, 0, 1, 0, false, 3000, 1), 0, r);
+    r.policy.onQuery(new Router.Query(50, 50, 0, 1, 0, false, 3000, 1), 0, r);
     r.parts(50, 500, new int[] {0});
     assertEquals(0, r.sent(500));
     r.end(10, 0, Router.Outcome.OK);
@@ -586,7 +610,9 @@
   @Test
   void aServerLongUnheardGetsItsNextPartOverAFreshConnection() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), true, FREE, 1))
             .servers();
     serve(r, 1, 50);
     r.closed.clear();
@@ -606,7 +632,8 @@
    */
   @Test
   void whereHandshakesAreChargedForKeptConnectionsAreUsed() {
-    Settings s = Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), true, FREE, 1);
+    Settings s =
+        Rig.settings(Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), true, FREE, 1);
     Rig r =
         new Rig(
                 new Settings(
@@ -614,16 +641,16 @@
                     s.instances(),
                     s.zone(),
                     s.tick(),
-                    s.listOnRequest(),
+                    s.endpointsOnRequest(),
                     s.marksRetry(),
                     s.classes(),
                     s.tenants(),
-                    s.overShareWorth(),
-                    s.worthByWork(),
+                    s.overQuotaWeight(),
+                    s.weightByWork(),
                     s.layout(),
                     s.limits(),
                     s.rules(),
-                    new Settings.Prices(0, 0, 0, 0, 0, 0.02)))
+                    new Settings.Costs(0, 0, 0, 0, 0, 0.02)))
             .servers();
     serve(r, 1, 50);
     r.to(r.now + 5000);
@@ -635,16 +662,17 @@
   void aClientThatLeftGetsNoAnswerWhenAnOutcomeComesWithIt() {
     Rig r = safe();
     r.query(1, 3000, new int[] {0});
-    r.policy.gone(1, 10, r);
-    r.policy.ended(new Router.Ended(10, 0, "s0", Router.Outcome.OK, 10, null), 10, r);
-    r.policy.settle(10, r);
+    r.policy.onClientDisconnected(1, 10, r);
+    r.policy.onAttemptEnded(
+        new Router.AttemptEnded(10, 0, "s0", Router.Outcome.OK, 10, null), 10, r);
+    r.policy.completeBatch(10, r);
     assertTrue(r.ends.isEmpty());
     assertEquals(1, r.sends.size());
   }
 
   @Test
   void aTimeoutAtTheClientsTimeEndsTheQueryOnceWithoutAnotherSend() {
-    Rig r = rig(Settings.Effect.UNSAFE, 1, 0, true, FREE);
+    Rig r = rig(Settings.Idempotency.NON_IDEMPOTENT, 1, 0, true, FREE);
     r.query(1, 500, new int[] {0});
     r.to(500);
     r.end(10, 0, Router.Outcome.TIMEOUT);
@@ -654,7 +682,7 @@
 
   @Test
   void theSilenceOfACalledOffPartIsKeptAgainstItsServer() {
-    Rig r = rig(Settings.Effect.SAFE, 1, 0, false, FREE);
+    Rig r = rig(Settings.Idempotency.IDEMPOTENT, 1, 0, false, FREE);
     serve(r, 1, 20);
     r.query(2, 3000, new int[] {0});
     String silent = r.sends.get(r.sends.size() - 1).server();
@@ -668,7 +696,7 @@
 
   @Test
   void latePartsNarrowTheWindow() {
-    Rig r = rig(Settings.Effect.SAFE, 1, 0, false, FREE);
+    Rig r = rig(Settings.Idempotency.IDEMPOTENT, 1, 0, false, FREE);
     for (int i = 0; i < 60; i++) {
       r.query(1 + i, 3000, new int[] {i % 4});
       r.to(r.now + 600);
@@ -688,7 +716,12 @@
   @Test
   void aServerThatIsSlowAloneDoesNotNarrowTheWindow() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 9000, 0.3, 1, 0), false, FREE, 1))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 9000, 0.3, 1, 0),
+                    false,
+                    FREE,
+                    1))
             .servers();
     learn(r, 10, 20);
     for (int i = 0; i < 60; i++) {
@@ -709,7 +742,9 @@
   @Test
   void anUnheardServerCountsAsItsZonesAverage() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 4))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), false, FREE, 4))
             .servers();
     // The servers of its own zone, s0 and s2, answer late.
     for (int i = 0; i < 30; i++) {
@@ -741,7 +776,9 @@
   @Test
   void twoLateAttemptsMakeRoomForAThird() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 4000, 9000, 0, 1, 0), true, FREE, 4))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 4000, 9000, 0, 1, 0), true, FREE, 4))
             .servers();
     serve(r, 1, 20);
     r.query(2, 9000, new int[] {0});
@@ -789,7 +826,9 @@
   @Test
   void freshConnectionsStopWhereNewOnesAreWhatFails() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), false, FREE, 1))
             .servers();
     serve(r, 1, 20);
     for (int i = 0; i < 4; i++) {
@@ -808,7 +847,7 @@
 
   @Test
   void withNothingOutOneQueryIsLetInWhateverTheOldEstimates() {
-    Rig r = rig(Settings.Effect.SAFE, 1, 0, false, FREE);
+    Rig r = rig(Settings.Idempotency.IDEMPOTENT, 1, 0, false, FREE);
     learn(r, 30, 900);
     r.query(1, 3000, new int[] {0});
     assertEquals(1, r.sent(10));
@@ -826,7 +865,9 @@
   /** Sends to the only holder of a shard once it is back from a refused connection. */
   private static long sentAfterRefusal(double after) {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), false, FREE, 1))
             .servers();
     serve(r, 1, 100);
     r.query(2, 3000, new int[] {0});
@@ -841,7 +882,7 @@
 
   @Test
   void copiesAreNotPutOffByWhatWasExpectedOfASlowWay() {
-    Rig r = rig(Settings.Effect.SAFE, 1, 0, true, Rig.rules(true, 20, 0));
+    Rig r = rig(Settings.Idempotency.IDEMPOTENT, 1, 0, true, Rig.rules(true, 20, 0));
     for (int i = 0; i < 20; i++) {
       // Shard 1 lies at s1, in the other zone, and s2: both are slow to this front node.
       r.query(100 + i, 3000, new int[] {0, 1});
@@ -865,11 +906,13 @@
   @Test
   void aFullServerIsAskedAgainAfterAMoment() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), false, FREE, 1))
             .servers();
     learn(r, 4, 20);
     r.query(90, 3000, new int[] {0});
-    r.end(900, 0, Router.Outcome.FULL);
+    r.end(900, 0, Router.Outcome.REJECTED);
     r.query(91, 3000, new int[] {0});
     assertEquals(0, r.sent(910), "not at once");
     r.to(r.now + 250);
@@ -881,7 +924,9 @@
   @Test
   void oneBrokenConnectionSpeaksAgainstNoServer() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), false, FREE, 1))
             .servers();
     learn(r, 4, 20);
     r.query(90, 3000, new int[] {0});
@@ -898,7 +943,9 @@
   @Test
   void theEndOfOneConnectionCountsOnce() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), false, FREE, 1))
             .servers();
     learn(r, 4, 20);
     for (int i = 0; i < 4; i++) {
@@ -919,7 +966,9 @@
   @Test
   void aPartThatOthersOvertakeIsCalledOffAndSpeaksAgainstNoServer() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), false, FREE, 1))
             .servers();
     learn(r, 4, 20);
     r.query(90, 3000, new int[] {0});
@@ -943,7 +992,8 @@
     int let = 0;
     for (int self = 0; self < 60; self++) {
       Settings s =
-          Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 1);
+          Rig.settings(
+              Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), false, FREE, 1);
       Rig r =
           new Rig(
                   new Settings(
@@ -960,7 +1010,7 @@
                       s.layout(),
                       s.limits(),
                       s.rules(),
-                      s.prices()))
+                      s.costs()))
               .servers();
       if (twoCores) {
         r.twoCores(100);
@@ -1003,10 +1053,11 @@
   @Test
   void oddEventsAreIgnored() {
     Rig r = safe();
-    r.policy.alarm("q999", 0, r);
-    r.policy.gone(999, 0, r);
-    r.policy.ended(new Router.Ended(999, 0, "s0", Router.Outcome.OK, 1, null), 0, r);
-    r.policy.part(new Router.Part(5, 999, 0, 1, 0), 0, r);
+    r.policy.onAlarm("q999", 0, r);
+    r.policy.onClientDisconnected(999, 0, r);
+    r.policy.onAttemptEnded(
+        new Router.AttemptEnded(999, 0, "s0", Router.Outcome.OK, 1, null), 0, r);
+    r.policy.onPart(new Router.Part(5, 999, 0, 1, 0), 0, r);
     r.list(Router.ListKind.COMPLETE);
     r.list(Router.ListKind.FAILED);
     r.query(1, 3000, new int[] {0});
@@ -1021,7 +1072,12 @@
   @Test
   void aSuspectsAttemptIsCalledOffByTheTimeOfTheOthers() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 9000, 0.3, 1, 0), false, FREE, 2))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 9000, 0.3, 1, 0),
+                    false,
+                    FREE,
+                    2))
             .servers();
     learn(r, 4, 100);
     String suspect = null;
@@ -1049,7 +1105,12 @@
   @Test
   void aSlowServersSilenceIsMeasuredByTheOthers() {
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 9000, 0.3, 1, 0), false, FREE, 2))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 9000, 0.3, 1, 0),
+                    false,
+                    FREE,
+                    2))
             .servers();
     learn(r, 4, 100);
     r.list(Router.ListKind.CHANGES, Rig.member("s1", 1, Router.ServerState.DRAINING, 0));
@@ -1071,7 +1132,8 @@
   void serversThatAreGoneAreForgotten() {
     State.Fleet fleet =
         new State.Fleet(
-            Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 3000, 0, 1, 0), false, FREE, 2));
+            Rig.settings(
+                Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 3000, 0, 1, 0), false, FREE, 2));
     for (int i = 0; i < 100; i++) {
       fleet.get(Rig.member("n" + i, i, Router.ServerState.LIVE, 0)).state = Router.ServerState.GONE;
     }
@@ -1082,7 +1144,12 @@
     assertEquals(List.of(owing), List.copyOf(fleet.servers()));
     assertEquals(List.of(owing), fleet.holders(0));
     Rig r =
-        new Rig(Rig.settings(Rig.kind(Settings.Effect.SAFE, 1000, 9000, 0.3, 1, 0), false, FREE, 2))
+        new Rig(
+                Rig.settings(
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 1000, 9000, 0.3, 1, 0),
+                    false,
+                    FREE,
+                    2))
             .servers();
     r.list(Router.ListKind.CHANGES, Rig.member("s0", 0, Router.ServerState.GONE, 0));
     r.list(Router.ListKind.CHANGES, Rig.member("s0", 0, Router.ServerState.LIVE, 0));
--- a/src/test/java/bitternpulley/policy/Rig.java
+++ b/src/test/java/bitternpulley/policy/Rig.java
@@ -20,7 +20,12 @@
   final Policy policy;
 
   static Settings.QueryClass kind(
-      Settings.Effect effect, double aim, double deadline, double late, double least, int second) {
+      Settings.Idempotency effect,
+      double aim,
+      double deadline,
+      double late,
+      double least,
+      int second) {
     return new Settings.QueryClass(
         "any", 1, aim, 0, deadline, late, effect, 400, false, least, 1, 0.9, second);
   }
@@ -41,7 +46,7 @@
         new Settings.Layout(4, 4, width, 1),
         new Settings.Limits(4, 1000, true, copies, false, true, 500, 250),
         rules,
-        new Settings.Prices(0, 0, 0, 0, 0, 0));
+        new Settings.Costs(0, 0, 0, 0, 0, 0));
   }
 
   static Settings.Rules rules(boolean budgeted, double floor, double share) {
@@ -81,13 +86,13 @@
     return this;
   }
 
-  static Router.Member member(String id, int cell, Router.ServerState state, double started) {
-    return new Router.Member(id, cell % 2, cell, state, started);
+  static Router.Endpoint member(String id, int cell, Router.ServerState state, double started) {
+    return new Router.Endpoint(id, cell % 2, cell, state, started);
   }
 
-  void list(Router.ListKind kind, Router.Member... members) {
-    policy.members(kind, List.of(members), now, this);
-    policy.settle(now, this);
+  void list(Router.ListKind kind, Router.Endpoint... members) {
+    policy.onServersChanged(kind, List.of(members), now, this);
+    policy.completeBatch(now, this);
   }
 
   /**
@@ -95,16 +100,16 @@
    * weights.
    */
   void query(long id, double left, int[] shards, double... weights) {
-    policy.query(new Router.Query(id, id, 0, shards.length, 0, false, left, 0), now, this);
+    policy.onQuery(new Router.Query(id, id, 0, shards.length, 0, false, left, 0), now, this);
     parts(id, id * 10, shards, weights);
   }
 
   void parts(long number, long first, int[] shards, double... weights) {
     for (int i = 0; i < shards.length; i++) {
       double w = weights.length == 0 ? 1.0 / shards.length : weights[i];
-      policy.part(new Router.Part(first + i, number, shards[i], w, 0), now, this);
+      policy.onPart(new Router.Part(first + i, number, shards[i], w, 0), now, this);
     }
-    policy.settle(now, this);
+    policy.completeBatch(now, this);
   }
 
   void end(long part, int attempt, Router.Outcome outcome) {
@@ -117,8 +122,9 @@
         sent = s.at;
       }
     }
-    policy.ended(new Router.Ended(part, attempt, server, outcome, now - sent, null), now, this);
-    policy.settle(now, this);
+    policy.onAttemptEnded(
+        new Router.AttemptEnded(part, attempt, server, outcome, now - sent, null), now, this);
+    policy.completeBatch(now, this);
   }
 
   /** Moves the clock, ringing the alarms on the way. */
@@ -134,8 +140,8 @@
         break;
       }
       now = Math.max(now, alarms.remove(next)[0]);
-      policy.alarm(tokens.remove(next), now, this);
-      policy.settle(now, this);
+      policy.onAlarm(tokens.remove(next), now, this);
+      policy.completeBatch(now, this);
     }
     now = time;
     return this;
@@ -147,8 +153,8 @@
     alarms.clear();
     tokens.clear();
     now = time;
-    due.forEach(token -> policy.alarm(token, now, this));
-    policy.settle(now, this);
+    due.forEach(token -> policy.onAlarm(token, now, this));
+    policy.completeBatch(now, this);
   }
 
   long sent(long part) {
@@ -166,12 +172,12 @@
   }
 
   @Override
-  public void answer(long query, boolean whole) {
-    ends.add((whole ? "whole " : "part ") + query + " @" + (long) now);
+  public void answer(long query, boolean complete) {
+    ends.add((complete ? "whole " : "part ") + query + " @" + (long) now);
   }
 
   @Override
-  public void refuse(long query, double pause) {
+  public void reject(long query, double retryAfter) {
     ends.add("refuse " + query + " @" + (long) now);
   }
 
@@ -181,18 +187,18 @@
   }
 
   @Override
-  public void alarmAt(double time, String token) {
+  public void scheduleAlarm(double time, String token) {
     alarms.add(new double[] {time});
     tokens.add(token);
   }
 
   @Override
-  public void watch() {
+  public void watchEndpoints() {
     watches++;
   }
 
   @Override
-  public void close(String server) {
+  public void closeIdleConnections(String server) {
     closed.add(server);
   }
 
--- a/src/test/java/bitternpulley/policy/SilentQueryTest.java
+++ b/src/test/java/bitternpulley/policy/SilentQueryTest.java
@@ -17,10 +17,11 @@
  */
 class SilentQueryTest {
   private static Rig rig(double late, double least) {
-    return rig(Settings.Effect.SAFE, late, least, Rig.rules(false, 0, 0));
+    return rig(Settings.Idempotency.IDEMPOTENT, late, least, Rig.rules(false, 0, 0));
   }
 
-  private static Rig rig(Settings.Effect effect, double late, double least, Settings.Rules rules) {
+  private static Rig rig(
+      Settings.Idempotency effect, double late, double least, Settings.Rules rules) {
     Rig r =
         new Rig(Rig.settings(Rig.kind(effect, 2000, 6000, late, least, 0), false, rules, 2))
             .servers();
@@ -58,7 +59,7 @@
     Rig r =
         new Rig(
                 Rig.settings(
-                    Rig.kind(Settings.Effect.SAFE, 2000, 6000, 0.3, 1, 0),
+                    Rig.kind(Settings.Idempotency.IDEMPOTENT, 2000, 6000, 0.3, 1, 0),
                     false,
                     Rig.rules(false, 0, 0),
                     2))
@@ -78,7 +79,7 @@
     r.query(1, 6000, new int[] {0, 2});
     double told = r.now;
     tell(r, Router.ServerState.DRAINING);
-    r.end(10, 0, Router.Outcome.FULL);
+    r.end(10, 0, Router.Outcome.REJECTED);
     r.to(told + 50);
     assertEquals(1, r.ends.size());
     assertTrue(r.ends.get(0).startsWith("refuse 1 @"), r.ends.toString());
@@ -88,7 +89,7 @@
   /** A keyed part that may have run is no refusal: trying again is not known to be harmless. */
   @Test
   void failsAtOnceWhereAPartMayHaveRun() {
-    Rig r = rig(Settings.Effect.KEYED, 0.3, 1, Rig.rules(false, 0, 0));
+    Rig r = rig(Settings.Idempotency.KEYED, 0.3, 1, Rig.rules(false, 0, 0));
     r.query(1, 6000, new int[] {0});
     double told = r.now;
     tell(r, Router.ServerState.DRAINING);
@@ -116,7 +117,7 @@
     Rig r = rig(0.3, 1);
     r.list(Router.ListKind.CHANGES, Rig.member("s1", 1, Router.ServerState.GONE, 0));
     r.query(1, 6000, new int[] {0});
-    r.end(10, 0, Router.Outcome.FULL);
+    r.end(10, 0, Router.Outcome.REJECTED);
     r.to(r.now + 600);
     assertEquals(2, r.sent(10));
     assertEquals(List.of(), r.ends);
@@ -127,7 +128,7 @@
   void waitsForRoomAtAColdHolder() {
     Rig r =
         rig(
-            Settings.Effect.SAFE,
+            Settings.Idempotency.IDEMPOTENT,
             0.3,
             1,
             new Settings.Rules(20, 500, 0.2, 10_000, 2, 1000, false, 0, 0, 1000, 0));
@@ -164,9 +165,18 @@
   @Test
   void endsByTheClientsTimeThoughItLayUnread() {
     Rig r = rig(0.3, 1);
-    r.policy.query(
+    r.policy.onQuery(
         new Router.Query(
-            1, 1, 0, 1, 0, false, 6000, 0, Router.Terms.OF_CLASS, new Router.Lateness(150, 100)),
+            1,
+            1,
+            0,
+            1,
+            0,
+            false,
+            6000,
+            0,
+            Router.Terms.CLASS_DEFAULT,
+            new Router.Lateness(150, 100)),
         r.now,
         r);
     double taken = r.now;
--- a/src/test/java/bitternpulley/trace/DecisionTraceTest.java
+++ b/src/test/java/bitternpulley/trace/DecisionTraceTest.java
@@ -84,13 +84,14 @@
         world.at(TraceWorld.BEGIN + 900, world::failedList);
         world.at(
             TraceWorld.BEGIN + 1500,
-            () -> world.everywhere(new Event.UpgradePeerChanged(Router.Beside.PREDECESSOR)));
+            () ->
+                world.everywhere(new Event.UpgradePeerChanged(Router.HotRestartRole.PREDECESSOR)));
         world.at(
             TraceWorld.BEGIN + 6000,
-            () -> world.everywhere(new Event.UpgradePeerChanged(Router.Beside.NONE)));
+            () -> world.everywhere(new Event.UpgradePeerChanged(Router.HotRestartRole.NONE)));
         world.at(
             TraceWorld.BEGIN + 17_000,
-            () -> world.everywhere(new Event.UpgradePeerChanged(Router.Beside.SUCCESSOR)));
+            () -> world.everywhere(new Event.UpgradePeerChanged(Router.HotRestartRole.SUCCESSOR)));
         for (int i = 0; i < 8; i++) {
           int server = i;
           double at = TraceWorld.BEGIN + 2000 + 1500 * i;
--- a/src/test/java/bitternpulley/trace/HedgingTraceTest.java
+++ b/src/test/java/bitternpulley/trace/HedgingTraceTest.java
@@ -80,12 +80,12 @@
     }
 
     String run() {
-      router.members(
+      router.onServersChanged(
           Router.ListKind.COMPLETE,
           IntStream.range(0, servers.size()).mapToObj(this::member).toList(),
           now,
           this);
-      router.settle(now, this);
+      router.completeBatch(now, this);
       arrive();
       TraceServers.Behaviour[] all = TraceServers.Behaviour.values();
       for (int i = 1; i < all.length; i++) {
@@ -96,20 +96,20 @@
             2000 * i + 4500,
             () -> {
               servers.restart(server, now);
-              router.members(Router.ListKind.CHANGES, List.of(member(server)), now, this);
+              router.onServersChanged(Router.ListKind.CHANGES, List.of(member(server)), now, this);
             });
       }
       while (!due.isEmpty() && due.peek().at() < LENGTH_MS + 10_000) {
         Due next = due.poll();
         now = Math.max(now, next.at());
         next.task().run();
-        router.settle(now, this);
+        router.completeBatch(now, this);
       }
       return digest.end();
     }
 
-    private Router.Member member(int server) {
-      return new Router.Member(
+    private Router.Endpoint member(int server) {
+      return new Router.Endpoint(
           "s" + server, server % 2, server, Router.ServerState.LIVE, servers.startedAt(server));
     }
 
@@ -129,14 +129,14 @@
       Router.Query query =
           new Router.Query(id, id, queryClass, parts, 0, random.nextInt(6) == 0, time, 0);
       open.put(id, query);
-      router.query(query, now, this);
+      router.onQuery(query, now, this);
       parts(id, parts);
       if (random.nextInt(10) == 0) {
         at(
             now + time * random.nextDouble(),
             () -> {
               if (open.remove(id) != null) {
-                router.gone(id, now, this);
+                router.onClientDisconnected(id, now, this);
               }
             });
       }
@@ -146,7 +146,7 @@
     private void parts(long query, int parts) {
       int first = random.nextInt(settings.layout().shards());
       for (int i = 0; i < parts; i++) {
-        router.part(
+        router.onPart(
             new Router.Part(
                 ++lastId,
                 query,
@@ -174,8 +174,9 @@
     private void end(String key, Router.Outcome outcome) {
       Running r = running.remove(key);
       if (r != null) {
-        router.ended(
-            new Router.Ended(r.part(), r.number(), r.server(), outcome, now - r.sentAt(), null),
+        router.onAttemptEnded(
+            new Router.AttemptEnded(
+                r.part(), r.number(), r.server(), outcome, now - r.sentAt(), null),
             now,
             this);
       }
@@ -191,14 +192,14 @@
     public void answer(long query, boolean complete) {
       digest.add(now, "answer", query, complete);
       Router.Query answered = open.remove(query);
-      if (answered != null && settings.classes().get(answered.queryClass()).secondStep() > 0) {
-        int parts = settings.classes().get(answered.queryClass()).secondStep();
+      if (answered != null && settings.classes().get(answered.queryClass()).secondStepParts() > 0) {
+        int parts = settings.classes().get(answered.queryClass()).secondStepParts();
         at(now + 1, () -> parts(query, parts));
       }
     }
 
     @Override
-    public void refuse(long query, double retryAfter) {
+    public void reject(long query, double retryAfter) {
       digest.add(now, "refuse", query, retryAfter);
       open.remove(query);
     }
@@ -210,18 +211,18 @@
     }
 
     @Override
-    public void alarmAt(double time, String token) {
+    public void scheduleAlarm(double time, String token) {
       digest.add(now, "alarm", time);
-      at(time, () -> router.alarm(token, now, this));
+      at(time, () -> router.onAlarm(token, now, this));
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
       digest.add(now, "watch");
     }
 
     @Override
-    public void close(String server) {
+    public void closeIdleConnections(String server) {
       digest.add(now, "close", server);
     }
 
--- a/src/test/java/bitternpulley/trace/TraceServers.java
+++ b/src/test/java/bitternpulley/trace/TraceServers.java
@@ -82,7 +82,7 @@
       case ERRORS ->
           random.nextInt(3) == 0 ? work(server, workMs, now, travel) : new End("ERROR", travel);
       case FULL ->
-          random.nextInt(4) == 0 ? work(server, workMs, now, travel) : new End("FULL", travel);
+          random.nextInt(4) == 0 ? work(server, workMs, now, travel) : new End("REJECTED", travel);
       case HANGS -> new End("NEVER", 0);
       case RESETS ->
           random.nextInt(2) == 0
@@ -96,7 +96,7 @@
     int core = server.freeAt[0] <= server.freeAt[1] ? 0 : 1;
     double begin = Math.max(now, server.freeAt[core]);
     if (begin - now > QUEUE_LIMIT_MS) {
-      return new End("FULL", travel);
+      return new End("REJECTED", travel);
     }
     double warm = Math.min(1, 0.25 + 0.75 * (now - server.startedAt) / 9000);
     server.freeAt[core] = begin + workMs * (0.7 + 0.6 * random.nextDouble()) / warm;
--- a/src/test/java/bitternpulley/trace/TraceWorld.java
+++ b/src/test/java/bitternpulley/trace/TraceWorld.java
@@ -77,7 +77,7 @@
    * All instances hear of these servers as they now are, each a little later than the one before.
    */
   void list(Router.ListKind kind, int... named) {
-    List<Router.Member> members = IntStream.of(named).mapToObj(this::member).toList();
+    List<Router.Endpoint> members = IntStream.of(named).mapToObj(this::member).toList();
     for (int i = 0; i < instances.size(); i++) {
       int instance = i;
       if (now == BEGIN) {
@@ -90,8 +90,8 @@
     }
   }
 
-  private Router.Member member(int server) {
-    return new Router.Member(
+  private Router.Endpoint member(int server) {
+    return new Router.Endpoint(
         "s" + server,
         server % 2,
         server,
@@ -275,7 +275,7 @@
   private void unsend(int instance, String attempt) {
     Running r = running.get(instance + ":" + attempt);
     if (r != null && now - r.sentAt() <= UNSENT_WITHIN_MS) {
-      at(now, () -> end(instance + ":" + attempt, Router.Outcome.MOOT));
+      at(now, () -> end(instance + ":" + attempt, Router.Outcome.NOT_SENT));
     }
   }
 }
