--- a/src/main/java/bitternpulley/Aggregator.java
+++ b/src/main/java/bitternpulley/Aggregator.java
@@ -1,7 +1,7 @@
 package bitternpulley;
 
 import bitternpulley.admin.AdminEndpoint;
-import bitternpulley.admin.OrdersFile;
+import bitternpulley.admin.OverridesFile;
 import bitternpulley.broker.Broker;
 import bitternpulley.broker.Clock;
 import bitternpulley.broker.Event;
@@ -115,7 +115,7 @@
     int links = shared ? clients / 2 : spare / 3;
     double connectTimeout = config.settings().limits().connectTimeout();
     servers = new SlotServers(loop, broker::submit, clock, config.wire(), connectTimeout, links);
-    broker.add(servers);
+    broker.addDialect(servers);
     preparation = new Preparation(loop, config.seed(), servers::prepare);
     QueryFront queries =
         new QueryFront(
@@ -127,7 +127,7 @@
     servers.answersTo(queries::reply);
     front = new HttpServer(loop, MOST_BODY, clients, HttpServer.Timeouts.USUAL, queries);
     search = searchConfig.map(c -> searchSide(c, connectTimeout, links, clients));
-    admin = new AdminEndpoint(loop, broker, new OrdersFile(config.operations().folder()), this);
+    admin = new AdminEndpoint(loop, broker, new OverridesFile(config.operations().folder()), this);
     // No lambda: to link one that makes it would load the class where membership is off.
     peers =
         agreed.membership().isEmpty()
@@ -155,7 +155,7 @@
     HttpClient client =
         new HttpClient(loop, c.maxPartBytes(), links, connectTimeout, config.wire().idleAfter());
     SearchServers to = new SearchServers(loop, broker, client, c.serverPort());
-    broker.add(to);
+    broker.addDialect(to);
     HttpServer server =
         new HttpServer(
             loop,
@@ -244,7 +244,7 @@
       peers.get().prepare();
     }
     told(config.known(), Router.ListKind.REMEMBERED);
-    broker.submit(new Event.Agreed(agreed.book()));
+    broker.submit(new Event.ContractsActivated(agreed.book()));
     discovery.start();
     if (peers.isPresent()) { // no method reference: it would load the class where membership is off
       peers.get().begin();
@@ -308,12 +308,12 @@
       listen(at -> front.listen(PassedListener.inherited(loop)), config.listen());
       // Whether one is being replaced is not told; if so, what it has taken till its grace ends is
       // past its deadline then.
-      broker.submit(new Event.UpgradePeerChanged(Router.HotRestartRole.PREDECESSOR));
+      broker.submit(new Event.HotRestartRoleChanged(Router.HotRestartRole.PREDECESSOR));
       loop.after(
           GRACE + longestDeadline(),
           () ->
               broker.submit(
-                  new Event.UpgradePeerChanged(
+                  new Event.HotRestartRoleChanged(
                       draining ? Router.HotRestartRole.SUCCESSOR : Router.HotRestartRole.NONE)));
     }
     rehearsed = true;
@@ -373,7 +373,7 @@
       search.ifPresent(s -> s.servers().keepOnly(named));
     }
     broker.submit(
-        new Event.ServersListed(
+        new Event.ServersChanged(
             kind, list.entries().stream().map(ServerList.Entry::member).toList()));
   }
 
@@ -436,7 +436,7 @@
     }
     agreed = script;
     version++;
-    broker.submit(new Event.Agreed(script.book().as(version)));
+    broker.submit(new Event.ContractsActivated(script.book().as(version)));
     LOG.log(
         Level.INFO,
         "contracts of version " + version + " are in force: " + script.book().contracts().size());
@@ -458,7 +458,7 @@
           if (config.operations().passedSocket()) {
             // What comes from now on is for the process that takes over.
             front.stopAccepting();
-            broker.submit(new Event.UpgradePeerChanged(Router.HotRestartRole.SUCCESSOR));
+            broker.submit(new Event.HotRestartRoleChanged(Router.HotRestartRole.SUCCESSOR));
           }
           fronts()
               .forEach(
@@ -494,7 +494,7 @@
    * about to kill the program.
    */
   private void awaitIdle(double kill) {
-    boolean answered = broker.open() == 0 && fronts().allMatch(f -> f.unanswered() == 0);
+    boolean answered = broker.pendingRequests() == 0 && fronts().allMatch(f -> f.unanswered() == 0);
     if (answered && (clock.now() >= kill || fronts().allMatch(f -> f.busy() == 0))) {
       drained.countDown();
     } else {
--- a/src/main/java/bitternpulley/admin/AccountsReport.java
+++ b/src/main/java/bitternpulley/admin/AccountsReport.java
@@ -1,7 +1,7 @@
 package bitternpulley.admin;
 
-import bitternpulley.broker.Accounts;
 import bitternpulley.broker.Broker;
+import bitternpulley.broker.ContractAccounting;
 import bitternpulley.contracts.AccountView;
 import bitternpulley.contracts.Limit;
 import com.fasterxml.jackson.core.JsonFactory;
@@ -26,7 +26,7 @@
 
   /** All accounts that were used, or that of one team. */
   static String of(Broker broker, String team) {
-    List<AccountView> all = broker.accounts().views(broker.now());
+    List<AccountView> all = broker.contractAccounting().views(broker.now());
     List<AccountView> listed =
         all.stream()
             .filter(a -> team == null || a.team().equals(team))
@@ -38,7 +38,7 @@
     StringWriter line = new StringWriter();
     try (JsonGenerator out = JSON.createGenerator(line)) {
       out.writeStartObject();
-      Accounts accounts = broker.accounts();
+      ContractAccounting accounts = broker.contractAccounting();
       figure(out, "capacity_per_s", accounts.capacity());
       figure(out, "delivered_per_s", accounts.delivered());
       out.writeNumberField("accounts_used", all.size());
--- a/src/main/java/bitternpulley/admin/AdminEndpoint.java
+++ b/src/main/java/bitternpulley/admin/AdminEndpoint.java
@@ -3,8 +3,8 @@
 import bitternpulley.broker.Broker;
 import bitternpulley.broker.Effect;
 import bitternpulley.broker.Event;
-import bitternpulley.broker.OperatorOrders;
-import bitternpulley.broker.Operators;
+import bitternpulley.broker.OperatorCommands;
+import bitternpulley.broker.OperatorOverrides;
 import bitternpulley.broker.Payload;
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
@@ -17,7 +17,7 @@
  * The operators' admin endpoint, which these pages call their door: one line in, one line back,
  * which starts with 200 or 400. It decides nothing itself.
  */
-public final class AdminEndpoint implements LineServer.Handler, Operators {
+public final class AdminEndpoint implements LineServer.Handler, OperatorCommands {
   private static final System.Logger LOG = System.getLogger(AdminEndpoint.class.getName());
 
   /** The program that the door belongs to. */
@@ -42,15 +42,15 @@
 
   private final EventLoop loop;
   private final Broker broker;
-  private final OrdersFile file;
+  private final OverridesFile file;
   private final Program program;
 
-  public AdminEndpoint(EventLoop loop, Broker broker, OrdersFile file, Program program) {
+  public AdminEndpoint(EventLoop loop, Broker broker, OverridesFile file, Program program) {
     this.loop = loop;
     this.broker = broker;
     this.file = file;
     this.program = program;
-    broker.operators(this);
+    broker.operatorCommands(this);
   }
 
   /**
@@ -66,8 +66,8 @@
     new LineServer(loop, this).listen(at);
   }
 
-  private void stands(OperatorOrders standing) {
-    broker.submit(new Event.OrdersChanged(standing));
+  private void stands(OperatorOverrides standing) {
+    broker.submit(new Event.OverridesChanged(standing));
   }
 
   @Override
@@ -75,10 +75,10 @@
     String[] words = line.split(" +");
     switch (words[0] + "/" + words.length) {
       case "health/1" -> answer.accept(program.serving() ? "200 yes" : "400 no clients are taken");
-      case "cordon/2" -> order(new OperatorOrders.Order(words[1], true), line, answer);
-      case "uncordon/2" -> order(new OperatorOrders.Order(words[1], false), line, answer);
-      case "quiesce/1" -> order(new OperatorOrders.Order(null, true), line, answer);
-      case "resume/1" -> order(new OperatorOrders.Order(null, false), line, answer);
+      case "cordon/2" -> order(new OperatorOverrides.Override(words[1], true), line, answer);
+      case "uncordon/2" -> order(new OperatorOverrides.Override(words[1], false), line, answer);
+      case "quiesce/1" -> order(new OperatorOverrides.Override(null, true), line, answer);
+      case "resume/1" -> order(new OperatorOverrides.Override(null, false), line, answer);
       case "reload/1" -> {
         LOG.log(Level.INFO, "by an operator: reload");
         program.reload(told -> loop.execute(() -> answer.accept(told)));
@@ -110,15 +110,15 @@
     return "400 the line is too long";
   }
 
-  private void order(OperatorOrders.Order order, String line, Consumer<String> answer) {
-    broker.submit(new Event.Ordered(order, new Caller(line, answer)));
+  private void order(OperatorOverrides.Override order, String line, Consumer<String> answer) {
+    broker.submit(new Event.OperatorCommandReceived(order, new Caller(line, answer)));
   }
 
   @Override
-  public void keep(Effect.Keep kept) {
+  public void persist(Effect.PersistOverride kept) {
     Caller caller = (Caller) kept.caller();
     file.change(
-        kept.order(),
+        kept.override(),
         (standing, failure) ->
             loop.execute(
                 () -> {
@@ -134,8 +134,8 @@
   }
 
   @Override
-  public void refuse(Effect.Turn turned) {
-    ((Caller) turned.caller()).answer().accept("400 " + turned.why());
+  public void reject(Effect.RejectCommand turned) {
+    ((Caller) turned.caller()).answer().accept("400 " + turned.reason());
   }
 
   @Override
--- a/src/main/java/bitternpulley/admin/OrdersFile.java
+++ b/src/main/java/bitternpulley/admin/OverridesFile.java
@@ -1,6 +1,6 @@
 package bitternpulley.admin;
 
-import bitternpulley.broker.OperatorOrders;
+import bitternpulley.broker.OperatorOverrides;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.nio.channels.FileChannel;
@@ -26,8 +26,8 @@
  * one, or one that runs at the same time, reads. Works on a thread of its own: nothing on the loop
  * waits for a file.
  */
-public final class OrdersFile {
-  private static final System.Logger LOG = System.getLogger(OrdersFile.class.getName());
+public final class OverridesFile {
+  private static final System.Logger LOG = System.getLogger(OverridesFile.class.getName());
   private static final String NAME = "bitternpulley-orders";
   private static final String CORDONED = "cordoned ";
   private static final String QUIESCED = "quiesced";
@@ -45,25 +45,25 @@
             made.setDaemon(true);
             return made;
           });
-  private OperatorOrders last = OperatorOrders.NOTHING;
+  private OperatorOverrides last = OperatorOverrides.NONE;
   private boolean unusable;
 
   /** A file in a folder; with none, orders are only remembered. */
-  public OrdersFile(Optional<Path> folder) {
+  public OverridesFile(Optional<Path> folder) {
     file = folder.map(f -> f.resolve(NAME));
   }
 
   /** What stands; called once, before the file is watched. */
-  public OperatorOrders read() {
+  public OperatorOverrides read() {
     last = current();
     return last;
   }
 
   /** Tells of each change that another process made. */
-  public void watch(Consumer<OperatorOrders> changed) {
+  public void watch(Consumer<OperatorOverrides> changed) {
     thread.scheduleWithFixedDelay(
         () -> {
-          OperatorOrders now = current();
+          OperatorOverrides now = current();
           if (!now.equals(last)) {
             last = now;
             changed.accept(now);
@@ -78,7 +78,7 @@
    * Carries out an order; {@code done} hears what then stands, and what went wrong with the file or
    * null.
    */
-  public void change(OperatorOrders.Order order, BiConsumer<OperatorOrders, String> done) {
+  public void change(OperatorOverrides.Override order, BiConsumer<OperatorOverrides, String> done) {
     thread.execute(
         () -> {
           String failure = null;
@@ -94,7 +94,7 @@
   }
 
   @SuppressWarnings("try") // the lock is held, not used
-  private void change(OperatorOrders.Order order) throws IOException {
+  private void change(OperatorOverrides.Override order) throws IOException {
     if (file.isEmpty()) {
       last = last.with(order);
       return;
@@ -108,7 +108,7 @@
                 StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE);
         FileLock lock = channel.lock()) {
-      OperatorOrders fresh = current().with(order);
+      OperatorOverrides fresh = current().with(order);
       List<String> lines = new ArrayList<>();
       new TreeSet<>(fresh.cordoned()).forEach(s -> lines.add(CORDONED + s));
       if (fresh.quiesced()) {
@@ -125,7 +125,7 @@
    * What the file says; what stood before where it cannot be used, since a ban must not be lifted
    * by that.
    */
-  private OperatorOrders current() {
+  private OperatorOverrides current() {
     if (file.isEmpty()) {
       return last;
     }
@@ -145,7 +145,7 @@
         }
       }
       unusable = false;
-      return new OperatorOrders(cordoned, quiesced);
+      return new OperatorOverrides(cordoned, quiesced);
     } catch (NoSuchFileException e) {
       return last;
     } catch (MalformedInputException e) {
@@ -155,7 +155,7 @@
     }
   }
 
-  private OperatorOrders keep(String why) {
+  private OperatorOverrides keep(String why) {
     if (!unusable) {
       unusable = true;
       LOG.log(
--- a/src/main/java/bitternpulley/broker/Broker.java
+++ b/src/main/java/bitternpulley/broker/Broker.java
@@ -23,8 +23,8 @@
   private final Timer timer;
   private final List<Dialect> dialects = new ArrayList<>();
   private final ArrayDeque<Event> waiting = new ArrayDeque<>();
-  private Operators operators;
-  private PeerWire peers;
+  private OperatorCommands operatorCommands;
+  private GossipTransport gossipTransport;
   private boolean busy;
   private long lastId;
 
@@ -35,18 +35,18 @@
   }
 
   /** Adds a wire, which from now on hears of servers whose idle connections are to be closed. */
-  public void add(Dialect dialect) {
+  public void addDialect(Dialect dialect) {
     dialects.add(dialect);
   }
 
   /** Says who carries out what operators order. */
-  public void operators(Operators operators) {
-    this.operators = operators;
+  public void operatorCommands(OperatorCommands operators) {
+    this.operatorCommands = operators;
   }
 
   /** Says who carries what other aggregators are told. */
-  public void peers(PeerWire peers) {
-    this.peers = peers;
+  public void gossipTransport(GossipTransport peers) {
+    this.gossipTransport = peers;
   }
 
   /** Who is here, as this instance holds it; empty where membership is off or has not begun. */
@@ -65,8 +65,8 @@
   }
 
   /** Requests without a final answer. */
-  public int open() {
-    return reducer.open();
+  public int pendingRequests() {
+    return reducer.pendingRequests();
   }
 
   /** The time that the core goes by, ms. */
@@ -75,8 +75,8 @@
   }
 
   /** How the teams' accounts stand. */
-  public Accounts accounts() {
-    return reducer.accounts();
+  public ContractAccounting contractAccounting() {
+    return reducer.contractAccounting();
   }
 
   /** Takes an event; one that comes while another is dealt with waits for its turn. */
@@ -97,36 +97,36 @@
 
   private void perform(Effect effect) {
     try {
-      if (effect instanceof Effect.Start e) {
+      if (effect instanceof Effect.StartAttempt e) {
         e.request().dialect().start(e);
-      } else if (effect instanceof Effect.StartTogether e) {
-        e.starts().get(0).request().dialect().startTogether(e.starts());
-      } else if (effect instanceof Effect.Abandon e) {
-        e.request().dialect().abandon(e);
-      } else if (effect instanceof Effect.TakeBack e) {
-        e.request().dialect().takeBack(e);
+      } else if (effect instanceof Effect.StartCall e) {
+        e.attempts().get(0).request().dialect().startCall(e.attempts());
+      } else if (effect instanceof Effect.CancelAttempt e) {
+        e.request().dialect().cancel(e);
+      } else if (effect instanceof Effect.CancelUnsent e) {
+        e.request().dialect().cancelUnsent(e);
       } else if (effect instanceof Effect.Reply e) {
         e.request().dialect().reply(e);
       } else if (effect instanceof Effect.WakeAt e) {
         timer.after(e.time() - clock.now(), () -> submit(e.event()));
-      } else if (effect instanceof Effect.CloseIdle e) {
-        dialects.forEach(d -> d.closeIdle(e.server()));
-      } else if (effect instanceof Effect.Withdraw e) {
-        dialects.forEach(d -> d.withdraw(e.server()));
-      } else if (effect instanceof Effect.Keep e) {
-        operators.keep(e);
-      } else if (effect instanceof Effect.Turn e) {
-        operators.refuse(e);
+      } else if (effect instanceof Effect.CloseIdleConnections e) {
+        dialects.forEach(d -> d.closeIdleConnections(e.server()));
+      } else if (effect instanceof Effect.CancelUnsentTo e) {
+        dialects.forEach(d -> d.cancelUnsentTo(e.server()));
+      } else if (effect instanceof Effect.PersistOverride e) {
+        operatorCommands.persist(e);
+      } else if (effect instanceof Effect.RejectCommand e) {
+        operatorCommands.reject(e);
       } else if (effect instanceof Effect.Quiesce e) {
-        operators.quiesce(e.on());
-      } else if (effect instanceof Effect.Judged e) {
+        operatorCommands.quiesce(e.on());
+      } else if (effect instanceof Effect.AdmissionDecided e) {
         LOG.log(Level.DEBUG, () -> ContractLog.judged(e));
-      } else if (effect instanceof Effect.Settled e) {
+      } else if (effect instanceof Effect.ChargeSettled e) {
         LOG.log(Level.DEBUG, () -> ContractLog.settled(e));
-      } else if (effect instanceof Effect.Tell e) {
-        peers.tell(e);
-      } else if (effect instanceof Effect.TellOfLease e) {
-        peers.tell(e);
+      } else if (effect instanceof Effect.SendGossip e) {
+        gossipTransport.send(e);
+      } else if (effect instanceof Effect.SendLeaseMessage e) {
+        gossipTransport.send(e);
       } else if (effect instanceof Effect.Log e) {
         LOG.log(Level.INFO, e.text());
       }
@@ -142,16 +142,17 @@
    * way to them.
    */
   private void makeGood(Effect effect) {
-    if (effect instanceof Effect.StartTogether e) {
-      e.starts().forEach(this::makeGood);
-    } else if (effect instanceof Effect.Start e) {
-      perform(new Effect.Abandon(e.id(), e.request(), e.server()));
-      submit(new Event.Ended(e.id(), Router.Outcome.RESET, null));
-    } else if (effect instanceof Effect.Abandon e) {
-      submit(new Event.Abandoned(e.id()));
+    if (effect instanceof Effect.StartCall e) {
+      e.attempts().forEach(this::makeGood);
+    } else if (effect instanceof Effect.StartAttempt e) {
+      perform(new Effect.CancelAttempt(e.id(), e.request(), e.server()));
+      submit(new Event.AttemptEnded(e.id(), Router.Outcome.RESET, null));
+    } else if (effect instanceof Effect.CancelAttempt e) {
+      submit(new Event.AttemptCancelled(e.id()));
     } else if (effect instanceof Effect.Reply e && !(e.answer() instanceof Effect.Answer.Failed)) {
       perform(
-          new Effect.Reply(e.request(), new Effect.Answer.Failed(Effect.Answer.Ending.UNTRIED)));
+          new Effect.Reply(
+              e.request(), new Effect.Answer.Failed(Effect.Answer.Ending.NOTHING_SENT)));
     }
   }
 }
--- a/src/main/java/bitternpulley/broker/SharedCalls.java
+++ b/src/main/java/bitternpulley/broker/CallBatcher.java
@@ -10,11 +10,11 @@
  * each call beside the work of its parts ({@code domain.call} of the settings), and one call holds
  * up to {@code domain.bundleMax} parts.
  */
-final class SharedCalls {
+final class CallBatcher {
   /** Where a call goes: attempts of different wires never share one. */
   private record Target(String server, Dialect dialect) {}
 
-  private SharedCalls() {}
+  private CallBatcher() {}
 
   /**
    * The same effects, with the attempts to each server joined at the place of the first of them, at
@@ -26,15 +26,15 @@
       return effects;
     }
     List<Effect> joined = new ArrayList<>();
-    Map<Target, List<Effect.Start>> forming = new LinkedHashMap<>();
+    Map<Target, List<Effect.StartAttempt>> forming = new LinkedHashMap<>();
     for (Effect effect : effects) {
-      if (effect instanceof Effect.Start start) {
+      if (effect instanceof Effect.StartAttempt start) {
         Target target = new Target(start.server(), start.request().dialect());
-        List<Effect.Start> call = forming.get(target);
+        List<Effect.StartAttempt> call = forming.get(target);
         if (call == null || call.size() == most) {
           call = new ArrayList<>();
           forming.put(target, call);
-          joined.add(new Effect.StartTogether(call));
+          joined.add(new Effect.StartCall(call));
         }
         call.add(start);
       } else {
@@ -42,7 +42,7 @@
       }
     }
     joined.replaceAll(
-        e -> e instanceof Effect.StartTogether t && t.starts().size() == 1 ? t.starts().get(0) : e);
+        e -> e instanceof Effect.StartCall t && t.attempts().size() == 1 ? t.attempts().get(0) : e);
     return joined;
   }
 }
--- a/src/main/java/bitternpulley/broker/PeerState.java
+++ b/src/main/java/bitternpulley/broker/ClusterState.java
@@ -10,7 +10,7 @@
  * What the core holds of the other aggregators: who is here, and which part of what all may do
  * together is this one's.
  */
-final class PeerState {
+final class ClusterState {
   private Membership membership;
   private Leases leases;
 
@@ -18,21 +18,21 @@
    * Takes an event of the other aggregators; what is to be done comes behind the effects so far.
    */
   void apply(Event event, double now, List<Effect> effects) {
-    if (event instanceof Event.LeasesApply e) {
+    if (event instanceof Event.LeasesStarted e) {
       leases = e.leases();
-    } else if (event instanceof Event.PeersBegin e) {
+    } else if (event instanceof Event.MembershipStarted e) {
       membership = e.membership();
       if (leases != null) {
         leases.begin(membership.epoch(), now);
       }
-    } else if (event instanceof Event.PeersTick && membership != null) {
+    } else if (event instanceof Event.MembershipTick && membership != null) {
       told(membership.tick(now), effects);
       lent(leases == null ? List.of() : leases.tick(now), effects);
-    } else if (event instanceof Event.PeerSaid e && membership != null) {
+    } else if (event instanceof Event.GossipReceived e && membership != null) {
       told(membership.heard(e.message(), now), effects);
-    } else if (event instanceof Event.LeaseSaid e && leases != null) {
+    } else if (event instanceof Event.LeaseMessageReceived e && leases != null) {
       lent(leases.heard(e.message(), now), effects);
-    } else if (event instanceof Event.PeersLeave && membership != null) {
+    } else if (event instanceof Event.MembershipLeaveRequested && membership != null) {
       told(membership.leave(now), effects);
       if (leases != null) {
         leases.end();
@@ -43,7 +43,7 @@
   private static void told(List<Output> outputs, List<Effect> effects) {
     for (Output o : outputs) {
       if (o instanceof Output.Send s) {
-        effects.add(new Effect.Tell(s.to(), s.message()));
+        effects.add(new Effect.SendGossip(s.to(), s.message()));
       } else if (!(o instanceof Output.Told)) {
         effects.add(new Effect.Log(o.toString()));
       }
@@ -51,7 +51,7 @@
   }
 
   private static void lent(List<Leases.Send> sends, List<Effect> effects) {
-    sends.forEach(s -> effects.add(new Effect.TellOfLease(s.to(), s.message())));
+    sends.forEach(s -> effects.add(new Effect.SendLeaseMessage(s.to(), s.message())));
   }
 
   Optional<Membership> membership() {
--- a/src/main/java/bitternpulley/broker/Accounts.java
+++ b/src/main/java/bitternpulley/broker/ContractAccounting.java
@@ -14,7 +14,7 @@
  * The core's side of contracts: it hands requests, attempts and ends on to {@link
  * AdmissionControl}, and is nothing at all where no contracts are in force.
  */
-public final class Accounts {
+public final class ContractAccounting {
   private final Settings settings;
 
   /**
@@ -23,11 +23,11 @@
    */
   private AdmissionControl control;
 
-  Accounts(Settings settings) {
+  ContractAccounting(Settings settings) {
     this.settings = settings;
   }
 
-  boolean on() {
+  boolean isActive() {
     return control != null && control.on();
   }
 
@@ -47,9 +47,10 @@
   }
 
   Verdict admit(Request r, double now) {
-    double work = r.slices().stream().mapToDouble(Request.Slice::work).sum();
+    double work = r.parts().stream().mapToDouble(Request.QueryPart::estimatedWork).sum();
     return control.admit(
-        new Claim(r.team(), r.requestClass(), r.slices().size(), work, r.retry(), r.print()), now);
+        new Claim(r.team(), r.queryClass(), r.parts().size(), work, r.retry(), r.fingerprint()),
+        now);
   }
 
   /** Whether an attempt may go out; one beyond the first is taken from the team's budget. */
@@ -72,7 +73,7 @@
     }
   }
 
-  void over(Charge charge, boolean served, double now, List<Effect> effects) {
+  void requestEnded(Charge charge, boolean served, double now, List<Effect> effects) {
     if (charge != null) {
       control.over(charge, served, now);
       settled(charge, effects);
@@ -81,7 +82,7 @@
 
   private static void settled(Charge charge, List<Effect> effects) {
     if (charge.settled()) {
-      effects.add(new Effect.Settled(charge));
+      effects.add(new Effect.ChargeSettled(charge));
     }
   }
 
--- a/src/main/java/bitternpulley/broker/ContractLog.java
+++ b/src/main/java/bitternpulley/broker/ContractLog.java
@@ -8,8 +8,8 @@
 final class ContractLog {
   private ContractLog() {}
 
-  static String judged(Effect.Judged e) {
-    if (e.verdict() instanceof Verdict.Refused no) {
+  static String judged(Effect.AdmissionDecided e) {
+    if (e.decision() instanceof Verdict.Refused no) {
       return String.format(
           Locale.ROOT,
           "contract request=%d team=%s version=%d verdict=refused limit=%s pause_ms=%.0f",
@@ -19,7 +19,7 @@
           no.limit().text(),
           no.pause());
     }
-    Charge c = (Charge) e.verdict();
+    Charge c = (Charge) e.decision();
     return String.format(
         Locale.ROOT,
         "contract request=%d team=%s version=%d verdict=admitted basis=%s booked=%.2f",
@@ -30,7 +30,7 @@
         c.booked());
   }
 
-  static String settled(Effect.Settled e) {
+  static String settled(Effect.ChargeSettled e) {
     Charge c = e.charge();
     return String.format(
         Locale.ROOT,
--- a/src/main/java/bitternpulley/broker/Effect.java
+++ b/src/main/java/bitternpulley/broker/Effect.java
@@ -11,15 +11,15 @@
 /** What the core asks the outside to do. */
 public sealed interface Effect {
   /**
-   * Send an attempt of the slice {@code slice} of a request to a server, which may take {@code
+   * Send an attempt of the slice {@code partIndex} of a request to a server, which may take {@code
    * timeout} ms. Where not a byte of it can go by the time {@code sendBy}, it ends unsent: a
    * repeated part may wait for a connection, and its window goes on.
    */
-  record Start(
-      AttemptId id, Request request, int slice, String server, double timeout, double sendBy)
+  record StartAttempt(
+      AttemptId id, Request request, int partIndex, String server, double timeout, double sendBy)
       implements Effect {
     /** One that may be sent at any time. */
-    public Start(AttemptId id, Request request, int slice, String server, double timeout) {
+    public StartAttempt(AttemptId id, Request request, int slice, String server, double timeout) {
       this(id, request, slice, server, timeout, Double.POSITIVE_INFINITY);
     }
   }
@@ -28,19 +28,19 @@
    * Send attempts to one server as one call, where the wire has such; at least two, all of one
    * dialect.
    */
-  record StartTogether(List<Start> starts) implements Effect {}
+  record StartCall(List<StartAttempt> attempts) implements Effect {}
 
   /** Stop waiting for an attempt. */
-  record Abandon(AttemptId id, Request request, String server) implements Effect {}
+  record CancelAttempt(AttemptId id, Request request, String server) implements Effect {}
 
   /**
    * Take back an attempt that serves nobody any more, if not a byte of it has gone: what has gone
    * may not be called off here.
    */
-  record TakeBack(AttemptId id, Request request) implements Effect {}
+  record CancelUnsent(AttemptId id, Request request) implements Effect {}
 
   /** Take back what has not begun to go to a server, which is to have nothing new. */
-  record Withdraw(String server) implements Effect {}
+  record CancelUnsentTo(String server) implements Effect {}
 
   /** Deliver the final answer. */
   record Reply(Request request, Answer answer) implements Effect {}
@@ -49,13 +49,13 @@
   record WakeAt(double time, Event event) implements Effect {}
 
   /** Close the idle connections to a server. */
-  record CloseIdle(String server) implements Effect {}
+  record CloseIdleConnections(String server) implements Effect {}
 
   /** Keep an operator's order, then tell its caller. */
-  record Keep(OperatorOrders.Order order, Payload caller) implements Effect {}
+  record PersistOverride(OperatorOverrides.Override override, Payload caller) implements Effect {}
 
   /** Tell an operator that an order cannot be carried out. */
-  record Turn(Payload caller, String why) implements Effect {}
+  record RejectCommand(Payload caller, String reason) implements Effect {}
 
   /** Send clients away, or take them again. */
   record Quiesce(boolean on) implements Effect {}
@@ -64,16 +64,16 @@
    * Note what the contracts in force made of a request: with the event that asked, all that a
    * replay needs.
    */
-  record Judged(long request, Verdict verdict) implements Effect {}
+  record AdmissionDecided(long request, Verdict decision) implements Effect {}
 
   /** Note that a request's charge is settled: nothing of it is out any more. */
-  record Settled(Charge charge) implements Effect {}
+  record ChargeSettled(Charge charge) implements Effect {}
 
   /** Tell another aggregator something, which may be lost. */
-  record Tell(int to, Message message) implements Effect {}
+  record SendGossip(int to, Message message) implements Effect {}
 
   /** Ask another aggregator for a lease, or grant it one, which may be lost. */
-  record TellOfLease(int to, LeaseMessage message) implements Effect {}
+  record SendLeaseMessage(int to, LeaseMessage message) implements Effect {}
 
   /** Write a line to the log. */
   record Log(String text) implements Effect {}
@@ -83,16 +83,17 @@
     /**
      * Answered from the slices that are in, by their position; the others by what became of them.
      */
-    record Answered(boolean whole, Map<Integer, Payload> values, Map<Integer, Missing> missing)
+    record Answered(
+        boolean complete, Map<Integer, Payload> values, Map<Integer, MissingPart> missing)
         implements Answer {}
 
     /**
-     * Refused: asking again is harmless, best after {@code pause} ms (0: no advice). {@code
+     * Refused: asking again is harmless, best after {@code retryAfter} ms (0: no advice). {@code
      * contract} tells what was met where a contract refused it; null where the module did.
      */
-    record Refused(double pause, Ending ending, Verdict.Refused contract) implements Answer {
+    record Rejected(double retryAfter, Ending ending, Verdict.Refused contract) implements Answer {
       /** Refused by the module. */
-      public Refused(double pause, Ending ending) {
+      public Rejected(double pause, Ending ending) {
         this(pause, ending, null);
       }
     }
@@ -101,18 +102,18 @@
     record Failed(Ending ending) implements Answer {}
 
     /** Failed since the request itself is at fault, as a server found. */
-    record Faulty(Payload reason) implements Answer {}
+    record InvalidRequest(Payload reason) implements Answer {}
 
     /** How things stood at an end without an answer. */
-    record Ending(boolean late, boolean mayHaveRun, Map<Integer, Missing> missing) {
+    record Ending(boolean late, boolean mayHaveRun, Map<Integer, MissingPart> missing) {
       /** Nothing of it was sent. */
-      public static final Ending UNTRIED = new Ending(false, false, Map.of());
+      public static final Ending NOTHING_SENT = new Ending(false, false, Map.of());
     }
 
     /**
      * A slice that is not in: how its last attempt ended and what came with that; all null while
      * none has.
      */
-    record Missing(Router.Outcome outcome, String server, Payload reason) {}
+    record MissingPart(Router.Outcome outcome, String server, Payload reason) {}
   }
 }
--- a/src/main/java/bitternpulley/broker/PeerWire.java
+++ b/src/main/java/bitternpulley/broker/GossipTransport.java
@@ -1,10 +1,10 @@
 package bitternpulley.broker;
 
 /** The way to the other aggregators, seen from the core. */
-public interface PeerWire {
+public interface GossipTransport {
   /** Sends what a member is to be told; it may be lost. */
-  void tell(Effect.Tell told);
+  void send(Effect.SendGossip told);
 
   /** Sends what concerns a lease; it may be lost. */
-  void tell(Effect.TellOfLease told);
+  void send(Effect.SendLeaseMessage told);
 }
--- a/src/main/java/bitternpulley/broker/OpenRequests.java
+++ b/src/main/java/bitternpulley/broker/PendingRequests.java
@@ -14,7 +14,7 @@
  * What the reducer holds of requests, their parts and the attempts that are out. It decides
  * nothing: {@link Reducer}, its one user, changes it as events ask.
  */
-final class OpenRequests {
+final class PendingRequests {
   /**
    * Ms before a client's end from which an end without an answer counts as out of time: more where
    * answers leave earlier.
@@ -59,7 +59,7 @@
     }
 
     int parts() {
-      return request.slices().size();
+      return request.parts().size();
     }
   }
 
@@ -74,7 +74,7 @@
     /** When the first attempt that may have run was sent. */
     double mayRunFrom = Double.POSITIVE_INFINITY;
 
-    Effect.Answer.Missing last = new Effect.Answer.Missing(null, null, null);
+    Effect.Answer.MissingPart last = new Effect.Answer.MissingPart(null, null, null);
 
     private Part(Open open, int slice) {
       this.open = open;
@@ -104,8 +104,8 @@
         new Open(
             r,
             charge,
-            now + timeLeft - r.late().unreadFor(),
-            now + r.late().timeLeft(timeLeft, Math.min(LATE, LATE_SHARE * timeLeft)),
+            now + timeLeft - r.lateness().unreadFor(),
+            now + r.lateness().timeLeft(timeLeft, Math.min(LATE, LATE_SHARE * timeLeft)),
             nextPart);
     requests.put(r.id(), open);
     nextPart += open.parts();
@@ -204,13 +204,13 @@
 
   /** How things stand with a request that is to end without an answer. */
   Effect.Answer.Ending ending(Open open, double now) {
-    TreeMap<Integer, Effect.Answer.Missing> missing = new TreeMap<>();
+    TreeMap<Integer, Effect.Answer.MissingPart> missing = new TreeMap<>();
     boolean mayHaveRun = false;
     for (int i = 0; i < open.parts(); i++) {
       Part p = part(open, i);
       if (p != null && !open.values.containsKey(i)) {
         missing.put(
-            i, p.out == null ? p.last : new Effect.Answer.Missing(null, p.out.server, null));
+            i, p.out == null ? p.last : new Effect.Answer.MissingPart(null, p.out.server, null));
       }
       mayHaveRun |= p != null && (p.mayHaveRun || p.out != null);
     }
--- a/src/main/java/bitternpulley/broker/Reducer.java
+++ b/src/main/java/bitternpulley/broker/Reducer.java
@@ -1,8 +1,8 @@
 package bitternpulley.broker;
 
-import bitternpulley.broker.OpenRequests.Open;
-import bitternpulley.broker.OpenRequests.Out;
-import bitternpulley.broker.OpenRequests.Part;
+import bitternpulley.broker.PendingRequests.Open;
+import bitternpulley.broker.PendingRequests.Out;
+import bitternpulley.broker.PendingRequests.Part;
 import bitternpulley.contracts.Charge;
 import bitternpulley.contracts.Verdict;
 import bitternpulley.leases.Leases;
@@ -28,12 +28,12 @@
 
   private final Settings settings;
   private final Router router;
-  private final OpenRequests held = new OpenRequests();
+  private final PendingRequests held = new PendingRequests();
   private final ArrayDeque<Event> inner = new ArrayDeque<>();
   private final Recorder recorder = new Recorder();
   private final ServerDirectory roster = new ServerDirectory();
-  private final Accounts accounts;
-  private final PeerState peers = new PeerState();
+  private final ContractAccounting contractAccounting;
+  private final ClusterState peers = new ClusterState();
   private List<Effect> effects = new ArrayList<>();
   private double now;
 
@@ -50,17 +50,17 @@
     this.settings = settings;
     this.now = now;
     this.router = module.apply(recorder);
-    this.accounts = new Accounts(settings);
+    this.contractAccounting = new ContractAccounting(settings);
   }
 
   /** Requests without a final answer. */
-  public int open() {
+  public int pendingRequests() {
     return held.requests().size();
   }
 
   /** How the teams' accounts stand, for operators. */
-  public Accounts accounts() {
-    return accounts;
+  public ContractAccounting contractAccounting() {
+    return contractAccounting;
   }
 
   /** Who of the other aggregators is here; empty where membership is off. */
@@ -90,32 +90,32 @@
         failed(next);
       }
     }
-    return SharedCalls.join(effects, settings.layout().maxPartsPerCall());
+    return CallBatcher.join(effects, settings.layout().maxPartsPerCall());
   }
 
   private void apply(Event event) {
-    if (event instanceof Event.Taken e) {
+    if (event instanceof Event.RequestReceived e) {
       take(e.request());
-    } else if (event instanceof Event.ClientLeft e) {
+    } else if (event instanceof Event.ClientDisconnected e) {
       Open left = forget(e.request());
       if (left != null) {
-        accounts.over(left.charge, false, now, effects);
+        contractAccounting.requestEnded(left.charge, false, now, effects);
         router.onClientDisconnected(e.request(), now, recorder);
       }
-    } else if (event instanceof Event.ServersListed e) {
+    } else if (event instanceof Event.ServersChanged e) {
       router.onServersChanged(e.kind(), roster.told(e), now, recorder);
       withdraw();
-    } else if (event instanceof Event.Agreed e) {
-      accounts.apply(e.book(), now);
-    } else if (event instanceof Event.Ordered e) {
+    } else if (event instanceof Event.ContractsActivated e) {
+      contractAccounting.apply(e.book(), now);
+    } else if (event instanceof Event.OperatorCommandReceived e) {
       ordered(e);
-    } else if (event instanceof Event.OrdersChanged e) {
-      stands(e.standing());
-    } else if (event instanceof Event.Ended e) {
+    } else if (event instanceof Event.OverridesChanged e) {
+      stands(e.overrides());
+    } else if (event instanceof Event.AttemptEnded e) {
       ended(e.attempt(), e.outcome(), e.value());
-    } else if (event instanceof Event.Faulted e) {
+    } else if (event instanceof Event.RequestRejectedByServer e) {
       faulted(e);
-    } else if (event instanceof Event.Unsent e) {
+    } else if (event instanceof Event.AttemptNotSent e) {
       router.onAttemptEnded(
           new Router.AttemptEnded(
               e.attempt().part(),
@@ -126,21 +126,21 @@
               null),
           now,
           recorder);
-    } else if (event instanceof Event.Abandoned e) {
+    } else if (event instanceof Event.AttemptCancelled e) {
       Out out = held.out(e.attempt());
       if (out != null && out.given != null) {
         ended(e.attempt(), out.given, null);
       }
-    } else if (event instanceof Event.Overdue e) {
+    } else if (event instanceof Event.AttemptTimedOut e) {
       overdue(e);
-    } else if (event instanceof Event.TimeExpired e) {
+    } else if (event instanceof Event.RequestDeadlineExpired e) {
       drop(e.request());
-    } else if (event instanceof Event.UpgradePeerChanged e) {
-      router.onHotRestart(e.other());
-    } else if (event instanceof Event.Alarm e) {
+    } else if (event instanceof Event.HotRestartRoleChanged e) {
+      router.onHotRestart(e.role());
+    } else if (event instanceof Event.AlarmFired e) {
       router.onAlarm(e.token(), now, recorder);
     } else {
-      if (event instanceof Event.LeasesApply e) {
+      if (event instanceof Event.LeasesStarted e) {
         router.useQuota(e.leases()::at);
       }
       peers.apply(event, now, effects);
@@ -148,7 +148,7 @@
   }
 
   /** The module hears of what changed; a list that clears a server also tells it. */
-  private void stands(OperatorOrders fresh) {
+  private void stands(OperatorOverrides fresh) {
     ServerDirectory.Change change = roster.stands(fresh);
     if (!change.out().isEmpty()) {
       router.onServersChanged(Router.ListKind.CHANGES, change.out(), now, recorder);
@@ -169,26 +169,26 @@
         .filter(p -> p.out != null && !roster.takesWork(p.out.server))
         .map(p -> p.out.server)
         .distinct()
-        .forEach(s -> effects.add(new Effect.Withdraw(s)));
+        .forEach(s -> effects.add(new Effect.CancelUnsentTo(s)));
   }
 
-  private void ordered(Event.Ordered e) {
-    String server = e.order().server();
+  private void ordered(Event.OperatorCommandReceived e) {
+    String server = e.override().server();
     effects.add(
         server == null || roster.knows(server)
-            ? new Effect.Keep(e.order(), e.caller())
-            : new Effect.Turn(e.caller(), "no server is known by this id"));
+            ? new Effect.PersistOverride(e.override(), e.caller())
+            : new Effect.RejectCommand(e.caller(), "no server is known by this id"));
   }
 
   /** Contracts go before the module's own limits. */
   private void take(Request r) {
-    if (accounts.on()) {
-      Verdict verdict = accounts.admit(r, now);
-      effects.add(new Effect.Judged(r.id(), verdict));
+    if (contractAccounting.isActive()) {
+      Verdict verdict = contractAccounting.admit(r, now);
+      effects.add(new Effect.AdmissionDecided(r.id(), verdict));
       if (verdict instanceof Verdict.Refused no) {
         effects.add(
             new Effect.Reply(
-                r, new Effect.Answer.Refused(no.pause(), Effect.Answer.Ending.UNTRIED, no)));
+                r, new Effect.Answer.Rejected(no.pause(), Effect.Answer.Ending.NOTHING_SENT, no)));
         return;
       }
       hold(r, (Charge) verdict);
@@ -204,28 +204,30 @@
     OptionalDouble full = router.rejectionDelay(held.count());
     Open open = held.hold(r, charge, timeLeft, now);
     if (full.isPresent()) {
-      end(r.id(), new Effect.Answer.Refused(full.getAsDouble(), Effect.Answer.Ending.UNTRIED));
+      end(
+          r.id(),
+          new Effect.Answer.Rejected(full.getAsDouble(), Effect.Answer.Ending.NOTHING_SENT));
       return;
     }
-    double work = r.slices().stream().mapToDouble(Request.Slice::work).sum();
+    double work = r.parts().stream().mapToDouble(Request.QueryPart::estimatedWork).sum();
     router.onQuery(
         new Router.Query(
             r.id(),
             r.id(),
-            r.requestClass(),
-            r.slices().size(),
+            r.queryClass(),
+            r.parts().size(),
             work,
             r.retry(),
             timeLeft,
             0,
             terms,
-            r.late()),
+            r.lateness()),
         now,
         recorder);
-    for (int i = 0; i < r.slices().size(); i++) {
-      Request.Slice s = r.slices().get(i);
+    for (int i = 0; i < r.parts().size(); i++) {
+      Request.QueryPart s = r.parts().get(i);
       router.onPart(
-          new Router.Part(held.holdPart(open, i), r.id(), s.shard(), s.weight(), s.work()),
+          new Router.Part(held.holdPart(open, i), r.id(), s.shard(), s.weight(), s.estimatedWork()),
           now,
           recorder);
     }
@@ -242,12 +244,12 @@
       p.mayHaveRun = true;
       p.mayRunFrom = Math.min(p.mayRunFrom, out.sentAt);
     }
-    p.last = new Effect.Answer.Missing(outcome, out.server, value);
+    p.last = new Effect.Answer.MissingPart(outcome, out.server, value);
     if (outcome == Router.Outcome.OK) {
       held.in(p, value);
     }
     held.tidy(id.part());
-    accounts.attemptEnded(p.open.charge, outcome, now - out.sentAt, now, effects);
+    contractAccounting.attemptEnded(p.open.charge, outcome, now - out.sentAt, now, effects);
     router.onAttemptEnded(
         new Router.AttemptEnded(
             id.part(), id.number(), out.server, outcome, now - out.sentAt, null),
@@ -259,13 +261,13 @@
    * The request is its client's fault: no server is asked again, and the module hears that it is
    * gone.
    */
-  private void faulted(Event.Faulted e) {
+  private void faulted(Event.RequestRejectedByServer e) {
     Out out = held.out(e.attempt());
     if (out == null) {
       return;
     }
     long id = held.part(e.attempt().part()).open.request.id();
-    end(id, new Effect.Answer.Faulty(e.reason()));
+    end(id, new Effect.Answer.InvalidRequest(e.reason()));
     ended(e.attempt(), Router.Outcome.ERROR, e.reason());
     router.onClientDisconnected(id, now, recorder);
   }
@@ -274,9 +276,9 @@
    * One alarm for all attempts of a request. Guards against very many parts, most long answered,
    * that each ring.
    */
-  private void overdue(Event.Overdue e) {
+  private void overdue(Event.AttemptTimedOut e) {
     Part next = null;
-    for (long id = e.first(); id < e.first() + e.parts(); id++) {
+    for (long id = e.firstPart(); id < e.firstPart() + e.parts(); id++) {
       Part p = held.part(id);
       if (p != null) {
         p.open.overdueAt = Double.POSITIVE_INFINITY;
@@ -294,7 +296,7 @@
 
   /** Guards against a repeat that waits for a connection until its window is over. */
   private double sendBy(Part p) {
-    Settings.QueryClass kind = settings.classes().get(p.open.request.requestClass());
+    Settings.QueryClass kind = settings.classes().get(p.open.request.queryClass());
     return kind.idempotency() == Settings.Idempotency.KEYED
         ? p.mayRunFrom + kind.idempotencyWindow()
         : Double.POSITIVE_INFINITY;
@@ -305,14 +307,15 @@
       p.open.overdueAt = p.out.dueAt;
       effects.add(
           new Effect.WakeAt(
-              p.out.dueAt, new Event.Overdue(p.out.id, p.open.firstPart, p.open.parts())));
+              p.out.dueAt, new Event.AttemptTimedOut(p.out.id, p.open.firstPart, p.open.parts())));
     }
   }
 
   private void giveUp(Out out, Router.Outcome as) {
     if (out.given == null) {
       out.given = as;
-      effects.add(new Effect.Abandon(out.id, held.part(out.id.part()).open.request, out.server));
+      effects.add(
+          new Effect.CancelAttempt(out.id, held.part(out.id.part()).open.request, out.server));
     }
   }
 
@@ -323,20 +326,24 @@
    */
   private void failed(Event event) {
     Optional<Long> of =
-        event instanceof Event.Taken e
+        event instanceof Event.RequestReceived e
             ? Optional.of(e.request().id())
-            : event instanceof Event.OfAttempt e ? held.requestOf(e.attempt()) : Optional.empty();
+            : event instanceof Event.AttemptEvent e
+                ? held.requestOf(e.attempt())
+                : Optional.empty();
     of.ifPresent(this::drop);
-    if (event instanceof Event.Taken e
+    if (event instanceof Event.RequestReceived e
         && effects.stream()
             .noneMatch(f -> f instanceof Effect.Reply r && r.request() == e.request())) {
       effects.add(
-          new Effect.Reply(e.request(), new Effect.Answer.Failed(Effect.Answer.Ending.UNTRIED)));
+          new Effect.Reply(
+              e.request(), new Effect.Answer.Failed(Effect.Answer.Ending.NOTHING_SENT)));
     }
     for (Open open : held.requests()) {
       if (!open.lapses) {
         open.lapses = true;
-        effects.add(new Effect.WakeAt(open.endsAt, new Event.TimeExpired(open.request.id())));
+        effects.add(
+            new Effect.WakeAt(open.endsAt, new Event.RequestDeadlineExpired(open.request.id())));
       }
     }
   }
@@ -360,7 +367,8 @@
     Open open = forget(id);
     if (open != null) {
       effects.add(new Effect.Reply(open.request, answer));
-      accounts.over(open.charge, answer instanceof Effect.Answer.Answered, now, effects);
+      contractAccounting.requestEnded(
+          open.charge, answer instanceof Effect.Answer.Answered, now, effects);
     }
   }
 
@@ -368,7 +376,7 @@
     Open open = held.forget(id);
     if (open != null && !settings.limits().cancellationAllowed()) {
       // Where what is out may be called off, the module does so.
-      held.outOf(open).forEach(out -> effects.add(new Effect.TakeBack(out.id, open.request)));
+      held.outOf(open).forEach(out -> effects.add(new Effect.CancelUnsent(out.id, open.request)));
     }
     return open;
   }
@@ -385,14 +393,14 @@
       if (held.isOver(p)
           || p.out != null
           || id.number() >= settings.limits().maxAttempts()
-          || !accounts.maySend(p.open.charge, id.number())) {
+          || !contractAccounting.maySend(p.open.charge, id.number())) {
         // Guards against one attempt too many, whatever asked for it: it ends unsent.
-        inner.add(new Event.Unsent(id, server));
+        inner.add(new Event.AttemptNotSent(id, server));
         return;
       }
       double wait = Math.min(timeout, p.open.endsAt - now);
       p.out = new Out(id, server, now, now + wait);
-      effects.add(new Effect.Start(id, p.open.request, p.slice, server, wait, sendBy(p)));
+      effects.add(new Effect.StartAttempt(id, p.open.request, p.slice, server, wait, sendBy(p)));
       lookAgain(p);
     }
 
@@ -419,7 +427,7 @@
     public void reject(long query, double retryAfter) {
       Open open = held.request(query);
       if (open != null) {
-        end(query, new Effect.Answer.Refused(retryAfter, held.ending(open, now)));
+        end(query, new Effect.Answer.Rejected(retryAfter, held.ending(open, now)));
       }
     }
 
@@ -433,7 +441,7 @@
 
     @Override
     public void scheduleAlarm(double time, String token) {
-      effects.add(new Effect.WakeAt(time, new Event.Alarm(token)));
+      effects.add(new Effect.WakeAt(time, new Event.AlarmFired(token)));
     }
 
     @Override
@@ -443,7 +451,7 @@
 
     @Override
     public void closeIdleConnections(String server) {
-      effects.add(new Effect.CloseIdle(server));
+      effects.add(new Effect.CloseIdleConnections(server));
     }
 
     @Override
--- a/src/main/java/bitternpulley/broker/Request.java
+++ b/src/main/java/bitternpulley/broker/Request.java
@@ -8,21 +8,21 @@
  *
  * @param timeLeft ms that its client will still wait
  * @param team whose it is, as its front recognised it; null where no one was
- * @param print tells it from others of its team when it comes again, or 0
- * @param late how late this instance was in taking it, and is with its answers
+ * @param fingerprint tells it from others of its team when it comes again, or 0
+ * @param lateness how late this instance was in taking it, and is with its answers
  */
 public record Request(
     long id,
     Dialect dialect,
-    int requestClass,
+    int queryClass,
     double timeLeft,
     boolean retry,
     Router.Terms terms,
-    List<Slice> slices,
+    List<QueryPart> parts,
     Payload payload,
     String team,
-    long print,
-    Router.Lateness late) {
+    long fingerprint,
+    Router.Lateness lateness) {
 
   /** A request of nobody in particular. */
   public Request(
@@ -32,7 +32,7 @@
       double timeLeft,
       boolean retry,
       Router.Terms terms,
-      List<Slice> slices,
+      List<QueryPart> slices,
       Payload payload) {
     this(
         id,
@@ -52,5 +52,5 @@
    * A part of a request: the shard it needs, its share of the whole and its guessed work (0 where
    * none is told).
    */
-  public record Slice(int shard, double weight, double work) {}
+  public record QueryPart(int shard, double weight, double estimatedWork) {}
 }
--- a/src/main/java/bitternpulley/broker/ServerDirectory.java
+++ b/src/main/java/bitternpulley/broker/ServerDirectory.java
@@ -10,21 +10,21 @@
  */
 final class ServerDirectory {
   private final Map<String, Router.Endpoint> listed = new HashMap<>();
-  private OperatorOrders standing = OperatorOrders.NOTHING;
+  private OperatorOverrides standing = OperatorOverrides.NONE;
 
   /** Takes in a list or a change and returns its members as the module is to hear of them. */
-  List<Router.Endpoint> told(Event.ServersListed e) {
+  List<Router.Endpoint> told(Event.ServersChanged e) {
     if (e.kind() != Router.ListKind.CHANGES) {
       listed.clear();
     }
-    for (Router.Endpoint m : e.members()) {
+    for (Router.Endpoint m : e.endpoints()) {
       if (m.state() == Router.ServerState.GONE) {
         listed.remove(m.server());
       } else {
         listed.put(m.server(), m);
       }
     }
-    return e.members().stream().map(this::asOrdered).toList();
+    return e.endpoints().stream().map(this::asOrdered).toList();
   }
 
   /**
@@ -57,8 +57,8 @@
       List<Router.Endpoint> out, List<Router.Endpoint> back, boolean quiesces, boolean quiesced) {}
 
   /** Puts other orders in force. */
-  Change stands(OperatorOrders fresh) {
-    OperatorOrders before = standing;
+  Change stands(OperatorOverrides fresh) {
+    OperatorOverrides before = standing;
     standing = fresh;
     List<Router.Endpoint> out =
         listed.values().stream()
--- a/src/main/java/bitternpulley/contracts/Verdict.java
+++ b/src/main/java/bitternpulley/contracts/Verdict.java
@@ -9,7 +9,7 @@
    * @param team the contract's id, or null where none holds
    * @param version of the book that was judged by
    * @param limit what was met
-   * @param pause ms after which a place is kept for this caller; 0 where none can be promised
+   * @param retryAfter ms after which a place is kept for this caller; 0 where none can be promised
    */
   record Refused(String team, int version, Limit limit, double pause) implements Verdict {}
 }
--- a/src/main/java/bitternpulley/opensearch/SearchFront.java
+++ b/src/main/java/bitternpulley/opensearch/SearchFront.java
@@ -289,8 +289,8 @@
     double time = wanted < 0 ? kind.deadline() : Math.min(wanted, kind.deadline());
     Router.Terms terms = new Router.Terms(!search[0].mayBePartial(), wanted >= 0);
     List<Search.Part> parts = search[0].parts();
-    List<Request.Slice> slices =
-        parts.stream().map(p -> new Request.Slice(p.section(), 1.0 / parts.size(), 0)).toList();
+    List<Request.QueryPart> slices =
+        parts.stream().map(p -> new Request.QueryPart(p.section(), 1.0 / parts.size(), 0)).toList();
     String team = team(asker.holder(), parts);
     long print =
         recognition.get() == Recognition.NONE
@@ -299,7 +299,7 @@
                 (parts + search[0].body().toString()).getBytes(StandardCharsets.UTF_8),
                 search[0].requestClass());
     broker.submit(
-        new Event.Taken(
+        new Event.RequestReceived(
             new Request(
                 id,
                 servers,
@@ -312,7 +312,7 @@
                 team,
                 print,
                 asker.late())));
-    return () -> broker.submit(new Event.ClientLeft(id));
+    return () -> broker.submit(new Event.ClientDisconnected(id));
   }
 
   private static void heading(JsonNode heading) {
--- a/src/main/java/bitternpulley/opensearch/SearchResponse.java
+++ b/src/main/java/bitternpulley/opensearch/SearchResponse.java
@@ -22,11 +22,11 @@
     if (answer instanceof Answer.Answered a) {
       return answered(search, a, took);
     }
-    if (answer instanceof Answer.Faulty f) {
+    if (answer instanceof Answer.InvalidRequest f) {
       PartHits.Failure why = (PartHits.Failure) f.reason();
       return error(new SearchException(why.status(), why.type(), why.reason()));
     }
-    if (answer instanceof Answer.Refused r && !r.ending().mayHaveRun()) {
+    if (answer instanceof Answer.Rejected r && !r.ending().mayHaveRun()) {
       if (r.contract() != null) {
         return exceeded(r);
       }
@@ -35,12 +35,12 @@
               new SearchException(
                   429, "rejected_execution_exception", "refused: nothing of it has run"));
       return new SearchResponse(
-          429, refusal.body(), Math.max(1, (long) Math.ceil(r.pause() / 1000)));
+          429, refusal.body(), Math.max(1, (long) Math.ceil(r.retryAfter() / 1000)));
     }
     // Guards against a status that invites another try of work that may have run, whoever gave it
     // up.
     Answer.Ending ending =
-        answer instanceof Answer.Refused r ? r.ending() : ((Answer.Failed) answer).ending();
+        answer instanceof Answer.Rejected r ? r.ending() : ((Answer.Failed) answer).ending();
     SearchResponse failed =
         ending.late()
             ? error(new SearchException(504, "timeout_exception", "the search's time is over"))
@@ -56,7 +56,7 @@
    * Refused by a contract: which, and what was met; the time to come back only where a place is
    * kept.
    */
-  private static SearchResponse exceeded(Answer.Refused r) {
+  private static SearchResponse exceeded(Answer.Rejected r) {
     Verdict.Refused no = r.contract();
     SearchResponse refusal =
         error(
@@ -158,7 +158,7 @@
     return hits;
   }
 
-  private static ArrayNode failures(Search search, Map<Integer, Answer.Missing> missing) {
+  private static ArrayNode failures(Search search, Map<Integer, Answer.MissingPart> missing) {
     ArrayNode list = JSON.arrayNode();
     missing.forEach(
         (slice, m) -> {
--- a/src/main/java/bitternpulley/opensearch/SearchServers.java
+++ b/src/main/java/bitternpulley/opensearch/SearchServers.java
@@ -52,7 +52,7 @@
 
   /** Drops what is kept for a server that is gone. */
   public void forget(String server) {
-    closeIdle(server);
+    closeIdleConnections(server);
     addresses.remove(server);
   }
 
@@ -62,7 +62,7 @@
   }
 
   @Override
-  public void start(Effect.Start attempt) {
+  public void start(Effect.StartAttempt attempt) {
     HostPort at = addresses.get(attempt.server());
     HttpClient.Call call =
         at == null
@@ -89,7 +89,7 @@
                             case NOT_IN_TIME -> Outcome.NOT_SENT;
                           };
                       broker.submit(
-                          new Event.Ended(
+                          new Event.AttemptEnded(
                               attempt.id(),
                               as,
                               new PartHits.Failure(503, "node_not_connected_exception", why)));
@@ -97,33 +97,35 @@
                   }
                 });
     if (call == null) {
-      loop.execute(() -> broker.submit(new Event.Ended(attempt.id(), Outcome.UNREACHABLE, null)));
+      loop.execute(
+          () -> broker.submit(new Event.AttemptEnded(attempt.id(), Outcome.UNREACHABLE, null)));
     } else {
       out.put(attempt.id(), new Out(attempt.server(), call));
     }
   }
 
   @Override
-  public void abandon(Effect.Abandon attempt) {
+  public void cancel(Effect.CancelAttempt attempt) {
     Out left = out.remove(attempt.id());
     if (left != null) {
       left.call().drop();
-      broker.submit(new Event.Abandoned(attempt.id()));
+      broker.submit(new Event.AttemptCancelled(attempt.id()));
     }
   }
 
   @Override
-  public void takeBack(Effect.TakeBack attempt) {
+  public void cancelUnsent(Effect.CancelUnsent attempt) {
     Out left = out.get(attempt.id());
     if (left != null && !left.call().begun()) {
       out.remove(attempt.id());
       left.call().drop();
-      loop.execute(() -> broker.submit(new Event.Ended(attempt.id(), Outcome.NOT_SENT, null)));
+      loop.execute(
+          () -> broker.submit(new Event.AttemptEnded(attempt.id(), Outcome.NOT_SENT, null)));
     }
   }
 
   @Override
-  public void withdraw(String server) {
+  public void cancelUnsentTo(String server) {
     List<AttemptId> unsent =
         out.entrySet().stream()
             .filter(o -> o.getValue().server().equals(server) && !o.getValue().call().begun())
@@ -131,7 +133,7 @@
             .toList();
     for (AttemptId a : unsent) {
       out.remove(a).call().drop();
-      broker.submit(new Event.Ended(a, Outcome.NOT_SENT, null));
+      broker.submit(new Event.AttemptEnded(a, Outcome.NOT_SENT, null));
     }
   }
 
@@ -141,16 +143,16 @@
   }
 
   @Override
-  public void closeIdle(String server) {
+  public void closeIdleConnections(String server) {
     HostPort at = addresses.get(server);
     if (at != null) {
       client.closeIdle(at);
     }
   }
 
-  private static ByteBuffer request(Effect.Start attempt, HostPort at) {
+  private static ByteBuffer request(Effect.StartAttempt attempt, HostPort at) {
     Search search = (Search) attempt.request().payload();
-    Search.Part part = search.parts().get(attempt.slice());
+    Search.Part part = search.parts().get(attempt.partIndex());
     ObjectNode body = search.body().deepCopy();
     body.put("timeout", Math.max(1, Math.round(attempt.timeout())) + "ms");
     byte[] text;
@@ -185,7 +187,7 @@
     return ByteBuffer.allocate(first.length + text.length).put(first).put(text).flip();
   }
 
-  private static Event event(Effect.Start attempt, HttpClient.Response response) {
+  private static Event event(Effect.StartAttempt attempt, HttpClient.Response response) {
     AttemptId id = attempt.id();
     JsonNode body;
     try {
@@ -201,7 +203,7 @@
               ? hits
               : new PartHits.Failure(
                   500, "search_phase_execution_exception", "the server did not answer in whole");
-      return new Event.Ended(id, hits != null ? Outcome.OK : Outcome.ERROR, value);
+      return new Event.AttemptEnded(id, hits != null ? Outcome.OK : Outcome.ERROR, value);
     }
     JsonNode error = body == null ? MAPPER.missingNode() : body.path("error");
     JsonNode cause =
@@ -212,17 +214,17 @@
             cause.path("type").asText("exception"),
             cause.path("reason").asText("status " + response.status()));
     return switch (response.status()) {
-      case 400 -> new Event.Faulted(id, failure);
+      case 400 -> new Event.RequestRejectedByServer(id, failure);
         // Only this rejection proves that nothing has run; a tripped circuit breaker is a 429 too,
         // and proves nothing.
       case 429 ->
-          new Event.Ended(
+          new Event.AttemptEnded(
               id,
               failure.type().endsWith("rejected_execution_exception")
                   ? Outcome.REJECTED
                   : Outcome.ERROR,
               failure);
-      default -> new Event.Ended(id, Outcome.ERROR, failure);
+      default -> new Event.AttemptEnded(id, Outcome.ERROR, failure);
     };
   }
 }
--- a/src/main/java/bitternpulley/peers/PeerCodec.java
+++ b/src/main/java/bitternpulley/peers/PeerCodec.java
@@ -168,7 +168,7 @@
       if (kind == ASKED || kind == GRANTED) {
         return new Datagram(
             from,
-            new Event.LeaseSaid(
+            new Event.LeaseMessageReceived(
                 kind == ASKED
                     ? new LeaseMessage.Asked(from, number(in), integer(in))
                     : new LeaseMessage.Granted(from, integer(in), number(in), named(in))));
@@ -185,7 +185,7 @@
       }
       return new Datagram(
           from,
-          new Event.PeerSaid(
+          new Event.GossipReceived(
               new Message(
                   one(Message.Kind.values(), kind),
                   from,
--- a/src/main/java/bitternpulley/peers/Peers.java
+++ b/src/main/java/bitternpulley/peers/Peers.java
@@ -3,7 +3,7 @@
 import bitternpulley.broker.Broker;
 import bitternpulley.broker.Effect;
 import bitternpulley.broker.Event;
-import bitternpulley.broker.PeerWire;
+import bitternpulley.broker.GossipTransport;
 import bitternpulley.config.Configuration;
 import bitternpulley.config.MembershipConfiguration;
 import bitternpulley.leases.Leases;
@@ -23,7 +23,7 @@
 /**
  * Membership as a running subsystem: a socket, a beat, and the state machine that the core drives.
  */
-public final class Peers implements PeerWire {
+public final class Peers implements GossipTransport {
   private static final System.Logger LOG = System.getLogger(Peers.class.getName());
 
   /**
@@ -60,7 +60,7 @@
     this.build = build;
     codec = new PeerCodec(membership.deployment());
     addresses = config.peers().orElseThrow().all().stream().map(p -> p.address()).toList();
-    broker.peers(this);
+    broker.gossipTransport(this);
   }
 
   /**
@@ -73,7 +73,7 @@
         .ifPresent(
             l ->
                 broker.submit(
-                    new Event.LeasesApply(
+                    new Event.LeasesStarted(
                         new Leases(config.settings().self(), config.leaseTerms(l)))));
   }
 
@@ -108,7 +108,7 @@
     LOG.log(
         Level.INFO,
         "membership begins: number " + self + " of " + addresses.size() + ", epoch " + epoch);
-    broker.submit(new Event.PeersBegin(core));
+    broker.submit(new Event.MembershipStarted(core));
     beat(core);
   }
 
@@ -119,7 +119,7 @@
 
   private void beat(Membership core) {
     if (!ended) {
-      broker.submit(new Event.PeersTick());
+      broker.submit(new Event.MembershipTick());
       loop.after(core.tickEvery(), () -> beat(core));
     }
   }
@@ -127,18 +127,18 @@
   /** Tells the others that this one goes, and ends. */
   public void end() {
     if (!ended) {
-      broker.submit(new Event.PeersLeave());
+      broker.submit(new Event.MembershipLeaveRequested());
       ended = true;
     }
   }
 
   @Override
-  public void tell(Effect.Tell told) {
+  public void send(Effect.SendGossip told) {
     send(told.to(), codec.encode(told.message()));
   }
 
   @Override
-  public void tell(Effect.TellOfLease told) {
+  public void send(Effect.SendLeaseMessage told) {
     send(told.to(), codec.encode(told.message()));
   }
 
--- a/src/main/java/bitternpulley/platform/Frames.java
+++ b/src/main/java/bitternpulley/platform/Frames.java
@@ -20,15 +20,15 @@
   /** One answer: the part's id, how the attempt ended, and the value where it was served. */
   record Answer(String id, Outcome outcome, PartValue value) {}
 
-  static String partId(Effect.Start attempt) {
+  static String partId(Effect.StartAttempt attempt) {
     PlatformQuery query = (PlatformQuery) attempt.request().payload();
-    return query.id() + "." + query.slices().get(attempt.slice()).shard();
+    return query.id() + "." + query.slices().get(attempt.partIndex()).shard();
   }
 
   /** What stands in a call for one part: its line, then the query's text. */
-  static byte[] callLine(Effect.Start attempt, String id) {
+  static byte[] callLine(Effect.StartAttempt attempt, String id) {
     PlatformQuery query = (PlatformQuery) attempt.request().payload();
-    Request.Slice slice = query.slices().get(attempt.slice());
+    Request.QueryPart slice = query.slices().get(attempt.partIndex());
     byte[] text = query.filter().getBytes(StandardCharsets.UTF_8);
     String line =
         id
@@ -48,7 +48,7 @@
    * Whether one frame holds these attempts: a query's text may be long, and stands there once for
    * each part.
    */
-  static boolean fitOneCall(List<Effect.Start> attempts) {
+  static boolean fitOneCall(List<Effect.StartAttempt> attempts) {
     return attempts.stream().mapToInt(a -> callLine(a, partId(a)).length).sum() < FrameCodec.MOST;
   }
 
--- a/src/main/java/bitternpulley/platform/PlatformQuery.java
+++ b/src/main/java/bitternpulley/platform/PlatformQuery.java
@@ -25,7 +25,7 @@
     boolean retry,
     String token,
     String filter,
-    List<Request.Slice> slices,
+    List<Request.QueryPart> slices,
     HttpServer.Exchange exchange)
     implements Payload {
 
@@ -103,9 +103,9 @@
     }
   }
 
-  private static List<Request.Slice> slices(JsonNode in, int shards) {
+  private static List<Request.QueryPart> slices(JsonNode in, int shards) {
     require(in.isArray() && !in.isEmpty(), "'slices' is not a list of parts");
-    List<Request.Slice> slices = new ArrayList<>();
+    List<Request.QueryPart> slices = new ArrayList<>();
     Set<Integer> seen = new HashSet<>();
     double sum = 0;
     for (JsonNode s : in) {
@@ -123,7 +123,8 @@
           work.isMissingNode() || work.isNumber() && work.doubleValue() >= 0,
           "'micros' is not a time");
       sum += mass.doubleValue();
-      slices.add(new Request.Slice(shard.intValue(), mass.doubleValue(), work.asDouble(0) / 1000));
+      slices.add(
+          new Request.QueryPart(shard.intValue(), mass.doubleValue(), work.asDouble(0) / 1000));
     }
     require(Math.abs(sum - 1) <= ROUNDING, "the weights do not add up to 1");
     return List.copyOf(slices);
--- a/src/main/java/bitternpulley/platform/QueryFront.java
+++ b/src/main/java/bitternpulley/platform/QueryFront.java
@@ -71,10 +71,10 @@
       exchange.onGone(
           () -> {
             open.remove(query.id());
-            broker.submit(new Event.ClientLeft(id));
+            broker.submit(new Event.ClientDisconnected(id));
           });
       broker.submit(
-          new Event.Taken(
+          new Event.RequestReceived(
               new Request(
                   id,
                   servers,
@@ -123,7 +123,7 @@
       return new HttpServer.Response(
           200, Map.of("Content-Type", "application/json"), body(reply.request(), a));
     }
-    if (reply.answer() instanceof Effect.Answer.Refused r) {
+    if (reply.answer() instanceof Effect.Answer.Rejected r) {
       HttpServer.Response refusal =
           plain(
               429,
@@ -135,11 +135,11 @@
                       + r.contract().version()
                       + ": "
                       + r.contract().limit().text());
-      return r.pause() <= 0
+      return r.retryAfter() <= 0
           ? refusal
           : new HttpServer.Response(
               refusal.status(),
-              Map.of("Retry-After", String.format(Locale.ROOT, "%.3f", r.pause() / 1000)),
+              Map.of("Retry-After", String.format(Locale.ROOT, "%.3f", r.retryAfter() / 1000)),
               refusal.body());
     }
     return plain(500, "failed");
@@ -149,11 +149,11 @@
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator out = JSON.createGenerator(bytes)) {
       out.writeStartObject();
-      out.writeBooleanField("entire", answer.whole());
+      out.writeBooleanField("entire", answer.complete());
       out.writeArrayFieldStart("items");
       for (Map.Entry<Integer, Payload> in : answer.values().entrySet()) {
         out.writeStartObject();
-        out.writeNumberField("slice", request.slices().get(in.getKey()).shard());
+        out.writeNumberField("slice", request.parts().get(in.getKey()).shard());
         out.writeStringField("body", ((PartValue) in.getValue()).text());
         out.writeEndObject();
       }
--- a/src/main/java/bitternpulley/platform/Rehearsal.java
+++ b/src/main/java/bitternpulley/platform/Rehearsal.java
@@ -85,7 +85,7 @@
   private final QueryFront front;
   private final PriorityQueue<Alarm> alarms =
       new PriorityQueue<>(Comparator.comparingDouble(Alarm::at));
-  private final List<Effect.Start> out = new ArrayList<>();
+  private final List<Effect.StartAttempt> out = new ArrayList<>();
   private double time = 1;
 
   /**
@@ -108,9 +108,9 @@
             () -> time,
             (ms, task) -> alarms.add(new Alarm(time + ms, task)));
     front = new QueryFront(settings, broker, this, () -> false, () -> Recognition.NONE);
-    broker.add(this);
+    broker.addDialect(this);
     broker.submit(
-        new Event.ServersListed(
+        new Event.ServersChanged(
             Router.ListKind.REMEMBERED,
             IntStream.range(0, settings.layout().cells())
                 .mapToObj(c -> new Router.Endpoint("r" + c, c % 2, c, Router.ServerState.LIVE, 0))
@@ -179,7 +179,7 @@
     while (!alarms.isEmpty() && alarms.peek().at() <= time) {
       alarms.poll().task().run();
     }
-    List<Effect.Start> sent = List.copyOf(out);
+    List<Effect.StartAttempt> sent = List.copyOf(out);
     out.clear();
     sent.forEach(this::end);
   }
@@ -219,7 +219,7 @@
     return (int) Math.max(1, Math.min(settings.layout().shards(), Math.min(held, fits)));
   }
 
-  private void end(Effect.Start attempt) {
+  private void end(Effect.StartAttempt attempt) {
     attempts++;
     String id = Frames.partId(attempt);
     Frames.call(List.of(Frames.callLine(attempt, id)));
@@ -235,19 +235,19 @@
             frame,
             f -> {
               Frames.Answer answer = Frames.answer(f.rest());
-              broker.submit(new Event.Ended(attempt.id(), answer.outcome(), answer.value()));
+              broker.submit(new Event.AttemptEnded(attempt.id(), answer.outcome(), answer.value()));
             });
   }
 
   @Override
-  public void start(Effect.Start attempt) {
+  public void start(Effect.StartAttempt attempt) {
     out.add(attempt);
   }
 
   @Override
-  public void abandon(Effect.Abandon attempt) {
+  public void cancel(Effect.CancelAttempt attempt) {
     Frames.giveUp(String.valueOf(attempt.id().part()));
-    broker.submit(new Event.Abandoned(attempt.id()));
+    broker.submit(new Event.AttemptCancelled(attempt.id()));
   }
 
   @Override
@@ -256,17 +256,17 @@
   }
 
   @Override
-  public void withdraw(String server) {
+  public void cancelUnsentTo(String server) {
     // Its servers never drain.
   }
 
   @Override
-  public void takeBack(Effect.TakeBack attempt) {
+  public void cancelUnsent(Effect.CancelUnsent attempt) {
     // Nothing waits to be sent.
   }
 
   @Override
-  public void closeIdle(String server) {
+  public void closeIdleConnections(String server) {
     // There are no connections.
   }
 
--- a/src/main/java/bitternpulley/platform/SlotConnection.java
+++ b/src/main/java/bitternpulley/platform/SlotConnection.java
@@ -56,7 +56,7 @@
   }
 
   /** One part of a call. */
-  private record PartCall(Call call, Effect.Start start, String id, byte[] line) {}
+  private record PartCall(Call call, Effect.StartAttempt start, String id, byte[] line) {}
 
   private final EventLoop loop;
   private final Times times;
@@ -167,9 +167,9 @@
   }
 
   /** Sends these attempts as one call, once the connection is up. */
-  void call(List<Effect.Start> attempts) {
+  void call(List<Effect.StartAttempt> attempts) {
     Call call = new Call();
-    for (Effect.Start a : attempts) {
+    for (Effect.StartAttempt a : attempts) {
       String id = Frames.partId(a);
       PartCall part = new PartCall(call, a, id, Frames.callLine(a, id));
       call.parts.put(a.id(), part);
@@ -212,13 +212,13 @@
   }
 
   /**
-   * Gives an attempt up; {@link Event.Abandoned} is told once the server has had time to hear of
-   * it.
+   * Gives an attempt up; {@link Event.AttemptCancelled} is told once the server has had time to
+   * hear of it.
    */
   void abandon(AttemptId attempt) {
     PartCall part = parts.get(attempt);
     if (takeOut(attempt)) {
-      owner.tell(new Event.Abandoned(attempt));
+      owner.tell(new Event.AttemptCancelled(attempt));
       return;
     }
     givenUp.add(part.id());
@@ -247,7 +247,7 @@
                 () -> {
                   if (parts.containsKey(attempt)) {
                     remove(attempt);
-                    owner.tell(new Event.Abandoned(attempt));
+                    owner.tell(new Event.AttemptCancelled(attempt));
                   }
                 }));
   }
@@ -260,7 +260,7 @@
     List<AttemptId> waiting = List.copyOf(parts.keySet());
     waiting.forEach(this::remove);
     close();
-    waiting.forEach(a -> owner.tell(new Event.Ended(a, Outcome.NOT_SENT, null)));
+    waiting.forEach(a -> owner.tell(new Event.AttemptEnded(a, Outcome.NOT_SENT, null)));
   }
 
   /**
@@ -271,7 +271,8 @@
     if (these.isEmpty()) {
       return;
     }
-    loop.execute(() -> these.forEach(a -> owner.tell(new Event.Ended(a, Outcome.NOT_SENT, null))));
+    loop.execute(
+        () -> these.forEach(a -> owner.tell(new Event.AttemptEnded(a, Outcome.NOT_SENT, null))));
   }
 
   private void remove(AttemptId attempt) {
@@ -321,7 +322,7 @@
     }
     heard++;
     ByteBuffer all = bytes.duplicate();
-    List<Event.Ended> ended = new ArrayList<>();
+    List<Event.AttemptEnded> ended = new ArrayList<>();
     String fault = null;
     try {
       codec.read(bytes, frame -> frame(frame, ended));
@@ -339,7 +340,7 @@
     ended.forEach(owner::tell);
   }
 
-  private void frame(FrameCodec.Frame frame, List<Event.Ended> ended) {
+  private void frame(FrameCodec.Frame frame, List<Event.AttemptEnded> ended) {
     frames++;
     switch (frame.letter()) {
       case '5' -> {
@@ -348,7 +349,7 @@
         if (attempt != null) {
           remove(attempt);
           answered.add(answer.id());
-          ended.add(new Event.Ended(attempt, answer.outcome(), answer.value()));
+          ended.add(new Event.AttemptEnded(attempt, answer.outcome(), answer.value()));
         } else if (!givenUp.remove(answer.id()) && !answered.contains(answer.id())) {
           throw new IllegalArgumentException("an answer to what was not asked");
         }
@@ -367,7 +368,7 @@
         FRAME_TIME,
         () -> {
           if (!over && frames == before && !codec.idle()) {
-            List<Event.Ended> ended = new ArrayList<>();
+            List<Event.AttemptEnded> ended = new ArrayList<>();
             spoilt("a frame that does not end", "", ended);
             ended.forEach(owner::tell);
           }
@@ -380,7 +381,7 @@
    * back, which speaks against no server; and an answer that came whole before, with nothing else
    * asked, stands.
    */
-  private void spoilt(String fault, String text, List<Event.Ended> ended) {
+  private void spoilt(String fault, String text, List<Event.AttemptEnded> ended) {
     LOG.log(Level.WARNING, server + " sent " + fault);
     List<AttemptId> remaining = List.copyOf(parts.keySet());
     List<AttemptId> named =
@@ -388,13 +389,14 @@
     AttemptId culprit =
         remaining.size() == 1 ? remaining.get(0) : named.size() == 1 ? named.get(0) : null;
     if (remaining.isEmpty() && !ended.isEmpty()) {
-      Event.Ended last = ended.remove(ended.size() - 1);
+      Event.AttemptEnded last = ended.remove(ended.size() - 1);
       boolean cut = last.outcome() == Outcome.OK && !Frames.stands((PartValue) last.value());
-      ended.add(cut ? new Event.Ended(last.attempt(), Outcome.ERROR, null) : last);
+      ended.add(cut ? new Event.AttemptEnded(last.attempt(), Outcome.ERROR, null) : last);
     }
     for (AttemptId a : remaining) {
       remove(a);
-      ended.add(new Event.Ended(a, a.equals(culprit) ? Outcome.ERROR : Outcome.CANCELLED, null));
+      ended.add(
+          new Event.AttemptEnded(a, a.equals(culprit) ? Outcome.ERROR : Outcome.CANCELLED, null));
     }
     over = true;
     close();
@@ -416,7 +418,7 @@
     remaining.forEach(
         (attempt, part) ->
             owner.tell(
-                new Event.Ended(
+                new Event.AttemptEnded(
                     attempt, part.call().written ? Outcome.RESET : Outcome.UNREACHABLE, null)));
   }
 
@@ -429,7 +431,7 @@
   }
 
   private boolean handedOver() {
-    List<List<Effect.Start>> waiting =
+    List<List<Effect.StartAttempt>> waiting =
         calls.stream().map(c -> c.parts.values().stream().map(PartCall::start).toList()).toList();
     if (waiting.isEmpty() || !owner.takeOver(this, waiting)) {
       return false;
--- a/src/main/java/bitternpulley/platform/SlotConnectionOwner.java
+++ b/src/main/java/bitternpulley/platform/SlotConnectionOwner.java
@@ -24,5 +24,5 @@
    * up: then the server runs and holds no more connections, and this is true; none of the attempts
    * ends by that.
    */
-  boolean takeOver(SlotConnection refused, List<List<Effect.Start>> calls);
+  boolean takeOver(SlotConnection refused, List<List<Effect.StartAttempt>> calls);
 }
--- a/src/main/java/bitternpulley/platform/SlotServers.java
+++ b/src/main/java/bitternpulley/platform/SlotServers.java
@@ -127,7 +127,7 @@
   public void address(String server, HostPort at) {
     HostPort before = addresses.put(server, at);
     if (before != null && !before.equals(at)) {
-      closeIdle(server);
+      closeIdleConnections(server);
     }
   }
 
@@ -138,7 +138,7 @@
   public void forget(String server) {
     addresses.remove(server);
     refusingUntil.remove(server);
-    closeIdle(server);
+    closeIdleConnections(server);
   }
 
   /** Forgets all others. */
@@ -152,13 +152,13 @@
   }
 
   @Override
-  public void start(Effect.Start attempt) {
-    startTogether(List.of(attempt));
+  public void start(Effect.StartAttempt attempt) {
+    startCall(List.of(attempt));
   }
 
   /** One call for all of them where a connection can carry that; else each on its own. */
   @Override
-  public void startTogether(List<Effect.Start> attempts) {
+  public void startCall(List<Effect.StartAttempt> attempts) {
     String server = attempts.get(0).server();
     HostPort at = addresses.get(server);
     boolean fits = attempts.size() == 1 || Frames.fitOneCall(attempts);
@@ -173,7 +173,9 @@
       attempts.forEach(this::start);
     } else {
       loop.execute(
-          () -> events.accept(new Event.Ended(attempts.get(0).id(), Outcome.UNREACHABLE, null)));
+          () ->
+              events.accept(
+                  new Event.AttemptEnded(attempts.get(0).id(), Outcome.UNREACHABLE, null)));
     }
   }
 
@@ -257,7 +259,7 @@
   }
 
   @Override
-  public void abandon(Effect.Abandon attempt) {
+  public void cancel(Effect.CancelAttempt attempt) {
     SlotConnection link = out.get(attempt.id());
     if (link != null) {
       link.abandon(attempt.id());
@@ -265,7 +267,7 @@
   }
 
   @Override
-  public void withdraw(String server) {
+  public void cancelUnsentTo(String server) {
     for (SlotConnection l : List.copyOf(links.getOrDefault(server, List.of()))) {
       if (!l.isUp()) {
         l.withdraw();
@@ -274,7 +276,7 @@
   }
 
   @Override
-  public void takeBack(Effect.TakeBack attempt) {
+  public void cancelUnsent(Effect.CancelUnsent attempt) {
     SlotConnection link = out.get(attempt.id());
     if (link != null) {
       link.takeBack(attempt.id());
@@ -282,7 +284,7 @@
   }
 
   @Override
-  public void closeIdle(String server) {
+  public void closeIdleConnections(String server) {
     for (SlotConnection l : List.copyOf(links.getOrDefault(server, List.of()))) {
       if (l.isIdle()) {
         l.close();
@@ -316,7 +318,7 @@
     }
 
     @Override
-    public boolean takeOver(SlotConnection refused, List<List<Effect.Start>> calls) {
+    public boolean takeOver(SlotConnection refused, List<List<Effect.StartAttempt>> calls) {
       String server = refused.server();
       List<SlotConnection> up =
           links.getOrDefault(server, List.of()).stream().filter(SlotConnection::isUp).toList();
@@ -325,7 +327,7 @@
       }
       refusingUntil.put(server, times.clock().now() + REFUSING_FOR);
       calls.stream().flatMap(List::stream).forEach(a -> out.remove(a.id()));
-      calls.forEach(SlotServers.this::startTogether);
+      calls.forEach(SlotServers.this::startCall);
       return true;
     }
   }
--- a/src/test/java/bitternpulley/admin/StoredOrdersTest.java
+++ b/src/test/java/bitternpulley/admin/StoredOrdersTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import bitternpulley.broker.OperatorOrders;
+import bitternpulley.broker.OperatorOverrides;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -26,16 +26,18 @@
   void areReadAsStored() throws IOException {
     Files.copy(STORED, folder.resolve(NAME));
     assertEquals(
-        new OperatorOrders(Set.of("s1", "s12"), true), new OrdersFile(Optional.of(folder)).read());
+        new OperatorOverrides(Set.of("s1", "s12"), true),
+        new OverridesFile(Optional.of(folder)).read());
   }
 
   @Test
   void areWrittenInTheStoredForm() throws Exception {
     Files.copy(STORED, folder.resolve(NAME));
-    OrdersFile file = new OrdersFile(Optional.of(folder));
+    OverridesFile file = new OverridesFile(Optional.of(folder));
     file.read();
-    CompletableFuture<OperatorOrders> done = new CompletableFuture<>();
-    file.change(new OperatorOrders.Order("s0", true), (orders, failure) -> done.complete(orders));
+    CompletableFuture<OperatorOverrides> done = new CompletableFuture<>();
+    file.change(
+        new OperatorOverrides.Override("s0", true), (orders, failure) -> done.complete(orders));
     assertEquals(Set.of("s0", "s1", "s12"), done.get().cordoned());
     assertEquals(
         "cordoned s0\n" + Files.readString(STORED), Files.readString(folder.resolve(NAME)));
--- a/src/test/java/bitternpulley/broker/BrokerTest.java
+++ b/src/test/java/bitternpulley/broker/BrokerTest.java
@@ -58,7 +58,7 @@
             () -> now,
             (ms, task) -> due.add(new Due(now + ms, task)));
     broker.submit(
-        new Event.ServersListed(
+        new Event.ServersChanged(
             Router.ListKind.REMEMBERED,
             IntStream.range(0, 4)
                 .mapToObj(i -> new Router.Endpoint("s" + i, i % 2, i, Router.ServerState.LIVE, 0))
@@ -72,27 +72,28 @@
   }
 
   @Override
-  public void start(Effect.Start attempt) {
+  public void start(Effect.StartAttempt attempt) {
     failOnce("start");
     started.add(attempt.id());
     due.add(
         new Due(
-            now + 50, () -> broker.submit(new Event.Ended(attempt.id(), Router.Outcome.OK, null))));
+            now + 50,
+            () -> broker.submit(new Event.AttemptEnded(attempt.id(), Router.Outcome.OK, null))));
   }
 
   @Override
-  public void abandon(Effect.Abandon attempt) {
+  public void cancel(Effect.CancelAttempt attempt) {
     failOnce("abandon");
-    broker.submit(new Event.Abandoned(attempt.id()));
+    broker.submit(new Event.AttemptCancelled(attempt.id()));
   }
 
   @Override
-  public void withdraw(String server) {
+  public void cancelUnsentTo(String server) {
     failOnce("withdraw");
   }
 
   @Override
-  public void takeBack(Effect.TakeBack attempt) {
+  public void cancelUnsent(Effect.CancelUnsent attempt) {
     failOnce("take back");
   }
 
@@ -103,13 +104,13 @@
   }
 
   @Override
-  public void closeIdle(String server) {
+  public void closeIdleConnections(String server) {
     failOnce("close");
   }
 
   private void askAndPlay() {
     broker.submit(
-        new Event.Taken(
+        new Event.RequestReceived(
             new Request(
                 broker.nextId(),
                 this,
@@ -117,7 +118,7 @@
                 3000,
                 false,
                 Router.Terms.CLASS_DEFAULT,
-                List.of(new Request.Slice(0, 1, 0)),
+                List.of(new Request.QueryPart(0, 1, 0)),
                 null)));
     while (!due.isEmpty() && due.peek().at() < 10_000) {
       Due next = due.poll();
@@ -146,6 +147,6 @@
     askAndPlay();
     assertEquals(answers.size(), 1);
     assertTrue(answers.get(0) instanceof Effect.Answer.Failed, answers.toString());
-    assertEquals(broker.open(), 0);
+    assertEquals(broker.pendingRequests(), 0);
   }
 }
--- a/src/test/java/bitternpulley/broker/FleetTest.java
+++ b/src/test/java/bitternpulley/broker/FleetTest.java
@@ -93,7 +93,7 @@
       fleet.add(new Reducer(settings(i), 7 + i, now));
       tell(
           i,
-          new Event.ServersListed(
+          new Event.ServersChanged(
               Router.ListKind.REMEMBERED,
               IntStream.range(0, SERVERS)
                   .mapToObj(s -> member(s, Router.ServerState.LIVE, 0))
@@ -103,16 +103,19 @@
 
   private void tell(int instance, Event event) {
     for (Effect effect : fleet.get(instance).reduce(event, now)) {
-      if (effect instanceof Effect.Start e) {
+      if (effect instanceof Effect.StartAttempt e) {
         sent.computeIfAbsent(e.server(), s -> new ArrayList<>()).add(now);
         todo.add(
-            new Todo(now + WORK, instance, new Event.Ended(e.id(), Router.Outcome.OK, new Word())));
+            new Todo(
+                now + WORK,
+                instance,
+                new Event.AttemptEnded(e.id(), Router.Outcome.OK, new Word())));
       } else if (effect instanceof Effect.WakeAt e) {
         todo.add(new Todo(Math.max(now, e.time()), instance, e.event()));
-      } else if (effect instanceof Effect.Withdraw e) {
+      } else if (effect instanceof Effect.CancelUnsentTo e) {
         drained.merge(e.server(), 1, Integer::sum);
-      } else if (effect instanceof Effect.Abandon e) {
-        todo.add(new Todo(now, instance, new Event.Abandoned(e.id())));
+      } else if (effect instanceof Effect.CancelAttempt e) {
+        todo.add(new Todo(now, instance, new Event.AttemptCancelled(e.id())));
       } else if (effect instanceof Effect.Reply e) {
         ended++;
       }
@@ -126,15 +129,15 @@
     int asked = 0;
     for (double at = now; at < until; at += every) {
       int first = random.nextInt(SECTIONS);
-      List<Request.Slice> slices =
+      List<Request.QueryPart> slices =
           IntStream.range(0, PARTS)
-              .mapToObj(i -> new Request.Slice((first + i) % SECTIONS, 1.0 / PARTS, 0))
+              .mapToObj(i -> new Request.QueryPart((first + i) % SECTIONS, 1.0 / PARTS, 0))
               .toList();
       todo.add(
           new Todo(
               at,
               random.nextInt(INSTANCES),
-              new Event.Taken(
+              new Event.RequestReceived(
                   new Request(
                       ++asked, null, 0, 1500, false, Router.Terms.CLASS_DEFAULT, slices, null))));
     }
@@ -176,7 +179,7 @@
     for (int i = 0; i < INSTANCES; i++) {
       tell(
           i,
-          new Event.ServersListed(
+          new Event.ServersChanged(
               Router.ListKind.CHANGES,
               List.of(
                   member(3, Router.ServerState.LIVE, now),
@@ -207,7 +210,7 @@
     for (int i = 0; i < INSTANCES; i++) {
       tell(
           i,
-          new Event.ServersListed(
+          new Event.ServersChanged(
               Router.ListKind.CHANGES, List.of(member(3, Router.ServerState.DRAINING, 0))));
     }
     run(8000);
--- a/src/test/java/bitternpulley/broker/ReducerTest.java
+++ b/src/test/java/bitternpulley/broker/ReducerTest.java
@@ -58,7 +58,7 @@
     effects.clear();
     reducer = new Reducer(settings, 7, now);
     tell(
-        new Event.ServersListed(
+        new Event.ServersChanged(
             Router.ListKind.REMEMBERED,
             IntStream.range(0, 4)
                 .mapToObj(i -> new Router.Endpoint("s" + i, i % 2, i, Router.ServerState.LIVE, 0))
@@ -71,7 +71,7 @@
 
   private void ask(long id, int... shards) {
     tell(
-        new Event.Taken(
+        new Event.RequestReceived(
             new Request(
                 id,
                 null,
@@ -80,7 +80,7 @@
                 false,
                 Router.Terms.CLASS_DEFAULT,
                 IntStream.of(shards)
-                    .mapToObj(s -> new Request.Slice(s, 1.0 / shards.length, 0))
+                    .mapToObj(s -> new Request.QueryPart(s, 1.0 / shards.length, 0))
                     .toList(),
                 null)));
   }
@@ -89,8 +89,8 @@
     return effects.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
 
-  private Effect.Start start(int n) {
-    return all(Effect.Start.class).get(n);
+  private Effect.StartAttempt start(int n) {
+    return all(Effect.StartAttempt.class).get(n);
   }
 
   private Effect.Answer answer(int n) {
@@ -100,16 +100,16 @@
   @Test
   public void aWholeRequestIsAnsweredOnceFromItsValues() {
     ask(1, 0, 1);
-    tell(new Event.Ended(start(0).id(), Router.Outcome.OK, new Word("a")));
-    assertEquals(reducer.open(), 1);
-    tell(new Event.Ended(start(1).id(), Router.Outcome.OK, new Word("b")));
+    tell(new Event.AttemptEnded(start(0).id(), Router.Outcome.OK, new Word("a")));
+    assertEquals(reducer.pendingRequests(), 1);
+    tell(new Event.AttemptEnded(start(1).id(), Router.Outcome.OK, new Word("b")));
     Effect.Answer.Answered answer = (Effect.Answer.Answered) answer(0);
-    assertTrue(answer.whole());
+    assertTrue(answer.complete());
     assertEquals(answer.values().toString(), "{0=Word[text=a], 1=Word[text=b]}");
-    tell(new Event.Ended(start(1).id(), Router.Outcome.OK, new Word("again")));
-    tell(new Event.ClientLeft(1));
+    tell(new Event.AttemptEnded(start(1).id(), Router.Outcome.OK, new Word("again")));
+    tell(new Event.ClientDisconnected(1));
     assertEquals(all(Effect.Reply.class).size(), 1);
-    assertEquals(reducer.open(), 0);
+    assertEquals(reducer.pendingRequests(), 0);
   }
 
   /**
@@ -120,13 +120,13 @@
   public void anOverdueAttemptIsFollowedOnlyOnceItsServerIsTold() {
     ask(1, 0);
     now += 200;
-    tell(new Event.Overdue(start(0).id()));
-    assertEquals(all(Effect.Abandon.class).size(), 1);
-    tell(new Event.Overdue(start(0).id()));
-    assertEquals(all(Effect.Abandon.class).size(), 1);
-    assertEquals(all(Effect.Start.class).size(), 1);
-    tell(new Event.Abandoned(start(0).id()));
-    assertEquals(all(Effect.Start.class).size(), 2);
+    tell(new Event.AttemptTimedOut(start(0).id()));
+    assertEquals(all(Effect.CancelAttempt.class).size(), 1);
+    tell(new Event.AttemptTimedOut(start(0).id()));
+    assertEquals(all(Effect.CancelAttempt.class).size(), 1);
+    assertEquals(all(Effect.StartAttempt.class).size(), 1);
+    tell(new Event.AttemptCancelled(start(0).id()));
+    assertEquals(all(Effect.StartAttempt.class).size(), 2);
     assertFalse(start(1).server().equals(start(0).server()));
   }
 
@@ -140,23 +140,23 @@
     for (int i = 0; i < 10; i++) {
       ask(100 + i, 2);
       now += 10;
-      tell(new Event.Ended(start(i).id(), Router.Outcome.OK, new Word("a")));
+      tell(new Event.AttemptEnded(start(i).id(), Router.Outcome.OK, new Word("a")));
     }
     effects.clear();
     ask(1, 0);
     // Looked at as often as its alarms may ring: each look must leave the part's attempts for those
     // that start.
-    for (int i = 0; i < 40 && all(Effect.Abandon.class).isEmpty(); i++) {
+    for (int i = 0; i < 40 && all(Effect.CancelAttempt.class).isEmpty(); i++) {
       now += 50;
-      tell(new Event.Alarm("q1"));
+      tell(new Event.AlarmFired("q1"));
     }
-    assertEquals(all(Effect.Start.class).size(), 1);
+    assertEquals(all(Effect.StartAttempt.class).size(), 1);
     assertEquals(
-        all(Effect.Abandon.class).size(), 1, "called off before the client's time is over");
-    tell(new Event.Abandoned(start(0).id()));
+        all(Effect.CancelAttempt.class).size(), 1, "called off before the client's time is over");
+    tell(new Event.AttemptCancelled(start(0).id()));
     assertEquals(start(1).id().number(), 1);
     assertFalse(start(1).server().equals(start(0).server()));
-    tell(new Event.Ended(start(1).id(), Router.Outcome.OK, new Word("b")));
+    tell(new Event.AttemptEnded(start(1).id(), Router.Outcome.OK, new Word("b")));
     assertEquals(((Effect.Answer.Answered) answer(0)).values().toString(), "{0=Word[text=b]}");
   }
 
@@ -164,9 +164,9 @@
   public void anAnswerThatCrossesTheWordCounts() {
     ask(1, 0);
     now += 200;
-    tell(new Event.Overdue(start(0).id()));
-    tell(new Event.Ended(start(0).id(), Router.Outcome.OK, new Word("a")));
-    tell(new Event.Abandoned(start(0).id()));
+    tell(new Event.AttemptTimedOut(start(0).id()));
+    tell(new Event.AttemptEnded(start(0).id(), Router.Outcome.OK, new Word("a")));
+    tell(new Event.AttemptCancelled(start(0).id()));
     assertEquals(((Effect.Answer.Answered) answer(0)).values().toString(), "{0=Word[text=a]}");
   }
 
@@ -175,10 +175,10 @@
     ask(1, 0);
     for (int i = 0; i < 4; i++) {
       now += 10;
-      tell(new Event.Ended(start(i).id(), Router.Outcome.ERROR, new Word("no")));
+      tell(new Event.AttemptEnded(start(i).id(), Router.Outcome.ERROR, new Word("no")));
     }
-    assertEquals(all(Effect.Start.class).size(), 4);
-    Effect.Answer.Refused refused = (Effect.Answer.Refused) answer(0);
+    assertEquals(all(Effect.StartAttempt.class).size(), 4);
+    Effect.Answer.Rejected refused = (Effect.Answer.Rejected) answer(0);
     assertTrue(refused.ending().mayHaveRun());
     assertFalse(refused.ending().late());
     assertEquals(refused.ending().missing().get(0).reason(), new Word("no"));
@@ -189,8 +189,8 @@
     begin(settings(Settings.Idempotency.KEYED, 1));
     ask(1, 0);
     now += 500;
-    tell(new Event.Ended(start(0).id(), Router.Outcome.RESET, null));
-    assertEquals(all(Effect.Start.class).size(), 1, "its window has passed");
+    tell(new Event.AttemptEnded(start(0).id(), Router.Outcome.RESET, null));
+    assertEquals(all(Effect.StartAttempt.class).size(), 1, "its window has passed");
     assertTrue(answer(0) instanceof Effect.Answer.Failed);
   }
 
@@ -203,20 +203,20 @@
     ask(1, 0);
     assertEquals(start(0).sendBy(), Double.POSITIVE_INFINITY);
     now += 10;
-    tell(new Event.Ended(start(0).id(), Router.Outcome.REJECTED, null));
+    tell(new Event.AttemptEnded(start(0).id(), Router.Outcome.REJECTED, null));
     awaitStart(1);
     assertEquals(start(1).sendBy(), Double.POSITIVE_INFINITY, "the first never ran");
     double second = now;
     now += 10;
-    tell(new Event.Ended(start(1).id(), Router.Outcome.ERROR, null));
+    tell(new Event.AttemptEnded(start(1).id(), Router.Outcome.ERROR, null));
     awaitStart(2);
     assertEquals(start(2).sendBy(), second + 400, "from the first that may have run");
   }
 
   private void awaitStart(int n) {
-    for (int i = 0; i < 20 && all(Effect.Start.class).size() <= n; i++) {
+    for (int i = 0; i < 20 && all(Effect.StartAttempt.class).size() <= n; i++) {
       now += 20;
-      tell(new Event.Alarm("q1"));
+      tell(new Event.AlarmFired("q1"));
     }
   }
 
@@ -229,12 +229,12 @@
     ask(1, 0, 1, 2, 3);
     ask(2, 0, 1, 2, 3);
     assertEquals(all(Effect.Reply.class).size(), 0, "five of eight places were taken");
-    int sent = all(Effect.Start.class).size();
+    int sent = all(Effect.StartAttempt.class).size();
     ask(3, 0);
-    Effect.Answer.Refused refused = (Effect.Answer.Refused) answer(0);
-    assertTrue(refused.pause() > 0);
+    Effect.Answer.Rejected refused = (Effect.Answer.Rejected) answer(0);
+    assertTrue(refused.retryAfter() > 0);
     assertFalse(refused.ending().mayHaveRun());
-    assertEquals(all(Effect.Start.class).size(), sent);
+    assertEquals(all(Effect.StartAttempt.class).size(), sent);
   }
 
   /**
@@ -244,9 +244,9 @@
   public void aPartThatIsInIsNotHeldAnyMore() {
     ask(1, 0, 1, 2, 3);
     ask(2, 0, 1, 2, 3);
-    all(Effect.Start.class).stream()
+    all(Effect.StartAttempt.class).stream()
         .limit(3)
-        .forEach(s -> tell(new Event.Ended(s.id(), Router.Outcome.OK, new Word("v"))));
+        .forEach(s -> tell(new Event.AttemptEnded(s.id(), Router.Outcome.OK, new Word("v"))));
     int replies = all(Effect.Reply.class).size();
     ask(3, 0);
     assertEquals(all(Effect.Reply.class).size(), replies, "seven of eight places were taken");
@@ -257,19 +257,19 @@
   @Test
   public void whoLeavesGetsNoAnswerAndItsPartsAreGivenUp() {
     ask(1, 0, 1);
-    tell(new Event.ClientLeft(1));
-    assertEquals(all(Effect.Abandon.class).size(), 2);
+    tell(new Event.ClientDisconnected(1));
+    assertEquals(all(Effect.CancelAttempt.class).size(), 2);
     assertEquals(all(Effect.Reply.class).size(), 0);
-    assertEquals(reducer.open(), 0);
+    assertEquals(reducer.pendingRequests(), 0);
   }
 
   @Test
   public void aRequestAtFaultEndsAtTheFirstServerThatSaysSo() {
     ask(1, 0, 1);
-    tell(new Event.Faulted(start(0).id(), new Word("parse")));
-    assertEquals(answer(0), new Effect.Answer.Faulty(new Word("parse")));
-    assertEquals(all(Effect.Start.class).size(), 2);
-    assertEquals(all(Effect.Abandon.class).size(), 1);
+    tell(new Event.RequestRejectedByServer(start(0).id(), new Word("parse")));
+    assertEquals(answer(0), new Effect.Answer.InvalidRequest(new Word("parse")));
+    assertEquals(all(Effect.StartAttempt.class).size(), 2);
+    assertEquals(all(Effect.CancelAttempt.class).size(), 1);
     assertEquals(all(Effect.Reply.class).size(), 1);
   }
 
@@ -278,11 +278,11 @@
     begin(settings(Settings.Idempotency.IDEMPOTENT, 0.5));
     for (int i = 0; i < 10; i++) {
       ask(10 + i, 0);
-      tell(new Event.Ended(start(i).id(), Router.Outcome.OK, new Word("a")));
+      tell(new Event.AttemptEnded(start(i).id(), Router.Outcome.OK, new Word("a")));
     }
     effects.clear();
     tell(
-        new Event.Taken(
+        new Event.RequestReceived(
             new Request(
                 1,
                 null,
@@ -290,13 +290,15 @@
                 800,
                 false,
                 new Router.Terms(true, true),
-                List.of(new Request.Slice(0, 0.5, 0), new Request.Slice(1, 0.5, 0)),
+                List.of(new Request.QueryPart(0, 0.5, 0), new Request.QueryPart(1, 0.5, 0)),
                 null)));
     assertEquals(
-        all(Effect.Start.class).size(), 2, "a short time of its own is not refused as a spent one");
-    tell(new Event.Ended(start(0).id(), Router.Outcome.OK, new Word("a")));
+        all(Effect.StartAttempt.class).size(),
+        2,
+        "a short time of its own is not refused as a spent one");
+    tell(new Event.AttemptEnded(start(0).id(), Router.Outcome.OK, new Word("a")));
     now += 800;
-    tell(new Event.Alarm("q1"));
+    tell(new Event.AlarmFired("q1"));
     assertFalse(answer(0) instanceof Effect.Answer.Answered, "half is not the whole");
   }
 
@@ -304,7 +306,7 @@
   @Test
   public void anEndBroughtForwardForLateTurnsIsOutOfTime() {
     tell(
-        new Event.Taken(
+        new Event.RequestReceived(
             new Request(
                 1,
                 null,
@@ -312,14 +314,14 @@
                 3000,
                 false,
                 new Router.Terms(true, true),
-                List.of(new Request.Slice(0, 1, 0)),
+                List.of(new Request.QueryPart(0, 1, 0)),
                 null,
                 null,
                 0,
                 new Router.Lateness(0, 300))));
     now += 2700;
-    tell(new Event.Alarm("q1"));
-    assertTrue(((Effect.Answer.Refused) answer(0)).ending().late());
+    tell(new Event.AlarmFired("q1"));
+    assertTrue(((Effect.Answer.Rejected) answer(0)).ending().late());
   }
 
   /**
@@ -328,9 +330,9 @@
    */
   @Test
   public void oneWhoWaitsForVeryLittleIsNotLateFromTheStart() {
-    tell(new Event.ServersListed(Router.ListKind.COMPLETE, List.of()));
+    tell(new Event.ServersChanged(Router.ListKind.COMPLETE, List.of()));
     tell(
-        new Event.Taken(
+        new Event.RequestReceived(
             new Request(
                 1,
                 null,
@@ -338,9 +340,9 @@
                 80,
                 false,
                 Router.Terms.CLASS_DEFAULT,
-                List.of(new Request.Slice(0, 1, 0)),
+                List.of(new Request.QueryPart(0, 1, 0)),
                 null)));
-    assertFalse(((Effect.Answer.Refused) answer(0)).ending().late());
+    assertFalse(((Effect.Answer.Rejected) answer(0)).ending().late());
   }
 
   /**
@@ -354,15 +356,15 @@
     Router.Endpoint drains =
         new Router.Endpoint(
             first, 0, Integer.parseInt(first.substring(1)), Router.ServerState.DRAINING, 0);
-    tell(new Event.ServersListed(Router.ListKind.CHANGES, List.of(drains)));
-    assertEquals(all(Effect.Withdraw.class), List.of(new Effect.Withdraw(first)));
-    tell(new Event.Ended(start(0).id(), Router.Outcome.NOT_SENT, null));
+    tell(new Event.ServersChanged(Router.ListKind.CHANGES, List.of(drains)));
+    assertEquals(all(Effect.CancelUnsentTo.class), List.of(new Effect.CancelUnsentTo(first)));
+    tell(new Event.AttemptEnded(start(0).id(), Router.Outcome.NOT_SENT, null));
     String second = start(1).server();
     assertFalse(second.equals(first));
-    tell(new Event.ServersListed(Router.ListKind.COMPLETE, List.of(drains)));
+    tell(new Event.ServersChanged(Router.ListKind.COMPLETE, List.of(drains)));
     assertEquals(
-        all(Effect.Withdraw.class),
-        List.of(new Effect.Withdraw(first), new Effect.Withdraw(second)));
+        all(Effect.CancelUnsentTo.class),
+        List.of(new Effect.CancelUnsentTo(first), new Effect.CancelUnsentTo(second)));
   }
 
   /**
@@ -374,11 +376,11 @@
     ask(1, 0, 1, 2, 3);
     List<Effect.WakeAt> alarms = overdueAlarms();
     assertEquals(alarms.size(), 1);
-    tell(new Event.Ended(start(0).id(), Router.Outcome.OK, new Word("a")));
+    tell(new Event.AttemptEnded(start(0).id(), Router.Outcome.OK, new Word("a")));
     now = alarms.get(0).time();
     tell(alarms.get(0).event());
     assertEquals(
-        all(Effect.Abandon.class).stream().map(Effect.Abandon::id).toList(),
+        all(Effect.CancelAttempt.class).stream().map(Effect.CancelAttempt::id).toList(),
         List.of(start(1).id(), start(2).id(), start(3).id()));
   }
 
@@ -390,17 +392,17 @@
   public void theSharedAlarmIsSetAnewForWhatIsOutLonger() {
     ask(1, 0, 1);
     double later = overdueAlarms().get(0).time() + 100;
-    tell(new Event.Overdue(start(0).id(), start(0).id().part(), 2));
-    assertEquals(all(Effect.Abandon.class).size(), 1);
+    tell(new Event.AttemptTimedOut(start(0).id(), start(0).id().part(), 2));
+    assertEquals(all(Effect.CancelAttempt.class).size(), 1);
     assertEquals(overdueAlarms().size(), 2);
     now = later;
     tell(overdueAlarms().get(1).event());
-    assertEquals(all(Effect.Abandon.class).size(), 2);
+    assertEquals(all(Effect.CancelAttempt.class).size(), 2);
   }
 
   private List<Effect.WakeAt> overdueAlarms() {
     return all(Effect.WakeAt.class).stream()
-        .filter(w -> w.event() instanceof Event.Overdue)
+        .filter(w -> w.event() instanceof Event.AttemptTimedOut)
         .toList();
   }
 
@@ -412,14 +414,14 @@
             settings(Settings.Idempotency.IDEMPOTENT, 1),
             new Settings.Limits(4, 8, false, false, false, true, 500, 250)));
     ask(1, 0, 1);
-    assertEquals(all(Effect.Start.class).size(), 2);
-    tell(new Event.ClientLeft(1));
+    assertEquals(all(Effect.StartAttempt.class).size(), 2);
+    tell(new Event.ClientDisconnected(1));
     assertEquals(
-        all(Effect.TakeBack.class).stream().map(Effect.TakeBack::id).toList(),
-        all(Effect.Start.class).stream().map(Effect.Start::id).toList());
-    assertEquals(all(Effect.Abandon.class), List.of());
-    all(Effect.Start.class)
-        .forEach(s -> tell(new Event.Ended(s.id(), Router.Outcome.NOT_SENT, null)));
+        all(Effect.CancelUnsent.class).stream().map(Effect.CancelUnsent::id).toList(),
+        all(Effect.StartAttempt.class).stream().map(Effect.StartAttempt::id).toList());
+    assertEquals(all(Effect.CancelAttempt.class), List.of());
+    all(Effect.StartAttempt.class)
+        .forEach(s -> tell(new Event.AttemptEnded(s.id(), Router.Outcome.NOT_SENT, null)));
     assertEquals(all(Effect.Reply.class), List.of());
   }
 
@@ -477,7 +479,7 @@
                 failingAt(
                     new bitternpulley.policy.Policy(settings, 7, now, recorder), call, calls));
     tell(
-        new Event.ServersListed(
+        new Event.ServersChanged(
             Router.ListKind.REMEMBERED,
             IntStream.range(0, 4)
                 .mapToObj(i -> new Router.Endpoint("s" + i, i % 2, i, Router.ServerState.LIVE, 0))
@@ -489,10 +491,11 @@
     for (int seen = 0; ; ) {
       for (; seen < effects.size(); seen++) {
         Effect e = effects.get(seen);
-        if (e instanceof Effect.Start s) {
-          due.add(new Due(now + 50, new Event.Ended(s.id(), Router.Outcome.OK, new Word("v"))));
-        } else if (e instanceof Effect.Abandon a) {
-          due.add(new Due(now + 1, new Event.Abandoned(a.id())));
+        if (e instanceof Effect.StartAttempt s) {
+          due.add(
+              new Due(now + 50, new Event.AttemptEnded(s.id(), Router.Outcome.OK, new Word("v"))));
+        } else if (e instanceof Effect.CancelAttempt a) {
+          due.add(new Due(now + 1, new Event.AttemptCancelled(a.id())));
         } else if (e instanceof Effect.WakeAt w) {
           due.add(new Due(Math.max(w.time(), now), w.event()));
         }
@@ -513,7 +516,7 @@
         all(Effect.Reply.class).stream().map(r -> r.request().id()).sorted().toList(),
         List.of(1L, 2L),
         "one final answer each, with a fault at call " + call);
-    assertEquals(reducer.open(), 0);
+    assertEquals(reducer.pendingRequests(), 0);
     return calls.get();
   }
 
--- a/src/test/java/bitternpulley/opensearch/SearchResponseTest.java
+++ b/src/test/java/bitternpulley/opensearch/SearchResponseTest.java
@@ -106,10 +106,10 @@
             mayHaveRun,
             Map.of(
                 1,
-                new Answer.Missing(
+                new Answer.MissingPart(
                     Outcome.ERROR, "s3", new PartHits.Failure(500, "boom", "it broke"))));
     return SearchResponse.of(
-        search(1), refused ? new Answer.Refused(1200, ending) : new Answer.Failed(ending), 7);
+        search(1), refused ? new Answer.Rejected(1200, ending) : new Answer.Failed(ending), 7);
   }
 
   /** Guards against telling a client that another try is safe when its work may have run. */
--- a/src/test/java/bitternpulley/peers/DatagramBytesTest.java
+++ b/src/test/java/bitternpulley/peers/DatagramBytesTest.java
@@ -72,7 +72,7 @@
     for (Message m : gossip()) {
       byte[] bytes = codec.encode(m);
       seen.add("gossip " + HexFormat.of().formatHex(bytes));
-      assertEquals(new Event.PeerSaid(m), codec.decode(bytes, bytes.length).event());
+      assertEquals(new Event.GossipReceived(m), codec.decode(bytes, bytes.length).event());
     }
     for (LeaseMessage m : leases()) {
       seen.add("lease " + HexFormat.of().formatHex(codec.encode(m)));
--- a/src/test/java/bitternpulley/peers/PeerCodecTest.java
+++ b/src/test/java/bitternpulley/peers/PeerCodecTest.java
@@ -103,7 +103,7 @@
       for (Message message : out) {
         byte[] bytes = codec.encode(message);
         assertTrue(bytes.length <= PeerCodec.MOST_BYTES);
-        assertEquals(new Event.PeerSaid(message), codec.decode(bytes, bytes.length).event());
+        assertEquals(new Event.GossipReceived(message), codec.decode(bytes, bytes.length).event());
       }
     }
   }
@@ -139,7 +139,7 @@
       byte[] bytes = codec.encode(m);
       assertTrue(bytes.length <= PeerCodec.MOST_BYTES);
       assertEquals(
-          new PeerCodec.Datagram(m.from(), new Event.LeaseSaid(m)),
+          new PeerCodec.Datagram(m.from(), new Event.LeaseMessageReceived(m)),
           codec.decode(bytes, bytes.length));
     }
     BitSet beyond = new BitSet();
@@ -155,7 +155,7 @@
     } catch (IOException e) {
       return;
     }
-    if (!(event instanceof Event.PeerSaid said)) {
+    if (!(event instanceof Event.GossipReceived said)) {
       return;
     }
     Message message = said.message();
--- a/src/test/java/bitternpulley/platform/SlotServersTest.java
+++ b/src/test/java/bitternpulley/platform/SlotServersTest.java
@@ -60,8 +60,8 @@
             5000,
             10,
             4);
-    List<Request.Slice> slices =
-        IntStream.range(0, 9).mapToObj(i -> new Request.Slice(i, 0.1, 0)).toList();
+    List<Request.QueryPart> slices =
+        IntStream.range(0, 9).mapToObj(i -> new Request.QueryPart(i, 0.1, 0)).toList();
     request =
         new Request(
             1,
@@ -86,7 +86,7 @@
     loop.execute(
         () ->
             servers.start(
-                new Effect.Start(new AttemptId(part, attempt), request, part, "s", 2000)));
+                new Effect.StartAttempt(new AttemptId(part, attempt), request, part, "s", 2000)));
   }
 
   private static String call(int part) {
@@ -107,7 +107,7 @@
   private List<String> outcomes(int count) throws InterruptedException {
     await(count);
     return events.stream()
-        .map(e -> (Event.Ended) e)
+        .map(e -> (Event.AttemptEnded) e)
         .map(e -> e.attempt().part() + " " + e.outcome())
         .sorted()
         .toList();
@@ -122,7 +122,8 @@
       assertEquals(frame(first), call(2));
       first.getOutputStream().write(answer(2, "00000000000000aa"));
       assertEquals(outcomes(1), List.of("2 OK"));
-      loop.execute(() -> servers.abandon(new Effect.Abandon(new AttemptId(0, 0), request, "s")));
+      loop.execute(
+          () -> servers.cancel(new Effect.CancelAttempt(new AttemptId(0, 0), request, "s")));
       assertEquals(frame(first), "2q.0");
       start(0, 1);
       try (Socket second = server.accept()) {
@@ -152,9 +153,9 @@
     loop.execute(
         () -> {
           servers.address("s", new HostPort("127.0.0.1", server.getLocalPort()));
-          servers.start(new Effect.Start(new AttemptId(0, 1), request, 0, "s", 2000, 0));
+          servers.start(new Effect.StartAttempt(new AttemptId(0, 1), request, 0, "s", 2000, 0));
           now[0] = 1; // before it can come up
-          servers.start(new Effect.Start(new AttemptId(1, 0), request, 1, "s", 2000));
+          servers.start(new Effect.StartAttempt(new AttemptId(1, 0), request, 1, "s", 2000));
         });
     try (Socket first = server.accept()) {
       assertEquals(frame(first), call(1), "the first thing that goes over it");
@@ -170,7 +171,8 @@
     start(0, 0);
     try (Socket first = server.accept()) {
       assertEquals(frame(first), call(0));
-      loop.execute(() -> servers.abandon(new Effect.Abandon(new AttemptId(0, 0), request, "s")));
+      loop.execute(
+          () -> servers.cancel(new Effect.CancelAttempt(new AttemptId(0, 0), request, "s")));
       assertEquals(frame(first), "2q.0");
       assertEquals(first.getInputStream().read(), -1);
       start(1, 0);
@@ -190,7 +192,8 @@
     try (Socket first = server.accept()) {
       assertEquals(frame(first), call(0));
       assertEquals(frame(first), call(1));
-      loop.execute(() -> servers.abandon(new Effect.Abandon(new AttemptId(0, 0), request, "s")));
+      loop.execute(
+          () -> servers.cancel(new Effect.CancelAttempt(new AttemptId(0, 0), request, "s")));
       assertEquals(frame(first), "2q.0");
       await(1);
     }
@@ -198,8 +201,8 @@
     assertEquals(
         events,
         List.of(
-            new Event.Abandoned(new AttemptId(0, 0)),
-            new Event.Ended(new AttemptId(1, 0), Router.Outcome.RESET, null)));
+            new Event.AttemptCancelled(new AttemptId(0, 0)),
+            new Event.AttemptEnded(new AttemptId(1, 0), Router.Outcome.RESET, null)));
   }
 
   /** Guards against a connection that ends right after an answer and takes another part along. */
@@ -247,7 +250,8 @@
         first.getOutputStream().write(answer(0, "00000000000000aa"));
         outcomes(1);
         loop.execute(
-            () -> servers.start(new Effect.Start(new AttemptId(1, 0), request, 1, "t", 2000)));
+            () ->
+                servers.start(new Effect.StartAttempt(new AttemptId(1, 0), request, 1, "t", 2000)));
         try (Socket second = other.accept()) {
           assertEquals(frame(second), call(1));
           assertEquals(first.getInputStream().read(), -1);
@@ -328,8 +332,8 @@
     // In one turn, so that the connection has no chance to come up in between.
     loop.execute(
         () -> {
-          servers.start(new Effect.Start(new AttemptId(0, 0), request, 0, "s", 2000));
-          servers.withdraw("s");
+          servers.start(new Effect.StartAttempt(new AttemptId(0, 0), request, 0, "s", 2000));
+          servers.cancelUnsentTo("s");
         });
     assertEquals(outcomes(1), List.of("0 NOT_SENT"));
     start(1, 0);
@@ -338,7 +342,7 @@
     }
     try (Socket sent = server.accept()) {
       assertEquals(frame(sent), call(1));
-      loop.execute(() -> servers.withdraw("s"));
+      loop.execute(() -> servers.cancelUnsentTo("s"));
       sent.getOutputStream().write(answer(1, "00000000000000aa"));
       assertEquals(outcomes(2), List.of("0 NOT_SENT", "1 OK"), "what has gone is awaited");
     }
@@ -363,16 +367,17 @@
     loop.execute(
         () -> {
           servers.address("s", new HostPort("127.0.0.1", server.getLocalPort()));
-          servers.start(new Effect.Start(new AttemptId(0, 0), request, 0, "s", 2000));
+          servers.start(new Effect.StartAttempt(new AttemptId(0, 0), request, 0, "s", 2000));
           now[0] = 80; // the time that the connection takes to come up
         });
     try (Socket socket = server.accept()) {
       assertEquals(frame(socket), call(0));
       long before = System.nanoTime();
-      loop.execute(() -> servers.abandon(new Effect.Abandon(new AttemptId(0, 0), request, "s")));
+      loop.execute(
+          () -> servers.cancel(new Effect.CancelAttempt(new AttemptId(0, 0), request, "s")));
       assertEquals(frame(socket), "2q.0", "the word goes at once");
       await(1);
-      assertEquals(events, List.of(new Event.Abandoned(new AttemptId(0, 0))));
+      assertEquals(events, List.of(new Event.AttemptCancelled(new AttemptId(0, 0))));
       assertTrue(System.nanoTime() - before >= 80_000_000);
     }
   }
@@ -405,8 +410,8 @@
             loop,
             e -> {
               events.add(e);
-              if (e instanceof Event.Ended ended && ended.attempt().part() == 0) {
-                servers.abandon(new Effect.Abandon(new AttemptId(1, 0), request, "s"));
+              if (e instanceof Event.AttemptEnded ended && ended.attempt().part() == 0) {
+                servers.cancel(new Effect.CancelAttempt(new AttemptId(1, 0), request, "s"));
               }
             },
             Clock.system(),
@@ -418,7 +423,8 @@
         () -> {
           servers.address("s", new HostPort("127.0.0.1", server.getLocalPort()));
           for (int part = 0; part < 3; part++) {
-            servers.start(new Effect.Start(new AttemptId(part, 0), request, part, "s", 2000));
+            servers.start(
+                new Effect.StartAttempt(new AttemptId(part, 0), request, part, "s", 2000));
           }
         });
     assertEquals(outcomes(3), List.of("0 UNREACHABLE", "1 UNREACHABLE", "2 UNREACHABLE"));
@@ -468,15 +474,16 @@
   public void anAttemptIsTakenBackOnlyWhileNotAByteOfItHasGone() throws Exception {
     loop.execute(
         () -> {
-          servers.start(new Effect.Start(new AttemptId(0, 0), request, 0, "s", 2000));
-          servers.takeBack(new Effect.TakeBack(new AttemptId(0, 0), request));
+          servers.start(new Effect.StartAttempt(new AttemptId(0, 0), request, 0, "s", 2000));
+          servers.cancelUnsent(new Effect.CancelUnsent(new AttemptId(0, 0), request));
         });
     assertEquals(outcomes(1), List.of("0 NOT_SENT"));
     start(1, 0);
     try (Socket socket = server.accept()) {
       assertEquals(
           frame(socket), call(1), "over the connection that has come up, and nothing of the other");
-      loop.execute(() -> servers.takeBack(new Effect.TakeBack(new AttemptId(1, 0), request)));
+      loop.execute(
+          () -> servers.cancelUnsent(new Effect.CancelUnsent(new AttemptId(1, 0), request)));
       socket.getOutputStream().write(answer(1, "00000000000000aa"));
       assertEquals(outcomes(2), List.of("0 NOT_SENT", "1 OK"));
     }
@@ -506,10 +513,13 @@
       loop.execute(() -> servers.address("s", new HostPort("127.0.0.1", busy.getLocalPort())));
       start(0, 0);
       start(1, 0);
-      loop.execute(() -> servers.abandon(new Effect.Abandon(new AttemptId(0, 0), request, "s")));
+      loop.execute(
+          () -> servers.cancel(new Effect.CancelAttempt(new AttemptId(0, 0), request, "s")));
       await(1);
       assertEquals(
-          events, List.of(new Event.Abandoned(new AttemptId(0, 0))), "at once: it was never sent");
+          events,
+          List.of(new Event.AttemptCancelled(new AttemptId(0, 0))),
+          "at once: it was never sent");
       for (Socket s : before) {
         busy.accept().close();
         s.close();
@@ -572,24 +582,25 @@
     try (Socket socket = server.accept()) {
       assertEquals(frame(socket), call(0));
       assertEquals(frame(socket), call(1));
-      loop.execute(() -> servers.abandon(new Effect.Abandon(new AttemptId(0, 0), request, "s")));
+      loop.execute(
+          () -> servers.cancel(new Effect.CancelAttempt(new AttemptId(0, 0), request, "s")));
       assertEquals(frame(socket), "2q.0");
       await(1);
-      assertEquals(events, List.of(new Event.Abandoned(new AttemptId(0, 0))));
+      assertEquals(events, List.of(new Event.AttemptCancelled(new AttemptId(0, 0))));
       socket.getOutputStream().write(answer(0, "00000000000000aa"));
       socket.getOutputStream().write(answer(1, "00000000000000bb"));
       await(2);
-      assertEquals(((Event.Ended) events.get(1)).attempt(), new AttemptId(1, 0));
-      assertEquals(((Event.Ended) events.get(1)).outcome(), Router.Outcome.OK);
+      assertEquals(((Event.AttemptEnded) events.get(1)).attempt(), new AttemptId(1, 0));
+      assertEquals(((Event.AttemptEnded) events.get(1)).outcome(), Router.Outcome.OK);
     }
   }
 
   private void startTogether(Integer... parts) {
     loop.execute(
         () ->
-            servers.startTogether(
+            servers.startCall(
                 List.of(parts).stream()
-                    .map(p -> new Effect.Start(new AttemptId(p, 0), request, p, "s", 2000))
+                    .map(p -> new Effect.StartAttempt(new AttemptId(p, 0), request, p, "s", 2000))
                     .toList()));
   }
 
@@ -609,13 +620,15 @@
       first.getOutputStream().write(answer(2, "00000000000000aa"));
       first.getOutputStream().write(answer(3, "00000000000000aa"));
       assertEquals(outcomes(2), List.of("2 OK", "3 OK"));
-      loop.execute(() -> servers.abandon(new Effect.Abandon(new AttemptId(5, 0), request, "s")));
+      loop.execute(
+          () -> servers.cancel(new Effect.CancelAttempt(new AttemptId(5, 0), request, "s")));
       assertEquals(frame(first), "2q.5", "one part of a call is given up by itself");
       first.getOutputStream().write(answer(0, "00000000000000aa"));
       await(4);
-      assertTrue(events.contains(new Event.Abandoned(new AttemptId(5, 0))));
+      assertTrue(events.contains(new Event.AttemptCancelled(new AttemptId(5, 0))));
       assertTrue(
-          events.stream().anyMatch(e -> e instanceof Event.Ended d && d.attempt().part() == 0));
+          events.stream()
+              .anyMatch(e -> e instanceof Event.AttemptEnded d && d.attempt().part() == 0));
     }
   }
 
@@ -623,11 +636,12 @@
   public void aPartTakenBackBeforeItsCallHasGoneIsNotInItsFrame() throws Exception {
     loop.execute(
         () -> {
-          servers.startTogether(
+          servers.startCall(
               IntStream.range(0, 3)
-                  .mapToObj(p -> new Effect.Start(new AttemptId(p, 0), request, p, "s", 2000))
+                  .mapToObj(
+                      p -> new Effect.StartAttempt(new AttemptId(p, 0), request, p, "s", 2000))
                   .toList());
-          servers.takeBack(new Effect.TakeBack(new AttemptId(1, 0), request));
+          servers.cancelUnsent(new Effect.CancelUnsent(new AttemptId(1, 0), request));
         });
     try (Socket first = server.accept()) {
       assertEquals(frame(first), calls(0, 2));
@@ -694,7 +708,8 @@
     start(6, 0);
     await(7);
     assertTrue(
-        events.contains(new Event.Ended(new AttemptId(6, 0), Router.Outcome.UNREACHABLE, null)),
+        events.contains(
+            new Event.AttemptEnded(new AttemptId(6, 0), Router.Outcome.UNREACHABLE, null)),
         "with none up a refusal is one");
   }
 }
--- a/src/test/java/bitternpulley/trace/DecisionTraceTest.java
+++ b/src/test/java/bitternpulley/trace/DecisionTraceTest.java
@@ -85,13 +85,15 @@
         world.at(
             TraceWorld.BEGIN + 1500,
             () ->
-                world.everywhere(new Event.UpgradePeerChanged(Router.HotRestartRole.PREDECESSOR)));
+                world.everywhere(
+                    new Event.HotRestartRoleChanged(Router.HotRestartRole.PREDECESSOR)));
         world.at(
             TraceWorld.BEGIN + 6000,
-            () -> world.everywhere(new Event.UpgradePeerChanged(Router.HotRestartRole.NONE)));
+            () -> world.everywhere(new Event.HotRestartRoleChanged(Router.HotRestartRole.NONE)));
         world.at(
             TraceWorld.BEGIN + 17_000,
-            () -> world.everywhere(new Event.UpgradePeerChanged(Router.HotRestartRole.SUCCESSOR)));
+            () ->
+                world.everywhere(new Event.HotRestartRoleChanged(Router.HotRestartRole.SUCCESSOR)));
         for (int i = 0; i < 8; i++) {
           int server = i;
           double at = TraceWorld.BEGIN + 2000 + 1500 * i;
@@ -148,7 +150,9 @@
                 world.list(Router.ListKind.CHANGES, server);
               });
         }
-        world.at(TraceWorld.BEGIN + 18_000, () -> world.everywhere(new Event.PeersLeave()));
+        world.at(
+            TraceWorld.BEGIN + 18_000,
+            () -> world.everywhere(new Event.MembershipLeaveRequested()));
       }
     };
 
--- a/src/test/java/bitternpulley/trace/EffectLines.java
+++ b/src/test/java/bitternpulley/trace/EffectLines.java
@@ -17,46 +17,46 @@
   private EffectLines() {}
 
   static void add(TraceDigest digest, int instance, double now, Effect effect) {
-    if (effect instanceof Effect.StartTogether e) {
-      digest.add(now, instance, "together", e.starts().size());
-      e.starts().forEach(s -> add(digest, instance, now, s));
-    } else if (effect instanceof Effect.Start e) {
+    if (effect instanceof Effect.StartCall e) {
+      digest.add(now, instance, "together", e.attempts().size());
+      e.attempts().forEach(s -> add(digest, instance, now, s));
+    } else if (effect instanceof Effect.StartAttempt e) {
       digest.add(
           now,
           instance,
           "start",
           id(e.id()),
           e.request().id(),
-          e.slice(),
+          e.partIndex(),
           e.server(),
           e.timeout(),
           e.sendBy());
-    } else if (effect instanceof Effect.Abandon e) {
+    } else if (effect instanceof Effect.CancelAttempt e) {
       digest.add(now, instance, "cancel", id(e.id()), e.request().id(), e.server());
-    } else if (effect instanceof Effect.TakeBack e) {
+    } else if (effect instanceof Effect.CancelUnsent e) {
       digest.add(now, instance, "unsend", id(e.id()), e.request().id());
-    } else if (effect instanceof Effect.Withdraw e) {
+    } else if (effect instanceof Effect.CancelUnsentTo e) {
       digest.add(now, instance, "unsend-all", e.server());
     } else if (effect instanceof Effect.Reply e) {
       reply(digest, instance, now, e);
     } else if (effect instanceof Effect.WakeAt e) {
       digest.add(now, instance, "wake", e.time(), wake(e.event()));
-    } else if (effect instanceof Effect.CloseIdle e) {
+    } else if (effect instanceof Effect.CloseIdleConnections e) {
       digest.add(now, instance, "close", e.server());
-    } else if (effect instanceof Effect.Keep e) {
-      digest.add(now, instance, "keep", e.order().server(), e.order().on());
-    } else if (effect instanceof Effect.Turn e) {
+    } else if (effect instanceof Effect.PersistOverride e) {
+      digest.add(now, instance, "keep", e.override().server(), e.override().enabled());
+    } else if (effect instanceof Effect.RejectCommand e) {
       digest.add(now, instance, "no-such-server");
     } else if (effect instanceof Effect.Quiesce e) {
       digest.add(now, instance, "quiesce", e.on());
-    } else if (effect instanceof Effect.Judged e) {
-      digest.add(now, instance, "judged", e.request(), verdict(e.verdict()));
-    } else if (effect instanceof Effect.Settled e) {
+    } else if (effect instanceof Effect.AdmissionDecided e) {
+      digest.add(now, instance, "judged", e.request(), verdict(e.decision()));
+    } else if (effect instanceof Effect.ChargeSettled e) {
       digest.add(
           now, instance, "settled", e.charge().team(), e.charge().booked(), e.charge().used());
-    } else if (effect instanceof Effect.Tell e) {
+    } else if (effect instanceof Effect.SendGossip e) {
       digest.add(now, instance, "gossip", e.to(), gossip(e.message()));
-    } else if (effect instanceof Effect.TellOfLease e) {
+    } else if (effect instanceof Effect.SendLeaseMessage e) {
       digest.add(now, instance, "lease", e.to(), lease(e.message()));
     } else if (effect instanceof Effect.Log) {
       digest.add(now, instance, "log");
@@ -155,16 +155,16 @@
           instance,
           "answered",
           request,
-          a.whole(),
+          a.complete(),
           new TreeMap<>(a.values()).keySet(),
           missing(a.missing()));
-    } else if (e.answer() instanceof Effect.Answer.Refused r) {
+    } else if (e.answer() instanceof Effect.Answer.Rejected r) {
       digest.add(
           now,
           instance,
           "refused",
           request,
-          r.pause(),
+          r.retryAfter(),
           ending(r.ending()),
           r.contract() == null ? "-" : verdict(r.contract()));
     } else if (e.answer() instanceof Effect.Answer.Failed f) {
@@ -178,7 +178,7 @@
     return e.late() + " " + e.mayHaveRun() + " " + missing(e.missing());
   }
 
-  private static String missing(Map<Integer, Effect.Answer.Missing> missing) {
+  private static String missing(Map<Integer, Effect.Answer.MissingPart> missing) {
     StringBuilder line = new StringBuilder();
     new TreeMap<>(missing)
         .forEach(
@@ -197,10 +197,10 @@
   }
 
   private static String wake(Event event) {
-    if (event instanceof Event.Overdue o) {
-      return "overdue " + id(o.attempt()) + " " + o.first() + " " + o.parts();
+    if (event instanceof Event.AttemptTimedOut o) {
+      return "overdue " + id(o.attempt()) + " " + o.firstPart() + " " + o.parts();
     }
-    if (event instanceof Event.TimeExpired t) {
+    if (event instanceof Event.RequestDeadlineExpired t) {
       return "expired " + t.request();
     }
     return "alarm";
--- a/src/test/java/bitternpulley/trace/TraceWorld.java
+++ b/src/test/java/bitternpulley/trace/TraceWorld.java
@@ -2,7 +2,7 @@
 
 import bitternpulley.broker.Effect;
 import bitternpulley.broker.Event;
-import bitternpulley.broker.OperatorOrders;
+import bitternpulley.broker.OperatorOverrides;
 import bitternpulley.broker.Reducer;
 import bitternpulley.broker.Request;
 import bitternpulley.contracts.ContractBook;
@@ -33,7 +33,7 @@
 
   private record Due(double at, long order, Runnable task) {}
 
-  private record Running(int instance, Effect.Start start, double sentAt) {}
+  private record Running(int instance, Effect.StartAttempt start, double sentAt) {}
 
   final TraceServers servers;
   final Random random;
@@ -69,7 +69,7 @@
       next.task().run();
     }
     now = until;
-    instances.forEach(i -> digest.add("open", i.open()));
+    instances.forEach(i -> digest.add("open", i.pendingRequests()));
     return digest.end();
   }
 
@@ -81,11 +81,11 @@
     for (int i = 0; i < instances.size(); i++) {
       int instance = i;
       if (now == BEGIN) {
-        submit(instance, new Event.ServersListed(kind, members));
+        submit(instance, new Event.ServersChanged(kind, members));
       } else {
         at(
             now + 10 + 40 * random.nextDouble(),
-            () -> submit(instance, new Event.ServersListed(kind, members)));
+            () -> submit(instance, new Event.ServersChanged(kind, members)));
       }
     }
   }
@@ -100,7 +100,7 @@
   }
 
   void failedList() {
-    everywhere(new Event.ServersListed(Router.ListKind.FAILED, List.of()));
+    everywhere(new Event.ServersChanged(Router.ListKind.FAILED, List.of()));
   }
 
   void everywhere(Event event) {
@@ -110,11 +110,13 @@
   }
 
   void order(int instance, String server, boolean on) {
-    submit(instance, new Event.Ordered(new OperatorOrders.Order(server, on), null));
+    submit(
+        instance,
+        new Event.OperatorCommandReceived(new OperatorOverrides.Override(server, on), null));
   }
 
   void contracts(ContractBook book) {
-    everywhere(new Event.Agreed(book));
+    everywhere(new Event.ContractsActivated(book));
   }
 
   /** Membership and leases between the instances. */
@@ -122,10 +124,10 @@
     List<Integer> all = IntStream.range(0, instances.size()).boxed().toList();
     LeaseTerms terms = new LeaseTerms(instances.size(), all, 8000, 1500);
     for (int i = 0; i < instances.size(); i++) {
-      submit(i, new Event.LeasesApply(new Leases(i, terms)));
+      submit(i, new Event.LeasesStarted(new Leases(i, terms)));
       submit(
           i,
-          new Event.PeersBegin(
+          new Event.MembershipStarted(
               new Membership(
                   i,
                   new MemberMetadata("n" + i, "z" + i % 2, "r", "b"),
@@ -139,7 +141,7 @@
   }
 
   private void beat(int instance) {
-    submit(instance, new Event.PeersTick());
+    submit(instance, new Event.MembershipTick());
     at(now + 100 + random.nextDouble(), () -> beat(instance));
   }
 
@@ -163,11 +165,11 @@
     double[] weights = random.doubles(parts).map(w -> 0.2 + w).toArray();
     double sum = java.util.Arrays.stream(weights).sum();
     boolean hinted = random.nextInt(3) == 0;
-    List<Request.Slice> slices =
+    List<Request.QueryPart> slices =
         IntStream.range(0, parts)
             .mapToObj(
                 i ->
-                    new Request.Slice(
+                    new Request.QueryPart(
                         (first + i) % settings.layout().shards(),
                         weights[i] / sum,
                         hinted ? 60 * weights[i] : 0))
@@ -181,7 +183,7 @@
     long id = ++requests;
     submit(
         instance,
-        new Event.Taken(
+        new Event.RequestReceived(
             new Request(
                 id,
                 null,
@@ -195,7 +197,9 @@
                 id % 50,
                 late)));
     if (random.nextInt(12) == 0) {
-      at(now + time * random.nextDouble(), () -> submit(instance, new Event.ClientLeft(id)));
+      at(
+          now + time * random.nextDouble(),
+          () -> submit(instance, new Event.ClientDisconnected(id)));
     }
   }
 
@@ -207,15 +211,15 @@
   }
 
   private void perform(int instance, Effect effect) {
-    if (effect instanceof Effect.StartTogether e) {
-      e.starts().forEach(s -> perform(instance, s));
-    } else if (effect instanceof Effect.Start e) {
+    if (effect instanceof Effect.StartCall e) {
+      e.attempts().forEach(s -> perform(instance, s));
+    } else if (effect instanceof Effect.StartAttempt e) {
       start(instance, e);
-    } else if (effect instanceof Effect.Abandon e) {
-      at(now + 0.1, () -> submit(instance, new Event.Abandoned(e.id())));
-    } else if (effect instanceof Effect.TakeBack e) {
+    } else if (effect instanceof Effect.CancelAttempt e) {
+      at(now + 0.1, () -> submit(instance, new Event.AttemptCancelled(e.id())));
+    } else if (effect instanceof Effect.CancelUnsent e) {
       unsend(instance, e.id().part() + "/" + e.id().number());
-    } else if (effect instanceof Effect.Withdraw e) {
+    } else if (effect instanceof Effect.CancelUnsentTo e) {
       running.entrySet().stream()
           .filter(
               r ->
@@ -228,21 +232,21 @@
           .forEach(k -> unsend(instance, k));
     } else if (effect instanceof Effect.WakeAt e) {
       at(e.time(), () -> submit(instance, e.event()));
-    } else if (effect instanceof Effect.Keep e) {
-      keep(e.order());
-    } else if (effect instanceof Effect.Tell e) {
-      post(e.to(), new Event.PeerSaid(e.message()));
-    } else if (effect instanceof Effect.TellOfLease e) {
-      post(e.to(), new Event.LeaseSaid(e.message()));
+    } else if (effect instanceof Effect.PersistOverride e) {
+      keep(e.override());
+    } else if (effect instanceof Effect.SendGossip e) {
+      post(e.to(), new Event.GossipReceived(e.message()));
+    } else if (effect instanceof Effect.SendLeaseMessage e) {
+      post(e.to(), new Event.LeaseMessageReceived(e.message()));
     }
   }
 
-  private OperatorOrders kept = OperatorOrders.NOTHING;
+  private OperatorOverrides kept = OperatorOverrides.NONE;
 
-  private void keep(OperatorOrders.Order order) {
+  private void keep(OperatorOverrides.Override order) {
     kept = kept.with(order);
-    OperatorOrders standing = kept;
-    at(now + 5, () -> everywhere(new Event.OrdersChanged(standing)));
+    OperatorOverrides standing = kept;
+    at(now + 5, () -> everywhere(new Event.OverridesChanged(standing)));
   }
 
   private void post(int to, Event event) {
@@ -251,24 +255,24 @@
     }
   }
 
-  private void start(int instance, Effect.Start e) {
+  private void start(int instance, Effect.StartAttempt e) {
     String key = instance + ":" + e.id().part() + "/" + e.id().number();
     running.put(key, new Running(instance, e, now));
-    double hint = e.request().slices().get(e.slice()).work();
+    double hint = e.request().parts().get(e.partIndex()).estimatedWork();
     TraceServers.End end =
         servers.take(Integer.parseInt(e.server().substring(1)), hint > 0 ? hint : 45, now);
     if (!end.outcome().equals("NEVER")) {
       at(now + end.afterMs(), () -> end(key, Router.Outcome.valueOf(end.outcome())));
     }
     if (random.nextInt(200) == 0) {
-      at(now + 3, () -> submit(instance, new Event.Faulted(e.id(), null)));
+      at(now + 3, () -> submit(instance, new Event.RequestRejectedByServer(e.id(), null)));
     }
   }
 
   private void end(String key, Router.Outcome outcome) {
     Running r = running.remove(key);
     if (r != null) {
-      submit(r.instance(), new Event.Ended(r.start().id(), outcome, null));
+      submit(r.instance(), new Event.AttemptEnded(r.start().id(), outcome, null));
     }
   }
 
