--- a/src/main/java/bitternpulley/Aggregator.java
+++ b/src/main/java/bitternpulley/Aggregator.java
@@ -8,12 +8,12 @@
 import bitternpulley.broker.Reducer;
 import bitternpulley.config.BrokerConfiguration;
 import bitternpulley.config.BrokerConfigurationReader;
-import bitternpulley.config.ConfigException;
 import bitternpulley.config.Configuration;
+import bitternpulley.config.ConfigurationException;
 import bitternpulley.config.ConfigurationReader;
+import bitternpulley.config.EndpointList;
 import bitternpulley.config.SearchConfiguration;
 import bitternpulley.config.SearchConfigurationReader;
-import bitternpulley.config.ServerList;
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
 import bitternpulley.net.HttpClient;
@@ -21,7 +21,7 @@
 import bitternpulley.net.PassedListener;
 import bitternpulley.opensearch.SearchFront;
 import bitternpulley.opensearch.SearchServers;
-import bitternpulley.peers.Peers;
+import bitternpulley.peers.GossipService;
 import bitternpulley.platform.Discovery;
 import bitternpulley.platform.Preparation;
 import bitternpulley.platform.QueryFront;
@@ -85,7 +85,7 @@
   private final Discovery discovery;
   private final Preparation preparation;
   private final AdminEndpoint admin;
-  private final Optional<Peers> peers;
+  private final Optional<GossipService> peers;
   private boolean anyServer;
   private boolean draining;
   private boolean quiesced;
@@ -114,7 +114,8 @@
     int clients = shared ? (spare - RESERVE) / 2 : spare - spare / 3;
     int links = shared ? clients / 2 : spare / 3;
     double connectTimeout = config.settings().limits().connectTimeout();
-    servers = new SlotServers(loop, broker::submit, clock, config.wire(), connectTimeout, links);
+    servers =
+        new SlotServers(loop, broker::submit, clock, config.connections(), connectTimeout, links);
     broker.addDialect(servers);
     preparation = new Preparation(loop, config.seed(), servers::prepare);
     QueryFront queries =
@@ -123,7 +124,7 @@
             broker,
             servers,
             () -> anyServer && rehearsed && !draining && !quiesced,
-            () -> this.agreed.recognition());
+            () -> this.agreed.tenantIdentification());
     servers.answersTo(queries::reply);
     front = new HttpServer(loop, MOST_BODY, clients, HttpServer.Timeouts.USUAL, queries);
     search = searchConfig.map(c -> searchSide(c, connectTimeout, links, clients));
@@ -132,13 +133,14 @@
     peers =
         agreed.membership().isEmpty()
             ? Optional.empty()
-            : Optional.of(new Peers(loop, broker, config, agreed.membership().get(), build()));
+            : Optional.of(
+                new GossipService(loop, broker, config, agreed.membership().get(), build()));
     discovery =
         new Discovery(
             loop,
             config.discovery(),
             config.zones(),
-            config.known().revision(),
+            config.lastEndpoints().revision(),
             list -> {
               listed = true;
               told(list, list.complete() ? Router.ListKind.COMPLETE : Router.ListKind.CHANGES);
@@ -153,7 +155,8 @@
   private SearchSide searchSide(
       SearchConfiguration c, double connectTimeout, int links, int clients) {
     HttpClient client =
-        new HttpClient(loop, c.maxPartBytes(), links, connectTimeout, config.wire().idleAfter());
+        new HttpClient(
+            loop, c.maxPartBytes(), links, connectTimeout, config.connections().idleTimeout());
     SearchServers to = new SearchServers(loop, broker, client, c.serverPort());
     broker.addDialect(to);
     HttpServer server =
@@ -169,7 +172,7 @@
                 to,
                 clock,
                 config.name(),
-                () -> agreed.recognition()));
+                () -> agreed.tenantIdentification()));
     return new SearchSide(to, server, c.listen());
   }
 
@@ -201,8 +204,9 @@
           new Aggregator(
               config,
               agreed,
-              SearchConfigurationReader.read(System.getenv(), config.settings(), agreed.search()));
-    } catch (ConfigException e) {
+              SearchConfigurationReader.read(
+                  System.getenv(), config.settings(), agreed.searchFront()));
+    } catch (ConfigurationException e) {
       System.err.println("configuration: " + e.getMessage());
       System.exit(BAD_CONFIGURATION);
       return;
@@ -241,18 +245,19 @@
       openAdmin(config.operations().admin().get());
     }
     if (peers.isPresent()) {
-      peers.get().prepare();
+      peers.get().open();
     }
-    told(config.known(), Router.ListKind.REMEMBERED);
-    broker.submit(new Event.ContractsActivated(agreed.book()));
+    told(config.lastEndpoints(), Router.ListKind.REMEMBERED);
+    broker.submit(new Event.ContractsActivated(agreed.contracts()));
     discovery.start();
     if (peers.isPresent()) { // no method reference: it would load the class where membership is off
-      peers.get().begin();
+      peers.get().start();
     }
     // Few aggregators: each is missed, so clients may come at once, and wait with the machine until
     // discovery has said its
     // first word. Very many, short of discovery: a moment later.
-    boolean atOnce = !config.wire().dear() && !config.operations().passedSocket();
+    boolean atOnce =
+        !config.connections().handshakesCostly() && !config.operations().passedSocket();
     double until = clock.now() + LIST_TIME;
     if (atOnce) {
       fronts().forEach(HttpServer::holdBack);
@@ -263,7 +268,7 @@
     // are not served.
     Rehearsal plays = new Rehearsal(config.settings(), MOST_BODY, loop);
     plays.play(
-        config.wire().dear(),
+        config.connections().handshakesCostly(),
         () ->
             whenListed(
                 until,
@@ -275,7 +280,7 @@
                     listen();
                   }
                   ready(rehearsal);
-                  if (config.wire().dear()) {
+                  if (config.connections().handshakesCostly()) {
                     preparation.begin();
                     plays.goOn();
                   }
@@ -322,7 +327,7 @@
         config.name()
             + " is ready at "
             + config.listen()
-            + (config.wire().dear() ? ", sparing connections" : ""));
+            + (config.connections().handshakesCostly() ? ", sparing connections" : ""));
     rehearsal.run();
   }
 
@@ -347,34 +352,34 @@
     }
   }
 
-  private void told(ServerList list, Router.ListKind kind) {
+  private void told(EndpointList list, Router.ListKind kind) {
     list.entries().stream()
         .filter(e -> e.address() != null)
         .forEach(
             e -> {
-              servers.address(e.member().server(), e.address());
-              search.ifPresent(s -> s.servers().address(e.member().server(), e.address()));
+              servers.address(e.endpoint().server(), e.address());
+              search.ifPresent(s -> s.servers().address(e.endpoint().server(), e.address()));
             });
     list.entries().stream()
-        .filter(e -> e.member().state() == Router.ServerState.GONE)
+        .filter(e -> e.endpoint().state() == Router.ServerState.GONE)
         .forEach(
             e -> {
-              servers.forget(e.member().server());
-              search.ifPresent(s -> s.servers().forget(e.member().server()));
+              servers.forget(e.endpoint().server());
+              search.ifPresent(s -> s.servers().forget(e.endpoint().server()));
             });
     preparation.told(list);
     anyServer |=
-        list.entries().stream().anyMatch(e -> e.member().state() == Router.ServerState.LIVE);
+        list.entries().stream().anyMatch(e -> e.endpoint().state() == Router.ServerState.LIVE);
     if (kind == Router.ListKind.COMPLETE) {
       // What a whole list does not name is gone as well.
       Set<String> named =
-          list.entries().stream().map(e -> e.member().server()).collect(Collectors.toSet());
+          list.entries().stream().map(e -> e.endpoint().server()).collect(Collectors.toSet());
       servers.keepOnly(named);
       search.ifPresent(s -> s.servers().keepOnly(named));
     }
     broker.submit(
         new Event.ServersChanged(
-            kind, list.entries().stream().map(ServerList.Entry::member).toList()));
+            kind, list.entries().stream().map(EndpointList.Entry::endpoint).toList()));
   }
 
   /**
@@ -395,7 +400,7 @@
                       agree(script);
                       answer.accept("200 done");
                     });
-              } catch (ConfigException e) {
+              } catch (ConfigurationException e) {
                 String why = "the configuration before stays: " + e.getMessage();
                 LOG.log(Level.WARNING, why);
                 answer.accept("400 " + why.lines().collect(Collectors.joining(" ")));
@@ -429,17 +434,20 @@
     if (script.document().equals(agreed.document())) {
       return;
     }
-    if (!script.search().equals(agreed.search())) {
+    if (!script.searchFront().equals(agreed.searchFront())) {
       LOG.log(
           Level.WARNING,
           "opensearch() of the operators' script has changed: that counts from the next start");
     }
     agreed = script;
     version++;
-    broker.submit(new Event.ContractsActivated(script.book().as(version)));
+    broker.submit(new Event.ContractsActivated(script.contracts().withVersion(version)));
     LOG.log(
         Level.INFO,
-        "contracts of version " + version + " are in force: " + script.book().contracts().size());
+        "contracts of version "
+            + version
+            + " are in force: "
+            + script.contracts().contracts().size());
   }
 
   /** Runs off the loop's thread, and ends the program when nothing is owed any more. */
@@ -453,7 +461,7 @@
           draining = true;
           fronts().forEach(HttpServer::drain);
           if (peers.isPresent()) {
-            peers.get().end();
+            peers.get().leave();
           }
           if (config.operations().passedSocket()) {
             // What comes from now on is for the process that takes over.
--- a/src/main/java/bitternpulley/Check.java
+++ b/src/main/java/bitternpulley/Check.java
@@ -2,7 +2,7 @@
 
 import bitternpulley.config.BrokerConfiguration;
 import bitternpulley.config.BrokerConfigurationReader;
-import bitternpulley.config.ConfigException;
+import bitternpulley.config.ConfigurationException;
 import bitternpulley.config.ConfigurationReader;
 import bitternpulley.routing.Settings;
 import java.nio.file.Path;
@@ -28,11 +28,11 @@
       System.out.print(read.printed());
       System.out.println(read.document().toPrettyString());
       System.out.println(
-          read.book().contracts().size()
+          read.contracts().contracts().size()
               + " contracts"
               + (settings.isPresent() ? "" : "; not checked against a site: set LB_CONFIG"));
       return 0;
-    } catch (ConfigException e) {
+    } catch (ConfigurationException e) {
       System.err.println("configuration: " + e.getMessage());
       return BAD_CONFIGURATION;
     }
--- a/src/main/java/bitternpulley/admin/AccountsReport.java
+++ b/src/main/java/bitternpulley/admin/AccountsReport.java
@@ -58,21 +58,21 @@
     out.writeStartObject();
     out.writeStringField("team", a.team());
     out.writeNumberField("version", a.version());
-    figure(out, "share", a.contract().guaranteed());
+    figure(out, "share", a.contract().guaranteedQuota());
     figure(out, "ceiling", a.contract().ceiling());
     figure(out, "balance", a.balance());
     figure(out, "loan", a.loan());
     figure(out, "used", a.used());
     figure(out, "borrowed", a.borrowed());
-    out.writeNumberField("held", a.held());
+    out.writeNumberField("held", a.pending());
     out.writeNumberField("admitted", a.admitted());
-    out.writeNumberField("promised", a.promises());
-    figure(out, "further_attempts_left", a.furtherAttempts());
-    figure(out, "client_retries_left", a.clientRetries());
+    out.writeNumberField("promised", a.reservations());
+    figure(out, "further_attempts_left", a.retriesLeft());
+    figure(out, "client_retries_left", a.clientRetriesLeft());
     out.writeObjectFieldStart("refused");
     for (Limit limit : Limit.values()) {
-      if (a.refused()[limit.ordinal()] > 0) {
-        out.writeNumberField(limit.text(), a.refused()[limit.ordinal()]);
+      if (a.rejected()[limit.ordinal()] > 0) {
+        out.writeNumberField(limit.text(), a.rejected()[limit.ordinal()]);
       }
     }
     out.writeEndObject();
--- a/src/main/java/bitternpulley/admin/AdminEndpoint.java
+++ b/src/main/java/bitternpulley/admin/AdminEndpoint.java
@@ -96,7 +96,7 @@
                       m ->
                           "200 "
                               + MembersReport.of(
-                                  m, broker.leases().map(l -> l.standing(broker.now()))))
+                                  m, broker.leases().map(l -> l.status(broker.now()))))
                   .orElse(
                       "400 membership is off, or waits for its address: set membership() in the operators' script"));
       default ->
--- a/src/main/java/bitternpulley/admin/MembersReport.java
+++ b/src/main/java/bitternpulley/admin/MembersReport.java
@@ -17,46 +17,46 @@
 
   private MembersReport() {}
 
-  static String of(Membership membership, Optional<Leases.Standing> leases) {
+  static String of(Membership membership, Optional<Leases.LeaseStatus> leases) {
     StringWriter line = new StringWriter();
     try (JsonGenerator out = JSON.createGenerator(line)) {
       out.writeStartObject();
-      out.writeStringField("view", String.format(Locale.ROOT, "%08x", membership.view()));
-      out.writeNumberField("self_health", membership.selfHealth());
-      out.writeNumberField("ignored", membership.ignored());
+      out.writeStringField("view", String.format(Locale.ROOT, "%08x", membership.viewDigest()));
+      out.writeNumberField("self_health", membership.localHealth());
+      out.writeNumberField("ignored", membership.ignoredMessages());
       if (leases.isPresent()) {
-        Leases.Standing l = leases.get();
+        Leases.LeaseStatus l = leases.get();
         out.writeObjectFieldStart("lease");
-        out.writeNumberField("part", l.part());
-        out.writeNumberField("named", l.named());
-        out.writeNumberField("held", l.held());
+        out.writeNumberField("part", l.quota());
+        out.writeNumberField("named", l.activeMembers());
+        out.writeNumberField("held", l.leases());
         out.writeNumberField("witnesses", l.witnesses());
         out.writeEndObject();
       }
       out.writeArrayFieldStart("members");
       for (MemberView m : membership.members()) {
         out.writeStartObject();
-        out.writeStringField("name", m.card() == null ? null : m.card().name());
+        out.writeStringField("name", m.metadata() == null ? null : m.metadata().name());
         out.writeNumberField("number", m.number());
         out.writeNumberField("epoch", m.epoch());
-        out.writeStringField("state", m.standing().name().toLowerCase(Locale.ROOT));
-        out.writeStringField("zone", m.card() == null ? null : m.card().zone());
+        out.writeStringField("state", m.state().name().toLowerCase(Locale.ROOT));
+        out.writeStringField("zone", m.metadata() == null ? null : m.metadata().zone());
         out.writeNumberField("since_ms", Math.round(m.since()));
-        if (Double.isInfinite(m.heard())) {
+        if (Double.isInfinite(m.heardFrom())) {
           out.writeNullField("heard_ms");
         } else {
-          out.writeNumberField("heard_ms", Math.round(m.heard()));
+          out.writeNumberField("heard_ms", Math.round(m.heardFrom()));
         }
         out.writeBooleanField("by_others", m.byOthers());
-        out.writeStringField("build", m.card() == null ? null : m.card().build());
+        out.writeStringField("build", m.metadata() == null ? null : m.metadata().build());
         out.writeArrayFieldStart("misses");
-        for (int missed : m.hearing().missed()) {
+        for (int missed : m.reachability().missed()) {
           out.writeNumber(missed);
         }
         out.writeEndArray();
-        if (m.hearing().payload().length > 0) {
+        if (m.reachability().payload().length > 0) {
           out.writeStringField(
-              "payload", java.util.HexFormat.of().formatHex(m.hearing().payload()));
+              "payload", java.util.HexFormat.of().formatHex(m.reachability().payload()));
         }
         out.writeEndObject();
       }
--- a/src/main/java/bitternpulley/broker/ClusterState.java
+++ b/src/main/java/bitternpulley/broker/ClusterState.java
@@ -2,7 +2,7 @@
 
 import bitternpulley.leases.Leases;
 import bitternpulley.membership.Membership;
-import bitternpulley.membership.Output;
+import bitternpulley.membership.MembershipAction;
 import java.util.List;
 import java.util.Optional;
 
@@ -23,34 +23,34 @@
     } else if (event instanceof Event.MembershipStarted e) {
       membership = e.membership();
       if (leases != null) {
-        leases.begin(membership.epoch(), now);
+        leases.start(membership.epoch(), now);
       }
     } else if (event instanceof Event.MembershipTick && membership != null) {
       told(membership.tick(now), effects);
       lent(leases == null ? List.of() : leases.tick(now), effects);
     } else if (event instanceof Event.GossipReceived e && membership != null) {
-      told(membership.heard(e.message(), now), effects);
+      told(membership.onMessage(e.message(), now), effects);
     } else if (event instanceof Event.LeaseMessageReceived e && leases != null) {
-      lent(leases.heard(e.message(), now), effects);
+      lent(leases.onMessage(e.message(), now), effects);
     } else if (event instanceof Event.MembershipLeaveRequested && membership != null) {
       told(membership.leave(now), effects);
       if (leases != null) {
-        leases.end();
+        leases.stop();
       }
     }
   }
 
-  private static void told(List<Output> outputs, List<Effect> effects) {
-    for (Output o : outputs) {
-      if (o instanceof Output.Send s) {
+  private static void told(List<MembershipAction> outputs, List<Effect> effects) {
+    for (MembershipAction o : outputs) {
+      if (o instanceof MembershipAction.Send s) {
         effects.add(new Effect.SendGossip(s.to(), s.message()));
-      } else if (!(o instanceof Output.Told)) {
+      } else if (!(o instanceof MembershipAction.PayloadReceived)) {
         effects.add(new Effect.Log(o.toString()));
       }
     }
   }
 
-  private static void lent(List<Leases.Send> sends, List<Effect> effects) {
+  private static void lent(List<Leases.OutgoingMessage> sends, List<Effect> effects) {
     sends.forEach(s -> effects.add(new Effect.SendLeaseMessage(s.to(), s.message())));
   }
 
--- a/src/main/java/bitternpulley/broker/ContractAccounting.java
+++ b/src/main/java/bitternpulley/broker/ContractAccounting.java
@@ -2,10 +2,10 @@
 
 import bitternpulley.contracts.AccountView;
 import bitternpulley.contracts.AdmissionControl;
-import bitternpulley.contracts.Charge;
-import bitternpulley.contracts.Claim;
+import bitternpulley.contracts.AdmissionDecision;
+import bitternpulley.contracts.AdmissionRequest;
 import bitternpulley.contracts.ContractBook;
-import bitternpulley.contracts.Verdict;
+import bitternpulley.contracts.UsageCharge;
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
 import java.util.List;
@@ -28,7 +28,7 @@
   }
 
   boolean isActive() {
-    return control != null && control.on();
+    return control != null && control.isActive();
   }
 
   void apply(ContractBook book, double now) {
@@ -46,41 +46,42 @@
     control.apply(book, now);
   }
 
-  Verdict admit(Request r, double now) {
+  AdmissionDecision admit(Request r, double now) {
     double work = r.parts().stream().mapToDouble(Request.QueryPart::estimatedWork).sum();
     return control.admit(
-        new Claim(r.team(), r.queryClass(), r.parts().size(), work, r.retry(), r.fingerprint()),
+        new AdmissionRequest(
+            r.team(), r.queryClass(), r.parts().size(), work, r.retry(), r.fingerprint()),
         now);
   }
 
   /** Whether an attempt may go out; one beyond the first is taken from the team's budget. */
-  boolean maySend(Charge charge, int number) {
+  boolean maySend(UsageCharge charge, int number) {
     if (charge == null) {
       return true;
     }
-    boolean may = number == 0 || control.mayTryAgain(charge);
+    boolean may = number == 0 || control.allowRetry(charge);
     if (may) {
-      control.sent(charge);
+      control.onAttemptSent(charge);
     }
     return may;
   }
 
   void attemptEnded(
-      Charge charge, Router.Outcome outcome, double took, double now, List<Effect> effects) {
+      UsageCharge charge, Router.Outcome outcome, double took, double now, List<Effect> effects) {
     if (charge != null) {
-      control.attemptEnded(charge, outcome, took, now);
+      control.onAttemptEnded(charge, outcome, took, now);
       settled(charge, effects);
     }
   }
 
-  void requestEnded(Charge charge, boolean served, double now, List<Effect> effects) {
+  void requestEnded(UsageCharge charge, boolean served, double now, List<Effect> effects) {
     if (charge != null) {
-      control.over(charge, served, now);
+      control.onRequestEnded(charge, served, now);
       settled(charge, effects);
     }
   }
 
-  private static void settled(Charge charge, List<Effect> effects) {
+  private static void settled(UsageCharge charge, List<Effect> effects) {
     if (charge.settled()) {
       effects.add(new Effect.ChargeSettled(charge));
     }
@@ -101,6 +102,6 @@
 
   /** Standard parts a second that were delivered of late. */
   public double delivered() {
-    return control == null ? 0 : control.delivered();
+    return control == null ? 0 : control.deliveredRate();
   }
 }
--- a/src/main/java/bitternpulley/broker/ContractLog.java
+++ b/src/main/java/bitternpulley/broker/ContractLog.java
@@ -1,7 +1,7 @@
 package bitternpulley.broker;
 
-import bitternpulley.contracts.Charge;
-import bitternpulley.contracts.Verdict;
+import bitternpulley.contracts.AdmissionDecision;
+import bitternpulley.contracts.UsageCharge;
 import java.util.Locale;
 
 /** The lines on contracts: one when a request is judged, one when its charge is settled. */
@@ -9,7 +9,7 @@
   private ContractLog() {}
 
   static String judged(Effect.AdmissionDecided e) {
-    if (e.decision() instanceof Verdict.Refused no) {
+    if (e.decision() instanceof AdmissionDecision.Rejected no) {
       return String.format(
           Locale.ROOT,
           "contract request=%d team=%s version=%d verdict=refused limit=%s pause_ms=%.0f",
@@ -17,9 +17,9 @@
           no.team(),
           no.version(),
           no.limit().text(),
-          no.pause());
+          no.retryAfter());
     }
-    Charge c = (Charge) e.decision();
+    UsageCharge c = (UsageCharge) e.decision();
     return String.format(
         Locale.ROOT,
         "contract request=%d team=%s version=%d verdict=admitted basis=%s booked=%.2f",
@@ -31,7 +31,7 @@
   }
 
   static String settled(Effect.ChargeSettled e) {
-    Charge c = e.charge();
+    UsageCharge c = e.charge();
     return String.format(
         Locale.ROOT,
         "contract settled team=%s version=%d booked=%.2f used=%.2f",
--- a/src/main/java/bitternpulley/broker/Effect.java
+++ b/src/main/java/bitternpulley/broker/Effect.java
@@ -1,9 +1,9 @@
 package bitternpulley.broker;
 
-import bitternpulley.contracts.Charge;
-import bitternpulley.contracts.Verdict;
+import bitternpulley.contracts.AdmissionDecision;
+import bitternpulley.contracts.UsageCharge;
 import bitternpulley.leases.LeaseMessage;
-import bitternpulley.membership.Message;
+import bitternpulley.membership.GossipMessage;
 import bitternpulley.routing.Router;
 import java.util.List;
 import java.util.Map;
@@ -64,13 +64,13 @@
    * Note what the contracts in force made of a request: with the event that asked, all that a
    * replay needs.
    */
-  record AdmissionDecided(long request, Verdict decision) implements Effect {}
+  record AdmissionDecided(long request, AdmissionDecision decision) implements Effect {}
 
   /** Note that a request's charge is settled: nothing of it is out any more. */
-  record ChargeSettled(Charge charge) implements Effect {}
+  record ChargeSettled(UsageCharge charge) implements Effect {}
 
   /** Tell another aggregator something, which may be lost. */
-  record SendGossip(int to, Message message) implements Effect {}
+  record SendGossip(int to, GossipMessage message) implements Effect {}
 
   /** Ask another aggregator for a lease, or grant it one, which may be lost. */
   record SendLeaseMessage(int to, LeaseMessage message) implements Effect {}
@@ -91,7 +91,8 @@
      * Refused: asking again is harmless, best after {@code retryAfter} ms (0: no advice). {@code
      * contract} tells what was met where a contract refused it; null where the module did.
      */
-    record Rejected(double retryAfter, Ending ending, Verdict.Refused contract) implements Answer {
+    record Rejected(double retryAfter, Ending ending, AdmissionDecision.Rejected contract)
+        implements Answer {
       /** Refused by the module. */
       public Rejected(double pause, Ending ending) {
         this(pause, ending, null);
--- a/src/main/java/bitternpulley/broker/Event.java
+++ b/src/main/java/bitternpulley/broker/Event.java
@@ -3,8 +3,8 @@
 import bitternpulley.contracts.ContractBook;
 import bitternpulley.leases.LeaseMessage;
 import bitternpulley.leases.Leases;
+import bitternpulley.membership.GossipMessage;
 import bitternpulley.membership.Membership;
-import bitternpulley.membership.Message;
 import bitternpulley.routing.Router;
 import java.util.List;
 
@@ -79,11 +79,11 @@
    */
   record MembershipStarted(Membership membership) implements Event {}
 
-  /** Membership's beat, which is due each {@link Membership#tickEvery} ms. */
+  /** Membership's beat, which is due each {@link Membership#tickInterval} ms. */
   record MembershipTick() implements Event {}
 
   /** Another aggregator has said something. */
-  record GossipReceived(Message message) implements Event {}
+  record GossipReceived(GossipMessage message) implements Event {}
 
   /** Another aggregator asks for a lease, or grants one. */
   record LeaseMessageReceived(LeaseMessage message) implements Event {}
--- a/src/main/java/bitternpulley/broker/PendingRequests.java
+++ b/src/main/java/bitternpulley/broker/PendingRequests.java
@@ -1,6 +1,6 @@
 package bitternpulley.broker;
 
-import bitternpulley.contracts.Charge;
+import bitternpulley.contracts.UsageCharge;
 import bitternpulley.routing.Router;
 import java.util.Collection;
 import java.util.HashMap;
@@ -34,7 +34,7 @@
     final Request request;
 
     /** Null where no contracts are in force. */
-    final Charge charge;
+    final UsageCharge charge;
 
     final double endsAt;
 
@@ -50,7 +50,8 @@
     /** When an attempt of it is looked at for being overdue. */
     double overdueAt = Double.POSITIVE_INFINITY;
 
-    private Open(Request request, Charge charge, double endsAt, double lateFrom, long firstPart) {
+    private Open(
+        Request request, UsageCharge charge, double endsAt, double lateFrom, long firstPart) {
       this.lateFrom = lateFrom;
       this.request = request;
       this.charge = charge;
@@ -99,7 +100,7 @@
   }
 
   /** Begins to hold a request, whose time is over after so many ms; its parts follow one by one. */
-  Open hold(Request r, Charge charge, double timeLeft, double now) {
+  Open hold(Request r, UsageCharge charge, double timeLeft, double now) {
     Open open =
         new Open(
             r,
--- a/src/main/java/bitternpulley/broker/Reducer.java
+++ b/src/main/java/bitternpulley/broker/Reducer.java
@@ -3,8 +3,8 @@
 import bitternpulley.broker.PendingRequests.Open;
 import bitternpulley.broker.PendingRequests.Out;
 import bitternpulley.broker.PendingRequests.Part;
-import bitternpulley.contracts.Charge;
-import bitternpulley.contracts.Verdict;
+import bitternpulley.contracts.AdmissionDecision;
+import bitternpulley.contracts.UsageCharge;
 import bitternpulley.leases.Leases;
 import bitternpulley.membership.Membership;
 import bitternpulley.policy.Policy;
@@ -141,7 +141,7 @@
       router.onAlarm(e.token(), now, recorder);
     } else {
       if (event instanceof Event.LeasesStarted e) {
-        router.useQuota(e.leases()::at);
+        router.useQuota(e.leases()::quotaFactor);
       }
       peers.apply(event, now, effects);
     }
@@ -183,21 +183,23 @@
   /** Contracts go before the module's own limits. */
   private void take(Request r) {
     if (contractAccounting.isActive()) {
-      Verdict verdict = contractAccounting.admit(r, now);
+      AdmissionDecision verdict = contractAccounting.admit(r, now);
       effects.add(new Effect.AdmissionDecided(r.id(), verdict));
-      if (verdict instanceof Verdict.Refused no) {
+      if (verdict instanceof AdmissionDecision.Rejected no) {
         effects.add(
             new Effect.Reply(
-                r, new Effect.Answer.Rejected(no.pause(), Effect.Answer.Ending.NOTHING_SENT, no)));
+                r,
+                new Effect.Answer.Rejected(
+                    no.retryAfter(), Effect.Answer.Ending.NOTHING_SENT, no)));
         return;
       }
-      hold(r, (Charge) verdict);
+      hold(r, (UsageCharge) verdict);
     } else {
       hold(r, null);
     }
   }
 
-  private void hold(Request r, Charge charge) {
+  private void hold(Request r, UsageCharge charge) {
     Router.Terms terms = charge == null ? r.terms() : r.terms().underContract(charge.terms());
     double timeLeft =
         charge == null ? r.timeLeft() : Math.min(r.timeLeft(), charge.terms().deadline());
--- a/src/main/java/bitternpulley/config/BrokerConfiguration.java
+++ b/src/main/java/bitternpulley/config/BrokerConfiguration.java
@@ -1,7 +1,7 @@
 package bitternpulley.config;
 
 import bitternpulley.contracts.ContractBook;
-import bitternpulley.contracts.Recognition;
+import bitternpulley.contracts.TenantIdentification;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
 
@@ -12,9 +12,9 @@
  * what the script printed.
  */
 public record BrokerConfiguration(
-    ContractBook book,
-    Recognition recognition,
-    Optional<JsonNode> search,
+    ContractBook contracts,
+    TenantIdentification tenantIdentification,
+    Optional<JsonNode> searchFront,
     boolean listsAccounts,
     Optional<MembershipConfiguration> membership,
     JsonNode document,
@@ -24,7 +24,7 @@
   public static final BrokerConfiguration NONE =
       new BrokerConfiguration(
           ContractBook.NONE,
-          Recognition.NONE,
+          TenantIdentification.NONE,
           Optional.empty(),
           false,
           Optional.empty(),
--- a/src/main/java/bitternpulley/config/BrokerConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/BrokerConfigurationReader.java
@@ -40,13 +40,13 @@
   private static String text(Path path) {
     try {
       if (Files.size(path) > MOST_BYTES) {
-        throw new ConfigException(path + ": has more than " + MOST_BYTES + " bytes");
+        throw new ConfigurationException(path + ": has more than " + MOST_BYTES + " bytes");
       }
       return Files.readString(path, StandardCharsets.UTF_8);
     } catch (CharacterCodingException e) {
-      throw new ConfigException(path + ": is not text in UTF-8");
+      throw new ConfigurationException(path + ": is not text in UTF-8");
     } catch (IOException e) {
-      throw new ConfigException("LB_BROKER: " + path + " cannot be read");
+      throw new ConfigurationException("LB_BROKER: " + path + " cannot be read");
     }
   }
 
--- a/src/main/java/bitternpulley/config/BrokerScript.java
+++ b/src/main/java/bitternpulley/config/BrokerScript.java
@@ -41,7 +41,7 @@
     try {
       script.printed = new ScriptRunner(Bounds.USUAL, script).run(file, text);
     } catch (ScriptException e) {
-      throw new ConfigException(e.toString());
+      throw new ConfigurationException(e.toString());
     }
     return script;
   }
@@ -55,14 +55,15 @@
   }
 
   /** A fault at a place of the document, in terms of the script. */
-  ConfigException fault(String pointer, String message) {
+  ConfigurationException fault(String pointer, String message) {
     String at = pointer;
     while (!places.containsKey(at) && at.lastIndexOf('/') > 0) {
       at = at.substring(0, at.lastIndexOf('/'));
     }
     Place place = places.get(at);
     String key = pointer.startsWith("/") ? pointer.substring(1).replace('/', '.') : pointer;
-    return new ConfigException((place == null ? "" : place + ": ") + "'" + key + "' " + message);
+    return new ConfigurationException(
+        (place == null ? "" : place + ": ") + "'" + key + "' " + message);
   }
 
   @Override
--- a/src/main/java/bitternpulley/config/Configuration.java
+++ b/src/main/java/bitternpulley/config/Configuration.java
@@ -8,7 +8,8 @@
 import java.util.Optional;
 
 /**
- * All that one aggregator is told at its start, checked. {@code known} is the list it last held.
+ * All that one aggregator is told at its start, checked. {@code lastEndpoints} is the list it last
+ * held.
  */
 public record Configuration(
     String name,
@@ -16,9 +17,9 @@
     HostPort discovery,
     long seed,
     int sockets,
-    ServerList known,
+    EndpointList lastEndpoints,
     Settings settings,
-    Wire wire,
+    ConnectionSettings connections,
     List<String> zones,
     Operations operations,
     Optional<Peers> peers) {
@@ -38,12 +39,12 @@
    */
   public void checkPeers() {
     if (peers.isEmpty()) {
-      throw new ConfigException(
+      throw new ConfigurationException(
           "membership() needs 'peer_listen' and 'peers', and 'peer_listen' is missing");
     }
     int count = peers.get().all().size();
     if (count <= settings.self() || count > MOST_PEERS) {
-      throw new ConfigException(
+      throw new ConfigurationException(
           "'peers' names "
               + count
               + " aggregators, of which this one is number "
@@ -72,7 +73,8 @@
    * Figures of the wire to the slot servers: calls a connection, ms after which an idle one is
    * closed there, and whether new ones are charged for.
    */
-  public record Wire(int streams, double keepalive, boolean dear) {
+  public record ConnectionSettings(
+      int callsPerConnection, double keepalive, boolean handshakesCostly) {
     /**
      * Share of the servers' idle time after which we close a connection first, so that no call
      * meets their close.
@@ -80,7 +82,7 @@
     private static final double IDLE_SHARE = 0.8;
 
     /** Ms after which an idle connection is closed from here. */
-    public double idleAfter() {
+    public double idleTimeout() {
       return keepalive * IDLE_SHARE;
     }
   }
--- a/src/main/java/bitternpulley/config/ConfigException.java
+++ b/src/main/java/bitternpulley/config/ConfigurationException.java
@@ -1,10 +1,10 @@
 package bitternpulley.config;
 
 /** A setting or field that cannot be used; the message names the key. */
-public final class ConfigException extends RuntimeException {
+public final class ConfigurationException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  public ConfigException(String message) {
+  public ConfigurationException(String message) {
     super(message);
   }
 }
--- a/src/main/java/bitternpulley/config/ConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/ConfigurationReader.java
@@ -29,18 +29,18 @@
     JsonNode in = file(environment.get("LB_CONFIG"));
     JsonNode settings = in.path("settings");
     if (!settings.isObject()) {
-      throw new ConfigException("'settings' is missing");
+      throw new ConfigurationException("'settings' is missing");
     }
     List<String> zones = zones(settings);
     checkFleet(settings, zones.size());
     JsonNode known = in.get("known");
-    ServerList list =
+    EndpointList list =
         known == null || known.isNull()
-            ? new ServerList(0, true, List.of())
+            ? new EndpointList(0, true, List.of())
             : named(
                 "known",
                 () ->
-                    ServerList.read(
+                    EndpointList.read(
                         known,
                         zones,
                         e -> {
@@ -51,10 +51,10 @@
     double streams = named("settings", () -> Fields.figure(limits, "streamsPerConn", 100));
     double keepalive = named("settings", () -> Fields.figure(limits, "keepalive", 15_000));
     if (streams < 1) {
-      throw new ConfigException("settings: 'streamsPerConn' is below 1");
+      throw new ConfigurationException("settings: 'streamsPerConn' is below 1");
     }
     if (sockets < 64) {
-      throw new ConfigException("limits: 'sockets' is below 64");
+      throw new ConfigurationException("limits: 'sockets' is below 64");
     }
     return new Configuration(
         value(environment, in, "LB_NAME", "name"),
@@ -64,7 +64,7 @@
         (int) sockets,
         list,
         SettingsReader.read(settings).withMinimumTick(LEAST_TICK),
-        new Configuration.Wire(
+        new Configuration.ConnectionSettings(
             (int) streams,
             keepalive,
             named("settings", () -> Fields.figure(settings.path("costs"), "handshake", 0)) > 0),
@@ -91,7 +91,7 @@
     try {
       return HostPort.parse(text);
     } catch (IllegalArgumentException e) {
-      throw new ConfigException("'" + key + "': " + e.getMessage());
+      throw new ConfigurationException("'" + key + "': " + e.getMessage());
     }
   }
 
@@ -118,7 +118,7 @@
     double cells = atLeastOne(settings.path("domain"), "cells", 1);
     double width = atLeastOne(settings.path("domain"), "width", 1);
     if (width > cells) {
-      throw new ConfigException(
+      throw new ConfigurationException(
           "settings: 'width' is " + width + ", over 'cells', which is " + cells);
     }
     for (String limit :
@@ -135,7 +135,7 @@
   private static double atLeastOne(JsonNode in, String key, double absent) {
     double value = named("settings", () -> Fields.figure(in, key, absent));
     if (!(value >= 1)) {
-      throw new ConfigException("settings: '" + key + "' is below 1");
+      throw new ConfigurationException("settings: '" + key + "' is below 1");
     }
     return value;
   }
@@ -143,7 +143,7 @@
   private static void below(JsonNode settings, String key, double bound, String of) {
     double value = named("settings", () -> Fields.figure(settings, key, 0));
     if (!(value < bound)) {
-      throw new ConfigException(
+      throw new ConfigurationException(
           "settings: '" + key + "' is " + value + ", which is not below " + of + ", " + bound);
     }
   }
@@ -162,25 +162,28 @@
   private static <T> T named(String key, Part<T> part) {
     try {
       return part.read();
-    } catch (ConfigException e) {
-      throw e.getMessage().startsWith(key) ? e : new ConfigException(key + ": " + e.getMessage());
+    } catch (ConfigurationException e) {
+      throw e.getMessage().startsWith(key)
+          ? e
+          : new ConfigurationException(key + ": " + e.getMessage());
     }
   }
 
   private static JsonNode file(String path) {
     if (path == null || path.isEmpty()) {
-      throw new ConfigException("LB_CONFIG is not set");
+      throw new ConfigurationException("LB_CONFIG is not set");
     }
     try {
-      JsonNode in = Json.read(Files.readAllBytes(Path.of(path)));
+      JsonNode in = StrictJson.read(Files.readAllBytes(Path.of(path)));
       if (in == null || !in.isObject()) {
-        throw new ConfigException("LB_CONFIG: " + path + " holds no JSON object");
+        throw new ConfigurationException("LB_CONFIG: " + path + " holds no JSON object");
       }
       return in;
     } catch (JsonProcessingException e) {
-      throw new ConfigException("LB_CONFIG: " + path + " is not JSON: " + e.getOriginalMessage());
+      throw new ConfigurationException(
+          "LB_CONFIG: " + path + " is not JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new ConfigException("LB_CONFIG: cannot read " + path);
+      throw new ConfigurationException("LB_CONFIG: cannot read " + path);
     }
   }
 
@@ -188,7 +191,7 @@
       Map<String, String> environment, JsonNode in, String variable, String key) {
     String value = environment.getOrDefault(variable, in.path(key).asText(""));
     if (value.isEmpty()) {
-      throw new ConfigException("'" + key + "' is missing, and " + variable + " is not set");
+      throw new ConfigurationException("'" + key + "' is missing, and " + variable + " is not set");
     }
     return value;
   }
@@ -198,7 +201,7 @@
     try {
       return HostPort.parse(value(environment, in, variable, key));
     } catch (IllegalArgumentException e) {
-      throw new ConfigException("'" + key + "' (" + variable + "): " + e.getMessage());
+      throw new ConfigurationException("'" + key + "' (" + variable + "): " + e.getMessage());
     }
   }
 
@@ -213,7 +216,7 @@
     try {
       return Long.parseUnsignedLong(seed, 16);
     } catch (NumberFormatException e) {
-      throw new ConfigException("'seed' is not a hexadecimal number of 64 bits");
+      throw new ConfigurationException("'seed' is not a hexadecimal number of 64 bits");
     }
   }
 }
--- a/src/main/java/bitternpulley/config/ContractsReader.java
+++ b/src/main/java/bitternpulley/config/ContractsReader.java
@@ -2,7 +2,7 @@
 
 import bitternpulley.contracts.Contract;
 import bitternpulley.contracts.ContractBook;
-import bitternpulley.contracts.Recognition;
+import bitternpulley.contracts.TenantIdentification;
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -31,7 +31,7 @@
   private final BrokerScript script;
   private final Optional<Settings> settings;
   private final Map<String, Contract> contracts = new LinkedHashMap<>();
-  private final Map<String, Recognition.Key> keys = new HashMap<>();
+  private final Map<String, TenantIdentification.Key> keys = new HashMap<>();
   private final Map<String, String> byIndex = new HashMap<>();
   private final Map<String, String> byPlatform = new HashMap<>();
   private final Map<Integer, String> byClass = new HashMap<>();
@@ -50,10 +50,11 @@
     for (int i = 0; i < all.size(); i++) {
       reader.contract(all.get(i), "/contracts/" + i);
     }
-    Recognition recognition =
+    TenantIdentification recognition =
         reader.contracts.isEmpty()
-            ? Recognition.NONE
-            : new Recognition(reader.keys, reader.byIndex, reader.byClass, reader.fallback != null);
+            ? TenantIdentification.NONE
+            : new TenantIdentification(
+                reader.keys, reader.byIndex, reader.byClass, reader.fallback != null);
     return new BrokerConfiguration(
         new ContractBook(1, reader.contracts, reader.fallback),
         recognition,
@@ -116,7 +117,7 @@
       claim(
           keys,
           key.get("id").textValue(),
-          new Recognition.Key(id, salt, hash),
+          new TenantIdentification.Key(id, salt, hash),
           at + "/keys/" + i + "/id");
     }
     for (int i = 0; i < in.path("indices").size(); i++) {
--- a/src/main/java/bitternpulley/config/ServerList.java
+++ b/src/main/java/bitternpulley/config/EndpointList.java
@@ -14,30 +14,31 @@
 import java.util.function.Consumer;
 
 /** A list of slot servers, or a change to one, in discovery's form. */
-public record ServerList(long revision, boolean complete, List<Entry> entries) {
+public record EndpointList(long revision, boolean complete, List<Entry> entries) {
 
   /** A server and where this aggregator reaches it. */
-  public record Entry(Router.Endpoint member, HostPort address) {}
+  public record Entry(Router.Endpoint endpoint, HostPort address) {}
 
   /**
    * Reads a list; {@code zones} are the names that the settings number. An entry that cannot be
    * used is told to {@code faults} and, unless that throws, left out: it must not keep the others
    * from being heard.
    */
-  public static ServerList read(JsonNode in, List<String> zones, Consumer<ConfigException> faults) {
+  public static EndpointList read(
+      JsonNode in, List<String> zones, Consumer<ConfigurationException> faults) {
     List<Entry> entries = new ArrayList<>();
     JsonNode members = need(in, "members");
     if (!members.isArray()) {
-      throw new ConfigException("field 'members' is not a list");
+      throw new ConfigurationException("field 'members' is not a list");
     }
     for (JsonNode m : members) {
       try {
         entries.add(entry(m, zones));
-      } catch (ConfigException e) {
+      } catch (ConfigurationException e) {
         faults.accept(e);
       }
     }
-    return new ServerList(
+    return new EndpointList(
         (long) number(in, "revision"), flag(in, "complete"), List.copyOf(entries));
   }
 
@@ -48,13 +49,14 @@
           case "up" -> Router.ServerState.LIVE;
           case "draining" -> Router.ServerState.DRAINING;
           case "removed" -> Router.ServerState.GONE;
-          default -> throw new ConfigException("server " + id + ": 'phase' is none that is known");
+          default ->
+              throw new ConfigurationException("server " + id + ": 'phase' is none that is known");
         };
     // Only a server that is to be sent to needs an address. Guards against a drain that is not
     // heard for want of one.
     HostPort address = m.hasNonNull("host_port") ? address(m, id) : null;
     if (address == null && state == Router.ServerState.LIVE) {
-      throw new ConfigException("server " + id + ": 'host_port' is missing");
+      throw new ConfigurationException("server " + id + ": 'host_port' is missing");
     }
     int zone = Math.max(0, zones.indexOf(m.path("locality").asText("")));
     return new Entry(
@@ -67,7 +69,7 @@
     try {
       return HostPort.parse(text(m, "host_port"));
     } catch (IllegalArgumentException e) {
-      throw new ConfigException("server " + id + ": 'host_port': " + e.getMessage());
+      throw new ConfigurationException("server " + id + ": 'host_port': " + e.getMessage());
     }
   }
 }
--- a/src/main/java/bitternpulley/config/Fields.java
+++ b/src/main/java/bitternpulley/config/Fields.java
@@ -9,7 +9,7 @@
   public static JsonNode need(JsonNode node, String key) {
     JsonNode value = node.get(key);
     if (value == null || value.isNull()) {
-      throw new ConfigException("missing field '" + key + "'");
+      throw new ConfigurationException("missing field '" + key + "'");
     }
     return value;
   }
@@ -17,7 +17,7 @@
   public static String text(JsonNode node, String key) {
     JsonNode value = need(node, key);
     if (!value.isTextual()) {
-      throw new ConfigException("field '" + key + "' is not text");
+      throw new ConfigurationException("field '" + key + "' is not text");
     }
     return value.textValue();
   }
@@ -25,7 +25,7 @@
   public static double number(JsonNode node, String key) {
     JsonNode value = need(node, key);
     if (!value.isNumber()) {
-      throw new ConfigException("field '" + key + "' is not a number");
+      throw new ConfigurationException("field '" + key + "' is not a number");
     }
     return value.doubleValue();
   }
@@ -48,7 +48,7 @@
   public static double figure(JsonNode node, String key, double absent) {
     double value = number(node, key, absent);
     if (value < 0) {
-      throw new ConfigException("settings: '" + key + "' is negative");
+      throw new ConfigurationException("settings: '" + key + "' is negative");
     }
     return value;
   }
--- a/src/main/java/bitternpulley/config/LeaseConfiguration.java
+++ b/src/main/java/bitternpulley/config/LeaseConfiguration.java
@@ -9,7 +9,7 @@
  * What the operators' script says of leases: how long one lasts, ms, and the witnesses' numbers, or
  * none for the usual ones.
  */
-public record LeaseConfiguration(double lasts, List<Integer> witnesses) {
+public record LeaseConfiguration(double duration, List<Integer> witnesses) {
   /** Witnesses where none are named: an odd number, of which one or two may be away. */
   private static final int USUAL_WITNESSES = 5;
 
@@ -18,15 +18,15 @@
 
   /** The terms for so many members, all checked; throws ConfigException. */
   LeaseTerms terms(int members, Settings settings) {
-    if (members > LeaseTerms.MOST_MEMBERS) {
-      throw new ConfigException(
+    if (members > LeaseTerms.MAX_MEMBERS) {
+      throw new ConfigurationException(
           "leases() is for at most "
-              + LeaseTerms.MOST_MEMBERS
+              + LeaseTerms.MAX_MEMBERS
               + " aggregators, and 'peers' names "
               + members);
     }
     if (members != settings.instances()) {
-      throw new ConfigException(
+      throw new ConfigurationException(
           "leases() needs all of 'instances' in 'peers': there are "
               + settings.instances()
               + ", and "
@@ -43,7 +43,7 @@
         .findFirst()
         .ifPresent(
             w -> {
-              throw new ConfigException(
+              throw new ConfigurationException(
                   "'leases.witnesses' names number "
                       + w
                       + ", and 'peers' only "
@@ -56,14 +56,14 @@
         new LeaseTerms(
             members,
             who,
-            lasts,
+            duration,
             settings.rules().overloadWindow() + settings.limits().connectTimeout());
-    if (terms.holds() < LEAST_USE * terms.lasts()) {
-      throw new ConfigException(
+    if (terms.usableTime() < LEAST_USE * terms.duration()) {
+      throw new ConfigurationException(
           "'leases.lasts_s' is too short: of "
-              + terms.lasts()
+              + terms.duration()
               + " ms only "
-              + Math.round(terms.holds())
+              + Math.round(terms.usableTime())
               + " are for use beside 'fall' and 'connectTimeout'");
     }
     return terms;
--- a/src/main/java/bitternpulley/config/MembershipReader.java
+++ b/src/main/java/bitternpulley/config/MembershipReader.java
@@ -22,7 +22,7 @@
       }
       return Optional.empty();
     }
-    MembershipSettings usual = MembershipSettings.USUAL;
+    MembershipSettings usual = MembershipSettings.DEFAULT;
     double interval = in.path("interval_ms").asDouble(usual.interval());
     double timeout = in.path("timeout_ms").asDouble(usual.timeout());
     if (3 * timeout > interval) {
@@ -37,8 +37,8 @@
                 interval,
                 timeout,
                 in.path("relays").asInt(usual.relays()),
-                in.path("suspicion_intervals").asDouble(usual.suspicion()),
-                1000 * in.path("alone_after_s").asDouble(usual.aloneAfter() / 1000)),
+                in.path("suspicion_intervals").asDouble(usual.suspicionIntervals()),
+                1000 * in.path("alone_after_s").asDouble(usual.withoutMajorityAfter() / 1000)),
             in.path("region").asText(""),
             in.path("deployment").asText(""),
             leases));
--- a/src/main/java/bitternpulley/config/SearchConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/SearchConfigurationReader.java
@@ -47,9 +47,9 @@
     }
     JsonNode in;
     try {
-      in = Json.read(Files.readAllBytes(path));
+      in = StrictJson.read(Files.readAllBytes(path));
     } catch (IOException e) {
-      throw new ConfigException(path + ": cannot be read as JSON");
+      throw new ConfigurationException(path + ": cannot be read as JSON");
     }
     Optional<SearchConfiguration> read = of(path.toString(), in, settings);
     read.ifPresent(
@@ -75,8 +75,8 @@
               count(in, "max_searches", SEARCHES),
               count(in, "max_part_bytes", PART_BYTES),
               indices(in.path("indices"), settings)));
-    } catch (ConfigException e) {
-      throw new ConfigException(path + ": " + e.getMessage());
+    } catch (ConfigurationException e) {
+      throw new ConfigurationException(path + ": " + e.getMessage());
     }
   }
 
@@ -84,21 +84,21 @@
     try {
       return HostPort.parse(in.path("listen").textValue());
     } catch (IllegalArgumentException e) {
-      throw new ConfigException("'listen': " + e.getMessage());
+      throw new ConfigurationException("'listen': " + e.getMessage());
     }
   }
 
   private static int count(JsonNode in, String key, int absent) {
     JsonNode value = in.path(key);
     if (!value.isMissingNode() && (!value.isInt() || value.intValue() < 1)) {
-      throw new ConfigException("'" + key + "' is not a whole number above 0");
+      throw new ConfigurationException("'" + key + "' is not a whole number above 0");
     }
     return value.asInt(absent);
   }
 
   private static Map<String, SearchConfiguration.Index> indices(JsonNode in, Settings settings) {
     if (!in.isObject() || in.isEmpty()) {
-      throw new ConfigException("'indices' is missing or empty");
+      throw new ConfigurationException("'indices' is missing or empty");
     }
     Map<String, SearchConfiguration.Index> indices = new LinkedHashMap<>();
     in.fields()
@@ -108,12 +108,13 @@
 
   private static SearchConfiguration.Index index(String name, JsonNode in, Settings settings) {
     if (!name.matches("[a-z0-9][a-z0-9_.-]{0,254}")) {
-      throw new ConfigException("'indices': '" + name + "' is no name for an index");
+      throw new ConfigurationException("'indices': '" + name + "' is no name for an index");
     }
     String wanted = in.path("class").asText("");
     List<String> classes = settings.classes().stream().map(Settings.QueryClass::name).toList();
     if (!classes.contains(wanted)) {
-      throw new ConfigException("'indices." + name + ".class' names no class of the settings");
+      throw new ConfigurationException(
+          "'indices." + name + ".class' names no class of the settings");
     }
     int shards = settings.layout().shards();
     List<Integer> sections = new ArrayList<>();
@@ -122,7 +123,7 @@
           || s.intValue() < 0
           || s.intValue() >= shards
           || sections.contains(s.intValue())) {
-        throw new ConfigException(
+        throw new ConfigurationException(
             "'indices." + name + ".sections' holds " + s + ", which is no section or comes twice");
       }
       sections.add(s.intValue());
--- a/src/main/java/bitternpulley/config/SettingsReader.java
+++ b/src/main/java/bitternpulley/config/SettingsReader.java
@@ -16,7 +16,7 @@
   public static Settings read(JsonNode in) {
     JsonNode classes = in.get("requestClasses");
     if (classes == null || !classes.isArray() || classes.isEmpty()) {
-      throw new ConfigException("settings: 'requestClasses' is missing or empty");
+      throw new ConfigurationException("settings: 'requestClasses' is missing or empty");
     }
     JsonNode domain = sub(in, "domain");
     List<Settings.QueryClass> read = new ArrayList<>();
@@ -53,7 +53,7 @@
 
   private static Settings.QueryClass queryClass(JsonNode c, JsonNode domain, int i) {
     if (!c.has("deadline")) {
-      throw new ConfigException("settings: 'deadline' of class " + i + " is missing");
+      throw new ConfigurationException("settings: 'deadline' of class " + i + " is missing");
     }
     double deadline = figure(c, "deadline", 0);
     return new Settings.QueryClass(
@@ -76,7 +76,7 @@
     JsonNode value = domain.path(key).path(i);
     double read = value.isNumber() ? value.doubleValue() : absent;
     if (read < 0) {
-      throw new ConfigException("settings: '" + key + "' is negative");
+      throw new ConfigurationException("settings: '" + key + "' is negative");
     }
     return read;
   }
--- a/src/main/java/bitternpulley/config/Json.java
+++ b/src/main/java/bitternpulley/config/StrictJson.java
@@ -16,12 +16,12 @@
  * classes that nothing here asks for, took a fifth of a start. Guards against texts that two
  * readers would read differently: a key that comes twice, or more behind the value.
  */
-public final class Json {
+public final class StrictJson {
   private static final JsonFactory FACTORY =
       JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-  private Json() {}
+  private StrictJson() {}
 
   /** The value that the bytes are; throws IOException where they are not exactly one. */
   public static JsonNode read(byte[] text) throws IOException {
--- a/src/main/java/bitternpulley/contracts/Account.java
+++ b/src/main/java/bitternpulley/contracts/Account.java
@@ -10,11 +10,11 @@
   Contract contract;
 
   /** Null while nothing is scarce, as then nothing is rationed. */
-  Bucket own;
+  TokenBucket own;
 
-  Bucket top;
-  Bucket loan;
-  final Promises promises = new Promises();
+  TokenBucket top;
+  TokenBucket loan;
+  final RetryReservations promises = new RetryReservations();
 
   /** Attempts of ours beyond the first, and retries of clients, that the budgets still hold. */
   double furtherAttempts;
@@ -52,7 +52,7 @@
   }
 
   /** Standard parts that a share may save up. */
-  double depth(Supply supply, double share) {
+  double depth(CapacityPool supply, double share) {
     return share * supply.rate() * contract.burst() / 1000;
   }
 
@@ -61,27 +61,27 @@
    * a little weight.
    */
   double weight() {
-    return Math.max(contract.guaranteed(), AdmissionControl.LEAST_WEIGHT);
+    return Math.max(contract.guaranteedQuota(), AdmissionControl.LEAST_WEIGHT);
   }
 
   /** Brings the buckets up to date; {@code supply} is limited. */
-  void fill(Supply supply, double now) {
+  void fill(CapacityPool supply, double now) {
     if (own == null) {
-      own = new Bucket(supply.total(), depth(supply, contract.guaranteed()));
-      top = new Bucket(supply.total(), depth(supply, contract.ceiling()));
-      loan = new Bucket(supply.loanable(), 0);
+      own = new TokenBucket(supply.total(), depth(supply, contract.guaranteedQuota()));
+      top = new TokenBucket(supply.total(), depth(supply, contract.ceiling()));
+      loan = new TokenBucket(supply.loanable(), 0);
     }
     // What is kept for those told to come back lies on top of the burst: it is theirs already.
     own.fill(
         supply.total(),
-        contract.guaranteed(),
-        depth(supply, contract.guaranteed()) + promises.kept(now));
+        contract.guaranteedQuota(),
+        depth(supply, contract.guaranteedQuota()) + promises.kept(now));
     top.fill(supply.total(), contract.ceiling(), depth(supply, contract.ceiling()));
     loan.fill(supply.loanable(), weight(), depth(supply, 1) * AdmissionControl.LOAN_DEPTH);
   }
 
   /** How this account stands, for operators. */
-  AccountView view(int version, Supply supply, double now) {
+  AccountView view(int version, CapacityPool supply, double now) {
     if (supply.limited()) {
       fill(supply, now);
     }
--- a/src/main/java/bitternpulley/contracts/AccountView.java
+++ b/src/main/java/bitternpulley/contracts/AccountView.java
@@ -1,7 +1,7 @@
 package bitternpulley.contracts;
 
 /**
- * How a team's account stands; amounts are standard parts. {@code refused} counts by {@link
+ * How a team's account stands; amounts are standard parts. {@code rejected} counts by {@link
  * Limit}'s order.
  */
 public record AccountView(
@@ -10,11 +10,11 @@
     Contract contract,
     double balance,
     double loan,
-    int held,
-    int promises,
+    int pending,
+    int reservations,
     double used,
     double borrowed,
     long admitted,
-    long[] refused,
-    double furtherAttempts,
-    double clientRetries) {}
+    long[] rejected,
+    double retriesLeft,
+    double clientRetriesLeft) {}
--- a/src/main/java/bitternpulley/contracts/AdmissionControl.java
+++ b/src/main/java/bitternpulley/contracts/AdmissionControl.java
@@ -10,9 +10,9 @@
 
 /**
  * Decides who is let in, by the contracts in force, and keeps every team's account. The order of a
- * query's life here: {@link #admit}, for each attempt {@link #mayTryAgain}, {@link #sent} and
- * {@link #attemptEnded}, then {@link #over}. Times are ms of one clock that never runs back;
- * amounts are standard parts (see {@link WorkMeter}).
+ * query's life here: {@link #admit}, for each attempt {@link #allowRetry}, {@link #onAttemptSent}
+ * and {@link #onAttemptEnded}, then {@link #onRequestEnded}. Times are ms of one clock that never
+ * runs back; amounts are standard parts (see {@link WorkMeter}).
  */
 public final class AdmissionControl {
   /** Attempts and retries that a budget may save up. */
@@ -47,7 +47,7 @@
   /** The least pause that is promised, ms. */
   private static final double LEAST_PAUSE = 10;
 
-  private final Supply supply = new Supply();
+  private final CapacityPool supply = new CapacityPool();
   private final CapacityEstimate capacity;
   private final WorkMeter work;
   private final double[] wanted;
@@ -68,7 +68,7 @@
   }
 
   /** Whether contracts are in force; without any, everything is admitted and nothing is kept. */
-  public boolean on() {
+  public boolean isActive() {
     return !book.isEmpty();
   }
 
@@ -82,7 +82,7 @@
     book = fresh;
     double reserved = 0;
     for (Contract c : fresh.contracts()) {
-      reserved += c.lends() ? 0 : c.guaranteed();
+      reserved += c.lends() ? 0 : c.guaranteedQuota();
       Account account = accounts.get(c.id());
       if (account != null) {
         supply.wanting(account.queued ? -account.weight() : 0);
@@ -110,11 +110,11 @@
   }
 
   /** Lets a query in or refuses it. */
-  public Verdict admit(Claim claim, double now) {
+  public AdmissionDecision admit(AdmissionRequest claim, double now) {
     advance(now);
     Contract contract = book.of(claim.team());
     if (contract == null) {
-      return new Verdict.Refused(claim.team(), book.version(), Limit.NO_CONTRACT, 0);
+      return new AdmissionDecision.Rejected(claim.team(), book.version(), Limit.NO_CONTRACT, 0);
     }
     Account a = accounts.get(contract.id());
     if (a == null) {
@@ -129,26 +129,26 @@
     if (supply.limited()) {
       a.fill(supply, now);
     }
-    double left = a.promises.left(claim.print(), now);
-    if (a.held + claim.parts() + 1 > contract.holds()) {
+    double left = a.promises.left(claim.fingerprint(), now);
+    if (a.held + claim.parts() + 1 > contract.maxPending()) {
       return refused(a, Limit.HOLDS, pause(a, claim, cost, now));
     }
     if (left <= 0) {
-      a.promises.claim(claim.print());
-      return admitted(a, Charge.Basis.PROMISE, claim, cost, now, ahead(terms));
+      a.promises.claim(claim.fingerprint());
+      return admitted(a, UsageCharge.Basis.PROMISE, claim, cost, now, ahead(terms));
     }
     Limit met = null;
-    Charge.Basis basis = null;
+    UsageCharge.Basis basis = null;
     if (claim.retry() && a.clientRetries < 1) {
       met = Limit.CLIENT_RETRIES;
     } else if (!supply.limited()) {
-      basis = Charge.Basis.UNLIMITED;
+      basis = UsageCharge.Basis.UNLIMITED;
     } else if (contract.ceiling() < 1 && a.top.balance() <= 0) {
       met = Limit.CEILING;
     } else if (a.own.balance() - a.promises.kept(now) > 0) {
-      basis = Charge.Basis.GUARANTEE;
+      basis = UsageCharge.Basis.GUARANTEE;
     } else if (borrows(a, now)) {
-      basis = Charge.Basis.LOAN;
+      basis = UsageCharge.Basis.LOAN;
     } else {
       met = Limit.SHARE;
     }
@@ -156,7 +156,7 @@
       return refused(a, met, pause(a, claim, cost, now));
     }
     if (left > 0) {
-      a.promises.claim(claim.print()); // back early, and there is room already
+      a.promises.claim(claim.fingerprint()); // back early, and there is room already
     }
     return admitted(a, basis, claim, cost, now, terms);
   }
@@ -184,24 +184,24 @@
     return !capacity.crowded() && (supply.plenty() || supply.idle() && a.loan.balance() > 0);
   }
 
-  private Verdict refused(Account a, Limit limit, double pause) {
+  private AdmissionDecision refused(Account a, Limit limit, double pause) {
     a.refused[limit.ordinal()]++;
-    return new Verdict.Refused(a.team, book.version(), limit, pause);
+    return new AdmissionDecision.Rejected(a.team, book.version(), limit, pause);
   }
 
-  private Charge admitted(
+  private UsageCharge admitted(
       Account a,
-      Charge.Basis basis,
-      Claim claim,
+      UsageCharge.Basis basis,
+      AdmissionRequest claim,
       double cost,
       double now,
       Router.ClassTerms terms) {
-    Charge charge = new Charge(a, basis, book.version(), claim, cost, now, terms);
+    UsageCharge charge = new UsageCharge(a, basis, book.version(), claim, cost, now, terms);
     a.admitted++;
     a.unsettled++;
     a.held += claim.parts() + 1;
     a.furtherAttempts =
-        Math.min(a.furtherAttempts + a.contract.furtherAttempts() * claim.parts(), budgetDepth(a));
+        Math.min(a.furtherAttempts + a.contract.retriesPerPart() * claim.parts(), budgetDepth(a));
     a.clientRetries =
         claim.retry()
             ? a.clientRetries - 1
@@ -212,18 +212,18 @@
   }
 
   private static double budgetDepth(Account a) {
-    return BUDGET_BURST * Math.max(1, a.contract.furtherAttempts() * 10);
+    return BUDGET_BURST * Math.max(1, a.contract.retriesPerPart() * 10);
   }
 
-  private void book(Charge charge, double amount) {
+  private void book(UsageCharge charge, double amount) {
     Account a = charge.account;
     a.used += amount;
-    a.borrowed += charge.basis == Charge.Basis.LOAN ? amount : 0;
+    a.borrowed += charge.basis == UsageCharge.Basis.LOAN ? amount : 0;
     if (!supply.limited() || a.own == null) {
       return;
     }
     a.top.take(amount);
-    if (charge.basis == Charge.Basis.LOAN) {
+    if (charge.basis == UsageCharge.Basis.LOAN) {
       a.loan.take(amount);
       supply.useLoan(amount);
     } else {
@@ -238,8 +238,8 @@
    * The pause that a refused caller is told: what is left of its own promise, else a new one's.
    * Nobody gains by asking twice.
    */
-  private double pause(Account a, Claim claim, double cost, double now) {
-    double left = a.promises.left(claim.print(), now);
+  private double pause(Account a, AdmissionRequest claim, double cost, double now) {
+    double left = a.promises.left(claim.fingerprint(), now);
     return left > 0 ? left : promise(a, claim, cost, now);
   }
 
@@ -247,21 +247,22 @@
    * The pause after which the team's own share holds the query beside all that others were
    * promised, or 0 where that is later than clients heed: then none is promised.
    */
-  private double promise(Account a, Claim claim, double cost, double now) {
+  private double promise(Account a, AdmissionRequest claim, double cost, double now) {
     double pause;
     if (supply.limited() && a.own != null) {
-      double perMs = a.contract.guaranteed() * supply.rate() / 1000;
+      double perMs = a.contract.guaranteedQuota() * supply.rate() / 1000;
       double missing = a.promises.kept(now) + cost - Math.min(a.own.balance(), cost);
       pause = perMs <= 0 ? Double.POSITIVE_INFINITY : missing / perMs;
     } else {
       pause = a.lasts == 0 ? FIRST_LASTS : a.lasts;
     }
     pause = Math.max(LEAST_PAUSE, pause);
-    if (a.promises.left(claim.print(), now) <= 0) {
+    if (a.promises.left(claim.fingerprint(), now) <= 0) {
       a.promises.claim(
-          claim.print()); // its time has come and it is refused all the same: it is told another
+          claim.fingerprint()); // its time has come and it is refused all the same: it is told
+      // another
     }
-    return pause <= mostPause && a.promises.add(claim.print(), now + pause, cost) ? pause : 0;
+    return pause <= mostPause && a.promises.add(claim.fingerprint(), now + pause, cost) ? pause : 0;
   }
 
   /** The team wants to borrow: it counts from now on for a while when idle share is divided. */
@@ -302,7 +303,7 @@
    * Whether the team's budget has another attempt for a part of an admitted query; if so, it is
    * taken.
    */
-  public boolean mayTryAgain(Charge charge) {
+  public boolean allowRetry(UsageCharge charge) {
     if (charge.account.furtherAttempts < 1) {
       return false;
     }
@@ -311,7 +312,7 @@
   }
 
   /** An attempt has gone out. */
-  public void sent(Charge charge) {
+  public void onAttemptSent(UsageCharge charge) {
     charge.attemptsOut++;
   }
 
@@ -319,7 +320,7 @@
    * An attempt has ended after so many ms; what never ran costs nothing, what may have run costs
    * what is usual.
    */
-  public void attemptEnded(Charge charge, Router.Outcome outcome, double took, double now) {
+  public void onAttemptEnded(UsageCharge charge, Router.Outcome outcome, double took, double now) {
     advance(now);
     charge.attemptsOut--;
     if (outcome == Router.Outcome.OK) {
@@ -337,7 +338,7 @@
   }
 
   /** The query has its final answer; {@code served} tells whether one from servers. */
-  public void over(Charge charge, boolean served, double now) {
+  public void onRequestEnded(UsageCharge charge, boolean served, double now) {
     advance(now);
     if (charge.over) {
       return;
@@ -352,7 +353,7 @@
   }
 
   /** Once nothing of it is out, the account is put right by what was seen: each charge once. */
-  private void settle(Charge charge, double now) {
+  private void settle(UsageCharge charge, double now) {
     if (!charge.over || charge.attemptsOut > 0 || charge.settled) {
       return;
     }
@@ -361,19 +362,19 @@
     double back = charge.booked - charge.used;
     Account a = charge.account;
     a.used -= back;
-    a.borrowed -= charge.basis == Charge.Basis.LOAN ? back : 0;
+    a.borrowed -= charge.basis == UsageCharge.Basis.LOAN ? back : 0;
     if (book.of(a.team) == null) {
       forgetRetired(now);
     }
-    if (charge.basis == Charge.Basis.UNLIMITED || a.own == null) {
+    if (charge.basis == UsageCharge.Basis.UNLIMITED || a.own == null) {
       return;
     }
     a.top.settle(back, a.depth(supply, a.contract.ceiling()));
-    if (charge.basis == Charge.Basis.LOAN) {
+    if (charge.basis == UsageCharge.Basis.LOAN) {
       a.loan.settle(back, a.depth(supply, 1) * LOAN_DEPTH);
       supply.useLoan(-back);
     } else {
-      a.own.settle(back, a.depth(supply, a.contract.guaranteed()) + a.promises.kept(now));
+      a.own.settle(back, a.depth(supply, a.contract.guaranteedQuota()) + a.promises.kept(now));
       if (a.contract.lends()) {
         supply.useOwn(-back);
       }
@@ -391,7 +392,7 @@
   }
 
   /** Standard parts a second that were delivered of late. */
-  public double delivered() {
+  public double deliveredRate() {
     return capacity.delivered();
   }
 
--- a/src/main/java/bitternpulley/contracts/Verdict.java
+++ b/src/main/java/bitternpulley/contracts/AdmissionDecision.java
@@ -1,7 +1,7 @@
 package bitternpulley.contracts;
 
-/** What becomes of a claim: a {@link Charge}, or a refusal. */
-public sealed interface Verdict permits Charge, Verdict.Refused {
+/** What becomes of a claim: a {@link UsageCharge}, or a refusal. */
+public sealed interface AdmissionDecision permits UsageCharge, AdmissionDecision.Rejected {
 
   /**
    * Not let in; nothing of it has run.
@@ -11,5 +11,6 @@
    * @param limit what was met
    * @param retryAfter ms after which a place is kept for this caller; 0 where none can be promised
    */
-  record Refused(String team, int version, Limit limit, double pause) implements Verdict {}
+  record Rejected(String team, int version, Limit limit, double retryAfter)
+      implements AdmissionDecision {}
 }
--- a/src/main/java/bitternpulley/contracts/Claim.java
+++ b/src/main/java/bitternpulley/contracts/AdmissionRequest.java
@@ -8,8 +8,8 @@
  * @param parts how many it falls into
  * @param hintedWork ms of work that its parts are said to take together, 0 where nothing is said
  * @param retry whether its client marks it as another try
- * @param print tells a query that comes again from others of its team, as a hash of what is asked;
- *     0 for none
+ * @param fingerprint tells a query that comes again from others of its team, as a hash of what is
+ *     asked; 0 for none
  */
-public record Claim(
-    String team, int queryClass, int parts, double hintedWork, boolean retry, long print) {}
+public record AdmissionRequest(
+    String team, int queryClass, int parts, double hintedWork, boolean retry, long fingerprint) {}
--- a/src/main/java/bitternpulley/contracts/CapacityEstimate.java
+++ b/src/main/java/bitternpulley/contracts/CapacityEstimate.java
@@ -83,7 +83,7 @@
   private static final double LEAST = 10;
 
   private final double wanted;
-  private final ArrayDeque<Charge> young = new ArrayDeque<>();
+  private final ArrayDeque<UsageCharge> young = new ArrayDeque<>();
   private int open;
   private int old;
   private double openParts;
@@ -134,7 +134,7 @@
   }
 
   /** A query was let in. */
-  void admitted(Charge charge) {
+  void admitted(UsageCharge charge) {
     admittedNow += charge.booked;
     open++;
     openParts += charge.booked;
@@ -142,7 +142,7 @@
   }
 
   /** A query is over. */
-  void over(Charge charge, boolean inTime) {
+  void over(UsageCharge charge, boolean inTime) {
     open--;
     openParts = open == 0 ? 0 : openParts - charge.booked;
     old -= charge.old ? 1 : 0;
@@ -158,7 +158,7 @@
   /** Moves time on; true where the rate has changed. */
   boolean at(double now) {
     while (!young.isEmpty() && now >= young.peek().since + OLD_AFTER * wanted) {
-      Charge charge = young.poll();
+      UsageCharge charge = young.poll();
       charge.old = !charge.over;
       old += charge.old ? 1 : 0;
     }
--- a/src/main/java/bitternpulley/contracts/Supply.java
+++ b/src/main/java/bitternpulley/contracts/CapacityPool.java
@@ -5,7 +5,7 @@
  * total, and the running total of what may be lent, per unit of weight of those who want to borrow.
  * Time only moves it on; everything else asks.
  */
-final class Supply {
+final class CapacityPool {
   /**
    * Ms of the rate that the pool of idle share may hold: what is lent cannot be called back, so
    * little is saved up.
--- a/src/main/java/bitternpulley/contracts/ContractBook.java
+++ b/src/main/java/bitternpulley/contracts/ContractBook.java
@@ -30,7 +30,7 @@
   }
 
   /** The same contracts under another version. */
-  public ContractBook as(int other) {
+  public ContractBook withVersion(int other) {
     return new ContractBook(other, byTeam, fallback);
   }
 
--- a/src/main/java/bitternpulley/contracts/Prints.java
+++ b/src/main/java/bitternpulley/contracts/QueryFingerprint.java
@@ -1,11 +1,11 @@
 package bitternpulley.contracts;
 
 /** Tells a query that comes again: the same team asks the same. */
-public final class Prints {
+public final class QueryFingerprint {
   private static final long BASIS = 0xcbf29ce484222325L;
   private static final long PRIME = 0x100000001b3L;
 
-  private Prints() {}
+  private QueryFingerprint() {}
 
   /**
    * 64 bits by FNV-1a over what is asked and a number beside it; never 0. Two that collide share
--- a/src/main/java/bitternpulley/contracts/Promises.java
+++ b/src/main/java/bitternpulley/contracts/RetryReservations.java
@@ -9,7 +9,7 @@
  * and one a caller: whoever comes back early is told the rest of the same time. A place is kept for
  * {@link #GRACE} ms beyond its time, then it lapses.
  */
-final class Promises {
+final class RetryReservations {
   /**
    * Ms for which a place is kept beyond its time: a client's clock, way and connection take some of
    * it.
--- a/src/main/java/bitternpulley/contracts/Recognition.java
+++ b/src/main/java/bitternpulley/contracts/TenantIdentification.java
@@ -12,9 +12,10 @@
  * is shown and not known is never passed over for another sign, so that nobody gains by showing a
  * wrong one; no other header is looked at.
  */
-public final class Recognition {
+public final class TenantIdentification {
   /** Recognises nobody, as where there are no contracts. */
-  public static final Recognition NONE = new Recognition(Map.of(), Map.of(), Map.of(), true);
+  public static final TenantIdentification NONE =
+      new TenantIdentification(Map.of(), Map.of(), Map.of(), true);
 
   private static final String SCHEME = "ApiKey ";
 
@@ -25,17 +26,17 @@
   public record Key(String team, byte[] salt, byte[] sha256) {}
 
   /** What a header shows. */
-  public enum Shown {
-    NOTHING,
+  public enum KeyStatus {
+    ABSENT,
     KNOWN,
     UNKNOWN
   }
 
   /** A shown key and, where it is known, whose it is. */
-  public record Holder(Shown shown, String team) {}
+  public record KeyOwner(KeyStatus status, String team) {}
 
-  private static final Holder NOBODY = new Holder(Shown.NOTHING, null);
-  private static final Holder STRANGER = new Holder(Shown.UNKNOWN, null);
+  private static final KeyOwner NOBODY = new KeyOwner(KeyStatus.ABSENT, null);
+  private static final KeyOwner STRANGER = new KeyOwner(KeyStatus.UNKNOWN, null);
 
   /**
    * Guards against a difference in time between an id that is unknown and a secret that is wrong.
@@ -48,7 +49,7 @@
   private final boolean fallback;
 
   /** {@code fallback} tells whether a contract holds for those that nothing tells of. */
-  public Recognition(
+  public TenantIdentification(
       Map<String, Key> keys,
       Map<String, String> byIndex,
       Map<Integer, String> byClass,
@@ -60,7 +61,7 @@
   }
 
   /** Whose key an {@code Authorization} header shows; the header may be null. */
-  public Holder byKey(String header) {
+  public KeyOwner byKey(String header) {
     if (header == null) {
       return NOBODY;
     }
@@ -79,7 +80,7 @@
     Key against = key == null ? DECOY : key;
     byte[] secret = text.substring(colon + 1).getBytes(StandardCharsets.UTF_8);
     boolean same = MessageDigest.isEqual(hash(against.salt(), secret), against.sha256());
-    return same && key != null ? new Holder(Shown.KNOWN, key.team()) : STRANGER;
+    return same && key != null ? new KeyOwner(KeyStatus.KNOWN, key.team()) : STRANGER;
   }
 
   /** The hash of a secret, as it stands in the operators' script. */
--- a/src/main/java/bitternpulley/contracts/Bucket.java
+++ b/src/main/java/bitternpulley/contracts/TokenBucket.java
@@ -5,12 +5,12 @@
  * bucket that nobody uses costs nothing until it is next looked at. It may go below nothing by one
  * query: a large one waits no longer than its size is worth.
  */
-final class Bucket {
+final class TokenBucket {
   private double balance;
   private double seen;
 
   /** Full at the start: a restart that knows nothing must not starve a team. */
-  Bucket(double total, double depth) {
+  TokenBucket(double total, double depth) {
     seen = total;
     balance = depth;
   }
--- a/src/main/java/bitternpulley/contracts/Charge.java
+++ b/src/main/java/bitternpulley/contracts/UsageCharge.java
@@ -6,7 +6,7 @@
  * What an admitted query has booked on its team's account, from its admission until its last
  * attempt has ended.
  */
-public final class Charge implements Verdict {
+public final class UsageCharge implements AdmissionDecision {
   /** On what a query was let in. */
   public enum Basis {
     GUARANTEE,
@@ -35,11 +35,11 @@
   boolean settled;
   private final Router.ClassTerms terms;
 
-  Charge(
+  UsageCharge(
       Account account,
       Basis basis,
       int version,
-      Claim claim,
+      AdmissionRequest claim,
       double booked,
       double now,
       Router.ClassTerms terms) {
--- a/src/main/java/bitternpulley/contracts/WorkMeter.java
+++ b/src/main/java/bitternpulley/contracts/WorkMeter.java
@@ -26,7 +26,7 @@
   }
 
   /** Standard parts that a query is likely to take. */
-  double estimate(Claim claim) {
+  double estimate(AdmissionRequest claim) {
     double cost = classCost[claim.queryClass()];
     double hint = claim.hintedWork() / claim.parts();
     double usualHint = classHint[claim.queryClass()];
--- a/src/main/java/bitternpulley/leases/LeaseHolder.java
+++ b/src/main/java/bitternpulley/leases/LeaseHolder.java
@@ -44,16 +44,16 @@
   }
 
   /** Whether it was an answer to what was asked last. */
-  boolean granted(LeaseMessage.Granted granted, double now) {
+  boolean granted(LeaseMessage.LeaseGrant granted, double now) {
     int witness = terms.witnesses().indexOf(granted.from());
-    if (witness < 0 || leases[witness].sequence != granted.sequence() || !(granted.after() >= 0)) {
+    if (witness < 0 || leases[witness].sequence != granted.sequence() || !(granted.delay() >= 0)) {
       return false;
     }
     Lease l = leases[witness];
     // From the asking, which was before it was granted; from now, which is after.
-    l.until = l.askedAt + terms.holds();
-    l.usableAt = now + terms.outlasts(granted.after());
-    l.named = granted.named();
+    l.until = l.askedAt + terms.usableTime();
+    l.usableAt = now + terms.outlasts(granted.delay());
+    l.named = granted.holders();
     // Guards against an answer that leaves out whoever asked, and would have it take the part of
     // nobody.
     l.named.set(self);
--- a/src/main/java/bitternpulley/leases/LeaseMessage.java
+++ b/src/main/java/bitternpulley/leases/LeaseMessage.java
@@ -8,21 +8,21 @@
   int from();
 
   /** A member asks a witness for a lease, for the process begun at {@code epoch}. */
-  record Asked(int from, long epoch, int sequence) implements LeaseMessage {}
+  record LeaseRequest(int from, long epoch, int sequence) implements LeaseMessage {}
 
   /**
-   * A witness grants what was asked under {@code sequence}, for use {@code after} so many ms;
-   * {@code named} are all that hold a lease of it.
+   * A witness grants what was asked under {@code sequence}, for use {@code delay} so many ms;
+   * {@code holders} are all that hold a lease of it.
    */
-  record Granted(int from, int sequence, double after, BitSet named) implements LeaseMessage {
+  record LeaseGrant(int from, int sequence, double delay, BitSet holders) implements LeaseMessage {
     /** Guards against a set that its sender goes on changing. */
-    public Granted {
-      named = (BitSet) named.clone();
+    public LeaseGrant {
+      holders = (BitSet) holders.clone();
     }
 
     @Override
-    public BitSet named() {
-      return (BitSet) named.clone();
+    public BitSet holders() {
+      return (BitSet) holders.clone();
     }
   }
 }
--- a/src/main/java/bitternpulley/leases/LeaseTerms.java
+++ b/src/main/java/bitternpulley/leases/LeaseTerms.java
@@ -7,9 +7,9 @@
  * lease lasts; and for how many ms what was decided under a lease may still take effect, which is
  * kept free at its end.
  */
-public record LeaseTerms(int members, List<Integer> witnesses, double lasts, double effect) {
+public record LeaseTerms(int members, List<Integer> witnesses, double duration, double effectTime) {
   /** Members that a witness can name in one datagram of 256 bytes. */
-  public static final int MOST_MEMBERS = 1500;
+  public static final int MAX_MEMBERS = 1500;
 
   /**
    * Ms that a lease lasts at the least for each member: a witness is asked 40 times a second at the
@@ -24,23 +24,23 @@
 
   /** Guards against leases so short that their renewal is most of what a witness does. */
   public LeaseTerms {
-    lasts = Math.max(lasts, LASTS_BY_MEMBER * members);
+    duration = Math.max(duration, LASTS_BY_MEMBER * members);
     witnesses = List.copyOf(witnesses);
   }
 
   /** Ms between a member's askings. */
   double renewEvery() {
-    return lasts / RENEWALS;
+    return duration / RENEWALS;
   }
 
   /** Ms from asking for which its holder may act under a lease. */
-  public double holds() {
-    return lasts / (1 + DRIFT) - effect;
+  public double usableTime() {
+    return duration / (1 + DRIFT) - effectTime;
   }
 
   /** Ms for which whoever waits for another's lease to run out waits, by its own clock. */
   double outlasts() {
-    return outlasts(lasts);
+    return outlasts(duration);
   }
 
   double outlasts(double ms) {
--- a/src/main/java/bitternpulley/leases/LeaseWitness.java
+++ b/src/main/java/bitternpulley/leases/LeaseWitness.java
@@ -31,7 +31,7 @@
   }
 
   /** What the asking member is told; empty where it is told nothing. */
-  Optional<LeaseMessage.Granted> asked(LeaseMessage.Asked asked, double now) {
+  Optional<LeaseMessage.LeaseGrant> asked(LeaseMessage.LeaseRequest asked, double now) {
     if (asked.from() < 0 || asked.from() >= terms.members()) {
       return Optional.empty();
     }
@@ -50,7 +50,7 @@
     l.epoch = asked.epoch();
     l.until = now + terms.outlasts();
     return Optional.of(
-        new LeaseMessage.Granted(
+        new LeaseMessage.LeaseGrant(
             self, asked.sequence(), Math.max(0, l.usableAt - now), named(now)));
   }
 
--- a/src/main/java/bitternpulley/leases/Leases.java
+++ b/src/main/java/bitternpulley/leases/Leases.java
@@ -11,16 +11,16 @@
  */
 public final class Leases {
   /** What is to be sent. */
-  public record Send(int to, LeaseMessage message) {}
+  public record OutgoingMessage(int to, LeaseMessage message) {}
 
   /**
    * How this instance stands, for operators.
    *
-   * @param part of the whole that is this instance's, 0 to 1
-   * @param held witnesses whose leases it may use, of so many
-   * @param named members that may act, as far as these know; 0 where it may not act itself
+   * @param quota of the whole that is this instance's, 0 to 1
+   * @param leases witnesses whose leases it may use, of so many
+   * @param activeMembers members that may act, as far as these know; 0 where it may not act itself
    */
-  public record Standing(double part, int held, int witnesses, int named) {}
+  public record LeaseStatus(double quota, int leases, int witnesses, int activeMembers) {}
 
   private final int self;
   private final LeaseTerms terms;
@@ -29,7 +29,7 @@
   private long epoch;
   private boolean asks;
   private double nextAsk;
-  private long ignored;
+  private long ignoredMessages;
 
   /** One that holds nothing and may do nothing. */
   public Leases(int self, LeaseTerms terms) {
@@ -39,7 +39,7 @@
   }
 
   /** From now on it can be reached, as the process begun at {@code epoch}, and asks. */
-  public void begin(long epoch, double now) {
+  public void start(long epoch, double now) {
     this.epoch = epoch;
     asks = true;
     nextAsk = now;
@@ -50,44 +50,45 @@
   }
 
   /** It ends: it asks no more, so that its part is free once its leases have run out. */
-  public void end() {
+  public void stop() {
     asks = false;
   }
 
   /** The time goes on. */
-  public List<Send> tick(double now) {
+  public List<OutgoingMessage> tick(double now) {
     if (!asks || now < nextAsk) {
       return List.of();
     }
     nextAsk = now + terms.renewEvery();
-    List<Send> out = new ArrayList<>();
+    List<OutgoingMessage> out = new ArrayList<>();
     for (int i = 0; i < terms.witnesses().size(); i++) {
       int to = terms.witnesses().get(i);
-      LeaseMessage.Asked asked = new LeaseMessage.Asked(self, epoch, holder.ask(i, now));
+      LeaseMessage.LeaseRequest asked =
+          new LeaseMessage.LeaseRequest(self, epoch, holder.ask(i, now));
       if (to == self) {
         witness.flatMap(w -> w.asked(asked, now)).ifPresent(g -> holder.granted(g, now));
       } else {
-        out.add(new Send(to, asked));
+        out.add(new OutgoingMessage(to, asked));
       }
     }
     return out;
   }
 
   /** A message has come from the address of the member that it names. */
-  public List<Send> heard(LeaseMessage message, double now) {
-    if (message instanceof LeaseMessage.Asked a && witness.isPresent()) {
+  public List<OutgoingMessage> onMessage(LeaseMessage message, double now) {
+    if (message instanceof LeaseMessage.LeaseRequest a && witness.isPresent()) {
       return witness
           .get()
           .asked(a, now)
-          .map(g -> List.of(new Send(a.from(), g)))
+          .map(g -> List.of(new OutgoingMessage(a.from(), g)))
           .orElseGet(
               () -> {
-                ignored++;
+                ignoredMessages++;
                 return List.of();
               });
     }
-    if (!(message instanceof LeaseMessage.Granted g) || !holder.granted(g, now)) {
-      ignored++;
+    if (!(message instanceof LeaseMessage.LeaseGrant g) || !holder.granted(g, now)) {
+      ignoredMessages++;
     }
     return List.of();
   }
@@ -96,15 +97,15 @@
    * This instance's part at a time, in parts of an even one by the members configured: one where
    * all may act, more where fewer do, 0 where it does not know or may not.
    */
-  public double at(double now) {
-    return terms.members() * standing(now).part();
+  public double quotaFactor(double now) {
+    return terms.members() * status(now).quota();
   }
 
   /** How it stands at a time. */
-  public Standing standing(double now) {
+  public LeaseStatus status(double now) {
     int held = holder.held(now);
     BitSet named = held < terms.most() ? new BitSet() : holder.named(now);
-    return new Standing(
+    return new LeaseStatus(
         named.isEmpty() ? 0 : 1.0 / named.cardinality(),
         held,
         terms.witnesses().size(),
@@ -115,7 +116,7 @@
    * Messages that changed nothing, so far: late, repeated, of an earlier process, or to one that is
    * no witness.
    */
-  public long ignored() {
-    return ignored;
+  public long ignoredMessages() {
+    return ignoredMessages;
   }
 }
--- a/src/main/java/bitternpulley/leases/package-info.java
+++ b/src/main/java/bitternpulley/leases/package-info.java
@@ -11,7 +11,7 @@
  * anew; who is in doubt is named until its lease has run out; without leases a part is nothing.
  *
  * <p>It knows no queries and judges nobody: a dead member is one that asks no more. Called by the
- * core; the decision module reads {@link bitternpulley.leases.Leases#at}. Start with {@link
- * bitternpulley.leases.Leases}.
+ * core; the decision module reads {@link bitternpulley.leases.Leases#quotaFactor}. Start with
+ * {@link bitternpulley.leases.Leases}.
  */
 package bitternpulley.leases;
--- a/src/main/java/bitternpulley/measure/MeasureContracts.java
+++ b/src/main/java/bitternpulley/measure/MeasureContracts.java
@@ -1,6 +1,6 @@
 package bitternpulley.measure;
 
-import bitternpulley.contracts.Recognition;
+import bitternpulley.contracts.TenantIdentification;
 import bitternpulley.faults.Node;
 import bitternpulley.faults.Ports;
 import bitternpulley.net.EventLoop;
@@ -269,7 +269,7 @@
     String hash =
         HexFormat.of()
             .formatHex(
-                Recognition.hash(
+                TenantIdentification.hash(
                     salt, "a-long-and-random-secret".getBytes(StandardCharsets.UTF_8)));
     List<String> lines =
         List.of(
--- a/src/main/java/bitternpulley/membership/AntiEntropy.java
+++ b/src/main/java/bitternpulley/membership/AntiEntropy.java
@@ -17,15 +17,15 @@
   }
 
   /** As many slots as fit, of members by turns, for one that needs to be told nothing of itself. */
-  List<GossipUpdate> slots(Self me, Table table, int to) {
+  List<GossipUpdate> slots(LocalMember me, MembershipTable table, int to) {
     List<GossipUpdate> page = new ArrayList<>();
-    int left = Message.RUMOR_BYTES;
+    int left = GossipMessage.UPDATE_BYTES;
     if (me.slot() != null) {
       page.add(me.slotRumor());
       left -= me.slotRumor().bytes();
     }
     List<Member> told = table.all().stream().filter(m -> m.slot != null && m.number != to).toList();
-    for (int i = 0; i < told.size() && page.size() < Message.MOST_RUMORS; i++) {
+    for (int i = 0; i < told.size() && page.size() < GossipMessage.MAX_UPDATES; i++) {
       GossipUpdate next = told.get((slotFrom + i) % told.size()).slotRumor();
       if (next.bytes() > left) {
         slotFrom = (slotFrom + i) % told.size();
@@ -41,15 +41,15 @@
    * The next page of standings for one that needs to be told nothing of itself; {@code own} is this
    * instance's word and comes first.
    */
-  List<GossipUpdate> standings(GossipUpdate own, Table table, int to) {
+  List<GossipUpdate> standings(GossipUpdate own, MembershipTable table, int to) {
     List<GossipUpdate> page = new ArrayList<>();
     page.add(own);
-    int left = Message.RUMOR_BYTES - own.bytes();
+    int left = GossipMessage.UPDATE_BYTES - own.bytes();
     List<Member> all = new ArrayList<>(table.all());
     int next = from;
-    for (int i = 0; i < all.size() && page.size() < Message.MOST_RUMORS; i++) {
+    for (int i = 0; i < all.size() && page.size() < GossipMessage.MAX_UPDATES; i++) {
       Member m = all.get((from + i) % all.size());
-      GossipUpdate known = m.rumor(m.standing == Standing.ALIVE ? -1 : self);
+      GossipUpdate known = m.rumor(m.standing == MemberState.ALIVE ? -1 : self);
       if (known.bytes() > left) {
         break;
       }
--- a/src/main/java/bitternpulley/membership/Message.java
+++ b/src/main/java/bitternpulley/membership/GossipMessage.java
@@ -8,21 +8,21 @@
  *
  * @param target whom a {@link Kind#RELAY} asks about, or an {@link Kind#ACK} speaks for; else the
  *     receiver
- * @param view the sender's digest of its view, so that a difference is noticed
- * @param told the same of what members tell of themselves
+ * @param viewDigest the sender's digest of its view, so that a difference is noticed
+ * @param payloadDigest the same of what members tell of themselves
  */
-public record Message(
+public record GossipMessage(
     Kind kind,
     int from,
     long epoch,
     int incarnation,
     int sequence,
     int target,
-    int view,
-    int told,
-    List<GossipUpdate> rumors) {
+    int viewDigest,
+    int payloadDigest,
+    List<GossipUpdate> updates) {
   /** One whose sender knows of nothing that members tell. */
-  public Message(
+  public GossipMessage(
       Kind kind,
       int from,
       long epoch,
@@ -35,10 +35,10 @@
   }
 
   /** Most rumors that a message may bear; what is beyond is not looked at. */
-  public static final int MOST_RUMORS = 8;
+  public static final int MAX_UPDATES = 8;
 
   /** Bytes that a datagram has for rumors, of the platform's 256. */
-  static final int RUMOR_BYTES = 256 - 47;
+  static final int UPDATE_BYTES = 256 - 47;
 
   /**
    * A probe; its answer; a request to probe another; word that this other did not answer; a page of
--- a/src/main/java/bitternpulley/membership/GossipUpdate.java
+++ b/src/main/java/bitternpulley/membership/GossipUpdate.java
@@ -3,22 +3,22 @@
 /**
  * What is said of a member: that it stands so, as the process begun at {@code epoch} and as often
  * refuted as {@code incarnation} says. {@code accuser} is who said it first, -1 for the member
- * itself; {@code card} and {@code slot} may be null.
+ * itself; {@code metadata} and {@code payload} may be null.
  */
 public record GossipUpdate(
     int number,
     long epoch,
     int incarnation,
-    Standing standing,
+    MemberState state,
     int accuser,
-    MemberMetadata card,
-    MemberPayload slot) {
+    MemberMetadata metadata,
+    MemberPayload payload) {
   /** One that tells of no slot. */
   public GossipUpdate(
       int number,
       long epoch,
       int incarnation,
-      Standing standing,
+      MemberState standing,
       int accuser,
       MemberMetadata card) {
     this(number, epoch, incarnation, standing, accuser, card, null);
@@ -26,7 +26,7 @@
 
   /** Bytes that it takes in a datagram, at the most: numbers of 1 to 9 bytes as CBOR has them. */
   int bytes() {
-    return 23 + (card == null ? 0 : card.bytes()) + (slot == null ? 0 : slot.size());
+    return 23 + (metadata == null ? 0 : metadata.bytes()) + (payload == null ? 0 : payload.size());
   }
 
   /**
--- a/src/main/java/bitternpulley/membership/Self.java
+++ b/src/main/java/bitternpulley/membership/LocalMember.java
@@ -1,7 +1,7 @@
 package bitternpulley.membership;
 
 /** What this instance is, and how it answers what is said of it. */
-final class Self {
+final class LocalMember {
   /**
    * Ms by which a process may be ahead of our clock; one further ahead is made up. Bears clocks
    * that are hours apart.
@@ -24,7 +24,7 @@
   private boolean leaving;
   private MemberPayload slot;
 
-  Self(int number, MemberMetadata card, long epoch) {
+  LocalMember(int number, MemberMetadata card, long epoch) {
     this.number = number;
     this.card = card;
     this.epoch = epoch;
@@ -58,8 +58,8 @@
     leaving = true;
   }
 
-  Standing standing() {
-    return leaving ? Standing.LEFT : Standing.ALIVE;
+  MemberState standing() {
+    return leaving ? MemberState.LEFT : MemberState.ALIVE;
   }
 
   /** What it tells of itself from now on; false where it tells so already. */
@@ -85,13 +85,14 @@
    */
   boolean corrects(GossipUpdate said) {
     boolean wrong =
-        said.slot() != null
+        said.payload() != null
             && said.epoch() == epoch
-            && !said.slot().equals(slot)
-            && said.slot().count() >= (slot == null ? 0 : slot.count())
-            && said.slot().count() < MOST_COUNT;
+            && !said.payload().equals(slot)
+            && said.payload().count() >= (slot == null ? 0 : slot.count())
+            && said.payload().count() < MOST_COUNT;
     if (wrong) {
-      slot = new MemberPayload(said.slot().count() + 1, slot == null ? new byte[0] : slot.bytes());
+      slot =
+          new MemberPayload(said.payload().count() + 1, slot == null ? new byte[0] : slot.bytes());
     }
     return wrong;
   }
@@ -107,7 +108,7 @@
   boolean refutes(GossipUpdate said) {
     boolean later = said.newerThan(epoch, incarnation);
     boolean accused =
-        said.standing() != Standing.ALIVE
+        said.state() != MemberState.ALIVE
             && (later || said.epoch() == epoch && said.incarnation() == incarnation);
     if (leaving || !later && !accused) {
       return false;
--- a/src/main/java/bitternpulley/membership/Member.java
+++ b/src/main/java/bitternpulley/membership/Member.java
@@ -12,7 +12,7 @@
   MemberMetadata card;
   long epoch;
   int incarnation;
-  Standing standing = Standing.ALIVE;
+  MemberState standing = MemberState.ALIVE;
 
   /** Set while it is suspect. */
   Suspicion suspicion;
@@ -70,17 +70,17 @@
   }
 
   boolean here() {
-    return standing == Standing.ALIVE || standing == Standing.SUSPECT;
+    return standing == MemberState.ALIVE || standing == MemberState.SUSPECT;
   }
 
   /** Takes what is said that it told, if it is later; whether it was. */
   boolean learns(GossipUpdate said) {
     boolean later =
-        said.slot() != null
+        said.payload() != null
             && said.epoch() == epoch
-            && said.slot().count() <= Self.MOST_COUNT
-            && (slot == null || said.slot().count() > slot.count());
-    slot = later ? said.slot() : slot;
+            && said.payload().count() <= LocalMember.MOST_COUNT
+            && (slot == null || said.payload().count() > slot.count());
+    slot = later ? said.payload() : slot;
     return later;
   }
 
--- a/src/main/java/bitternpulley/membership/MemberMetadata.java
+++ b/src/main/java/bitternpulley/membership/MemberMetadata.java
@@ -1,11 +1,11 @@
 package bitternpulley.membership;
 
 /**
- * What a member says of itself, told while it is new. Each text has at most {@link #MOST}
+ * What a member says of itself, told while it is new. Each text has at most {@link #MAX_LENGTH}
  * characters, all of ASCII.
  */
 public record MemberMetadata(String name, String zone, String region, String build) {
-  static final int MOST = 24;
+  static final int MAX_LENGTH = 24;
 
   /** Guards against texts that would not fit a datagram, whoever configured them. */
   public MemberMetadata {
@@ -21,6 +21,7 @@
   }
 
   private static String cut(String text) {
-    return (text.length() <= MOST ? text : text.substring(0, MOST)).replaceAll("[^ -~]", "?");
+    return (text.length() <= MAX_LENGTH ? text : text.substring(0, MAX_LENGTH))
+        .replaceAll("[^ -~]", "?");
   }
 }
--- a/src/main/java/bitternpulley/membership/MemberPayload.java
+++ b/src/main/java/bitternpulley/membership/MemberPayload.java
@@ -3,19 +3,19 @@
 import java.util.Arrays;
 
 /**
- * What a member tells of itself for other subsystems: at most {@link #MOST} bytes whose first says,
- * to whoever reads them, of which form they are. Of one process's slots that with the greater count
- * is the later one.
+ * What a member tells of itself for other subsystems: at most {@link #MAX_BYTES} bytes whose first
+ * says, to whoever reads them, of which form they are. Of one process's slots that with the greater
+ * count is the later one.
  */
 public final class MemberPayload {
-  public static final int MOST = 64;
+  public static final int MAX_BYTES = 64;
 
   private final int count;
   private final byte[] bytes;
 
   /** Throws IllegalArgumentException where it is too long. */
   public MemberPayload(int count, byte[] bytes) {
-    if (bytes.length > MOST) {
+    if (bytes.length > MAX_BYTES) {
       throw new IllegalArgumentException("a slot of " + bytes.length + " bytes");
     }
     this.count = count;
--- a/src/main/java/bitternpulley/membership/MemberView.java
+++ b/src/main/java/bitternpulley/membership/MemberView.java
@@ -1,18 +1,18 @@
 package bitternpulley.membership;
 
 /**
- * One member as an instance holds it; times are ms ago, infinite where never; {@code hearing} is
- * what it tells of itself.
+ * One member as an instance holds it; times are ms ago, infinite where never; {@code reachability}
+ * is what it tells of itself.
  */
 public record MemberView(
     int number,
     long epoch,
-    Standing standing,
-    MemberMetadata card,
+    MemberState state,
+    MemberMetadata metadata,
     double since,
-    double heard,
+    double heardFrom,
     boolean byOthers,
-    ReachabilityReport hearing) {
+    ReachabilityReport reachability) {
   static MemberView of(Member m, double now) {
     return new MemberView(
         m.number,
--- a/src/main/java/bitternpulley/membership/Membership.java
+++ b/src/main/java/bitternpulley/membership/Membership.java
@@ -1,14 +1,14 @@
 package bitternpulley.membership;
 
-import bitternpulley.membership.Message.Kind;
+import bitternpulley.membership.GossipMessage.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 
 /**
  * One instance's part in finding out who is here. All times are ms of one clock; each call returns
- * what is to be sent and told, in order. {@link #tick} is to be called each {@link #tickEvery} ms:
- * that it comes late is how a pause is noticed.
+ * what is to be sent and told, in order. {@link #tick} is to be called each {@link #tickInterval}
+ * ms: that it comes late is how a pause is noticed.
  */
 public final class Membership {
   /** Ticks in an interval, and intervals without a tick that make a pause. */
@@ -45,15 +45,15 @@
   private static final int TOLD_OF_LEAVING = 6;
 
   private final int self;
-  private final Self me;
+  private final LocalMember me;
   private final MembershipSettings terms;
   private final Random random;
-  private final Table table;
+  private final MembershipTable table;
   private final MessageComposer voice;
   private final LocalHealth doubt = new LocalHealth();
   private final ReachabilityTracker ears = new ReachabilityTracker();
   private final Prober prober;
-  private List<Output> out = new ArrayList<>();
+  private List<MembershipAction> out = new ArrayList<>();
   private final double startedAt;
   private double now;
   private double tickedAt;
@@ -65,7 +65,7 @@
   /** Since when most others are heard, while anybody is suspect; infinity while they are not. */
   private double mostSince = Double.POSITIVE_INFINITY;
 
-  private long ignored;
+  private long ignoredMessages;
 
   /**
    * An instance that starts.
@@ -83,10 +83,10 @@
       long seed,
       double now) {
     this.self = self;
-    this.me = new Self(self, card, epoch);
+    this.me = new LocalMember(self, card, epoch);
     this.terms = terms;
     this.random = new Random(seed);
-    this.table = new Table(self);
+    this.table = new MembershipTable(self);
     this.voice = new MessageComposer(self, me, table);
     configured.forEach(n -> table.configure(n, now));
     this.now = startedAt = tickedAt = heardAt = now;
@@ -95,17 +95,17 @@
     voice.later(me.rumor());
   }
 
-  public double tickEvery() {
+  public double tickInterval() {
     return terms.interval() / TICKS;
   }
 
   /** Digest of the view: equal on instances that hold the same members for here, dead and gone. */
-  public int view() {
+  public int viewDigest() {
     return table.digest(me.epoch());
   }
 
   /** This instance's doubt in itself: 0 where it is well. */
-  public int selfHealth() {
+  public int localHealth() {
     return doubt.score();
   }
 
@@ -115,8 +115,8 @@
   }
 
   /** Messages and rumors that could not be used, so far. */
-  public long ignored() {
-    return ignored;
+  public long ignoredMessages() {
+    return ignoredMessages;
   }
 
   /** All that are known, this one included, by number. */
@@ -138,7 +138,7 @@
   }
 
   /** How a member stands; null where it is not known. */
-  public Standing standing(int number) {
+  public MemberState stateOf(int number) {
     Member m = table.known(number);
     return number == self ? me.standing() : m == null ? null : m.standing;
   }
@@ -146,11 +146,11 @@
   // --- What happens ------------------------------------------------------------------------------
 
   /** The time goes on. */
-  public List<Output> tick(double at) {
+  public List<MembershipAction> tick(double at) {
     begin(at);
     double gap = now - tickedAt;
     tickedAt = now;
-    if (gap > tickEvery() + PAUSE * terms.interval()) {
+    if (gap > tickInterval() + PAUSE * terms.interval()) {
       woke(gap);
     }
     prober.tick(now, me.leaving());
@@ -168,10 +168,10 @@
       saidAt = now;
       prober.greet(LONELY_ASKED);
     }
-    if (now >= heardAt + terms.aloneAfter() / 2 && !me.leaving()) {
+    if (now >= heardAt + terms.withoutMajorityAfter() / 2 && !me.leaving()) {
       new ArrayList<>(table.all())
           .stream()
-              .filter(m -> m.standing == Standing.ALIVE)
+              .filter(m -> m.standing == MemberState.ALIVE)
               .forEach(m -> suspect(m, self, "nobody is heard"));
     }
     if (now >= nextSync) {
@@ -182,29 +182,29 @@
   }
 
   /** A message has come from the address of the member that it names. */
-  public List<Output> heard(Message message, double at) {
+  public List<MembershipAction> onMessage(GossipMessage message, double at) {
     begin(at);
     Member from = table.known(message.from());
     if (from == null
-        || !Self.plausible(message.epoch(), message.incarnation(), now)
+        || !LocalMember.plausible(message.epoch(), message.incarnation(), now)
         || from.floods(now, terms.interval())) {
-      ignored++;
+      ignoredMessages++;
       return out;
     }
     if (message.epoch() < from.epoch) {
       // An earlier process's word, late; or a clock set back since: told how it stands, it takes a
       // later epoch.
-      ignored++;
+      ignoredMessages++;
       send(from.number, Kind.ACK, 0, from.number);
       return out;
     }
     heardAt = from.spokeAt = from.heardAt = now;
     if (new GossipUpdate(
-            from.number, message.epoch(), message.incarnation(), Standing.ALIVE, -1, null)
+            from.number, message.epoch(), message.incarnation(), MemberState.ALIVE, -1, null)
         .newerThan(from.epoch, from.incarnation)) {
       renewed(from, message.epoch(), message.incarnation(), null, "its own word");
     }
-    message.rumors().stream().limit(Message.MOST_RUMORS).forEach(r -> rumor(r, from));
+    message.updates().stream().limit(GossipMessage.MAX_UPDATES).forEach(r -> rumor(r, from));
     switch (message.kind()) {
       case PING -> send(from.number, Kind.ACK, message.sequence(), self);
       case ACK -> prober.answered(message, now);
@@ -212,8 +212,8 @@
       case NACK -> prober.declined(message);
       case SYNC -> {}
     }
-    boolean differs = message.view() != view();
-    if ((differs || message.told() != voice.told())
+    boolean differs = message.viewDigest() != viewDigest();
+    if ((differs || message.payloadDigest() != voice.told())
         && now >= nextSync - (SYNC_EVERY - SYNC_LEAST) * terms.interval()) {
       nextSync = now + SYNC_EVERY * terms.interval();
       sync(from.number, !differs);
@@ -225,7 +225,7 @@
    * What other subsystems have it tell, at most {@link ReachabilityReport#PAYLOAD} bytes; it
    * reaches all others in some intervals.
    */
-  public void tell(byte[] payload) {
+  public void publish(byte[] payload) {
     tells(ears.tell(payload));
   }
 
@@ -236,7 +236,7 @@
   }
 
   /** This instance is about to end. */
-  public List<Output> leave(double at) {
+  public List<MembershipAction> leave(double at) {
     begin(at);
     me.leave();
     voice.add(me.rumor());
@@ -257,7 +257,7 @@
    * hear again. It asks at once how it stands itself.
    */
   private void woke(double ms) {
-    out.add(new Output.Woke(ms));
+    out.add(new MembershipAction.Resumed(ms));
     doubt.paused(ms, terms.interval());
     table.all().stream().filter(m -> m.suspicion != null).forEach(m -> m.suspicion.postpone(ms));
     prober.woke();
@@ -291,8 +291,8 @@
       if (ears.answered(target, target.byOthers)) {
         prober.check(target);
       }
-      if (target.standing == Standing.SUSPECT) {
-        stands(target, Standing.ALIVE, target.byOthers ? "answered " + by : "answered");
+      if (target.standing == MemberState.SUSPECT) {
+        stands(target, MemberState.ALIVE, target.byOthers ? "answered " + by : "answered");
         voice.add(target.rumor(-1));
       }
     }
@@ -301,8 +301,8 @@
   // --- What is said of members -------------------------------------------------------------------
 
   private void rumor(GossipUpdate said, Member teller) {
-    if (!Self.plausible(said.epoch(), said.incarnation(), now)) {
-      ignored++;
+    if (!LocalMember.plausible(said.epoch(), said.incarnation(), now)) {
+      ignoredMessages++;
       return;
     }
     if (said.number() == self) {
@@ -317,24 +317,25 @@
     }
     Member m = table.known(said.number());
     if (m == null) {
-      ignored++;
+      ignoredMessages++;
       return;
     }
     if (m.learns(said)) {
       table.changed(m);
       voice.slot(m.slotRumor());
-      out.add(new Output.Told(m.number, m.epoch, ReachabilityReport.of(m.slot)));
+      out.add(
+          new MembershipAction.PayloadReceived(m.number, m.epoch, ReachabilityReport.of(m.slot)));
     }
     boolean newer = said.newerThan(m.epoch, m.incarnation);
-    if (m == teller && said.standing() == Standing.LEFT) {
+    if (m == teller && said.state() == MemberState.LEFT) {
       if (m.here() && said.epoch() == m.epoch) {
-        stands(m, Standing.LEFT, "its own word");
+        stands(m, MemberState.LEFT, "its own word");
         voice.add(m.rumor(-1));
       }
-    } else if (said.standing() == Standing.ALIVE) {
-      m.card = m.card == null && said.epoch() == m.epoch ? said.card() : m.card;
+    } else if (said.state() == MemberState.ALIVE) {
+      m.card = m.card == null && said.epoch() == m.epoch ? said.metadata() : m.card;
       if (newer && believed(m, said, teller.number)) {
-        renewed(m, said.epoch(), said.incarnation(), said.card(), "told by " + teller.number);
+        renewed(m, said.epoch(), said.incarnation(), said.metadata(), "told by " + teller.number);
       }
     } else if (m.here() && newer && m.epoch != 0) {
       // Nobody is accused of what one has not heard of: asked itself, it says how it stands.
@@ -347,15 +348,15 @@
         m.heardOf(said.epoch(), said.incarnation());
         table.changed(m);
       }
-      m.saidToLeave |= said.standing() == Standing.LEFT;
+      m.saidToLeave |= said.state() == MemberState.LEFT;
       // Whoever has heard it since takes no other's word for it.
-      if (m.standing == Standing.SUSPECT
+      if (m.standing == MemberState.SUSPECT
           || m.heardAt < now - terms.interval()
-          || said.standing() == Standing.LEFT) {
+          || said.state() == MemberState.LEFT) {
         suspect(
             m, said.accuser(), said.accuser() < 0 ? "said to leave" : "told by " + said.accuser());
       }
-      if (m.suspicion != null && said.standing() == Standing.DEAD) {
+      if (m.suspicion != null && said.state() == MemberState.DEAD) {
         m.suspicion.givenUp();
       }
       if (m.suspicion != null && m.suspicion.isHearsay()) {
@@ -390,22 +391,23 @@
     m.failedAt = Double.NEGATIVE_INFINITY;
     table.changed(m);
     if (first) {
-      stands(m, Standing.ALIVE, "heard of for the first time: " + evidence);
+      stands(m, MemberState.ALIVE, "heard of for the first time: " + evidence);
       voice.later(m.rumor(-1));
       return;
     }
-    if (another || m.standing != Standing.ALIVE) {
-      stands(m, Standing.ALIVE, another ? "started anew: " + evidence : "refuted: " + evidence);
+    if (another || m.standing != MemberState.ALIVE) {
+      stands(m, MemberState.ALIVE, another ? "started anew: " + evidence : "refuted: " + evidence);
     }
     voice.add(m.rumor(-1));
   }
 
   private void suspect(Member m, int accuser, String evidence) {
-    if (m.standing == Standing.ALIVE) {
-      stands(m, Standing.SUSPECT, evidence);
-      m.suspicion = new Suspicion(now, terms.suspicion() * terms.interval(), table.here() - 2);
+    if (m.standing == MemberState.ALIVE) {
+      stands(m, MemberState.SUSPECT, evidence);
+      m.suspicion =
+          new Suspicion(now, terms.suspicionIntervals() * terms.interval(), table.here() - 2);
     }
-    if (m.standing == Standing.SUSPECT && m.suspicion.confirmedBy(accuser)) {
+    if (m.standing == MemberState.SUSPECT && m.suspicion.confirmedBy(accuser)) {
       voice.add(m.rumor(accuser));
     }
   }
@@ -418,7 +420,7 @@
     if (now < m.suspicion.endsAt() || now < judgeFrom) {
       return;
     }
-    if (!m.suspicion.failedTwice() && heardAt > now - terms.aloneAfter()) {
+    if (!m.suspicion.failedTwice() && heardAt > now - terms.withoutMajorityAfter()) {
       prober.check(m);
       return;
     }
@@ -428,14 +430,14 @@
       return; // it runs, though it does not hear us: in doubt for as long as that lasts
     }
     boolean most = mostSince < Double.POSITIVE_INFINITY;
-    boolean alone = now >= m.suspicion.since() + terms.aloneAfter();
+    boolean alone = now >= m.suspicion.since() + terms.withoutMajorityAfter();
     if (!alone && !m.suspicion.failedTwiceSince(mostSince)) {
       prober.check(m);
     } else if (alone
         || now >= m.suspicion.endsAt() + m.suspicion.lasts() * (doubt.patience() - 1)) {
       stands(
           m,
-          m.saidToLeave ? Standing.LEFT : Standing.DEAD,
+          m.saidToLeave ? MemberState.LEFT : MemberState.DEAD,
           "silent for "
               + Math.round(now - m.heardAt)
               + " ms, "
@@ -446,24 +448,24 @@
     }
   }
 
-  private void stands(Member m, Standing next, String evidence) {
-    Standing before = m.standing;
+  private void stands(Member m, MemberState next, String evidence) {
+    MemberState before = m.standing;
     m.standing = next;
     m.since = now;
-    m.suspicion = next == Standing.SUSPECT ? m.suspicion : null;
-    m.saidToLeave &= next == Standing.SUSPECT;
+    m.suspicion = next == MemberState.SUSPECT ? m.suspicion : null;
+    m.saidToLeave &= next == MemberState.SUSPECT;
     table.changed(m);
-    out.add(new Output.Changed(m.number, m.card, before, next, evidence));
+    out.add(new MembershipAction.StateChanged(m.number, m.card, before, next, evidence));
   }
 
   // --- What is sent ------------------------------------------------------------------------------
 
   private void send(int to, Kind kind, int number, int target) {
-    out.add(new Output.Send(to, voice.say(kind, to, number, target)));
+    out.add(new MembershipAction.Send(to, voice.say(kind, to, number, target)));
   }
 
   private void sync(int to, boolean told) {
     ears.look(table, now - SPOKE_WITHIN * terms.interval()).ifPresent(this::tells);
-    out.add(new Output.Send(to, voice.page(to, told)));
+    out.add(new MembershipAction.Send(to, voice.page(to, told)));
   }
 }
--- a/src/main/java/bitternpulley/membership/Output.java
+++ b/src/main/java/bitternpulley/membership/MembershipAction.java
@@ -1,18 +1,19 @@
 package bitternpulley.membership;
 
 /** What the state machine asks to be done, or tells. */
-public sealed interface Output {
+public sealed interface MembershipAction {
   /** Send a message to a member. */
-  record Send(int to, Message message) implements Output {}
+  record Send(int to, GossipMessage message) implements MembershipAction {}
 
   /** A member stands otherwise from now on; {@code evidence} says why, for the log. */
-  record Changed(int number, MemberMetadata card, Standing before, Standing now, String evidence)
-      implements Output {
+  record StateChanged(
+      int number, MemberMetadata metadata, MemberState before, MemberState now, String evidence)
+      implements MembershipAction {
     @Override
     public String toString() {
       return "member "
           + number
-          + (card == null ? "" : " (" + card.name() + ")")
+          + (metadata == null ? "" : " (" + metadata.name() + ")")
           + " is "
           + now.name().toLowerCase(java.util.Locale.ROOT)
           + ", was "
@@ -23,19 +24,20 @@
   }
 
   /** A member tells this of itself from now on. */
-  record Told(int number, long epoch, ReachabilityReport hearing) implements Output {
+  record PayloadReceived(int number, long epoch, ReachabilityReport reachability)
+      implements MembershipAction {
     @Override
     public String toString() {
-      return "member " + number + " tells " + hearing;
+      return "member " + number + " tells " + reachability;
     }
   }
 
   /** This instance did not run for so many ms, and withholds judgement until it has heard again. */
-  record Woke(double ms) implements Output {
+  record Resumed(double pausedForMs) implements MembershipAction {
     @Override
     public String toString() {
       return "this instance did not run for "
-          + Math.round(ms)
+          + Math.round(pausedForMs)
           + " ms and judges nobody for a while";
     }
   }
--- a/src/main/java/bitternpulley/membership/Table.java
+++ b/src/main/java/bitternpulley/membership/MembershipTable.java
@@ -12,7 +12,7 @@
  * The other members, by number: those that are configured. Guards against members made up by what
  * others say.
  */
-final class Table {
+final class MembershipTable {
   /**
    * So many members or fewer are all heard within a suspicion; of more, so many at least must be
    * known of.
@@ -35,7 +35,7 @@
   private long digestOf;
   private int told;
 
-  Table(int self) {
+  MembershipTable(int self) {
     this.self = self;
   }
 
@@ -55,7 +55,7 @@
   void changed(Member m) {
     here = -1;
     suspects.remove(m);
-    if (m.standing == Standing.SUSPECT) {
+    if (m.standing == MemberState.SUSPECT) {
       suspects.add(m);
     }
   }
@@ -98,9 +98,9 @@
     int heard = 1;
     int here = here();
     for (Member m : byNumber.values()) {
-      boolean hears = m.standing == Standing.ALIVE && m.heardAt > since;
+      boolean hears = m.standing == MemberState.ALIVE && m.heardAt > since;
       if (m.here()
-          && (here <= FEW || hears || m.standing == Standing.SUSPECT || m.failedAt > since)) {
+          && (here <= FEW || hears || m.standing == MemberState.SUSPECT || m.failedAt > since)) {
         known++;
         heard += hears ? 1 : 0;
       }
--- a/src/main/java/bitternpulley/membership/MessageComposer.java
+++ b/src/main/java/bitternpulley/membership/MessageComposer.java
@@ -1,6 +1,6 @@
 package bitternpulley.membership;
 
-import bitternpulley.membership.Message.Kind;
+import bitternpulley.membership.GossipMessage.Kind;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -10,14 +10,14 @@
  */
 final class MessageComposer {
   private final int self;
-  private final Self me;
-  private final Table table;
+  private final LocalMember me;
+  private final MembershipTable table;
   private final DisseminationQueue spread = new DisseminationQueue();
   private final DisseminationQueue slots = new DisseminationQueue();
   private final AntiEntropy pages;
   private boolean slotsFirst;
 
-  MessageComposer(int self, Self me, Table table) {
+  MessageComposer(int self, LocalMember me, MembershipTable table) {
     this.self = self;
     this.me = me;
     this.table = table;
@@ -39,34 +39,37 @@
     slots.add(rumor);
   }
 
-  Message say(Kind kind, int to, int number, int target) {
+  GossipMessage say(Kind kind, int to, int number, int target) {
     Member m = table.known(to);
     // Whoever is held for anything but alive is told so first of all, that it may refute.
-    GossipUpdate first = m != null && m.standing != Standing.ALIVE ? m.rumor(self) : null;
+    GossipUpdate first = m != null && m.standing != MemberState.ALIVE ? m.rumor(self) : null;
     // By turns half is for slots. Guards against a start of many, whose news alone fills every
     // message for minutes.
     slotsFirst = !slotsFirst;
     List<GossipUpdate> rumors = new ArrayList<>();
     if (slotsFirst && first == null) {
-      rumors.addAll(slots.next(table.here(), null, Message.RUMOR_BYTES / 2, Message.MOST_RUMORS));
       rumors.addAll(
-          spread.next(table.here(), null, left(rumors), Message.MOST_RUMORS - rumors.size()));
+          slots.next(
+              table.here(), null, GossipMessage.UPDATE_BYTES / 2, GossipMessage.MAX_UPDATES));
+      rumors.addAll(
+          spread.next(table.here(), null, left(rumors), GossipMessage.MAX_UPDATES - rumors.size()));
     } else {
-      rumors.addAll(spread.next(table.here(), first, Message.RUMOR_BYTES, Message.MOST_RUMORS));
       rumors.addAll(
-          slots.next(table.here(), null, left(rumors), Message.MOST_RUMORS - rumors.size()));
+          spread.next(table.here(), first, GossipMessage.UPDATE_BYTES, GossipMessage.MAX_UPDATES));
+      rumors.addAll(
+          slots.next(table.here(), null, left(rumors), GossipMessage.MAX_UPDATES - rumors.size()));
     }
     return message(kind, number, target, rumors);
   }
 
   private static int left(List<GossipUpdate> rumors) {
-    return Message.RUMOR_BYTES - rumors.stream().mapToInt(GossipUpdate::bytes).sum();
+    return GossipMessage.UPDATE_BYTES - rumors.stream().mapToInt(GossipUpdate::bytes).sum();
   }
 
   /**
    * A page of what is known, the next one each time: of what members tell, or of how they stand.
    */
-  Message page(int to, boolean told) {
+  GossipMessage page(int to, boolean told) {
     return message(
         Kind.SYNC,
         0,
@@ -79,8 +82,8 @@
     return table.told(me.epoch(), me.slot() == null ? 0 : me.slot().count());
   }
 
-  private Message message(Kind kind, int number, int target, List<GossipUpdate> rumors) {
-    return new Message(
+  private GossipMessage message(Kind kind, int number, int target, List<GossipUpdate> rumors) {
+    return new GossipMessage(
         kind,
         self,
         me.epoch(),
--- a/src/main/java/bitternpulley/membership/Prober.java
+++ b/src/main/java/bitternpulley/membership/Prober.java
@@ -1,6 +1,6 @@
 package bitternpulley.membership;
 
-import bitternpulley.membership.Message.Kind;
+import bitternpulley.membership.GossipMessage.Kind;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -49,7 +49,7 @@
 
   private final int self;
   private final MembershipSettings terms;
-  private final Table table;
+  private final MembershipTable table;
   private final LocalHealth doubt;
   private final Random random;
   private final Heard heard;
@@ -72,7 +72,7 @@
   Prober(
       int self,
       MembershipSettings terms,
-      Table table,
+      MembershipTable table,
       LocalHealth doubt,
       Random random,
       Heard heard,
@@ -176,7 +176,7 @@
   private void ask(double now) {
     if (++probes % LOST_EVERY == 0) {
       table
-          .some(1, random, m -> m.standing == Standing.DEAD || m.here() && m.epoch == 0)
+          .some(1, random, m -> m.standing == MemberState.DEAD || m.here() && m.epoch == 0)
           .forEach(this::greet);
     }
     Member target = null;
@@ -210,7 +210,7 @@
           table.some(
               terms.relays(),
               random,
-              m -> m != target && m.standing == Standing.ALIVE && m.epoch != 0)) {
+              m -> m != target && m.standing == MemberState.ALIVE && m.epoch != 0)) {
         probe.askedHelper(helper.number);
         heard.send(helper.number, Kind.RELAY, probe.sequence, target.number);
       }
@@ -220,14 +220,14 @@
 
   private void failed(Probe failed, double now) {
     Member target = failed.target;
-    if (!failed.othersAgree() && target.standing == Standing.ALIVE) {
+    if (!failed.othersAgree() && target.standing == MemberState.ALIVE) {
       doubt.unanswered(); // that a suspect does not answer is no news
     }
     target.failedAt = now;
     heard.failed(target, failed.sentAt());
   }
 
-  void answered(Message ack, double now) {
+  void answered(GossipMessage ack, double now) {
     Helping asked = helping.remove(ack.sequence());
     if (asked != null && asked.target() == ack.from()) {
       heard.send(asked.origin(), Kind.ACK, asked.sequence(), asked.target());
@@ -250,13 +250,13 @@
   }
 
   /** The probe that a message answers; null where it is over. */
-  private Probe of(Message said) {
+  private Probe of(GossipMessage said) {
     return probe != null && probe.sequence == said.sequence()
         ? probe
         : checking != null && checking.sequence == said.sequence() ? checking : null;
   }
 
-  void declined(Message nack) {
+  void declined(GossipMessage nack) {
     Probe of = of(nack);
     if (of != null) {
       of.helperDeclined(nack.from());
@@ -264,7 +264,7 @@
   }
 
   /** Asks one for another; says at once where it cannot. */
-  void help(Message asked, double now) {
+  void help(GossipMessage asked, double now) {
     Member target = table.known(asked.target());
     if (target == null || asked.target() == self || helping.size() >= MOST_HELPING) {
       heard.send(asked.from(), Kind.NACK, asked.sequence(), asked.target());
--- a/src/main/java/bitternpulley/membership/ReachabilityReport.java
+++ b/src/main/java/bitternpulley/membership/ReachabilityReport.java
@@ -16,7 +16,7 @@
   static final int MOST = 8;
 
   /** Bytes that are left for other subsystems. */
-  public static final int PAYLOAD = MemberPayload.MOST - 2 - 2 * MOST;
+  public static final int PAYLOAD = MemberPayload.MAX_BYTES - 2 - 2 * MOST;
 
   private static final byte FORM = 1;
   private static final int SPEAKS = 0x8000;
--- a/src/main/java/bitternpulley/membership/ReachabilityTracker.java
+++ b/src/main/java/bitternpulley/membership/ReachabilityTracker.java
@@ -27,7 +27,7 @@
   }
 
   /** What is to be told from now on, where it is something else. */
-  Optional<byte[]> look(Table table, double speaksSince) {
+  Optional<byte[]> look(MembershipTable table, double speaksSince) {
     Map<Integer, Boolean> now = new TreeMap<>();
     for (Member m : table.all()) {
       if (m.here() && m.missed >= SURE && now.size() < ReachabilityReport.MOST) {
--- a/src/main/java/bitternpulley/opensearch/SearchFront.java
+++ b/src/main/java/bitternpulley/opensearch/SearchFront.java
@@ -4,10 +4,10 @@
 import bitternpulley.broker.Clock;
 import bitternpulley.broker.Event;
 import bitternpulley.broker.Request;
-import bitternpulley.config.Json;
 import bitternpulley.config.SearchConfiguration;
-import bitternpulley.contracts.Prints;
-import bitternpulley.contracts.Recognition;
+import bitternpulley.config.StrictJson;
+import bitternpulley.contracts.QueryFingerprint;
+import bitternpulley.contracts.TenantIdentification;
 import bitternpulley.net.HttpServer;
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
@@ -57,7 +57,7 @@
   private final SearchServers servers;
   private final Clock clock;
   private final String instance;
-  private final Supplier<Recognition> recognition;
+  private final Supplier<TenantIdentification> recognition;
 
   /** {@code recognition} tells whose a search is, as the contracts in force have it. */
   public SearchFront(
@@ -67,7 +67,7 @@
       SearchServers servers,
       Clock clock,
       String name,
-      Supplier<Recognition> recognition) {
+      Supplier<TenantIdentification> recognition) {
     this.recognition = recognition;
     this.settings = settings;
     this.config = config;
@@ -121,20 +121,20 @@
    * Who asks: by the key shown, and the token that keyed classes need, or null; and how late that
    * was read.
    */
-  private record Asker(Recognition.Holder holder, String token, Router.Lateness late) {
+  private record Asker(TenantIdentification.KeyOwner holder, String token, Router.Lateness late) {
     /** The same for one search of several. */
     Asker of(int place) {
       return new Asker(holder, token == null ? null : token + "." + place, late);
     }
   }
 
-  private Recognition.Holder holder(HttpServer.Request request) {
-    Recognition known = recognition.get();
-    if (known == Recognition.NONE) {
-      return new Recognition.Holder(Recognition.Shown.NOTHING, null);
+  private TenantIdentification.KeyOwner holder(HttpServer.Request request) {
+    TenantIdentification known = recognition.get();
+    if (known == TenantIdentification.NONE) {
+      return new TenantIdentification.KeyOwner(TenantIdentification.KeyStatus.ABSENT, null);
     }
-    Recognition.Holder holder = known.byKey(request.head().header("Authorization"));
-    if (holder.shown() == Recognition.Shown.UNKNOWN && !known.hasFallback()) {
+    TenantIdentification.KeyOwner holder = known.byKey(request.head().header("Authorization"));
+    if (holder.status() == TenantIdentification.KeyStatus.UNKNOWN && !known.hasFallback()) {
       throw new SearchException(
           401, "security_exception", "unable to authenticate with the key that is shown");
     }
@@ -145,12 +145,12 @@
    * A key goes before the index; a key that is not known leaves only the contract that is for
    * anybody.
    */
-  private String team(Recognition.Holder holder, List<Search.Part> parts) {
-    if (holder.shown() != Recognition.Shown.NOTHING) {
+  private String team(TenantIdentification.KeyOwner holder, List<Search.Part> parts) {
+    if (holder.status() != TenantIdentification.KeyStatus.ABSENT) {
       return holder.team();
     }
-    Recognition known = recognition.get();
-    if (known == Recognition.NONE) {
+    TenantIdentification known = recognition.get();
+    if (known == TenantIdentification.NONE) {
       return null;
     }
     List<String> teams =
@@ -293,9 +293,9 @@
         parts.stream().map(p -> new Request.QueryPart(p.section(), 1.0 / parts.size(), 0)).toList();
     String team = team(asker.holder(), parts);
     long print =
-        recognition.get() == Recognition.NONE
+        recognition.get() == TenantIdentification.NONE
             ? 0
-            : Prints.of(
+            : QueryFingerprint.of(
                 (parts + search[0].body().toString()).getBytes(StandardCharsets.UTF_8),
                 search[0].requestClass());
     broker.submit(
@@ -348,7 +348,7 @@
 
   private static JsonNode json(byte[] text) {
     try {
-      return Json.read(text);
+      return StrictJson.read(text);
     } catch (IOException e) {
       throw new SearchException(400, "parsing_exception", "the body is not JSON");
     }
--- a/src/main/java/bitternpulley/opensearch/SearchResponse.java
+++ b/src/main/java/bitternpulley/opensearch/SearchResponse.java
@@ -2,7 +2,7 @@
 
 import bitternpulley.broker.Effect.Answer;
 import bitternpulley.broker.Payload;
-import bitternpulley.contracts.Verdict;
+import bitternpulley.contracts.AdmissionDecision;
 import bitternpulley.routing.Router.Outcome;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -57,7 +57,7 @@
    * kept.
    */
   private static SearchResponse exceeded(Answer.Rejected r) {
-    Verdict.Refused no = r.contract();
+    AdmissionDecision.Rejected no = r.contract();
     SearchResponse refusal =
         error(
             new SearchException(
@@ -75,8 +75,8 @@
         .put("id", no.team())
         .put("version", no.version())
         .put("limit", no.limit().text())
-        .put("retry_after_ms", Math.round(no.pause()));
-    return new SearchResponse(429, refusal.body(), (long) Math.ceil(no.pause() / 1000));
+        .put("retry_after_ms", Math.round(no.retryAfter()));
+    return new SearchResponse(429, refusal.body(), (long) Math.ceil(no.retryAfter() / 1000));
   }
 
   /** An error body. */
--- a/src/main/java/bitternpulley/opensearch/SearchServers.java
+++ b/src/main/java/bitternpulley/opensearch/SearchServers.java
@@ -6,7 +6,7 @@
 import bitternpulley.broker.Effect;
 import bitternpulley.broker.Event;
 import bitternpulley.broker.Payload;
-import bitternpulley.config.Json;
+import bitternpulley.config.StrictJson;
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
 import bitternpulley.net.HttpClient;
@@ -191,7 +191,7 @@
     AttemptId id = attempt.id();
     JsonNode body;
     try {
-      body = Json.read(response.body());
+      body = StrictJson.read(response.body());
     } catch (IOException e) {
       body = null;
     }
--- a/src/main/java/bitternpulley/peers/PeerCodec.java
+++ b/src/main/java/bitternpulley/peers/GossipCodec.java
@@ -3,11 +3,11 @@
 import bitternpulley.broker.Event;
 import bitternpulley.leases.LeaseMessage;
 import bitternpulley.leases.LeaseTerms;
+import bitternpulley.membership.GossipMessage;
 import bitternpulley.membership.GossipUpdate;
 import bitternpulley.membership.MemberMetadata;
 import bitternpulley.membership.MemberPayload;
-import bitternpulley.membership.Message;
-import bitternpulley.membership.Standing;
+import bitternpulley.membership.MemberState;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -28,7 +28,7 @@
  * sequence, after how many ms, named as bits]} grants. What a later version adds behind these is
  * not read.
  */
-final class PeerCodec {
+final class GossipCodec {
   /** The longest datagram that the platform carries; what is longer voids a run. */
   static final int MOST_BYTES = 256;
 
@@ -60,12 +60,12 @@
   private final int deployment;
 
   /** {@code deployment} is the same on all that are to find each other. */
-  PeerCodec(String deployment) {
+  GossipCodec(String deployment) {
     this.deployment = deployment.hashCode();
   }
 
   byte[] encode(LeaseMessage m) {
-    if (m instanceof LeaseMessage.Asked a) {
+    if (m instanceof LeaseMessage.LeaseRequest a) {
       return encode(
           6,
           ASKED,
@@ -75,19 +75,19 @@
             out.writeNumber(a.sequence());
           });
     }
-    LeaseMessage.Granted g = (LeaseMessage.Granted) m;
+    LeaseMessage.LeaseGrant g = (LeaseMessage.LeaseGrant) m;
     return encode(
         7,
         GRANTED,
         g.from(),
         out -> {
           out.writeNumber(g.sequence());
-          out.writeNumber((long) Math.ceil(g.after()));
-          out.writeBinary(g.named().toByteArray());
+          out.writeNumber((long) Math.ceil(g.delay()));
+          out.writeBinary(g.holders().toByteArray());
         });
   }
 
-  byte[] encode(Message m) {
+  byte[] encode(GossipMessage m) {
     return encode(
         11,
         m.kind().ordinal(),
@@ -97,13 +97,13 @@
           out.writeNumber(m.incarnation());
           out.writeNumber(m.sequence());
           out.writeNumber(m.target());
-          out.writeNumber(m.view());
-          out.writeStartArray(null, m.rumors().size());
-          for (GossipUpdate r : m.rumors()) {
+          out.writeNumber(m.viewDigest());
+          out.writeStartArray(null, m.updates().size());
+          for (GossipUpdate r : m.updates()) {
             rumor(out, r);
           }
           out.writeEndArray();
-          out.writeNumber(m.told());
+          out.writeNumber(m.payloadDigest());
         });
   }
 
@@ -127,21 +127,25 @@
   }
 
   private static void rumor(JsonGenerator out, GossipUpdate r) throws IOException {
-    out.writeStartArray(null, 5 + (r.card() == null ? 0 : 4) + (r.slot() == null ? 0 : 2));
+    out.writeStartArray(null, 5 + (r.metadata() == null ? 0 : 4) + (r.payload() == null ? 0 : 2));
     out.writeNumber(r.number());
     out.writeNumber(r.epoch());
     out.writeNumber(r.incarnation());
-    out.writeNumber(r.standing().ordinal());
+    out.writeNumber(r.state().ordinal());
     out.writeNumber(r.accuser());
-    if (r.card() != null) {
+    if (r.metadata() != null) {
       for (String text :
-          List.of(r.card().name(), r.card().zone(), r.card().region(), r.card().build())) {
+          List.of(
+              r.metadata().name(),
+              r.metadata().zone(),
+              r.metadata().region(),
+              r.metadata().build())) {
         out.writeString(text);
       }
     }
-    if (r.slot() != null) {
-      out.writeNumber(r.slot().count());
-      out.writeBinary(r.slot().bytes());
+    if (r.payload() != null) {
+      out.writeNumber(r.payload().count());
+      out.writeBinary(r.payload().bytes());
     }
     out.writeEndArray();
   }
@@ -170,8 +174,8 @@
             from,
             new Event.LeaseMessageReceived(
                 kind == ASKED
-                    ? new LeaseMessage.Asked(from, number(in), integer(in))
-                    : new LeaseMessage.Granted(from, integer(in), number(in), named(in))));
+                    ? new LeaseMessage.LeaseRequest(from, number(in), integer(in))
+                    : new LeaseMessage.LeaseGrant(from, integer(in), number(in), named(in))));
       }
       long epoch = number(in);
       int incarnation = integer(in);
@@ -180,14 +184,14 @@
       int view = integer(in);
       begin(in, in.nextToken());
       List<GossipUpdate> rumors = new ArrayList<>();
-      while (in.nextToken() == JsonToken.START_ARRAY && rumors.size() < Message.MOST_RUMORS) {
+      while (in.nextToken() == JsonToken.START_ARRAY && rumors.size() < GossipMessage.MAX_UPDATES) {
         rumors.add(rumor(in));
       }
       return new Datagram(
           from,
           new Event.GossipReceived(
-              new Message(
-                  one(Message.Kind.values(), kind),
+              new GossipMessage(
+                  one(GossipMessage.Kind.values(), kind),
                   from,
                   epoch,
                   incarnation,
@@ -204,7 +208,7 @@
       throw new IOException("no bytes");
     }
     BitSet named = BitSet.valueOf(in.getBinaryValue());
-    if (named.length() > LeaseTerms.MOST_MEMBERS) {
+    if (named.length() > LeaseTerms.MAX_MEMBERS) {
       throw new IOException("members beyond the most");
     }
     return named;
@@ -214,7 +218,7 @@
     int number = integer(in);
     long epoch = number(in);
     int incarnation = integer(in);
-    Standing standing = one(Standing.values(), integer(in));
+    MemberState standing = one(MemberState.values(), integer(in));
     int accuser = integer(in);
     List<String> texts = new ArrayList<>();
     JsonToken next = in.nextToken();
@@ -244,7 +248,7 @@
   private static MemberPayload slot(JsonParser in) throws IOException {
     long count = in.getLongValue();
     byte[] bytes = in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT ? in.getBinaryValue() : null;
-    if (bytes == null || bytes.length > MemberPayload.MOST || count != (int) count) {
+    if (bytes == null || bytes.length > MemberPayload.MAX_BYTES || count != (int) count) {
       throw new IOException("a slot that is none");
     }
     return new MemberPayload((int) count, bytes);
--- a/src/main/java/bitternpulley/peers/Peers.java
+++ b/src/main/java/bitternpulley/peers/GossipService.java
@@ -23,8 +23,8 @@
 /**
  * Membership as a running subsystem: a socket, a beat, and the state machine that the core drives.
  */
-public final class Peers implements GossipTransport {
-  private static final System.Logger LOG = System.getLogger(Peers.class.getName());
+public final class GossipService implements GossipTransport {
+  private static final System.Logger LOG = System.getLogger(GossipService.class.getName());
 
   /**
    * Ms between tries to take the address: during an upgrade the process that leaves still has it.
@@ -38,7 +38,7 @@
   private final Broker broker;
   private final Configuration config;
   private final MembershipConfiguration membership;
-  private final PeerCodec codec;
+  private final GossipCodec codec;
   private final List<InetSocketAddress> addresses;
   private final Set<String> logged = new HashSet<>();
   private final String build;
@@ -47,7 +47,7 @@
   private long unusable;
 
   /** One that is not begun yet. */
-  public Peers(
+  public GossipService(
       EventLoop loop,
       Broker broker,
       Configuration config,
@@ -58,7 +58,7 @@
     this.config = config;
     this.membership = membership;
     this.build = build;
-    codec = new PeerCodec(membership.deployment());
+    codec = new GossipCodec(membership.deployment());
     addresses = config.peers().orElseThrow().all().stream().map(p -> p.address()).toList();
     broker.gossipTransport(this);
   }
@@ -67,7 +67,7 @@
    * Has what all may do together go by leases, where the script has them, from before the first
    * query on.
    */
-  public void prepare() {
+  public void open() {
     membership
         .leases()
         .ifPresent(
@@ -78,19 +78,19 @@
   }
 
   /** Takes the address, at once or as soon as it is free, and begins to look for the others. */
-  public void begin() {
+  public void start() {
     if (ended) {
       return;
     }
     try {
       link =
           new DatagramLink(
-              loop, config.peers().orElseThrow().listen(), PeerCodec.MOST_BYTES, this::received);
+              loop, config.peers().orElseThrow().listen(), GossipCodec.MOST_BYTES, this::received);
     } catch (IOException e) {
       once(
           "address",
           "membership waits for its address, which another process has: " + e.getMessage());
-      loop.after(TAKE_AGAIN, this::begin);
+      loop.after(TAKE_AGAIN, this::start);
       return;
     }
     Path folder = config.operations().folder().orElse(null);
@@ -120,12 +120,12 @@
   private void beat(Membership core) {
     if (!ended) {
       broker.submit(new Event.MembershipTick());
-      loop.after(core.tickEvery(), () -> beat(core));
+      loop.after(core.tickInterval(), () -> beat(core));
     }
   }
 
   /** Tells the others that this one goes, and ends. */
-  public void end() {
+  public void leave() {
     if (!ended) {
       broker.submit(new Event.MembershipLeaveRequested());
       ended = true;
@@ -150,7 +150,7 @@
 
   private void received(byte[] bytes, int length, InetSocketAddress from) {
     try {
-      PeerCodec.Datagram datagram = codec.decode(bytes, length);
+      GossipCodec.Datagram datagram = codec.decode(bytes, length);
       int number = datagram.from();
       if (number < 0 || number >= addresses.size() || !addresses.get(number).equals(from)) {
         throw new IOException("it claims number " + number + ", which is elsewhere");
--- a/src/main/java/bitternpulley/platform/Discovery.java
+++ b/src/main/java/bitternpulley/platform/Discovery.java
@@ -1,8 +1,8 @@
 package bitternpulley.platform;
 
-import bitternpulley.config.ConfigException;
-import bitternpulley.config.Json;
-import bitternpulley.config.ServerList;
+import bitternpulley.config.ConfigurationException;
+import bitternpulley.config.EndpointList;
+import bitternpulley.config.StrictJson;
 import bitternpulley.net.Connection;
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
@@ -61,7 +61,7 @@
   private final EventLoop loop;
   private HostPort at;
   private final List<String> zones;
-  private final Consumer<ServerList> told;
+  private final Consumer<EndpointList> told;
   private long revision;
   private double gap = GAP;
 
@@ -78,7 +78,7 @@
   private Watch leaving;
 
   public Discovery(
-      EventLoop loop, HostPort at, List<String> zones, long revision, Consumer<ServerList> told) {
+      EventLoop loop, HostPort at, List<String> zones, long revision, Consumer<EndpointList> told) {
     this.loop = loop;
     this.at = at;
     this.zones = zones;
@@ -185,7 +185,7 @@
     public void received(ByteBuffer bytes) {
       try {
         parser.read(bytes);
-      } catch (HttpException | ConfigException | UncheckedIOException e) {
+      } catch (HttpException | ConfigurationException | UncheckedIOException e) {
         LOG.log(
             Level.WARNING,
             "discovery sent what cannot be used, "
@@ -233,9 +233,9 @@
     @Override
     public void object(byte[] text) {
       try {
-        ServerList list =
-            ServerList.read(
-                Json.read(text),
+        EndpointList list =
+            EndpointList.read(
+                StrictJson.read(text),
                 zones,
                 e -> LOG.log(Level.WARNING, "discovery: left out: " + e.getMessage()));
         if (list.revision() < revision) {
--- a/src/main/java/bitternpulley/platform/PlatformQuery.java
+++ b/src/main/java/bitternpulley/platform/PlatformQuery.java
@@ -2,7 +2,7 @@
 
 import bitternpulley.broker.Payload;
 import bitternpulley.broker.Request;
-import bitternpulley.config.Json;
+import bitternpulley.config.StrictJson;
 import bitternpulley.net.HttpException;
 import bitternpulley.net.HttpServer;
 import bitternpulley.routing.Settings;
@@ -95,7 +95,7 @@
 
   private static JsonNode body(byte[] bytes) {
     try {
-      JsonNode body = Json.read(bytes);
+      JsonNode body = StrictJson.read(bytes);
       require(body != null && body.isObject(), "the body is not a JSON object");
       return body;
     } catch (IOException e) {
--- a/src/main/java/bitternpulley/platform/Preparation.java
+++ b/src/main/java/bitternpulley/platform/Preparation.java
@@ -1,6 +1,6 @@
 package bitternpulley.platform;
 
-import bitternpulley.config.ServerList;
+import bitternpulley.config.EndpointList;
 import bitternpulley.net.EventLoop;
 import bitternpulley.routing.Router;
 import java.util.ArrayList;
@@ -58,13 +58,13 @@
   }
 
   /** Takes in what a list says: servers that take work are to be reached, the others no more. */
-  public void told(ServerList list) {
+  public void told(EndpointList list) {
     List<String> fresh = new ArrayList<>();
-    for (ServerList.Entry e : list.entries()) {
-      if (e.member().state() == Router.ServerState.LIVE) {
-        fresh.add(e.member().server());
+    for (EndpointList.Entry e : list.entries()) {
+      if (e.endpoint().state() == Router.ServerState.LIVE) {
+        fresh.add(e.endpoint().server());
       } else {
-        waiting.remove(e.member().server());
+        waiting.remove(e.endpoint().server());
       }
     }
     Collections.shuffle(fresh, random);
--- a/src/main/java/bitternpulley/platform/QueryFront.java
+++ b/src/main/java/bitternpulley/platform/QueryFront.java
@@ -6,8 +6,8 @@
 import bitternpulley.broker.Event;
 import bitternpulley.broker.Payload;
 import bitternpulley.broker.Request;
-import bitternpulley.contracts.Prints;
-import bitternpulley.contracts.Recognition;
+import bitternpulley.contracts.QueryFingerprint;
+import bitternpulley.contracts.TenantIdentification;
 import bitternpulley.net.HttpException;
 import bitternpulley.net.HttpServer;
 import bitternpulley.routing.Router;
@@ -33,7 +33,7 @@
   private final Broker broker;
   private final Dialect servers;
   private final BooleanSupplier ready;
-  private final Supplier<Recognition> recognition;
+  private final Supplier<TenantIdentification> recognition;
 
   /** The ids of the requests without a final answer. */
   private final Set<String> open = new HashSet<>();
@@ -44,7 +44,7 @@
       Broker broker,
       Dialect servers,
       BooleanSupplier ready,
-      Supplier<Recognition> recognition) {
+      Supplier<TenantIdentification> recognition) {
     this.recognition = recognition;
     this.settings = settings;
     this.broker = broker;
@@ -96,7 +96,9 @@
    * What a try has in common with the one before it: class and body; 0 where nobody asks for it.
    */
   private long print(byte[] body, int requestClass) {
-    return recognition.get() == Recognition.NONE ? 0 : Prints.of(body, requestClass);
+    return recognition.get() == TenantIdentification.NONE
+        ? 0
+        : QueryFingerprint.of(body, requestClass);
   }
 
   @Override
--- a/src/main/java/bitternpulley/platform/Rehearsal.java
+++ b/src/main/java/bitternpulley/platform/Rehearsal.java
@@ -5,7 +5,7 @@
 import bitternpulley.broker.Effect;
 import bitternpulley.broker.Event;
 import bitternpulley.broker.Reducer;
-import bitternpulley.contracts.Recognition;
+import bitternpulley.contracts.TenantIdentification;
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.FrameCodec;
 import bitternpulley.net.HttpHead;
@@ -107,7 +107,7 @@
             new Reducer(settings, 1, time),
             () -> time,
             (ms, task) -> alarms.add(new Alarm(time + ms, task)));
-    front = new QueryFront(settings, broker, this, () -> false, () -> Recognition.NONE);
+    front = new QueryFront(settings, broker, this, () -> false, () -> TenantIdentification.NONE);
     broker.addDialect(this);
     broker.submit(
         new Event.ServersChanged(
--- a/src/main/java/bitternpulley/platform/SlotServers.java
+++ b/src/main/java/bitternpulley/platform/SlotServers.java
@@ -72,7 +72,7 @@
       EventLoop loop,
       Consumer<Event> events,
       Clock clock,
-      Configuration.Wire wire,
+      Configuration.ConnectionSettings wire,
       double connectTimeout,
       int mostLinks) {
     this(
@@ -82,7 +82,7 @@
         wire,
         connectTimeout,
         mostLinks,
-        wire.dear() ? SHARED_IF_DEAR : SHARED_BY);
+        wire.handshakesCostly() ? SHARED_IF_DEAR : SHARED_BY);
   }
 
   /** As above, where so many parts share a connection before another is opened. */
@@ -90,15 +90,15 @@
       EventLoop loop,
       Consumer<Event> events,
       Clock clock,
-      Configuration.Wire wire,
+      Configuration.ConnectionSettings wire,
       double connectTimeout,
       int mostLinks,
       int sharedBy) {
     this.sharedBy = sharedBy;
     this.loop = loop;
     this.events = events;
-    this.times = new SlotConnection.Times(clock, connectTimeout, wire.idleAfter());
-    this.streams = wire.streams();
+    this.times = new SlotConnection.Times(clock, connectTimeout, wire.idleTimeout());
+    this.streams = wire.callsPerConnection();
     this.mostLinks = mostLinks;
     loop.after(SWEEP, this::sweep);
   }
--- a/src/main/java/bitternpulley/simhost/Host.java
+++ b/src/main/java/bitternpulley/simhost/Host.java
@@ -6,7 +6,7 @@
 import static bitternpulley.config.Fields.number;
 import static bitternpulley.config.Fields.text;
 
-import bitternpulley.config.ConfigException;
+import bitternpulley.config.ConfigurationException;
 import bitternpulley.config.SettingsReader;
 import bitternpulley.policy.Policy;
 import bitternpulley.routing.Router;
@@ -49,7 +49,7 @@
       out.writeEndObject();
       out.close();
       return text.toString();
-    } catch (ConfigException e) {
+    } catch (ConfigurationException e) {
       throw new WireException(e.getMessage());
     } catch (JsonProcessingException e) {
       throw new WireException("not JSON: " + e.getOriginalMessage());
@@ -85,7 +85,7 @@
   private static void guarded(int who, WireActions out, Runnable step) {
     try {
       step.run();
-    } catch (WireException | ConfigException e) {
+    } catch (WireException | ConfigurationException e) {
       throw e;
     } catch (RuntimeException e) {
       StackTraceElement[] at = e.getStackTrace();
--- a/src/test/java/bitternpulley/broker/ContractLogTest.java
+++ b/src/test/java/bitternpulley/broker/ContractLogTest.java
@@ -3,11 +3,11 @@
 import static org.testng.Assert.assertEquals;
 
 import bitternpulley.contracts.AdmissionControl;
-import bitternpulley.contracts.Charge;
-import bitternpulley.contracts.Claim;
+import bitternpulley.contracts.AdmissionDecision;
+import bitternpulley.contracts.AdmissionRequest;
 import bitternpulley.contracts.Contract;
 import bitternpulley.contracts.ContractBook;
-import bitternpulley.contracts.Verdict;
+import bitternpulley.contracts.UsageCharge;
 import bitternpulley.routing.Router;
 import java.util.Map;
 import org.testng.annotations.Test;
@@ -32,18 +32,18 @@
     return control;
   }
 
-  private static Claim claim(String team, int queryClass, int parts) {
-    return new Claim(team, queryClass, parts, 0, false, 0);
+  private static AdmissionRequest claim(String team, int queryClass, int parts) {
+    return new AdmissionRequest(team, queryClass, parts, 0, false, 0);
   }
 
   @Test
   public void admissionsAreLoggedWithTheirBasis() {
-    Verdict verdict = control().admit(claim("team-a", 0, 2), 1);
+    AdmissionDecision verdict = control().admit(claim("team-a", 0, 2), 1);
     assertEquals(
         ContractLog.judged(new Effect.AdmissionDecided(7, verdict)),
         "contract request=7 team=team-a version=3 verdict=admitted basis=UNLIMITED booked=2.00");
     assertEquals(
-        ContractLog.settled(new Effect.ChargeSettled((Charge) verdict)),
+        ContractLog.settled(new Effect.ChargeSettled((UsageCharge) verdict)),
         "contract settled team=team-a version=3 booked=2.00 used=0.00");
   }
 
--- a/src/test/java/bitternpulley/config/BrokerConfigurationTest.java
+++ b/src/test/java/bitternpulley/config/BrokerConfigurationTest.java
@@ -48,17 +48,17 @@
   public void theShippedScriptsCanBeUsed() throws IOException {
     assertTrue(
         BrokerConfigurationReader.read(Path.of("deploy/broker.star"), Optional.of(site()))
-            .book()
+            .contracts()
             .isEmpty());
     BrokerConfiguration example =
         BrokerConfigurationReader.read(
             Path.of("docs/examples/three-teams.star"), Optional.of(site()));
     assertEquals(
-        example.book().contracts().stream().map(Contract::id).toList(),
+        example.contracts().contracts().stream().map(Contract::id).toList(),
         java.util.List.of("donor-app", "stock-desk", "partners"));
-    Contract partners = example.book().of("partners");
+    Contract partners = example.contracts().of("partners");
     assertEquals(partners.classes().get(1).priorityWeight(), 2.0);
-    assertTrue(example.recognition().hasFallback());
+    assertTrue(example.tenantIdentification().hasFallback());
   }
 
   @Test
@@ -124,7 +124,7 @@
 
   @Test(dataProvider = "unusable")
   public void whatCannotBeUsedIsNamedWithItsPlace(String text, String message) {
-    ConfigException e = expectThrows(ConfigException.class, () -> read(text));
+    ConfigurationException e = expectThrows(ConfigurationException.class, () -> read(text));
     assertTrue(e.getMessage().contains(message), e.getMessage());
   }
 }
--- a/src/test/java/bitternpulley/config/ConfigurationTest.java
+++ b/src/test/java/bitternpulley/config/ConfigurationTest.java
@@ -36,14 +36,14 @@
     assertEquals(c.seed(), 255);
     assertEquals(c.sockets(), 512);
     assertEquals(c.settings().tick(), 4.0, "room for answers that leave late");
-    assertEquals(c.wire(), new Configuration.Wire(9, 1000, false));
+    assertEquals(c.connections(), new Configuration.ConnectionSettings(9, 1000, false));
     assertTrue(
         read(GOOD.replace("\"settings\":{", "\"settings\":{\"costs\":{\"handshake\":0.02},"))
-            .wire()
-            .dear());
-    assertEquals(c.known().revision(), 4);
+            .connections()
+            .handshakesCostly());
+    assertEquals(c.lastEndpoints().revision(), 4);
     assertEquals(
-        c.known().entries().get(0).member(),
+        c.lastEndpoints().entries().get(0).endpoint(),
         new Router.Endpoint("s-1", 1, 2, Router.ServerState.DRAINING, 7));
   }
 
@@ -94,7 +94,8 @@
 
   @Test(dataProvider = "faults")
   public void theFaultyKeyIsNamed(String from, String to, String key) throws IOException {
-    ConfigException e = expectThrows(ConfigException.class, () -> read(GOOD.replace(from, to)));
+    ConfigurationException e =
+        expectThrows(ConfigurationException.class, () -> read(GOOD.replace(from, to)));
     assertTrue(e.getMessage().contains(key), e.getMessage());
   }
 
@@ -102,19 +103,19 @@
   public void membershipNeedsToKnowItsPeers() throws IOException {
     assertTrue(read(GOOD).peers().isEmpty());
     assertTrue(
-        expectThrows(ConfigException.class, () -> read(GOOD).checkPeers())
+        expectThrows(ConfigurationException.class, () -> read(GOOD).checkPeers())
             .getMessage()
             .contains("peer_listen"));
     String peers =
         GOOD.replace(
             "{\"name\":\"n3\"", "{\"name\":\"n3\",\"peer_listen\":\"127.0.0.1:7946\",\"peers\":[]");
     assertTrue(
-        expectThrows(ConfigException.class, () -> read(peers).checkPeers())
+        expectThrows(ConfigurationException.class, () -> read(peers).checkPeers())
             .getMessage()
             .contains("'peers'"));
     read(peers.replace("[]", "[\"127.0.0.1:7946\"]")).checkPeers();
     assertTrue(
-        expectThrows(ConfigException.class, () -> read(peers.replace("[]", "[\"seven\"]")))
+        expectThrows(ConfigurationException.class, () -> read(peers.replace("[]", "[\"seven\"]")))
             .getMessage()
             .contains("'peers'"));
   }
@@ -140,8 +141,9 @@
       @SuppressWarnings("unchecked")
       LeaseConfiguration leases =
           new LeaseConfiguration((double) fault[0], (List<Integer>) fault[1]);
-      ConfigException e =
-          expectThrows(ConfigException.class, () -> read((String) fault[3]).leaseTerms(leases));
+      ConfigurationException e =
+          expectThrows(
+              ConfigurationException.class, () -> read((String) fault[3]).leaseTerms(leases));
       assertTrue(e.getMessage().contains((String) fault[2]), e.getMessage());
     }
   }
@@ -149,7 +151,7 @@
   @Test
   public void withoutAFileTheVariableIsNamed() {
     assertTrue(
-        expectThrows(ConfigException.class, () -> ConfigurationReader.read(Map.of()))
+        expectThrows(ConfigurationException.class, () -> ConfigurationReader.read(Map.of()))
             .getMessage()
             .contains("LB_CONFIG"));
   }
@@ -176,7 +178,8 @@
         }) {
       assertTrue(
           expectThrows(
-                  ConfigException.class, () -> search(text.replace(fault[0], fault[1]), settings))
+                  ConfigurationException.class,
+                  () -> search(text.replace(fault[0], fault[1]), settings))
               .getMessage()
               .contains(fault[2]),
           fault[2]);
--- a/src/test/java/bitternpulley/config/JsonTest.java
+++ b/src/test/java/bitternpulley/config/JsonTest.java
@@ -18,7 +18,7 @@
   public void theTreeIsTheOneAMapperReads() throws IOException {
     String text =
         "{\"a\":[1,-2.5,3000000000,true,false,null,\"\\u00e9\\n\",{}],\"b\":{\"c\":[]},\"d\":1e3}";
-    assertEquals(Json.read(bytes(text)), new ObjectMapper().readTree(text));
+    assertEquals(StrictJson.read(bytes(text)), new ObjectMapper().readTree(text));
   }
 
   @DataProvider
@@ -43,6 +43,6 @@
    */
   @Test(dataProvider = "faults")
   public void whatIsNotOneValueIsRefused(String text) {
-    expectThrows(IOException.class, () -> Json.read(bytes(text)));
+    expectThrows(IOException.class, () -> StrictJson.read(bytes(text)));
   }
 }
--- a/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
+++ b/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
@@ -118,34 +118,38 @@
     ContractWorld w = calm(7);
     w.teams.values().forEach(t -> t.perSecond = t.id.equals("appeal") ? 900 : 60);
     w.to(6000);
-    Claim claim = new Claim("appeal", 0, 4, 0, false, -5);
-    Verdict.Refused first = null;
+    AdmissionRequest claim = new AdmissionRequest("appeal", 0, 4, 0, false, -5);
+    AdmissionDecision.Rejected first = null;
     for (int i = 0; i < 2000 && first == null; i++) {
       w.to(w.now + 5);
-      if (w.control.admit(claim, w.now) instanceof Verdict.Refused no && no.pause() > 20) {
+      if (w.control.admit(claim, w.now) instanceof AdmissionDecision.Rejected no
+          && no.retryAfter() > 20) {
         first = no;
       }
     }
-    double due = w.now + first.pause();
-    Verdict.Refused again = (Verdict.Refused) w.control.admit(claim, w.now + 1);
-    assertEquals(due, w.now + 1 + again.pause(), 5.1, "early: the rest of the same time");
+    double due = w.now + first.retryAfter();
+    AdmissionDecision.Rejected again =
+        (AdmissionDecision.Rejected) w.control.admit(claim, w.now + 1);
+    assertEquals(due, w.now + 1 + again.retryAfter(), 5.1, "early: the rest of the same time");
     w.to(due + 1);
-    Charge kept = (Charge) w.control.admit(claim, w.now);
-    assertSame(Charge.Basis.PROMISE, kept.basis());
+    UsageCharge kept = (UsageCharge) w.control.admit(claim, w.now);
+    assertSame(UsageCharge.Basis.PROMISE, kept.basis());
   }
 
   @Test
   void aQueryOfNineTimesTheWorkIsChargedSo() {
     ContractWorld w = calm(8);
     w.to(3000);
-    Charge usual = (Charge) w.control.admit(new Claim("booking", 2, 1, 0, false, 0), w.now);
-    w.control.sent(usual);
-    w.control.attemptEnded(usual, Router.Outcome.OK, 15, w.now);
-    w.control.over(usual, true, w.now);
-    Charge heavy = (Charge) w.control.admit(new Claim("booking", 2, 1, 0, false, 0), w.now);
-    w.control.sent(heavy);
-    w.control.attemptEnded(heavy, Router.Outcome.OK, 9 * 15, w.now);
-    w.control.over(heavy, true, w.now);
+    UsageCharge usual =
+        (UsageCharge) w.control.admit(new AdmissionRequest("booking", 2, 1, 0, false, 0), w.now);
+    w.control.onAttemptSent(usual);
+    w.control.onAttemptEnded(usual, Router.Outcome.OK, 15, w.now);
+    w.control.onRequestEnded(usual, true, w.now);
+    UsageCharge heavy =
+        (UsageCharge) w.control.admit(new AdmissionRequest("booking", 2, 1, 0, false, 0), w.now);
+    w.control.onAttemptSent(heavy);
+    w.control.onAttemptEnded(heavy, Router.Outcome.OK, 9 * 15, w.now);
+    w.control.onRequestEnded(heavy, true, w.now);
     assertEquals(9, heavy.used() / usual.used(), 1);
     assertTrue(heavy.settled());
   }
@@ -179,7 +183,7 @@
     w.to(12_000);
     w.teams.values().forEach(t -> t.perSecond = 0);
     w.to(20_000);
-    assertTrue(w.charges.stream().allMatch(Charge::settled), "all are settled");
+    assertTrue(w.charges.stream().allMatch(UsageCharge::settled), "all are settled");
     for (int version = 1; version <= 4; version++) {
       int v = version;
       assertTrue(w.charges.stream().anyMatch(c -> c.version() == v), "some under version " + v);
@@ -192,10 +196,13 @@
         "the team is gone");
     for (AccountView a : w.control.accounts(w.now)) {
       double seen =
-          w.charges.stream().filter(c -> c.team().equals(a.team())).mapToDouble(Charge::used).sum();
+          w.charges.stream()
+              .filter(c -> c.team().equals(a.team()))
+              .mapToDouble(UsageCharge::used)
+              .sum();
       assertEquals(
           seen, a.used(), 1e-3 * Math.max(1, seen), a.team() + " is charged what was seen");
-      assertEquals(0, a.held());
+      assertEquals(0, a.pending());
     }
   }
 
@@ -223,7 +230,8 @@
     }
     AdmissionControl control = new AdmissionControl(new double[] {500}, 2000);
     control.apply(new ContractBook(1, many, null), 0);
-    assertTrue(control.admit(new Claim("t17", 0, 1, 0, false, 1), 1) instanceof Charge);
+    assertTrue(
+        control.admit(new AdmissionRequest("t17", 0, 1, 0, false, 1), 1) instanceof UsageCharge);
     long each = (used() - before) / 10_000;
     assertTrue(each <= 1024, each + " bytes a contract");
     assertEquals(1, control.accounts(2).size(), "a silent contract has no account");
--- a/src/test/java/bitternpulley/contracts/ContractWorld.java
+++ b/src/test/java/bitternpulley/contracts/ContractWorld.java
@@ -45,7 +45,7 @@
   final AdmissionControl control =
       new AdmissionControl(new double[] {WANTED, WANTED, WANTED}, 2000);
   final Map<String, Team> teams = new LinkedHashMap<>();
-  final List<Charge> charges = new ArrayList<>();
+  final List<UsageCharge> charges = new ArrayList<>();
   private final PriorityQueue<Happening> ahead =
       new PriorityQueue<>(
           (a, b) ->
@@ -125,13 +125,14 @@
   }
 
   private void ask(Team t, long print, double meant, int tries, boolean asTold) {
-    Verdict v = control.admit(new Claim(t.id, 0, t.parts, 0, tries > 1, print), now);
-    if (v instanceof Charge c) {
+    AdmissionDecision v =
+        control.admit(new AdmissionRequest(t.id, 0, t.parts, 0, tries > 1, print), now);
+    if (v instanceof UsageCharge c) {
       charges.add(c);
       run(t, c, meant, asTold);
       return;
     }
-    double pause = ((Verdict.Refused) v).pause();
+    double pause = ((AdmissionDecision.Rejected) v).retryAfter();
     if (t.returnsAsTold && pause > 0 && tries < 3) {
       t.told++;
       at(now + pause + 5, () -> ask(t, print, meant, tries + 1, true));
@@ -140,19 +141,19 @@
     }
   }
 
-  private void run(Team t, Charge c, double meant, boolean asTold) {
+  private void run(Team t, UsageCharge c, double meant, boolean asTold) {
     int[] left = {t.parts};
     double began = now;
     for (int i = 0; i < t.parts; i++) {
-      control.sent(c);
+      control.onAttemptSent(c);
       freeAt = Math.max(freeAt, now) + t.work * 1000 / rate;
       // A part takes 10 ms of a server however idle it is; the rest of its time is queueing.
       at(
           freeAt + 10 * t.work,
           () -> {
-            control.attemptEnded(c, Router.Outcome.OK, now - began, now);
+            control.onAttemptEnded(c, Router.Outcome.OK, now - began, now);
             if (--left[0] == 0) {
-              control.over(c, true, now);
+              control.onRequestEnded(c, true, now);
               t.inTime += now - meant <= WANTED || asTold && now - began <= WANTED ? 1 : 0;
               t.returnedServed += asTold ? 1 : 0;
               t.workServed += t.work * t.parts;
--- a/src/test/java/bitternpulley/leases/LeaseWorld.java
+++ b/src/test/java/bitternpulley/leases/LeaseWorld.java
@@ -79,7 +79,7 @@
     // As after a clock set back without memory, now and then it is less than the one before.
     n.epoch += random.nextInt(4) == 0 ? -1 : 2;
     n.leases = new Leases(i, terms);
-    n.leases.begin(n.epoch, local(i));
+    n.leases.start(n.epoch, local(i));
     tick(i, life);
   }
 
@@ -94,8 +94,8 @@
     plan(Math.max(n.pausedUntil, now + STEP), () -> tick(i, life));
   }
 
-  private void send(int from, List<Leases.Send> sends) {
-    for (Leases.Send s : sends) {
+  private void send(int from, List<Leases.OutgoingMessage> sends) {
+    for (Leases.OutgoingMessage s : sends) {
       for (int copies = random.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
         if (random.nextDouble() >= loss && !cut[from][s.to()]) {
           plan(now + 0.5 + mostDelay * random.nextDouble(), () -> arrive(s.to(), s.message()));
@@ -113,7 +113,7 @@
     if (n.up && now < n.pausedUntil) {
       plan(n.pausedUntil, () -> arrive(to, message));
     } else if (n.up) {
-      send(to, n.leases.heard(message, local(to)));
+      send(to, n.leases.onMessage(message, local(to)));
     }
   }
 
@@ -155,14 +155,14 @@
   }
 
   private double most(ArrayDeque<Part> parts) {
-    while (!parts.isEmpty() && parts.peek().at() <= now - terms.effect()) {
+    while (!parts.isEmpty() && parts.peek().at() <= now - terms.effectTime()) {
       parts.poll();
     }
     return parts.stream().mapToDouble(Part::part).max().orElse(0);
   }
 
   double part(int i) {
-    return nodes.get(i).leases.standing(local(i)).part();
+    return nodes.get(i).leases.status(local(i)).quota();
   }
 
   void kill(int i) {
--- a/src/test/java/bitternpulley/leases/LeasesTest.java
+++ b/src/test/java/bitternpulley/leases/LeasesTest.java
@@ -168,8 +168,10 @@
   @Property(tries = 50, seed = "20261202")
   void clocksOfAnotherPaceAreBorne(@ForAll @IntRange(min = 2000, max = 600_000) int lasts) {
     LeaseTerms terms = new LeaseTerms(5, List.of(0), lasts, EFFECT);
-    assertTrue((terms.holds() + terms.effect()) / 0.9951 <= terms.outlasts() / 1.0049);
-    assertTrue((terms.holds() + terms.effect()) / 0.9951 <= terms.outlasts(terms.lasts()) / 1.0049);
+    assertTrue((terms.usableTime() + terms.effectTime()) / 0.9951 <= terms.outlasts() / 1.0049);
+    assertTrue(
+        (terms.usableTime() + terms.effectTime()) / 0.9951
+            <= terms.outlasts(terms.duration()) / 1.0049);
   }
 
   /**
@@ -179,13 +181,13 @@
   @Test
   void whoIsToWaitWaitsFromWhenItIsToldAndWhoHasEndedAsksNoMore() {
     Leases m = new Leases(2, new LeaseTerms(3, List.of(0), LASTS, EFFECT));
-    m.begin(5, 0);
+    m.start(5, 0);
     m.tick(2500);
-    m.heard(new LeaseMessage.Granted(0, 1, 5000, new BitSet()), 5500);
-    assertEquals(0, m.standing(10_000).held());
-    assertEquals(1, m.standing(10_600).held());
-    assertEquals(1, m.standing(10_600).named(), "itself at least");
-    m.end();
+    m.onMessage(new LeaseMessage.LeaseGrant(0, 1, 5000, new BitSet()), 5500);
+    assertEquals(0, m.status(10_000).leases());
+    assertEquals(1, m.status(10_600).leases());
+    assertEquals(1, m.status(10_600).activeMembers(), "itself at least");
+    m.stop();
     assertEquals(List.of(), m.tick(20_000));
   }
 
@@ -193,15 +195,15 @@
   void whatWasNotAskedLastOrMakesNoSenseChangesNothing() {
     LeaseTerms terms = terms(3, 3);
     Leases m = new Leases(2, terms);
-    m.begin(5, 0);
+    m.start(5, 0);
     m.tick(0);
     BitSet named = new BitSet();
     named.set(0, 3);
-    assertEquals(List.of(), m.heard(new LeaseMessage.Granted(1, 99, 0, named), 10));
-    m.heard(new LeaseMessage.Granted(1, 2, Double.NaN, named), 10);
-    m.heard(new LeaseMessage.Asked(7, 1, 1), 10);
-    m.heard(new LeaseMessage.Asked(-1, 1, 1), 10);
-    assertEquals(4, m.ignored());
-    assertEquals(0, m.standing(20).held());
+    assertEquals(List.of(), m.onMessage(new LeaseMessage.LeaseGrant(1, 99, 0, named), 10));
+    m.onMessage(new LeaseMessage.LeaseGrant(1, 2, Double.NaN, named), 10);
+    m.onMessage(new LeaseMessage.LeaseRequest(7, 1, 1), 10);
+    m.onMessage(new LeaseMessage.LeaseRequest(-1, 1, 1), 10);
+    assertEquals(4, m.ignoredMessages());
+    assertEquals(0, m.status(20).leases());
   }
 }
--- a/src/test/java/bitternpulley/membership/CheckBudgetTest.java
+++ b/src/test/java/bitternpulley/membership/CheckBudgetTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertTrue;
 
-import bitternpulley.membership.Message.Kind;
+import bitternpulley.membership.GossipMessage.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -22,9 +22,9 @@
    */
   private static final int MOST = (int) (SECONDS + 8 + SECONDS) + 2;
 
-  private static Message message(
+  private static GossipMessage message(
       Kind kind, int from, int sequence, int target, List<GossipUpdate> updates) {
-    return new Message(kind, from, EPOCH, 0, sequence, target, 0, 0, updates);
+    return new GossipMessage(kind, from, EPOCH, 0, sequence, target, 0, 0, updates);
   }
 
   /**
@@ -40,32 +40,32 @@
             new MemberMetadata("n0", "z", "r", "b"),
             EPOCH,
             IntStream.range(0, MEMBERS).boxed().toList(),
-            MembershipSettings.USUAL,
+            MembershipSettings.DEFAULT,
             1,
             now);
     for (int i = 1; i < MEMBERS; i++) {
-      member.heard(message(Kind.SYNC, i, 0, 0, List.of()), now);
+      member.onMessage(message(Kind.SYNC, i, 0, 0, List.of()), now);
     }
     int asked = 0;
     int said = 0;
-    for (double end = now + 1000 * SECONDS; now < end; now += member.tickEvery()) {
-      List<Output> out = new ArrayList<>(member.tick(now));
+    for (double end = now + 1000 * SECONDS; now < end; now += member.tickInterval()) {
+      List<MembershipAction> out = new ArrayList<>(member.tick(now));
       int teller = 1 + said % (MEMBERS - 1);
       int suspect = 1 + (said + MEMBERS / 2) % (MEMBERS - 1);
       said++;
       out.addAll(
-          member.heard(
+          member.onMessage(
               message(
                   Kind.SYNC,
                   teller,
                   0,
                   0,
-                  List.of(new GossipUpdate(suspect, EPOCH, 0, Standing.SUSPECT, teller, null))),
+                  List.of(new GossipUpdate(suspect, EPOCH, 0, MemberState.SUSPECT, teller, null))),
               now));
-      for (Output o : out) {
-        if (o instanceof Output.Send s && s.message().kind() == Kind.PING) {
+      for (MembershipAction o : out) {
+        if (o instanceof MembershipAction.Send s && s.message().kind() == Kind.PING) {
           asked++;
-          member.heard(
+          member.onMessage(
               message(Kind.ACK, s.to(), s.message().sequence(), s.to(), List.of()), now + 1);
         }
       }
--- a/src/test/java/bitternpulley/membership/MembershipTable.java
+++ b/src/test/java/bitternpulley/membership/DetectionTimeTable.java
@@ -9,10 +9,10 @@
  * The table of docs/membership.md, from virtual time: {@code make table-membership}. The plain form
  * from the same seeds.
  */
-final class MembershipTable {
+final class DetectionTimeTable {
   private static final double SETTLED = 30_000;
 
-  private MembershipTable() {}
+  private DetectionTimeTable() {}
 
   /**
    * The whole table; or one line of it: {@code detect MEMBERS SEEDS}, {@code churn MEMBERS}, {@code
@@ -98,13 +98,13 @@
                 new MemberMetadata("n0", "z0", "r", "b"),
                 1,
                 IntStream.range(0, members).boxed().toList(),
-                MembershipSettings.USUAL,
+                MembershipSettings.DEFAULT,
                 1,
                 1e9);
         for (int i = 1; i < members; i++) {
-          many[k].heard(
-              new Message(
-                  Message.Kind.SYNC,
+          many[k].onMessage(
+              new GossipMessage(
+                  GossipMessage.Kind.SYNC,
                   i,
                   1_000_000,
                   0,
@@ -116,10 +116,10 @@
                           i,
                           1_000_000,
                           0,
-                          Standing.ALIVE,
+                          MemberState.ALIVE,
                           -1,
                           new MemberMetadata("node-" + i, "zone", "region", "build"),
-                          new MemberPayload(1, new byte[MemberPayload.MOST])))),
+                          new MemberPayload(1, new byte[MemberPayload.MAX_BYTES])))),
               1e9);
         }
       }
@@ -144,8 +144,8 @@
             members,
             seed,
             (number, epoch, chance, now) ->
-                new PlainDetector(number, members, epoch, MembershipSettings.USUAL, chance, now))
-        : new World(members, seed, MembershipSettings.USUAL);
+                new PlainDetector(number, members, epoch, MembershipSettings.DEFAULT, chance, now))
+        : new World(members, seed, MembershipSettings.DEFAULT);
   }
 
   /** From a kill until all live members know. */
@@ -162,7 +162,7 @@
       int killed = new Random(s).nextInt(members);
       w.verdicts.clear();
       w.kill(killed);
-      took[s] = w.until(120_000, "all know", () -> w.allHold(killed, Standing.DEAD));
+      took[s] = w.until(120_000, "all know", () -> w.allHold(killed, MemberState.DEAD));
       others += w.deaths().stream().filter(v -> v.of() != killed).count();
     }
     Arrays.sort(took);
--- a/src/test/java/bitternpulley/membership/HollowMembers.java
+++ b/src/test/java/bitternpulley/membership/HollowMembers.java
@@ -16,12 +16,12 @@
 
   /** So many that have found each other. */
   public HollowMembers(int count, long seed) {
-    world = new World(count, seed, MembershipSettings.USUAL);
+    world = new World(count, seed, MembershipSettings.DEFAULT);
     world.run(SETTLED_MS + SETTLED_MS_EACH * count);
   }
 
   /** Shows each message that is sent from now on. */
-  public HollowMembers watch(Consumer<Message> watcher) {
+  public HollowMembers watch(Consumer<GossipMessage> watcher) {
     world.watcher = watcher;
     return this;
   }
--- a/src/test/java/bitternpulley/membership/MembershipTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipTest.java
@@ -15,7 +15,7 @@
   private static final int SEEDS = 10;
 
   private static World settled(int count, long seed) {
-    World w = new World(count, seed, MembershipSettings.USUAL);
+    World w = new World(count, seed, MembershipSettings.DEFAULT);
     w.until(60_000, "all find each other", w::viewsEqual);
     w.run(3000);
     w.verdicts.clear();
@@ -47,7 +47,7 @@
         count,
         w -> {
           w.kill(2);
-          double took = w.until(30_000, "all know", () -> w.allHold(2, Standing.DEAD));
+          double took = w.until(30_000, "all know", () -> w.allHold(2, MemberState.DEAD));
           assertTrue(took <= (count <= 12 ? 11_000 : 13_000), "seed " + w.seed + ": " + took);
           w.run(5000);
           nobodyCalledDead(w, 2);
@@ -64,13 +64,13 @@
           w.until(
               60_000,
               "half",
-              () -> IntStream.range(0, 6).allMatch(i -> w.allHold(i, Standing.DEAD)));
+              () -> IntStream.range(0, 6).allMatch(i -> w.allHold(i, MemberState.DEAD)));
           assertTrue(w.deaths().stream().allMatch(v -> v.of() < 6), "seed " + w.seed);
           IntStream.range(6, 11).forEach(w::kill);
           w.until(
               60_000,
               "all but one",
-              () -> IntStream.range(0, 11).allMatch(i -> w.allHold(i, Standing.DEAD)));
+              () -> IntStream.range(0, 11).allMatch(i -> w.allHold(i, MemberState.DEAD)));
         });
   }
 
@@ -95,14 +95,16 @@
             new MemberMetadata("n0", "z", "r", "b"),
             1000,
             List.of(0, 1, 2, 3),
-            MembershipSettings.USUAL,
+            MembershipSettings.DEFAULT,
             1,
             1000);
     m.tick(1100);
-    List<Output> out = m.tick(1400);
+    List<MembershipAction> out = m.tick(1400);
     assertEquals(
-        List.of(new Output.Woke(300)), out.stream().filter(o -> o instanceof Output.Woke).toList());
-    assertTrue(out.stream().filter(o -> o instanceof Output.Send).count() >= 3, out.toString());
+        List.of(new MembershipAction.Resumed(300)),
+        out.stream().filter(o -> o instanceof MembershipAction.Resumed).toList());
+    assertTrue(
+        out.stream().filter(o -> o instanceof MembershipAction.Send).count() >= 3, out.toString());
   }
 
   /**
@@ -116,9 +118,11 @@
           w.slow(3, 1000);
           w.run(60_000);
           nobodyCalledDead(w);
-          assertTrue(w.at(3).selfHealth() > 0, "seed " + w.seed);
+          assertTrue(w.at(3).localHealth() > 0, "seed " + w.seed);
           long blames =
-              w.verdicts.stream().filter(v -> v.by() == 3 && v.now() == Standing.SUSPECT).count();
+              w.verdicts.stream()
+                  .filter(v -> v.by() == 3 && v.now() == MemberState.SUSPECT)
+                  .count();
           assertTrue(
               blames <= 15,
               "seed " + w.seed + ": it suspected others " + blames + " times in a minute");
@@ -141,13 +145,14 @@
                               IntStream.range(0, 6)
                                   .allMatch(
                                       j ->
-                                          i / 3 == j / 3 || w.at(i).standing(j) == Standing.DEAD)));
+                                          i / 3 == j / 3
+                                              || w.at(i).stateOf(j) == MemberState.DEAD)));
           halves(w, false);
           w.until(
               30_000,
               "found",
               () ->
-                  IntStream.range(0, 6).allMatch(i -> w.allHold(i, Standing.ALIVE))
+                  IntStream.range(0, 6).allMatch(i -> w.allHold(i, MemberState.ALIVE))
                       && w.viewsEqual());
         });
   }
@@ -168,8 +173,8 @@
         w -> {
           w.pause(0, 30_000);
           w.run(30_000);
-          assertTrue(w.allHold(0, Standing.DEAD), "seed " + w.seed);
-          w.until(15_000, "back", () -> w.allHold(0, Standing.ALIVE) && w.viewsEqual());
+          assertTrue(w.allHold(0, MemberState.DEAD), "seed " + w.seed);
+          w.until(15_000, "back", () -> w.allHold(0, MemberState.ALIVE) && w.viewsEqual());
           nobodyCalledDead(w, 0);
         });
   }
@@ -200,7 +205,7 @@
           w.run(60_000);
           nobodyCalledDead(w);
           assertTrue(w.viewsEqual(), "seed " + w.seed);
-          long changes = w.verdicts.stream().filter(v -> v.now() == Standing.SUSPECT).count();
+          long changes = w.verdicts.stream().filter(v -> v.now() == MemberState.SUSPECT).count();
           assertTrue(changes <= 6, "seed " + w.seed + ": " + changes + " suspicions in a minute");
         });
   }
@@ -214,7 +219,7 @@
           w.run(15_000);
           nobodyCalledDead(w);
           IntStream.range(1, 7).forEach(i -> w.cut(i, 0, false));
-          w.until(20_000, "healed", () -> w.allHold(0, Standing.ALIVE) && w.viewsEqual());
+          w.until(20_000, "healed", () -> w.allHold(0, MemberState.ALIVE) && w.viewsEqual());
         });
   }
 
@@ -224,10 +229,10 @@
         7,
         w -> {
           IntStream.range(1, 7).forEach(i -> w.cut(0, i, true));
-          w.until(30_000, "gone", () -> w.allHold(0, Standing.DEAD));
+          w.until(30_000, "gone", () -> w.allHold(0, MemberState.DEAD));
           nobodyCalledDead(w, 0);
           IntStream.range(1, 7).forEach(i -> w.cut(0, i, false));
-          w.until(20_000, "healed", () -> w.allHold(0, Standing.ALIVE) && w.viewsEqual());
+          w.until(20_000, "healed", () -> w.allHold(0, MemberState.ALIVE) && w.viewsEqual());
         });
   }
 
@@ -249,7 +254,7 @@
           w.until(
               20_000,
               "all alive",
-              () -> IntStream.range(0, 7).allMatch(i -> w.allHold(i, Standing.ALIVE)));
+              () -> IntStream.range(0, 7).allMatch(i -> w.allHold(i, MemberState.ALIVE)));
         });
   }
 
@@ -281,23 +286,23 @@
               "seed " + w.seed);
           assertTrue(
               IntStream.range(0, 7)
-                  .noneMatch(i -> w.at(i).members().get(1).hearing().hearsSpeak(0)),
+                  .noneMatch(i -> w.at(i).members().get(1).reachability().hearsSpeak(0)),
               "seed " + w.seed);
           assertTrue(
               IntStream.range(2, 7)
-                  .allMatch(i -> w.at(0).members().get(i).hearing().missed().isEmpty()));
+                  .allMatch(i -> w.at(0).members().get(i).reachability().missed().isEmpty()));
           w.cut(0, 1, false);
           w.until(
               60_000,
               "healed",
               () ->
                   IntStream.range(0, 7)
-                      .allMatch(i -> w.at(0).members().get(i).hearing().missed().isEmpty()));
+                      .allMatch(i -> w.at(0).members().get(i).reachability().missed().isEmpty()));
         });
   }
 
   private static boolean misses(World w, int by, int of, int whom) {
-    return w.at(by).members().get(of).hearing().missed().equals(List.of(whom));
+    return w.at(by).members().get(of).reachability().missed().equals(List.of(whom));
   }
 
   /**
@@ -314,7 +319,7 @@
         w.run(1000);
         told +=
             IntStream.range(0, 10)
-                .map(i -> w.at(0).members().get(i).hearing().missed().size())
+                .map(i -> w.at(0).members().get(i).reachability().missed().size())
                 .sum();
       }
     }
@@ -327,10 +332,10 @@
    */
   @Test
   void amongManyThatHaveJustStartedTheDeadIsKnownAllTheSame() {
-    World w = new World(400, 1, MembershipSettings.USUAL);
+    World w = new World(400, 1, MembershipSettings.DEFAULT);
     w.run(30_000);
     w.kill(7);
-    double took = w.until(60_000, "all know", () -> w.allHold(7, Standing.DEAD));
+    double took = w.until(60_000, "all know", () -> w.allHold(7, MemberState.DEAD));
     assertTrue(took <= 10_000, took + " ms");
   }
 
@@ -346,7 +351,7 @@
     }
     w.run(15_000);
     w.until(60_000, "views equal", w::viewsEqual);
-    assertTrue(IntStream.range(0, 100).allMatch(i -> w.allHold(i, Standing.ALIVE)));
+    assertTrue(IntStream.range(0, 100).allMatch(i -> w.allHold(i, MemberState.ALIVE)));
     nobodyCalledDead(w, IntStream.range(0, 10).map(k -> 7 * k % 100).toArray());
   }
 
@@ -368,24 +373,24 @@
         5,
         w -> {
           long before = w.at(1).epoch();
-          Message old =
-              new Message(
-                  Message.Kind.PING,
+          GossipMessage old =
+              new GossipMessage(
+                  GossipMessage.Kind.PING,
                   1,
                   before,
                   0,
                   1,
                   0,
                   0,
-                  List.of(new GossipUpdate(2, w.at(2).epoch(), 0, Standing.DEAD, 1, null)));
+                  List.of(new GossipUpdate(2, w.at(2).epoch(), 0, MemberState.DEAD, 1, null)));
           w.kill(1);
           w.run(300);
           w.start(1);
           w.until(10_000, "known anew", w::viewsEqual);
           w.verdicts.clear();
-          long ignored = w.at(0).ignored();
-          w.perform(0, w.at(0).heard(old, w.now));
-          assertEquals(ignored + 1, w.at(0).ignored());
+          long ignored = w.at(0).ignoredMessages();
+          w.perform(0, w.at(0).onMessage(old, w.now));
+          assertEquals(ignored + 1, w.at(0).ignoredMessages());
           assertEquals(List.of(), w.verdicts);
         });
   }
@@ -401,7 +406,7 @@
           w.until(
               15_000,
               "its later epoch is known",
-              () -> w.viewsEqual() && w.allHold(1, Standing.ALIVE));
+              () -> w.viewsEqual() && w.allHold(1, MemberState.ALIVE));
         });
   }
 
@@ -413,7 +418,7 @@
           w.perform(3, w.at(3).leave(w.now));
           w.run(20);
           w.kill(3);
-          w.until(6000, "left", () -> w.allHold(3, Standing.LEFT));
+          w.until(6000, "left", () -> w.allHold(3, MemberState.LEFT));
           nobodyCalledDead(w);
         });
   }
@@ -423,18 +428,19 @@
     each(
         5,
         w -> {
-          long ignored = w.at(0).ignored();
+          long ignored = w.at(0).ignoredMessages();
           int answers = 0;
           for (int k = 0; k < 10_000; k++) {
             answers +=
                 w.at(0)
-                    .heard(
-                        new Message(Message.Kind.PING, 4, w.at(4).epoch(), 0, k, 0, 0, List.of()),
+                    .onMessage(
+                        new GossipMessage(
+                            GossipMessage.Kind.PING, 4, w.at(4).epoch(), 0, k, 0, 0, List.of()),
                         w.now)
                     .size();
           }
           assertTrue(answers < 600, "seed " + w.seed + ": " + answers);
-          assertTrue(w.at(0).ignored() > ignored + 9000);
+          assertTrue(w.at(0).ignoredMessages() > ignored + 9000);
           w.run(20_000);
           nobodyCalledDead(w);
           assertTrue(w.viewsEqual(), "seed " + w.seed);
@@ -449,7 +455,7 @@
         w -> {
           for (int k = 0; k < 300; k++) {
             for (int of = 0; of < 6; of++) {
-              Standing[] lies = {Standing.SUSPECT, Standing.DEAD, Standing.LEFT};
+              MemberState[] lies = {MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT};
               GossipUpdate lie =
                   new GossipUpdate(
                       of,
@@ -461,7 +467,8 @@
               w.deliver(
                   6,
                   (of + 1 + k) % 6,
-                  new Message(Message.Kind.SYNC, 6, w.at(6).epoch(), 0, 0, 0, 0, List.of(lie)));
+                  new GossipMessage(
+                      GossipMessage.Kind.SYNC, 6, w.at(6).epoch(), 0, 0, 0, 0, List.of(lie)));
             }
             w.run(100);
           }
@@ -469,18 +476,20 @@
               List.of(),
               w.verdicts.stream()
                   .filter(
-                      v -> v.of() != 6 && (v.now() == Standing.DEAD || v.now() == Standing.LEFT))
+                      v ->
+                          v.of() != 6
+                              && (v.now() == MemberState.DEAD || v.now() == MemberState.LEFT))
                   .toList(),
               "seed " + w.seed);
           w.until(
               30_000,
               "calm",
-              () -> IntStream.range(0, 6).allMatch(i -> w.allHold(i, Standing.ALIVE)));
+              () -> IntStream.range(0, 6).allMatch(i -> w.allHold(i, MemberState.ALIVE)));
         });
   }
 
   private static boolean tells(World w, int by, int of, byte[] what) {
-    return java.util.Arrays.equals(w.at(by).members().get(of).hearing().payload(), what);
+    return java.util.Arrays.equals(w.at(by).members().get(of).reachability().payload(), what);
   }
 
   private static boolean allHear(World w, int of, byte[] what) {
@@ -496,9 +505,9 @@
           byte[] first = new byte[ReachabilityReport.PAYLOAD];
           byte[] second = {1, 2, 3};
           w.loss = 0.2;
-          w.at(1).tell(first);
+          w.at(1).publish(first);
           w.run(100);
-          w.at(1).tell(second);
+          w.at(1).publish(second);
           w.until(30_000, "all hear", () -> allHear(w, 1, second));
           w.run(10_000);
           assertTrue(allHear(w, 1, second), "seed " + w.seed);
@@ -510,7 +519,7 @@
     each(
         5,
         w -> {
-          w.at(1).tell(new byte[] {1});
+          w.at(1).publish(new byte[] {1});
           w.until(15_000, "told", () -> allHear(w, 1, new byte[] {1}));
           w.kill(1);
           w.run(300);
@@ -520,8 +529,9 @@
               "known anew",
               () ->
                   IntStream.of(0, 2, 3, 4)
-                      .allMatch(i -> w.at(i).members().get(1).hearing().payload().length == 0));
-          w.at(1).tell(new byte[] {2});
+                      .allMatch(
+                          i -> w.at(i).members().get(1).reachability().payload().length == 0));
+          w.at(1).publish(new byte[] {2});
           w.until(15_000, "told anew", () -> allHear(w, 1, new byte[] {2}));
         });
   }
@@ -535,19 +545,22 @@
         7,
         w -> {
           byte[] own = {7};
-          w.at(1).tell(own);
+          w.at(1).publish(own);
           w.until(15_000, "told", () -> allHear(w, 1, own));
           GossipUpdate lie =
               new GossipUpdate(
                   1,
                   w.at(1).epoch(),
                   0,
-                  Standing.ALIVE,
+                  MemberState.ALIVE,
                   -1,
                   null,
                   new MemberPayload(50, new byte[] {1, 0, 66}));
           w.deliver(
-              6, 2, new Message(Message.Kind.SYNC, 6, w.at(6).epoch(), 0, 0, 0, 0, List.of(lie)));
+              6,
+              2,
+              new GossipMessage(
+                  GossipMessage.Kind.SYNC, 6, w.at(6).epoch(), 0, 0, 0, 0, List.of(lie)));
           w.run(100);
           assertTrue(tells(w, 2, 1, new byte[] {66}));
           w.until(30_000, "corrected", () -> allHear(w, 1, own));
@@ -556,14 +569,15 @@
                   1,
                   w.at(1).epoch(),
                   0,
-                  Standing.ALIVE,
+                  MemberState.ALIVE,
                   -1,
                   null,
                   new MemberPayload(Integer.MAX_VALUE, new byte[] {66}));
           w.deliver(
               6,
               2,
-              new Message(Message.Kind.SYNC, 6, w.at(6).epoch(), 0, 0, 0, 0, List.of(beyond)));
+              new GossipMessage(
+                  GossipMessage.Kind.SYNC, 6, w.at(6).epoch(), 0, 0, 0, 0, List.of(beyond)));
           w.run(3000);
           assertTrue(allHear(w, 1, own), "seed " + w.seed);
         });
@@ -572,9 +586,9 @@
   @Test
   void aConfiguredPeerThatNeverExistedIsKnownForDeadAndNobodyElse() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = new World(6, seed, MembershipSettings.USUAL);
+      World w = new World(6, seed, MembershipSettings.DEFAULT);
       w.kill(5);
-      w.until(40_000, "never there", () -> w.allHold(5, Standing.DEAD));
+      w.until(40_000, "never there", () -> w.allHold(5, MemberState.DEAD));
       nobodyCalledDead(w, 5);
     }
   }
--- a/src/test/java/bitternpulley/membership/MembershipTraceTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipTraceTest.java
@@ -22,7 +22,7 @@
   }
 
   private static String play(int count, long seed, Script script) {
-    World world = new World(count, seed, MembershipSettings.USUAL);
+    World world = new World(count, seed, MembershipSettings.DEFAULT);
     TraceDigest digest = new TraceDigest();
     world.watcher =
         m ->
@@ -34,16 +34,16 @@
                 m.incarnation(),
                 m.sequence(),
                 m.target(),
-                m.view(),
-                m.told(),
-                m.rumors().size(),
-                m.rumors().stream()
+                m.viewDigest(),
+                m.payloadDigest(),
+                m.updates().size(),
+                m.updates().stream()
                     .mapToLong(
                         r ->
                             31L * r.number()
                                 + 7L * r.epoch()
                                 + r.incarnation() * 5L
-                                + r.standing().ordinal() * 3L
+                                + r.state().ordinal() * 3L
                                 + r.accuser())
                     .sum());
     script.plan(world);
@@ -111,7 +111,7 @@
                     w.plan(w.now + 30_000, () -> w.kill(6));
                     w.plan(w.now + 30_500, () -> w.start(6));
                     w.plan(w.now + 40_000, () -> w.perform(7, w.at(7).leave(w.now)));
-                    w.plan(w.now + 10_000, () -> w.at(3).tell(new byte[] {1, 2, 3}));
+                    w.plan(w.now + 10_000, () -> w.at(3).publish(new byte[] {1, 2, 3}));
                   }));
     }
     assertEquals(Files.readString(RECORDED).trim(), String.join("\n", seen));
