--- a/src/test/java/bitternpulley/membership/PlainDetector.java
+++ b/src/test/java/bitternpulley/membership/PlainDetector.java
@@ -1,6 +1,6 @@
 package bitternpulley.membership;
 
-import bitternpulley.membership.Message.Kind;
+import bitternpulley.membership.GossipMessage.Kind;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -24,11 +24,11 @@
   private final long epoch;
   private final MembershipSettings terms;
   private final Random random;
-  private final Standing[] standings;
+  private final MemberState[] standings;
   private final DisseminationQueue spread = new DisseminationQueue();
   private final ArrayDeque<Integer> round = new ArrayDeque<>();
   private final Map<Integer, Helping> helping = new HashMap<>();
-  private List<Output> out = new ArrayList<>();
+  private List<MembershipAction> out = new ArrayList<>();
   private Asked asked;
   private boolean helped;
   private int sequence;
@@ -41,8 +41,8 @@
     this.epoch = epoch;
     this.terms = terms;
     random = new Random(seed);
-    standings = new Standing[count];
-    java.util.Arrays.fill(standings, Standing.ALIVE);
+    standings = new MemberState[count];
+    java.util.Arrays.fill(standings, MemberState.ALIVE);
     incarnations = new int[count];
     nextProbe = now + terms.interval() * random.nextDouble();
   }
@@ -53,12 +53,12 @@
   }
 
   @Override
-  public Standing standing(int number) {
+  public MemberState standing(int number) {
     return standings[number];
   }
 
   @Override
-  public List<Output> tick(double now) {
+  public List<MembershipAction> tick(double now) {
     out = new ArrayList<>();
     if (asked != null && !helped && now >= asked.at() + terms.timeout()) {
       helped = true;
@@ -70,7 +70,7 @@
           .forEach(h -> send(h, Kind.RELAY, asked.sequence(), asked.target()));
     }
     if (asked != null && now >= asked.at() + 3 * terms.timeout()) {
-      stands(asked.target(), Standing.DEAD, incarnations[asked.target()]);
+      stands(asked.target(), MemberState.DEAD, incarnations[asked.target()]);
       asked = null;
     }
     if (asked == null && now >= nextProbe) {
@@ -84,7 +84,7 @@
         round.addAll(all);
       }
       int target = round.poll();
-      asked = standings[target] == Standing.ALIVE ? new Asked(target, ++sequence, now) : null;
+      asked = standings[target] == MemberState.ALIVE ? new Asked(target, ++sequence, now) : null;
       helped = false;
       send(target, Kind.PING, asked == null ? 0 : sequence, target);
     }
@@ -92,12 +92,12 @@
   }
 
   @Override
-  public List<Output> heard(Message m, double now) {
+  public List<MembershipAction> heard(GossipMessage m, double now) {
     out = new ArrayList<>();
-    if (standings[m.from()] != Standing.ALIVE && m.incarnation() >= incarnations[m.from()]) {
-      stands(m.from(), Standing.ALIVE, m.incarnation() + 1);
+    if (standings[m.from()] != MemberState.ALIVE && m.incarnation() >= incarnations[m.from()]) {
+      stands(m.from(), MemberState.ALIVE, m.incarnation() + 1);
     }
-    m.rumors().forEach(this::rumor);
+    m.updates().forEach(this::rumor);
     switch (m.kind()) {
       case PING -> send(m.from(), Kind.ACK, m.sequence(), self);
       case RELAY -> {
@@ -119,28 +119,28 @@
 
   private void rumor(GossipUpdate r) {
     if (r.number() == self) {
-      if (r.standing() == Standing.DEAD && r.incarnation() >= incarnation) {
+      if (r.state() == MemberState.DEAD && r.incarnation() >= incarnation) {
         incarnation = r.incarnation() + 1;
-        spread.add(new GossipUpdate(self, epoch, incarnation, Standing.ALIVE, -1, null));
+        spread.add(new GossipUpdate(self, epoch, incarnation, MemberState.ALIVE, -1, null));
       }
     } else if (r.incarnation() > incarnations[r.number()]
-        || r.incarnation() == incarnations[r.number()] && r.standing() == Standing.DEAD) {
-      stands(r.number(), r.standing(), r.incarnation());
+        || r.incarnation() == incarnations[r.number()] && r.state() == MemberState.DEAD) {
+      stands(r.number(), r.state(), r.incarnation());
     }
   }
 
   private List<Integer> alive() {
     return new ArrayList<>(
         IntStream.range(0, standings.length)
-            .filter(i -> i != self && standings[i] == Standing.ALIVE)
+            .filter(i -> i != self && standings[i] == MemberState.ALIVE)
             .boxed()
             .toList());
   }
 
-  private void stands(int number, Standing next, int at) {
+  private void stands(int number, MemberState next, int at) {
     incarnations[number] = at;
     if (standings[number] != next) {
-      out.add(new Output.Changed(number, null, standings[number], next, "plain"));
+      out.add(new MembershipAction.StateChanged(number, null, standings[number], next, "plain"));
       standings[number] = next;
       spread.add(new GossipUpdate(number, 1, at, next, self, null));
     }
@@ -148,9 +148,9 @@
 
   private void send(int to, Kind kind, int number, int target) {
     out.add(
-        new Output.Send(
+        new MembershipAction.Send(
             to,
-            new Message(
+            new GossipMessage(
                 kind,
                 self,
                 epoch,
@@ -158,6 +158,10 @@
                 number,
                 target,
                 0,
-                spread.next(standings.length, null, Message.RUMOR_BYTES, Message.MOST_RUMORS))));
+                spread.next(
+                    standings.length,
+                    null,
+                    GossipMessage.UPDATE_BYTES,
+                    GossipMessage.MAX_UPDATES))));
   }
 }
--- a/src/test/java/bitternpulley/membership/World.java
+++ b/src/test/java/bitternpulley/membership/World.java
@@ -16,17 +16,17 @@
  * way or both.
  */
 final class World {
-  record Verdict(int by, int of, Standing before, Standing now, double at) {}
+  record Verdict(int by, int of, MemberState before, MemberState now, double at) {}
 
   private record Due(double at, long order, Runnable task) {}
 
   /** What the world moves: the program's own state machine, or one to compare it with. */
   interface Instance {
-    List<Output> tick(double now);
+    List<MembershipAction> tick(double now);
 
-    List<Output> heard(Message message, double now);
+    List<MembershipAction> heard(GossipMessage message, double now);
 
-    Standing standing(int number);
+    MemberState standing(int number);
 
     double tickEvery();
   }
@@ -38,23 +38,23 @@
 
   private record Own(Membership membership) implements Instance {
     @Override
-    public List<Output> tick(double now) {
+    public List<MembershipAction> tick(double now) {
       return membership.tick(now);
     }
 
     @Override
-    public List<Output> heard(Message message, double now) {
-      return membership.heard(message, now);
+    public List<MembershipAction> heard(GossipMessage message, double now) {
+      return membership.onMessage(message, now);
     }
 
     @Override
-    public Standing standing(int number) {
-      return membership.standing(number);
+    public MemberState standing(int number) {
+      return membership.stateOf(number);
     }
 
     @Override
     public double tickEvery() {
-      return membership.tickEvery();
+      return membership.tickInterval();
     }
   }
 
@@ -75,7 +75,7 @@
   long sent;
 
   /** Is shown each message as it is sent. */
-  Consumer<Message> watcher = message -> {};
+  Consumer<GossipMessage> watcher = message -> {};
 
   private final Maker maker;
   private final Random random;
@@ -138,22 +138,22 @@
     plan(now + n.instance.tickEvery() + random.nextDouble(), () -> tick(i, life));
   }
 
-  void perform(int by, List<Output> outputs) {
-    for (Output o : outputs) {
-      if (o instanceof Output.Send s) {
+  void perform(int by, List<MembershipAction> outputs) {
+    for (MembershipAction o : outputs) {
+      if (o instanceof MembershipAction.Send s) {
         sent++;
         watcher.accept(s.message());
         deliver(by, s.to(), s.message());
         if (random.nextDouble() < repeated) {
           deliver(by, s.to(), s.message());
         }
-      } else if (o instanceof Output.Changed c) {
+      } else if (o instanceof MembershipAction.StateChanged c) {
         verdicts.add(new Verdict(by, c.number(), c.before(), c.now(), now));
       }
     }
   }
 
-  void deliver(int from, int to, Message message) {
+  void deliver(int from, int to, GossipMessage message) {
     if (to >= nodes.size() || random.nextDouble() < loss || cuts.contains((long) from << 32 | to)) {
       return;
     }
@@ -163,7 +163,7 @@
         () -> arrive(to, life, message));
   }
 
-  private void arrive(int to, int life, Message message) {
+  private void arrive(int to, int life, GossipMessage message) {
     Node n = nodes.get(to);
     if (n.up && n.starts == life) {
       if (now < n.pausedUntil) {
@@ -236,19 +236,23 @@
   }
 
   /** Whether each that runs holds this member so. */
-  boolean allHold(int of, Standing standing) {
+  boolean allHold(int of, MemberState standing) {
     return IntStream.range(0, size())
         .filter(i -> i != of && up(i))
         .allMatch(i -> nodes.get(i).instance.standing(of) == standing);
   }
 
   boolean viewsEqual() {
-    return IntStream.range(0, size()).filter(this::up).map(i -> at(i).view()).distinct().count()
+    return IntStream.range(0, size())
+            .filter(this::up)
+            .map(i -> at(i).viewDigest())
+            .distinct()
+            .count()
         == 1;
   }
 
   /** Verdicts of death on one that ran. */
   List<Verdict> deaths() {
-    return verdicts.stream().filter(v -> v.now() == Standing.DEAD).toList();
+    return verdicts.stream().filter(v -> v.now() == MemberState.DEAD).toList();
   }
 }
--- a/src/test/java/bitternpulley/peers/ControlTraffic.java
+++ b/src/test/java/bitternpulley/peers/ControlTraffic.java
@@ -43,7 +43,7 @@
 
   /** What the members sent while this went on. */
   static Rate rate(HollowMembers members, int count, double ms, Consumer<HollowMembers> meanwhile) {
-    PeerCodec codec = new PeerCodec("measure");
+    GossipCodec codec = new GossipCodec("measure");
     Map<Integer, long[]> sent = new HashMap<>();
     int[] longest = new int[1];
     members.watch(
--- a/src/test/java/bitternpulley/peers/DatagramBytesTest.java
+++ b/src/test/java/bitternpulley/peers/DatagramBytesTest.java
@@ -4,11 +4,11 @@
 
 import bitternpulley.broker.Event;
 import bitternpulley.leases.LeaseMessage;
+import bitternpulley.membership.GossipMessage;
 import bitternpulley.membership.GossipUpdate;
 import bitternpulley.membership.MemberMetadata;
 import bitternpulley.membership.MemberPayload;
-import bitternpulley.membership.Message;
-import bitternpulley.membership.Standing;
+import bitternpulley.membership.MemberState;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -25,8 +25,8 @@
 class DatagramBytesTest {
   private static final Path RECORDED = Path.of("src/test/resources/edges/datagrams.txt");
 
-  private static List<Message> gossip() {
-    List<Message> messages = new ArrayList<>();
+  private static List<GossipMessage> gossip() {
+    List<GossipMessage> messages = new ArrayList<>();
     for (int kind = 0; kind < 5; kind++) {
       List<GossipUpdate> updates = new ArrayList<>();
       for (int state = 0; state < 4; state++) {
@@ -35,14 +35,14 @@
                 state * 300,
                 1_700_000_000_000L + state,
                 state,
-                Standing.values()[state],
+                MemberState.values()[state],
                 state - 1,
                 state % 2 == 0 ? null : new MemberMetadata("node", "zone", "region", "build"),
                 state < 2 ? null : new MemberPayload(state, new byte[] {1, 2, (byte) 200})));
       }
       messages.add(
-          new Message(
-              Message.Kind.values()[kind],
+          new GossipMessage(
+              GossipMessage.Kind.values()[kind],
               7,
               1_700_000_000_123L,
               2,
@@ -60,16 +60,16 @@
     members.set(0, 3);
     members.set(77);
     return List.of(
-        new LeaseMessage.Asked(3, 1_700_000_000_555L, 17),
-        new LeaseMessage.Granted(4, 17, 1234.2, members),
-        new LeaseMessage.Granted(4, 18, 0, new BitSet()));
+        new LeaseMessage.LeaseRequest(3, 1_700_000_000_555L, 17),
+        new LeaseMessage.LeaseGrant(4, 17, 1234.2, members),
+        new LeaseMessage.LeaseGrant(4, 18, 0, new BitSet()));
   }
 
   @Test
   void areEncodedAsRecordedAndReadBack() throws IOException {
-    PeerCodec codec = new PeerCodec("lahore-booking");
+    GossipCodec codec = new GossipCodec("lahore-booking");
     List<String> seen = new ArrayList<>();
-    for (Message m : gossip()) {
+    for (GossipMessage m : gossip()) {
       byte[] bytes = codec.encode(m);
       seen.add("gossip " + HexFormat.of().formatHex(bytes));
       assertEquals(new Event.GossipReceived(m), codec.decode(bytes, bytes.length).event());
--- a/src/test/java/bitternpulley/peers/PeerCodecTest.java
+++ b/src/test/java/bitternpulley/peers/PeerCodecTest.java
@@ -7,15 +7,15 @@
 import bitternpulley.broker.Event;
 import bitternpulley.leases.LeaseMessage;
 import bitternpulley.leases.LeaseTerms;
+import bitternpulley.membership.GossipMessage;
 import bitternpulley.membership.GossipUpdate;
 import bitternpulley.membership.MemberMetadata;
 import bitternpulley.membership.MemberPayload;
+import bitternpulley.membership.MemberState;
 import bitternpulley.membership.Membership;
+import bitternpulley.membership.MembershipAction;
 import bitternpulley.membership.MembershipSettings;
-import bitternpulley.membership.Message;
-import bitternpulley.membership.Output;
 import bitternpulley.membership.ReachabilityReport;
-import bitternpulley.membership.Standing;
 import java.io.IOException;
 import java.util.BitSet;
 import java.util.List;
@@ -28,7 +28,7 @@
 
 class PeerCodecTest {
   private static final double NOW = 1.8e12;
-  private final PeerCodec codec = new PeerCodec("test");
+  private final GossipCodec codec = new GossipCodec("test");
 
   private static Membership member() {
     return new Membership(
@@ -40,15 +40,15 @@
             "a-build-of-24-characters"),
         (long) NOW,
         IntStream.range(0, 40).boxed().toList(),
-        MembershipSettings.USUAL,
+        MembershipSettings.DEFAULT,
         1,
         NOW);
   }
 
-  private static List<Message> sent(List<Output> outputs) {
+  private static List<GossipMessage> sent(List<MembershipAction> outputs) {
     return outputs.stream()
-        .filter(o -> o instanceof Output.Send)
-        .map(o -> ((Output.Send) o).message())
+        .filter(o -> o instanceof MembershipAction.Send)
+        .map(o -> ((MembershipAction.Send) o).message())
         .toList();
   }
 
@@ -63,14 +63,14 @@
     double now = NOW;
     for (int i = 0; i < 200; i++) {
       now += 100;
-      List<Message> out = new java.util.ArrayList<>(sent(m.tick(now)));
+      List<GossipMessage> out = new java.util.ArrayList<>(sent(m.tick(now)));
       int from = random.nextInt(40);
       GossipUpdate about =
           new GossipUpdate(
               random.nextInt(2048),
               (long) now - random.nextInt(1000),
               random.nextInt(1_000_000),
-              Standing.values()[random.nextInt(4)],
+              MemberState.values()[random.nextInt(4)],
               random.nextInt(2048),
               random.nextBoolean()
                   ? null
@@ -81,17 +81,18 @@
                       "another-build"),
               random.nextBoolean()
                   ? null
-                  : new MemberPayload(i + 1, new byte[random.nextInt(MemberPayload.MOST + 1)]));
+                  : new MemberPayload(
+                      i + 1, new byte[random.nextInt(MemberPayload.MAX_BYTES + 1)]));
       if (i % 20 == 0) {
         byte[] slot = new byte[ReachabilityReport.PAYLOAD];
         random.nextBytes(slot);
-        m.tell(slot);
+        m.publish(slot);
       }
       out.addAll(
           sent(
-              m.heard(
-                  new Message(
-                      Message.Kind.values()[random.nextInt(5)],
+              m.onMessage(
+                  new GossipMessage(
+                      GossipMessage.Kind.values()[random.nextInt(5)],
                       from,
                       (long) NOW,
                       i,
@@ -100,9 +101,9 @@
                       random.nextInt(),
                       List.of(about)),
                   now)));
-      for (Message message : out) {
+      for (GossipMessage message : out) {
         byte[] bytes = codec.encode(message);
-        assertTrue(bytes.length <= PeerCodec.MOST_BYTES);
+        assertTrue(bytes.length <= GossipCodec.MOST_BYTES);
         assertEquals(new Event.GossipReceived(message), codec.decode(bytes, bytes.length).event());
       }
     }
@@ -118,7 +119,7 @@
   @Property(tries = 2000)
   void aChangedMessageIsRefusedOrBorne(@ForAll long seed) {
     Random random = new Random(seed);
-    Message good = sent(member().tick(NOW + 2000)).get(0);
+    GossipMessage good = sent(member().tick(NOW + 2000)).get(0);
     byte[] bytes = codec.encode(good);
     for (int i = 0; i <= random.nextInt(3); i++) {
       bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
@@ -130,21 +131,21 @@
   @Test
   void whatConcernsLeasesFitsAndIsReadBack() throws IOException {
     BitSet all = new BitSet();
-    all.set(0, LeaseTerms.MOST_MEMBERS);
+    all.set(0, LeaseTerms.MAX_MEMBERS);
     for (LeaseMessage m :
         List.of(
-            new LeaseMessage.Asked(1499, Long.MAX_VALUE, Integer.MAX_VALUE),
-            new LeaseMessage.Granted(1499, Integer.MAX_VALUE, 600_000, all),
-            new LeaseMessage.Granted(0, 1, 0, new BitSet()))) {
+            new LeaseMessage.LeaseRequest(1499, Long.MAX_VALUE, Integer.MAX_VALUE),
+            new LeaseMessage.LeaseGrant(1499, Integer.MAX_VALUE, 600_000, all),
+            new LeaseMessage.LeaseGrant(0, 1, 0, new BitSet()))) {
       byte[] bytes = codec.encode(m);
-      assertTrue(bytes.length <= PeerCodec.MOST_BYTES);
+      assertTrue(bytes.length <= GossipCodec.MOST_BYTES);
       assertEquals(
-          new PeerCodec.Datagram(m.from(), new Event.LeaseMessageReceived(m)),
+          new GossipCodec.Datagram(m.from(), new Event.LeaseMessageReceived(m)),
           codec.decode(bytes, bytes.length));
     }
     BitSet beyond = new BitSet();
-    beyond.set(LeaseTerms.MOST_MEMBERS);
-    byte[] bytes = codec.encode(new LeaseMessage.Granted(0, 1, 0, beyond));
+    beyond.set(LeaseTerms.MAX_MEMBERS);
+    byte[] bytes = codec.encode(new LeaseMessage.LeaseGrant(0, 1, 0, beyond));
     assertThrows(IOException.class, () -> codec.decode(bytes, bytes.length));
   }
 
@@ -158,27 +159,29 @@
     if (!(event instanceof Event.GossipReceived said)) {
       return;
     }
-    Message message = said.message();
+    GossipMessage message = said.message();
     Membership m =
         new Membership(
             1,
             new MemberMetadata("n1", "z", "r", "b"),
             (long) NOW,
             List.of(0, 1, 2),
-            MembershipSettings.USUAL,
+            MembershipSettings.DEFAULT,
             1,
             NOW);
-    m.heard(message, NOW);
+    m.onMessage(message, NOW);
     m.tick(NOW + 100);
     assertEquals(3, m.members().size());
-    assertTrue(m.members().stream().noneMatch(v -> v.standing() == Standing.DEAD));
+    assertTrue(m.members().stream().noneMatch(v -> v.state() == MemberState.DEAD));
   }
 
   @Test
   void anotherDeploymentOrVersionIsForeign() {
-    byte[] bytes = codec.encode(new Message(Message.Kind.PING, 1, 5, 0, 1, 0, 0, List.of()));
-    assertThrows(PeerCodec.Foreign.class, () -> new PeerCodec("other").decode(bytes, bytes.length));
+    byte[] bytes =
+        codec.encode(new GossipMessage(GossipMessage.Kind.PING, 1, 5, 0, 1, 0, 0, List.of()));
+    assertThrows(
+        GossipCodec.Foreign.class, () -> new GossipCodec("other").decode(bytes, bytes.length));
     bytes[1] = 2;
-    assertThrows(PeerCodec.Foreign.class, () -> codec.decode(bytes, bytes.length));
+    assertThrows(GossipCodec.Foreign.class, () -> codec.decode(bytes, bytes.length));
   }
 }
--- a/src/test/java/bitternpulley/platform/DiscoveryTest.java
+++ b/src/test/java/bitternpulley/platform/DiscoveryTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import bitternpulley.config.ServerList;
+import bitternpulley.config.EndpointList;
 import bitternpulley.faults.Ports;
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
@@ -28,7 +28,7 @@
   /** What a silent watch has missed counts as told so many ms after it fell silent. */
   private static final long TOLD_AFTER = 6000;
 
-  private final BlockingQueue<ServerList> told = new LinkedBlockingQueue<>();
+  private final BlockingQueue<EndpointList> told = new LinkedBlockingQueue<>();
   private EventLoop loop;
   private Discovery discovery;
   private ServerSocket agent;
@@ -96,7 +96,7 @@
   }
 
   private long next() throws InterruptedException {
-    ServerList list = told.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+    EndpointList list = told.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
     assertTrue(list != null, "nothing was told");
     return list.revision();
   }
--- a/src/test/java/bitternpulley/platform/PreparationTest.java
+++ b/src/test/java/bitternpulley/platform/PreparationTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import bitternpulley.config.ServerList;
+import bitternpulley.config.EndpointList;
 import bitternpulley.net.EventLoop;
 import bitternpulley.routing.Router;
 import java.util.List;
@@ -23,12 +23,12 @@
   private BlockingQueue<String> opened;
   private Preparation preparation;
 
-  private static ServerList.Entry entry(int n, Router.ServerState state) {
-    return new ServerList.Entry(new Router.Endpoint("s" + n, 0, n, state, 0), null);
+  private static EndpointList.Entry entry(int n, Router.ServerState state) {
+    return new EndpointList.Entry(new Router.Endpoint("s" + n, 0, n, state, 0), null);
   }
 
-  private static ServerList list(Stream<ServerList.Entry> entries) {
-    return new ServerList(1, true, entries.toList());
+  private static EndpointList list(Stream<EndpointList.Entry> entries) {
+    return new EndpointList(1, true, entries.toList());
   }
 
   @BeforeMethod
--- a/src/test/java/bitternpulley/platform/SlotServersTest.java
+++ b/src/test/java/bitternpulley/platform/SlotServersTest.java
@@ -56,7 +56,7 @@
             loop,
             events::add,
             Clock.system(),
-            new Configuration.Wire(100, 15_000, false),
+            new Configuration.ConnectionSettings(100, 15_000, false),
             5000,
             10,
             4);
@@ -146,7 +146,7 @@
             loop,
             events::add,
             () -> now[0],
-            new Configuration.Wire(100, 15_000, false),
+            new Configuration.ConnectionSettings(100, 15_000, false),
             5000,
             10,
             4);
@@ -213,7 +213,7 @@
             loop,
             events::add,
             Clock.system(),
-            new Configuration.Wire(100, 15_000, false),
+            new Configuration.ConnectionSettings(100, 15_000, false),
             5000,
             10);
     loop.execute(() -> servers.address("s", new HostPort("127.0.0.1", server.getLocalPort())));
@@ -240,7 +240,12 @@
   public void anIdleConnectionMakesRoomAtOnce() throws Exception {
     servers =
         new SlotServers(
-            loop, events::add, Clock.system(), new Configuration.Wire(100, 15_000, false), 5000, 1);
+            loop,
+            events::add,
+            Clock.system(),
+            new Configuration.ConnectionSettings(100, 15_000, false),
+            5000,
+            1);
     try (ServerSocket other = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.2"))) {
       loop.execute(() -> servers.address("s", new HostPort("127.0.0.1", server.getLocalPort())));
       loop.execute(() -> servers.address("t", new HostPort("127.0.0.2", other.getLocalPort())));
@@ -360,7 +365,7 @@
             loop,
             events::add,
             () -> now[0],
-            new Configuration.Wire(100, 15_000, false),
+            new Configuration.ConnectionSettings(100, 15_000, false),
             5000,
             10,
             4);
@@ -415,7 +420,7 @@
               }
             },
             Clock.system(),
-            new Configuration.Wire(100, 15_000, false),
+            new Configuration.ConnectionSettings(100, 15_000, false),
             5000,
             10,
             4);
@@ -453,7 +458,13 @@
     double[] now = {0};
     servers =
         new SlotServers(
-            loop, events::add, () -> now[0], new Configuration.Wire(100, 1000, false), 5000, 10, 4);
+            loop,
+            events::add,
+            () -> now[0],
+            new Configuration.ConnectionSettings(100, 1000, false),
+            5000,
+            10,
+            4);
     loop.execute(() -> servers.address("s", new HostPort("127.0.0.1", server.getLocalPort())));
     start(0, 0);
     try (Socket idle = server.accept()) {
@@ -669,7 +680,7 @@
             loop,
             events::add,
             Clock.system(),
-            new Configuration.Wire(2, 15_000, false),
+            new Configuration.ConnectionSettings(2, 15_000, false),
             5000,
             10,
             4);
--- a/src/test/java/bitternpulley/process/ContractsProcessTest.java
+++ b/src/test/java/bitternpulley/process/ContractsProcessTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import bitternpulley.contracts.Recognition;
+import bitternpulley.contracts.TenantIdentification;
 import bitternpulley.process.Deployment.Reply;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
@@ -36,7 +36,7 @@
     String hash =
         HexFormat.of()
             .formatHex(
-                Recognition.hash(
+                TenantIdentification.hash(
                     HexFormat.of().parseHex(SALT), secret.getBytes(StandardCharsets.UTF_8)));
     return "opensearch(listen = '"
         + d.searchListen
--- a/src/test/java/bitternpulley/trace/DecisionTraceTest.java
+++ b/src/test/java/bitternpulley/trace/DecisionTraceTest.java
@@ -4,8 +4,8 @@
 
 import bitternpulley.broker.Event;
 import bitternpulley.config.BrokerConfigurationReader;
-import bitternpulley.config.Json;
 import bitternpulley.config.SettingsReader;
+import bitternpulley.config.StrictJson;
 import bitternpulley.contracts.ContractBook;
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
@@ -132,7 +132,7 @@
         world.at(
             TraceWorld.BEGIN + 4000,
             () -> world.load(6, TraceWorld.BEGIN + 10_000, 6, site.teams()));
-        world.at(TraceWorld.BEGIN + 12_000, () -> world.contracts(site.book().as(2)));
+        world.at(TraceWorld.BEGIN + 12_000, () -> world.contracts(site.book().withVersion(2)));
         world.at(TraceWorld.BEGIN + 16_000, () -> world.contracts(ContractBook.NONE));
       }
     },
@@ -173,7 +173,7 @@
 
   static Settings settings(String site, int self) {
     try {
-      JsonNode in = Json.read(Files.readAllBytes(FOLDER.resolve(site + ".json")));
+      JsonNode in = StrictJson.read(Files.readAllBytes(FOLDER.resolve(site + ".json")));
       ((ObjectNode) in).put("selfIndex", self);
       ((ObjectNode) in).put("zone", self % 2);
       return SettingsReader.read(in);
@@ -222,7 +222,7 @@
     }
     return new Day.Site(
         BrokerConfigurationReader.read(FOLDER.resolve("teams.star"), Optional.of(settings(site, 0)))
-            .book(),
+            .contracts(),
         List.of("desk", "desk", "sums"));
   }
 }
--- a/src/test/java/bitternpulley/trace/EffectLines.java
+++ b/src/test/java/bitternpulley/trace/EffectLines.java
@@ -3,11 +3,11 @@
 import bitternpulley.broker.AttemptId;
 import bitternpulley.broker.Effect;
 import bitternpulley.broker.Event;
-import bitternpulley.contracts.Charge;
-import bitternpulley.contracts.Verdict;
+import bitternpulley.contracts.AdmissionDecision;
+import bitternpulley.contracts.UsageCharge;
 import bitternpulley.leases.LeaseMessage;
+import bitternpulley.membership.GossipMessage;
 import bitternpulley.membership.GossipUpdate;
-import bitternpulley.membership.Message;
 import bitternpulley.routing.Router;
 import java.util.Map;
 import java.util.TreeMap;
@@ -66,7 +66,7 @@
   }
 
   /** A membership message by its numbers. */
-  static String gossip(Message m) {
+  static String gossip(GossipMessage m) {
     StringBuilder line =
         new StringBuilder(
             m.kind().ordinal()
@@ -81,10 +81,10 @@
                 + "/"
                 + m.target()
                 + "/"
-                + m.view()
+                + m.viewDigest()
                 + "/"
-                + m.told());
-    for (GossipUpdate r : m.rumors()) {
+                + m.payloadDigest());
+    for (GossipUpdate r : m.updates()) {
       line.append(" [")
           .append(r.number())
           .append('/')
@@ -92,41 +92,44 @@
           .append('/')
           .append(r.incarnation())
           .append('/')
-          .append(r.standing().ordinal())
+          .append(r.state().ordinal())
           .append('/')
           .append(r.accuser())
           .append('/')
           .append(
-              r.card() == null
+              r.metadata() == null
                   ? "-"
-                  : r.card().name() + r.card().zone() + r.card().region() + r.card().build())
+                  : r.metadata().name()
+                      + r.metadata().zone()
+                      + r.metadata().region()
+                      + r.metadata().build())
           .append('/')
           .append(
-              r.slot() == null
+              r.payload() == null
                   ? "-"
-                  : r.slot().count() + ":" + java.util.Arrays.hashCode(r.slot().bytes()))
+                  : r.payload().count() + ":" + java.util.Arrays.hashCode(r.payload().bytes()))
           .append(']');
     }
     return line.toString();
   }
 
   private static String lease(LeaseMessage message) {
-    if (message instanceof LeaseMessage.Asked a) {
+    if (message instanceof LeaseMessage.LeaseRequest a) {
       return "request " + a.from() + " " + a.epoch() + " " + a.sequence();
     }
-    LeaseMessage.Granted g = (LeaseMessage.Granted) message;
+    LeaseMessage.LeaseGrant g = (LeaseMessage.LeaseGrant) message;
     return "grant "
         + g.from()
         + " "
         + g.sequence()
         + " "
-        + Double.toHexString(g.after())
+        + Double.toHexString(g.delay())
         + " "
-        + g.named();
+        + g.holders();
   }
 
-  private static String verdict(Verdict verdict) {
-    if (verdict instanceof Verdict.Refused no) {
+  private static String verdict(AdmissionDecision verdict) {
+    if (verdict instanceof AdmissionDecision.Rejected no) {
       return "refused "
           + no.team()
           + " "
@@ -134,9 +137,9 @@
           + " "
           + no.limit().ordinal()
           + " "
-          + Double.toHexString(no.pause());
+          + Double.toHexString(no.retryAfter());
     }
-    Charge c = (Charge) verdict;
+    UsageCharge c = (UsageCharge) verdict;
     return "admitted "
         + c.team()
         + " "
--- a/src/test/java/bitternpulley/trace/HedgingTraceTest.java
+++ b/src/test/java/bitternpulley/trace/HedgingTraceTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import bitternpulley.config.Json;
 import bitternpulley.config.SettingsReader;
+import bitternpulley.config.StrictJson;
 import bitternpulley.policy.Policy;
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
@@ -45,7 +45,7 @@
   }
 
   private static Settings settings(String site) throws IOException {
-    JsonNode in = Json.read(Files.readAllBytes(FOLDER.resolve(site + ".json")));
+    JsonNode in = StrictJson.read(Files.readAllBytes(FOLDER.resolve(site + ".json")));
     ((ObjectNode) in.get("policyLimits"))
         .put("secondCopies", true)
         .put("mayCancel", true)
--- a/src/test/java/bitternpulley/trace/TraceWorld.java
+++ b/src/test/java/bitternpulley/trace/TraceWorld.java
@@ -133,7 +133,7 @@
                   new MemberMetadata("n" + i, "z" + i % 2, "r", "b"),
                   (long) now,
                   all,
-                  MembershipSettings.USUAL,
+                  MembershipSettings.DEFAULT,
                   77 + i,
                   now)));
       beat(i);
