--- a/src/main/java/bitternpulley/Main.java
+++ b/src/main/java/bitternpulley/Main.java
@@ -17,7 +17,7 @@
     switch (what) {
       case "serve/1" -> Aggregator.main();
       case "rehearse/1" -> Aggregator.rehearse();
-      case "simhost/1" -> bitternpulley.simhost.Main.main(args);
+      case "simhost/1" -> bitternpulley.simulator.Main.main(args);
       case "check/2" -> System.exit(Check.main(args[1]));
       default -> {
         System.err.println("usage: serve | simhost | rehearse | check FILE");
--- a/src/main/java/bitternpulley/measure/MeasureContracts.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureContracts.java
@@ -1,11 +1,11 @@
-package bitternpulley.measure;
+package bitternpulley.benchmark;
 
 import bitternpulley.contracts.TenantIdentification;
-import bitternpulley.faults.Node;
-import bitternpulley.faults.Ports;
+import bitternpulley.emulator.Fleet;
+import bitternpulley.faultinjection.Node;
+import bitternpulley.faultinjection.Ports;
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
-import bitternpulley.standin.Fleet;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
--- a/src/main/java/bitternpulley/measure/MeasureMembershipCase.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembershipCase.java
@@ -1,8 +1,8 @@
-package bitternpulley.measure;
+package bitternpulley.benchmark;
 
-import bitternpulley.faults.Callers;
-import bitternpulley.faults.Cluster;
-import bitternpulley.faults.Scenario;
+import bitternpulley.faultinjection.Callers;
+import bitternpulley.faultinjection.Cluster;
+import bitternpulley.faultinjection.Scenario;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
--- a/src/main/java/bitternpulley/measure/MeasureMembershipMany.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembershipMany.java
@@ -1,7 +1,7 @@
-package bitternpulley.measure;
+package bitternpulley.benchmark;
 
-import bitternpulley.faults.Callers;
-import bitternpulley.faults.Cluster;
+import bitternpulley.faultinjection.Callers;
+import bitternpulley.faultinjection.Cluster;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
--- a/src/main/java/bitternpulley/measure/MeasureScaleServers.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureScaleServers.java
@@ -1,8 +1,8 @@
-package bitternpulley.measure;
+package bitternpulley.benchmark;
 
-import bitternpulley.faults.Node;
-import bitternpulley.faults.Ports;
-import bitternpulley.standin.HollowServers;
+import bitternpulley.emulator.HollowServers;
+import bitternpulley.faultinjection.Node;
+import bitternpulley.faultinjection.Ports;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/bitternpulley/measure/OpenLoopLoad.java
+++ b/src/main/java/bitternpulley/benchmark/OpenLoopLoad.java
@@ -1,4 +1,4 @@
-package bitternpulley.measure;
+package bitternpulley.benchmark;
 
 import bitternpulley.net.HostPort;
 import java.io.IOException;
--- a/src/main/java/bitternpulley/measure/ProcessUse.java
+++ b/src/main/java/bitternpulley/benchmark/ProcessUse.java
@@ -1,4 +1,4 @@
-package bitternpulley.measure;
+package bitternpulley.benchmark;
 
 import java.io.File;
 import java.io.IOException;
--- a/src/main/java/bitternpulley/measure/Team.java
+++ b/src/main/java/bitternpulley/benchmark/Team.java
@@ -1,4 +1,4 @@
-package bitternpulley.measure;
+package bitternpulley.benchmark;
 
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
--- a/src/main/java/bitternpulley/measure/package-info.java
+++ b/src/main/java/bitternpulley/benchmark/package-info.java
@@ -3,4 +3,4 @@
  * make measure-NAME}. Each ends by itself within 40 s and prints one JSON object last, whose
  * figures are computed from what clients and servers saw. Nothing here runs in service.
  */
-package bitternpulley.measure;
+package bitternpulley.benchmark;
--- a/src/main/java/bitternpulley/standin/Fleet.java
+++ b/src/main/java/bitternpulley/emulator/Fleet.java
@@ -1,4 +1,4 @@
-package bitternpulley.standin;
+package bitternpulley.emulator;
 
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
--- a/src/main/java/bitternpulley/standin/RuleCheck.java
+++ b/src/main/java/bitternpulley/emulator/RuleCheck.java
@@ -1,4 +1,4 @@
-package bitternpulley.standin;
+package bitternpulley.emulator;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/bitternpulley/faults/Cluster.java
+++ b/src/main/java/bitternpulley/faultinjection/Cluster.java
@@ -1,8 +1,8 @@
-package bitternpulley.faults;
+package bitternpulley.faultinjection;
 
+import bitternpulley.emulator.Fleet;
+import bitternpulley.emulator.SlotServer;
 import bitternpulley.net.EventLoop;
-import bitternpulley.standin.Fleet;
-import bitternpulley.standin.SlotServer;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/src/main/java/bitternpulley/faults/Path.java
+++ b/src/main/java/bitternpulley/faultinjection/Path.java
@@ -1,4 +1,4 @@
-package bitternpulley.faults;
+package bitternpulley.faultinjection;
 
 import java.util.SplittableRandom;
 
--- a/src/main/java/bitternpulley/faults/StreamPaths.java
+++ b/src/main/java/bitternpulley/faultinjection/StreamPaths.java
@@ -1,4 +1,4 @@
-package bitternpulley.faults;
+package bitternpulley.faultinjection;
 
 import bitternpulley.net.HostPort;
 import java.io.IOException;
--- a/src/main/java/bitternpulley/faults/Timeline.java
+++ b/src/main/java/bitternpulley/faultinjection/Timeline.java
@@ -1,4 +1,4 @@
-package bitternpulley.faults;
+package bitternpulley.faultinjection;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/bitternpulley/faults/Ways.java
+++ b/src/main/java/bitternpulley/faultinjection/Ways.java
@@ -1,8 +1,8 @@
-package bitternpulley.faults;
+package bitternpulley.faultinjection;
 
+import bitternpulley.emulator.Fleet;
+import bitternpulley.emulator.SlotServer;
 import bitternpulley.net.HostPort;
-import bitternpulley.standin.Fleet;
-import bitternpulley.standin.SlotServer;
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/bitternpulley/peers/EpochFile.java
+++ b/src/main/java/bitternpulley/gossip/EpochFile.java
@@ -1,4 +1,4 @@
-package bitternpulley.peers;
+package bitternpulley.gossip;
 
 import java.io.IOException;
 import java.lang.System.Logger.Level;
--- a/src/main/java/bitternpulley/peers/GossipService.java
+++ b/src/main/java/bitternpulley/gossip/GossipService.java
@@ -1,4 +1,4 @@
-package bitternpulley.peers;
+package bitternpulley.gossip;
 
 import bitternpulley.broker.Broker;
 import bitternpulley.broker.Effect;
--- a/src/main/java/bitternpulley/peers/package-info.java
+++ b/src/main/java/bitternpulley/gossip/package-info.java
@@ -3,6 +3,6 @@
  * decides nothing: what comes is checked, decoded once and handed to the core; what the core tells
  * is encoded and sent. Off unless the operators' script has {@code membership()}.
  *
- * <p>{@link bitternpulley.peers.GossipService} puts the subsystem together.
+ * <p>{@link bitternpulley.gossip.GossipService} puts the subsystem together.
  */
-package bitternpulley.peers;
+package bitternpulley.gossip;
--- a/src/main/java/bitternpulley/simhost/Host.java
+++ b/src/main/java/bitternpulley/simulator/Host.java
@@ -1,4 +1,4 @@
-package bitternpulley.simhost;
+package bitternpulley.simulator;
 
 import static bitternpulley.config.Fields.flag;
 import static bitternpulley.config.Fields.integer;
--- a/src/main/java/bitternpulley/simhost/Main.java
+++ b/src/main/java/bitternpulley/simulator/Main.java
@@ -1,4 +1,4 @@
-package bitternpulley.simhost;
+package bitternpulley.simulator;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/src/main/java/bitternpulley/simhost/WireActions.java
+++ b/src/main/java/bitternpulley/simulator/WireActions.java
@@ -1,4 +1,4 @@
-package bitternpulley.simhost;
+package bitternpulley.simulator;
 
 import bitternpulley.routing.Router;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/bitternpulley/simhost/WireException.java
+++ b/src/main/java/bitternpulley/simulator/WireException.java
@@ -1,4 +1,4 @@
-package bitternpulley.simhost;
+package bitternpulley.simulator;
 
 /** Wire text or settings that cannot be used; the message names the field. */
 public final class WireException extends RuntimeException {
--- a/src/main/java/bitternpulley/simhost/package-info.java
+++ b/src/main/java/bitternpulley/simulator/package-info.java
@@ -4,6 +4,6 @@
  *
  * <p>Instances share nothing, and the same batches give the same replies. An input that cannot be
  * used ends the program with a message that names the batch. Never part of a process that serves.
- * Start with {@link bitternpulley.simhost.Host}.
+ * Start with {@link bitternpulley.simulator.Host}.
  */
-package bitternpulley.simhost;
+package bitternpulley.simulator;
--- a/src/test/java/bitternpulley/PackagesTest.java
+++ b/src/test/java/bitternpulley/PackagesTest.java
@@ -31,15 +31,15 @@
       {"membership", Set.of()},
       {"leases", Set.of()},
       {"broker", Set.of("routing", "policy", "contracts", "membership", "leases")},
-      {"peers", Set.of("net", "membership", "leases", "broker", "config")},
+      {"gossip", Set.of("net", "membership", "leases", "broker", "config")},
       {"config", Set.of("routing", "net", "contracts", "script", "membership", "leases")},
       {"admin", Set.of("net", "broker", "contracts", "membership", "leases")},
       {"platform", Set.of("routing", "net", "broker", "config", "contracts")},
       {"opensearch", Set.of("routing", "net", "broker", "config", "contracts")},
-      {"standin", Set.of("net")},
-      {"faults", Set.of("net", "standin")},
-      {"measure", Set.of("net", "contracts", "standin", "faults")},
-      {"simhost", Set.of("routing", "policy", "config")}
+      {"emulator", Set.of("net")},
+      {"faultinjection", Set.of("net", "emulator")},
+      {"benchmark", Set.of("net", "contracts", "emulator", "faultinjection")},
+      {"simulator", Set.of("routing", "policy", "config")}
     };
   }
 
@@ -82,23 +82,23 @@
           packages,
           List.of(
               "admin",
+              "benchmark",
               "broker",
               "config",
               "contracts",
-              "faults",
+              "emulator",
+              "faultinjection",
+              "gossip",
               "health",
               "leases",
-              "measure",
               "membership",
               "net",
               "opensearch",
-              "peers",
               "platform",
               "policy",
               "routing",
               "script",
-              "simhost",
-              "standin"));
+              "simulator"));
     }
   }
 }
--- a/src/test/java/bitternpulley/peers/ControlTraffic.java
+++ b/src/test/java/bitternpulley/gossip/ControlTraffic.java
@@ -1,4 +1,4 @@
-package bitternpulley.peers;
+package bitternpulley.gossip;
 
 import bitternpulley.membership.HollowMembers;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/test/java/bitternpulley/peers/ControlTrafficTest.java
+++ b/src/test/java/bitternpulley/gossip/ControlTrafficTest.java
@@ -1,4 +1,4 @@
-package bitternpulley.peers;
+package bitternpulley.gossip;
 
 import static org.testng.Assert.assertTrue;
 
--- a/src/test/java/bitternpulley/peers/EpochFileTest.java
+++ b/src/test/java/bitternpulley/gossip/EpochFileTest.java
@@ -1,4 +1,4 @@
-package bitternpulley.peers;
+package bitternpulley.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/bitternpulley/platform/DiscoveryTest.java
+++ b/src/test/java/bitternpulley/platform/DiscoveryTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertTrue;
 
 import bitternpulley.config.EndpointList;
-import bitternpulley.faults.Ports;
+import bitternpulley.faultinjection.Ports;
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
 import java.io.ByteArrayOutputStream;
--- a/src/test/java/bitternpulley/policy/SourceLimitsTest.java
+++ b/src/test/java/bitternpulley/policy/SourceLimitsTest.java
@@ -23,7 +23,7 @@
   @Test
   void policyKnowsNothingOfTheAdapter() throws IOException {
     String text = Files.readString(POLICY);
-    assertTrue(!text.contains("simhost") && !text.contains("jackson"));
+    assertTrue(!text.contains("simulator") && !text.contains("jackson"));
     assertTrue(text.startsWith("// The interface of this module is Router.java"));
     assertTrue(
         Files.readString(Path.of("deploy/balancer.toml"))
--- a/src/test/java/bitternpulley/process/Deployment.java
+++ b/src/test/java/bitternpulley/process/Deployment.java
@@ -1,7 +1,7 @@
 package bitternpulley.process;
 
-import bitternpulley.faults.Node;
-import bitternpulley.faults.Ports;
+import bitternpulley.faultinjection.Node;
+import bitternpulley.faultinjection.Ports;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/src/test/java/bitternpulley/process/LeasesProcessTest.java
+++ b/src/test/java/bitternpulley/process/LeasesProcessTest.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import bitternpulley.faults.Callers;
-import bitternpulley.faults.Cluster;
+import bitternpulley.faultinjection.Callers;
+import bitternpulley.faultinjection.Cluster;
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/bitternpulley/process/MembershipProcessTest.java
+++ b/src/test/java/bitternpulley/process/MembershipProcessTest.java
@@ -3,9 +3,9 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import bitternpulley.faults.Cluster;
-import bitternpulley.faults.Node;
-import bitternpulley.faults.Scenario;
+import bitternpulley.faultinjection.Cluster;
+import bitternpulley.faultinjection.Node;
+import bitternpulley.faultinjection.Scenario;
 import java.io.IOException;
 import java.util.stream.IntStream;
 import org.testng.annotations.AfterClass;
--- a/src/test/java/bitternpulley/process/SeveralProcessesTest.java
+++ b/src/test/java/bitternpulley/process/SeveralProcessesTest.java
@@ -3,10 +3,10 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import bitternpulley.faults.Node;
-import bitternpulley.faults.Ports;
+import bitternpulley.emulator.Fleet;
+import bitternpulley.faultinjection.Node;
+import bitternpulley.faultinjection.Ports;
 import bitternpulley.net.EventLoop;
-import bitternpulley.standin.Fleet;
 import java.io.IOException;
 import java.net.Socket;
 import java.util.ArrayList;
--- a/src/test/java/bitternpulley/simhost/HostTest.java
+++ b/src/test/java/bitternpulley/simulator/HostTest.java
@@ -1,4 +1,4 @@
-package bitternpulley.simhost;
+package bitternpulley.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
