--- a/src/main/java/bitternpulley/broker/Reducer.java
+++ b/src/main/java/bitternpulley/broker/Reducer.java
@@ -118,12 +118,7 @@
     } else if (event instanceof Event.AttemptNotSent e) {
       router.onAttemptEnded(
           new Router.AttemptEnded(
-              e.attempt().part(),
-              e.attempt().number(),
-              e.server(),
-              Router.Outcome.NOT_SENT,
-              0,
-              null),
+              e.attempt().part(), e.attempt().number(), e.server(), Router.Outcome.NOT_SENT, 0),
           now,
           recorder);
     } else if (event instanceof Event.AttemptCancelled e) {
@@ -253,8 +248,7 @@
     held.tidy(id.part());
     contractAccounting.attemptEnded(p.open.charge, outcome, now - out.sentAt, now, effects);
     router.onAttemptEnded(
-        new Router.AttemptEnded(
-            id.part(), id.number(), out.server, outcome, now - out.sentAt, null),
+        new Router.AttemptEnded(id.part(), id.number(), out.server, outcome, now - out.sentAt),
         now,
         recorder);
   }
@@ -456,13 +450,6 @@
       effects.add(new Effect.CloseIdleConnections(server));
     }
 
-    @Override
-    public void probe(String server) {
-      // The module sends none, so no wire here carries any; one that comes to need them says so at
-      // once.
-      throw new UnsupportedOperationException("probes are not carried");
-    }
-
     @Override
     public void log(String text) {
       effects.add(new Effect.Log(text));
--- a/src/main/java/bitternpulley/config/SettingsReader.java
+++ b/src/main/java/bitternpulley/config/SettingsReader.java
@@ -18,6 +18,8 @@
     if (classes == null || !classes.isArray() || classes.isEmpty()) {
       throw new ConfigurationException("settings: 'requestClasses' is missing or empty");
     }
+    checkUnused(sub(in, "rules"), List.of("answerSlack", "stopSendingWithin", "mustAskIn"));
+    checkUnused(sub(in, "costs"), List.of("waste", "lateFail", "connection", "probe"));
     JsonNode domain = sub(in, "domain");
     List<Settings.QueryClass> read = new ArrayList<>();
     for (int i = 0; i < classes.size(); i++) {
@@ -25,9 +27,8 @@
     }
     List<Settings.Tenant> tenants = new ArrayList<>();
     for (JsonNode t : sub(in, "tenants")) {
-      tenants.add(
-          new Settings.Tenant(
-              t.path("name").asText(""), figure(t, "portion", 1), figure(t, "quotaRps", 0)));
+      tenants.add(new Settings.Tenant(t.path("name").asText(""), figure(t, "portion", 1)));
+      checkUnused(t, List.of("quotaRps"));
     }
     return new Settings(
         (int) figure(in, "selfIndex", 0),
@@ -35,7 +36,6 @@
         (int) figure(in, "zone", 0),
         figure(in, "tick", 1),
         in.path("discovery").asText("").equals("on_request"),
-        flag(sub(in, "clientHabits"), "marksRetry"),
         List.copyOf(read),
         List.copyOf(tenants),
         figure(in, "overShareWorth", 1),
@@ -46,6 +46,11 @@
         prices(sub(in, "costs")));
   }
 
+  /** Figures that nothing here uses are checked all the same: a negative one is a mistake. */
+  private static void checkUnused(JsonNode in, List<String> keys) {
+    keys.forEach(key -> figure(in, key, 0));
+  }
+
   private static JsonNode sub(JsonNode in, String key) {
     JsonNode value = in.get(key);
     return value == null || value.isNull() ? JsonNodeFactory.instance.objectNode() : value;
@@ -105,7 +110,6 @@
         (int) figure(l, "maxOpen", Integer.MAX_VALUE),
         flag(l, "mayCancel"),
         flag(l, "secondCopies"),
-        flag(l, "probes"),
         flag(l, "retryAfter"),
         figure(l, "maxRetryAfter", 0),
         figure(l, "connectTimeout", 0));
@@ -113,8 +117,6 @@
 
   private static Settings.Rules rules(JsonNode r) {
     return new Settings.Rules(
-        figure(r, "answerSlack", 0),
-        figure(r, "stopSendingWithin", 0),
         figure(r, "coldFrom", 1),
         figure(r, "cold", 0),
         figure(r, "tipMultiple", 0),
@@ -122,17 +124,10 @@
         r.has("lookBack") || r.has("extraFloor") || r.has("extraShare"),
         figure(r, "extraFloor", 0),
         figure(r, "extraShare", 0),
-        figure(r, "lookBack", 0),
-        figure(r, "mustAskIn", 0));
+        figure(r, "lookBack", 0));
   }
 
   private static Settings.Costs prices(JsonNode c) {
-    return new Settings.Costs(
-        figure(c, "crossZone", 0),
-        figure(c, "waste", 0),
-        figure(c, "lateFail", 0),
-        figure(c, "connection", 0),
-        figure(c, "probe", 0),
-        figure(c, "handshake", 0));
+    return new Settings.Costs(figure(c, "crossZone", 0), figure(c, "handshake", 0));
   }
 }
--- a/src/main/java/bitternpulley/routing/Router.java
+++ b/src/main/java/bitternpulley/routing/Router.java
@@ -154,12 +154,8 @@
   /** A part of a query's current step. */
   record Part(long id, long number, int shard, double weight, double estimatedWork) {}
 
-  /** The one end of an attempt; {@code load} is null where no report came with it. */
-  record AttemptEnded(
-      long part, int attempt, String server, Outcome outcome, double elapsed, double[] load) {}
-
-  /** The answer to a probe. */
-  record Probed(String server, boolean ok, double elapsed, double[] load) {}
+  /** The one end of an attempt, {@code elapsed} ms after it was sent. */
+  record AttemptEnded(long part, int attempt, String server, Outcome outcome, double elapsed) {}
 
   /** What a router may do; carried out in the order of the calls. */
   interface Actions {
@@ -189,9 +185,6 @@
     /** Closes the idle connections to a server, so that the next part goes over a fresh one. */
     void closeIdleConnections(String server);
 
-    /** Probes a server. */
-    void probe(String server);
-
     /** Adds a line to the report. */
     void log(String text);
   }
@@ -245,9 +238,6 @@
   /** An alarm is due. */
   void onAlarm(String token, double now, Actions out);
 
-  /** A probe has ended; a router that sends none need not care. */
-  default void probed(Probed probed, double now, Actions out) {}
-
   /** All that happened at this time has been told. */
   void completeBatch(double now, Actions out);
 }
--- a/src/main/java/bitternpulley/routing/Settings.java
+++ b/src/main/java/bitternpulley/routing/Settings.java
@@ -12,7 +12,6 @@
     int zone,
     double tick,
     boolean endpointsOnRequest,
-    boolean marksRetry,
     List<QueryClass> classes,
     List<Tenant> tenants,
     double overQuotaWeight,
@@ -30,7 +29,6 @@
         zone,
         Math.max(tick, minimum),
         endpointsOnRequest,
-        marksRetry,
         classes,
         tenants,
         overQuotaWeight,
@@ -51,7 +49,6 @@
         zone,
         tick,
         endpointsOnRequest,
-        marksRetry,
         classes,
         tenants,
         overQuotaWeight,
@@ -128,7 +125,7 @@
   }
 
   /** A tenant and the fraction of the service allotted to it. */
-  public record Tenant(String name, double quota, double ratePerSecond) {}
+  public record Tenant(String name, double quota) {}
 
   /**
    * Where shards lie: shard s is held by cells s to s + width - 1, counted around the ring. Up to
@@ -148,7 +145,6 @@
       int maxPending,
       boolean cancellationAllowed,
       boolean hedgingAllowed,
-      boolean healthChecksAllowed,
       boolean retryAfterAllowed,
       double maxRetryAfter,
       double connectTimeout) {
@@ -159,7 +155,6 @@
           maxPending,
           cancellationAllowed,
           false,
-          healthChecksAllowed,
           retryAfterAllowed,
           maxRetryAfter,
           connectTimeout);
@@ -171,8 +166,6 @@
    * at all.
    */
   public record Rules(
-      double answerSlack,
-      double drainGrace,
       double warmupStartFraction,
       double warmupTime,
       double overloadMultiple,
@@ -180,15 +173,8 @@
       boolean retriesBudgeted,
       double retryBudgetFloor,
       double retryBudgetShare,
-      double retryBudgetWindow,
-      double requestWithin) {}
+      double retryBudgetWindow) {}
 
   /** What the site charges, in shares of the result. */
-  public record Costs(
-      double crossZone,
-      double waste,
-      double lateFail,
-      double connection,
-      double healthCheck,
-      double handshake) {}
+  public record Costs(double crossZone, double handshake) {}
 }
--- a/src/main/java/bitternpulley/simulator/Host.java
+++ b/src/main/java/bitternpulley/simulator/Host.java
@@ -118,21 +118,11 @@
                   (int) number(e, "roundNo", 0),
                   text(e, "server"),
                   outcome(text(e, "disposition")),
-                  number(e, "elapsed", 0),
-                  row(e)),
+                  number(e, "elapsed", 0)),
               now,
               out);
       case "hangup" -> router.onClientDisconnected(integer(e, "ref"), now, out);
       case "timer" -> router.onAlarm(text(e, "token"), now, out);
-      case "checkResult" ->
-          router.probed(
-              new Router.Probed(
-                  text(e, "server"),
-                  text(e, "disposition").equals("completed"),
-                  number(e, "elapsed", 0),
-                  row(e)),
-              now,
-              out);
       default -> {} // streams, peer messages and what later wires add: tolerated
     }
   }
@@ -176,18 +166,6 @@
     }
   }
 
-  private static double[] row(JsonNode e) {
-    JsonNode load = e.get("pressure");
-    if (load == null || !load.isArray()) {
-      return null;
-    }
-    double[] row = new double[load.size()];
-    for (int i = 0; i < row.length; i++) {
-      row[i] = load.get(i).asDouble();
-    }
-    return row;
-  }
-
   private static List<Router.Endpoint> members(JsonNode entries) {
     List<Router.Endpoint> read = new ArrayList<>();
     for (JsonNode m : entries) {
--- a/src/main/java/bitternpulley/simulator/WireActions.java
+++ b/src/main/java/bitternpulley/simulator/WireActions.java
@@ -101,11 +101,6 @@
     action("hangUp", () -> out.writeStringField("server", server));
   }
 
-  @Override
-  public void probe(String server) {
-    action("inspect", () -> out.writeStringField("server", server));
-  }
-
   @Override
   public void log(String text) {
     action("debug", () -> out.writeStringField("reasonText", text));
--- a/src/test/java/bitternpulley/broker/BrokerTest.java
+++ b/src/test/java/bitternpulley/broker/BrokerTest.java
@@ -43,15 +43,14 @@
             0,
             5,
             false,
-            true,
             List.of(kind),
             List.of(),
             1,
             false,
             new Settings.Layout(4, 4, 2, 1),
-            new Settings.Limits(4, 50, true, false, false, true, 500, 250),
-            new Settings.Rules(20, 250, 0.2, 10_000, 2, 1000, false, 0, 0, 0, 0),
-            new Settings.Costs(0.05, 0, 0, 0, 0, 0));
+            new Settings.Limits(4, 50, true, false, true, 500, 250),
+            new Settings.Rules(0.2, 10_000, 2, 1000, false, 0, 0, 0),
+            new Settings.Costs(0.05, 0));
     broker =
         new Broker(
             new Reducer(settings, 7, now),
--- a/src/test/java/bitternpulley/broker/FleetTest.java
+++ b/src/test/java/bitternpulley/broker/FleetTest.java
@@ -66,15 +66,14 @@
         self % 2,
         5,
         false,
-        true,
         List.of(kind),
         List.of(),
         1,
         false,
         new Settings.Layout(SECTIONS, SERVERS, 2, 1),
-        new Settings.Limits(4, 500, true, false, false, true, 500, 250),
-        new Settings.Rules(20, 250, COLD_FROM, COLD_TIME, TIP, WINDOW, false, 0, 0, 0, 0),
-        new Settings.Costs(0.05, 0, 0, 0.02, 0.08, 0.08));
+        new Settings.Limits(4, 500, true, false, true, 500, 250),
+        new Settings.Rules(COLD_FROM, COLD_TIME, TIP, WINDOW, false, 0, 0, 0),
+        new Settings.Costs(0.05, 0.08));
   }
 
   private static Router.Endpoint member(int i, Router.ServerState state, double started) {
--- a/src/test/java/bitternpulley/broker/ReducerTest.java
+++ b/src/test/java/bitternpulley/broker/ReducerTest.java
@@ -37,15 +37,14 @@
         0,
         5,
         false,
-        true,
         List.of(kind),
         List.of(),
         1,
         false,
         new Settings.Layout(4, 4, 2, 1),
-        new Settings.Limits(4, 8, true, copies, false, true, 500, 250),
-        new Settings.Rules(20, 250, 0.2, 10_000, 2, 1000, false, 0, 0, 0, 0),
-        new Settings.Costs(0.05, 0, 0, 0, 0, 0));
+        new Settings.Limits(4, 8, true, copies, true, 500, 250),
+        new Settings.Rules(0.2, 10_000, 2, 1000, false, 0, 0, 0),
+        new Settings.Costs(0.05, 0));
   }
 
   @BeforeMethod
@@ -412,7 +411,7 @@
     begin(
         withLimits(
             settings(Settings.Idempotency.IDEMPOTENT, 1),
-            new Settings.Limits(4, 8, false, false, false, true, 500, 250)));
+            new Settings.Limits(4, 8, false, false, true, 500, 250)));
     ask(1, 0, 1);
     assertEquals(all(Effect.StartAttempt.class).size(), 2);
     tell(new Event.ClientDisconnected(1));
@@ -432,7 +431,6 @@
         s.zone(),
         s.tick(),
         s.endpointsOnRequest(),
-        s.marksRetry(),
         s.classes(),
         s.tenants(),
         s.overQuotaWeight(),
--- a/src/test/java/bitternpulley/health/ColdBudgetFleetTest.java
+++ b/src/test/java/bitternpulley/health/ColdBudgetFleetTest.java
@@ -37,15 +37,14 @@
         0,
         1,
         false,
-        false,
         List.of(),
         List.of(),
         1,
         false,
         new Settings.Layout(4, 4, 2, 1),
-        new Settings.Limits(4, 1000, true, false, false, true, 500, 250),
-        new Settings.Rules(20, 500, COLD_FROM, COLD_TIME, MULTIPLE, WINDOW, false, 0, 0, 1000, 0),
-        new Settings.Costs(0, 0, 0, 0, 0, 0));
+        new Settings.Limits(4, 1000, true, false, true, 500, 250),
+        new Settings.Rules(COLD_FROM, COLD_TIME, MULTIPLE, WINDOW, false, 0, 0, 1000),
+        new Settings.Costs(0, 0));
   }
 
   /**
--- a/src/test/java/bitternpulley/health/ColdBudgetTest.java
+++ b/src/test/java/bitternpulley/health/ColdBudgetTest.java
@@ -22,15 +22,14 @@
                 0,
                 1,
                 false,
-                false,
                 List.of(),
                 List.of(),
                 1,
                 false,
                 new Settings.Layout(4, 4, 2, 1),
-                new Settings.Limits(4, 1000, true, false, false, true, 500, 250),
-                new Settings.Rules(20, 500, 0.2, 17_000, 2, 1000, false, 0, 0, 1000, 0),
-                new Settings.Costs(0, 0, 0, 0, 0, 0)));
+                new Settings.Limits(4, 1000, true, false, true, 500, 250),
+                new Settings.Rules(0.2, 17_000, 2, 1000, false, 0, 0, 1000),
+                new Settings.Costs(0, 0)));
     cold.startedAt(0);
     return cold;
   }
--- a/src/test/java/bitternpulley/policy/ManyPartsTest.java
+++ b/src/test/java/bitternpulley/policy/ManyPartsTest.java
@@ -37,13 +37,12 @@
                 of.zone(),
                 of.tick(),
                 false,
-                false,
                 of.classes(),
                 of.tenants(),
                 1,
                 false,
                 new Settings.Layout(cells, cells, 2, 1),
-                new Settings.Limits(4, 100_000, true, false, false, true, 500, 250),
+                new Settings.Limits(4, 100_000, true, false, true, 500, 250),
                 of.rules(),
                 of.costs()));
     rig.list(
@@ -67,9 +66,7 @@
       long before = threads.getCurrentThreadCpuTime();
       for (Rig.Send s : sent) {
         rig.policy.onAttemptEnded(
-            new Router.AttemptEnded(s.part(), 0, s.server(), Router.Outcome.OK, 20, null),
-            rig.now,
-            rig);
+            new Router.AttemptEnded(s.part(), 0, s.server(), Router.Outcome.OK, 20), rig.now, rig);
         rig.policy.completeBatch(rig.now, rig);
       }
       least = Math.min(least, threads.getCurrentThreadCpuTime() - before);
--- a/src/test/java/bitternpulley/policy/PolicyTest.java
+++ b/src/test/java/bitternpulley/policy/PolicyTest.java
@@ -96,7 +96,6 @@
                     0,
                     1,
                     false,
-                    false,
                     s.classes(),
                     List.of(),
                     1,
@@ -586,9 +585,8 @@
                     0,
                     1,
                     false,
-                    false,
                     plain.classes(),
-                    List.of(new Settings.Tenant("a", 0.5, 0), new Settings.Tenant("b", 0.5, 0)),
+                    List.of(new Settings.Tenant("a", 0.5), new Settings.Tenant("b", 0.5)),
                     0.1,
                     false,
                     plain.layout(),
@@ -642,7 +640,6 @@
                     s.zone(),
                     s.tick(),
                     s.endpointsOnRequest(),
-                    s.marksRetry(),
                     s.classes(),
                     s.tenants(),
                     s.overQuotaWeight(),
@@ -650,7 +647,7 @@
                     s.layout(),
                     s.limits(),
                     s.rules(),
-                    new Settings.Costs(0, 0, 0, 0, 0, 0.02)))
+                    new Settings.Costs(0, 0.02)))
             .servers();
     serve(r, 1, 50);
     r.to(r.now + 5000);
@@ -663,8 +660,7 @@
     Rig r = safe();
     r.query(1, 3000, new int[] {0});
     r.policy.onClientDisconnected(1, 10, r);
-    r.policy.onAttemptEnded(
-        new Router.AttemptEnded(10, 0, "s0", Router.Outcome.OK, 10, null), 10, r);
+    r.policy.onAttemptEnded(new Router.AttemptEnded(10, 0, "s0", Router.Outcome.OK, 10), 10, r);
     r.policy.completeBatch(10, r);
     assertTrue(r.ends.isEmpty());
     assertEquals(1, r.sends.size());
@@ -1002,7 +998,6 @@
                       0,
                       1,
                       false,
-                      false,
                       s.classes(),
                       List.of(),
                       1,
@@ -1055,8 +1050,7 @@
     Rig r = safe();
     r.policy.onAlarm("q999", 0, r);
     r.policy.onClientDisconnected(999, 0, r);
-    r.policy.onAttemptEnded(
-        new Router.AttemptEnded(999, 0, "s0", Router.Outcome.OK, 1, null), 0, r);
+    r.policy.onAttemptEnded(new Router.AttemptEnded(999, 0, "s0", Router.Outcome.OK, 1), 0, r);
     r.policy.onPart(new Router.Part(5, 999, 0, 1, 0), 0, r);
     r.list(Router.ListKind.COMPLETE);
     r.list(Router.ListKind.FAILED);
--- a/src/test/java/bitternpulley/policy/Rig.java
+++ b/src/test/java/bitternpulley/policy/Rig.java
@@ -38,19 +38,18 @@
         0,
         1,
         false,
-        false,
         List.of(kind),
         List.of(),
         1,
         false,
         new Settings.Layout(4, 4, width, 1),
-        new Settings.Limits(4, 1000, true, copies, false, true, 500, 250),
+        new Settings.Limits(4, 1000, true, copies, true, 500, 250),
         rules,
-        new Settings.Costs(0, 0, 0, 0, 0, 0));
+        new Settings.Costs(0, 0));
   }
 
   static Settings.Rules rules(boolean budgeted, double floor, double share) {
-    return new Settings.Rules(20, 500, 0.2, 10_000, 2, 1000, budgeted, floor, share, 1000, 0);
+    return new Settings.Rules(0.2, 10_000, 2, 1000, budgeted, floor, share, 1000);
   }
 
   Rig(Settings settings) {
@@ -123,7 +122,7 @@
       }
     }
     policy.onAttemptEnded(
-        new Router.AttemptEnded(part, attempt, server, outcome, now - sent, null), now, this);
+        new Router.AttemptEnded(part, attempt, server, outcome, now - sent), now, this);
     policy.completeBatch(now, this);
   }
 
@@ -202,9 +201,6 @@
     closed.add(server);
   }
 
-  @Override
-  public void probe(String server) {}
-
   @Override
   public void log(String text) {}
 }
--- a/src/test/java/bitternpulley/policy/SilentQueryTest.java
+++ b/src/test/java/bitternpulley/policy/SilentQueryTest.java
@@ -131,7 +131,7 @@
             Settings.Idempotency.IDEMPOTENT,
             0.3,
             1,
-            new Settings.Rules(20, 500, 0.2, 10_000, 2, 1000, false, 0, 0, 1000, 0));
+            new Settings.Rules(0.2, 10_000, 2, 1000, false, 0, 0, 1000));
     r.list(
         Router.ListKind.CHANGES,
         Rig.member("s0", 0, Router.ServerState.LIVE, r.now),
--- a/src/test/java/bitternpulley/trace/HedgingTraceTest.java
+++ b/src/test/java/bitternpulley/trace/HedgingTraceTest.java
@@ -175,8 +175,7 @@
       Running r = running.remove(key);
       if (r != null) {
         router.onAttemptEnded(
-            new Router.AttemptEnded(
-                r.part(), r.number(), r.server(), outcome, now - r.sentAt(), null),
+            new Router.AttemptEnded(r.part(), r.number(), r.server(), outcome, now - r.sentAt()),
             now,
             this);
       }
@@ -226,11 +225,6 @@
       digest.add(now, "close", server);
     }
 
-    @Override
-    public void probe(String server) {
-      digest.add(now, "probe", server);
-    }
-
     @Override
     public void log(String text) {
       digest.add(now, "log");
