--- a/src/main/java/bitternpulley/broker/Reducer.java
+++ b/src/main/java/bitternpulley/broker/Reducer.java
@@ -7,7 +7,7 @@
 import bitternpulley.contracts.UsageCharge;
 import bitternpulley.leases.Leases;
 import bitternpulley.membership.Membership;
-import bitternpulley.policy.Policy;
+import bitternpulley.policy.RoutingPolicy;
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
 import java.lang.System.Logger.Level;
@@ -42,7 +42,10 @@
     // permits second copies,
     // counts on copies that end unsent: a part's attempts would be used up while a silent server
     // sits on the first.
-    this(settings, now, recorder -> new Policy(settings.withoutHedging(), seed, now, recorder));
+    this(
+        settings,
+        now,
+        recorder -> new RoutingPolicy(settings.withoutHedging(), seed, now, recorder));
   }
 
   /** As above, with another module. */
--- a/src/main/java/bitternpulley/policy/Policy.java
+++ b/src/main/java/bitternpulley/policy/RoutingPolicy.java
@@ -29,7 +29,7 @@
 import java.util.stream.Collectors;
 
 /** The decisions of one front node, in the order of a query's life. */
-public final class Policy implements Router {
+public final class RoutingPolicy implements Router {
   // --- The design's open choices -----------------------------------------------------------------
   /** s: share of a step's parts, heaviest first, that must be in for an early end. */
   private static final double EARLY_SHARE = 0.75;
@@ -212,7 +212,7 @@
   private Actions out;
 
   /** A new instance: it knows its settings and nothing else. */
-  public Policy(Settings settings, long seed, double now, Actions out) {
+  public RoutingPolicy(Settings settings, long seed, double now, Actions out) {
     this.settings = settings;
     this.rules = settings.rules();
     this.random = new Random(seed);
--- a/src/main/java/bitternpulley/policy/State.java
+++ b/src/main/java/bitternpulley/policy/State.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 
 /**
- * What an instance remembers of servers, queries, parts and attempts. Plain state: {@link Policy}
- * decides.
+ * What an instance remembers of servers, queries, parts and attempts. Plain state: {@link
+ * RoutingPolicy} decides.
  */
 final class State {
   private State() {}
--- a/src/main/java/bitternpulley/simulator/Host.java
+++ b/src/main/java/bitternpulley/simulator/Host.java
@@ -8,7 +8,7 @@
 
 import bitternpulley.config.ConfigurationException;
 import bitternpulley.config.SettingsReader;
-import bitternpulley.policy.Policy;
+import bitternpulley.policy.RoutingPolicy;
 import bitternpulley.routing.Router;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -97,7 +97,8 @@
     if (verb.equals("launch")) {
       routers.put(
           who,
-          new Policy(SettingsReader.read(need(e, "profileData")), integer(e, "entropy"), now, out));
+          new RoutingPolicy(
+              SettingsReader.read(need(e, "profileData")), integer(e, "entropy"), now, out));
       return;
     }
     if (verb.equals("teardown")) {
--- a/src/test/java/bitternpulley/broker/ReducerTest.java
+++ b/src/test/java/bitternpulley/broker/ReducerTest.java
@@ -475,7 +475,9 @@
             now,
             recorder ->
                 failingAt(
-                    new bitternpulley.policy.Policy(settings, 7, now, recorder), call, calls));
+                    new bitternpulley.policy.RoutingPolicy(settings, 7, now, recorder),
+                    call,
+                    calls));
     tell(
         new Event.ServersChanged(
             Router.ListKind.REMEMBERED,
--- a/src/test/java/bitternpulley/policy/Rig.java
+++ b/src/test/java/bitternpulley/policy/Rig.java
@@ -17,7 +17,7 @@
   final List<String> closed = new ArrayList<>();
   int watches;
   double now;
-  final Policy policy;
+  final RoutingPolicy policy;
 
   static Settings.QueryClass kind(
       Settings.Idempotency effect,
@@ -53,7 +53,7 @@
   }
 
   Rig(Settings settings) {
-    policy = new Policy(settings, 7, 0, this);
+    policy = new RoutingPolicy(settings, 7, 0, this);
   }
 
   /** One server in each of four cells, s0 to s3, all long warm. */
--- a/src/test/java/bitternpulley/policy/SourceLimitsTest.java
+++ b/src/test/java/bitternpulley/policy/SourceLimitsTest.java
@@ -10,7 +10,8 @@
 
 /** Limits on the text of the routing policy. */
 class SourceLimitsTest {
-  private static final Path POLICY = Path.of("src/main/java/bitternpulley/policy/Policy.java");
+  private static final Path POLICY =
+      Path.of("src/main/java/bitternpulley/policy/RoutingPolicy.java");
 
   @Test
   void policyStaysReadable() throws IOException {
@@ -27,6 +28,6 @@
     assertTrue(text.startsWith("// The interface of this module is Router.java"));
     assertTrue(
         Files.readString(Path.of("deploy/balancer.toml"))
-            .contains("policy = [\"src/main/java/bitternpulley/policy/Policy.java\"]"));
+            .contains("policy = [\"src/main/java/bitternpulley/policy/RoutingPolicy.java\"]"));
   }
 }
--- a/src/test/java/bitternpulley/trace/HedgingTraceTest.java
+++ b/src/test/java/bitternpulley/trace/HedgingTraceTest.java
@@ -4,7 +4,7 @@
 
 import bitternpulley.config.SettingsReader;
 import bitternpulley.config.StrictJson;
-import bitternpulley.policy.Policy;
+import bitternpulley.policy.RoutingPolicy;
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -76,7 +76,7 @@
       this.settings = settings;
       random = new Random(seed);
       servers = new TraceServers(settings.layout().cells(), random);
-      router = new Policy(settings, seed, now, this);
+      router = new RoutingPolicy(settings, seed, now, this);
     }
 
     String run() {
