--- a/src/test/java/bitternpulley/broker/ReducerTest.java
+++ b/src/test/java/bitternpulley/broker/ReducerTest.java
@@ -448,7 +448,7 @@
             Router.class.getClassLoader(),
             new Class<?>[] {Router.class},
             (p, method, given) -> {
-              if ((calls.get() > 0 || method.getName().equals("query"))
+              if ((calls.get() > 0 || method.getName().equals("onQuery"))
                   && calls.incrementAndGet() == call) {
                 throw new IllegalStateException("as asked for, in " + method.getName());
               }
