--- a/src/main/java/bitternpulley/broker/AttemptId.java
+++ b/src/main/java/bitternpulley/broker/AttemptId.java
@@ -1,4 +1,9 @@
 package bitternpulley.broker;
 
-/** The n-th attempt of a part, from 0. */
+/**
+ * Identifies an attempt.
+ *
+ * @param part the id of its part
+ * @param number its number within the part, from 0
+ */
 public record AttemptId(long part, int number) {}
--- a/src/main/java/bitternpulley/broker/Broker.java
+++ b/src/main/java/bitternpulley/broker/Broker.java
@@ -5,154 +5,123 @@
 import bitternpulley.routing.Router;
 import java.lang.System.Logger.Level;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.Optional;
+import java.util.Queue;
 
-/** Feeds events to the reducer one by one and has its effects carried out. Lives on one thread. */
+/**
+ * Feeds events to the {@link Reducer} one by one and has its effects carried out. Not thread-safe:
+ * everything happens on the event loop's thread.
+ */
 public final class Broker {
   private static final System.Logger LOG = System.getLogger(Broker.class.getName());
 
-  /** Runs a task after so many milliseconds, on the broker's thread. */
+  /** Runs tasks later, on the broker's thread. */
   public interface Timer {
+    /** Runs a task after a delay in ms. */
     void after(double ms, Runnable task);
   }
 
   private final Reducer reducer;
   private final Clock clock;
-  private final Timer timer;
-  private final List<Dialect> dialects = new ArrayList<>();
-  private final ArrayDeque<Event> waiting = new ArrayDeque<>();
-  private OperatorCommands operatorCommands;
-  private GossipTransport gossipTransport;
-  private boolean busy;
+  private final EffectPerformer performer;
+  private final Queue<Event> waiting = new ArrayDeque<>();
+  private boolean processing;
   private long lastId;
 
+  /** Creates a broker; the collaborators that need it themselves are added afterwards. */
   public Broker(Reducer reducer, Clock clock, Timer timer) {
     this.reducer = reducer;
     this.clock = clock;
-    this.timer = timer;
+    this.performer = new EffectPerformer(clock, timer, this::submit);
   }
 
-  /** Adds a wire, which from now on hears of servers whose idle connections are to be closed. */
+  /** Adds a dialect, which from now on receives the effects that concern a server as a whole. */
   public void addDialect(Dialect dialect) {
-    dialects.add(dialect);
+    performer.addDialect(dialect);
   }
 
-  /** Says who carries out what operators order. */
+  /** Sets what carries out the effects of operator commands. */
   public void operatorCommands(OperatorCommands operators) {
-    this.operatorCommands = operators;
+    performer.setOperatorCommands(operators);
   }
 
-  /** Says who carries what other aggregators are told. */
-  public void gossipTransport(GossipTransport peers) {
-    this.gossipTransport = peers;
+  /** Sets what sends messages to other aggregators. */
+  public void gossipTransport(GossipTransport transport) {
+    performer.setGossipTransport(transport);
   }
 
-  /** Who is here, as this instance holds it; empty where membership is off or has not begun. */
+  /** The membership of the fleet; empty where it is off or has not started. */
   public Optional<Membership> membership() {
     return reducer.membership();
   }
 
-  /** This instance's leases; empty where its part goes by the number configured. */
+  /** The leases of this instance; empty where its quota is the one configured. */
   public Optional<Leases> leases() {
     return reducer.leases();
   }
 
-  /** A fresh id for a request. */
+  /** Returns a new id for a request. */
   public long nextId() {
     return ++lastId;
   }
 
-  /** Requests without a final answer. */
+  /** The number of requests without a final answer. */
   public int pendingRequests() {
     return reducer.pendingRequests();
   }
 
-  /** The time that the core goes by, ms. */
+  /** The time of the core's clock, in ms. */
   public double now() {
     return clock.now();
   }
 
-  /** How the teams' accounts stand. */
+  /** The accounts of teams under contract. */
   public ContractAccounting contractAccounting() {
     return reducer.contractAccounting();
   }
 
-  /** Takes an event; one that comes while another is dealt with waits for its turn. */
+  /** Handles an event; one that is submitted while another is handled waits for its turn. */
   public void submit(Event event) {
     waiting.add(event);
-    if (busy) {
+    if (processing) {
       return;
     }
-    busy = true;
+    processing = true;
     try {
       while (!waiting.isEmpty()) {
         reducer.reduce(waiting.poll(), clock.now()).forEach(this::perform);
       }
     } finally {
-      busy = false;
+      processing = false;
     }
   }
 
   private void perform(Effect effect) {
     try {
-      if (effect instanceof Effect.StartAttempt e) {
-        e.request().dialect().start(e);
-      } else if (effect instanceof Effect.StartCall e) {
-        e.attempts().get(0).request().dialect().startCall(e.attempts());
-      } else if (effect instanceof Effect.CancelAttempt e) {
-        e.request().dialect().cancel(e);
-      } else if (effect instanceof Effect.CancelUnsent e) {
-        e.request().dialect().cancelUnsent(e);
-      } else if (effect instanceof Effect.Reply e) {
-        e.request().dialect().reply(e);
-      } else if (effect instanceof Effect.WakeAt e) {
-        timer.after(e.time() - clock.now(), () -> submit(e.event()));
-      } else if (effect instanceof Effect.CloseIdleConnections e) {
-        dialects.forEach(d -> d.closeIdleConnections(e.server()));
-      } else if (effect instanceof Effect.CancelUnsentTo e) {
-        dialects.forEach(d -> d.cancelUnsentTo(e.server()));
-      } else if (effect instanceof Effect.PersistOverride e) {
-        operatorCommands.persist(e);
-      } else if (effect instanceof Effect.RejectCommand e) {
-        operatorCommands.reject(e);
-      } else if (effect instanceof Effect.Quiesce e) {
-        operatorCommands.quiesce(e.on());
-      } else if (effect instanceof Effect.AdmissionDecided e) {
-        LOG.log(Level.DEBUG, () -> ContractLog.judged(e));
-      } else if (effect instanceof Effect.ChargeSettled e) {
-        LOG.log(Level.DEBUG, () -> ContractLog.settled(e));
-      } else if (effect instanceof Effect.SendGossip e) {
-        gossipTransport.send(e);
-      } else if (effect instanceof Effect.SendLeaseMessage e) {
-        gossipTransport.send(e);
-      } else if (effect instanceof Effect.Log e) {
-        LOG.log(Level.INFO, e.text());
-      }
+      effect.dispatch(performer);
     } catch (RuntimeException failure) {
-      // Guards against one wire's fault keeping the effects behind it from being carried out.
-      LOG.log(Level.ERROR, "could not carry out " + effect, failure);
-      makeGood(effect);
+      // A fault in one dialect must not keep the effects behind it from being carried out.
+      LOG.log(Level.ERROR, "Could not carry out " + effect, failure);
+      compensate(effect);
     }
   }
 
   /**
-   * Guards against attempts that never end and clients that never hear, since a wire failed on the
-   * way to them.
+   * Ends what would else never end because an effect failed: an attempt counts as reset, its
+   * cancellation as done, and a client whose answer cannot be written is sent a failure.
    */
-  private void makeGood(Effect effect) {
-    if (effect instanceof Effect.StartCall e) {
-      e.attempts().forEach(this::makeGood);
-    } else if (effect instanceof Effect.StartAttempt e) {
-      perform(new Effect.CancelAttempt(e.id(), e.request(), e.server()));
-      submit(new Event.AttemptEnded(e.id(), Router.Outcome.RESET, null));
-    } else if (effect instanceof Effect.CancelAttempt e) {
-      submit(new Event.AttemptCancelled(e.id()));
-    } else if (effect instanceof Effect.Reply e && !(e.answer() instanceof Effect.Answer.Failed)) {
-      perform(
-          new Effect.Reply(
-              e.request(), new Effect.Answer.Failed(Effect.Answer.Ending.NOTHING_SENT)));
+  private void compensate(Effect effect) {
+    if (effect instanceof Effect.StartCall call) {
+      call.attempts().forEach(this::compensate);
+    } else if (effect instanceof Effect.StartAttempt start) {
+      perform(new Effect.CancelAttempt(start.id(), start.request(), start.server()));
+      submit(new Event.AttemptEnded(start.id(), Router.Outcome.RESET, null));
+    } else if (effect instanceof Effect.CancelAttempt cancel) {
+      submit(new Event.AttemptCancelled(cancel.id()));
+    } else if (effect instanceof Effect.Reply reply
+        && !(reply.answer() instanceof Effect.Answer.Failed)) {
+      Effect.Answer failed = new Effect.Answer.Failed(Effect.Answer.Ending.NOTHING_SENT);
+      perform(new Effect.Reply(reply.request(), failed));
     }
   }
 }
--- a/src/main/java/bitternpulley/broker/Clock.java
+++ b/src/main/java/bitternpulley/broker/Clock.java
@@ -1,16 +1,17 @@
 package bitternpulley.broker;
 
-/** The time in milliseconds; what the whole program goes by, so that a test can set it. */
+/** The clock of the program, in ms; tests set their own. */
 public interface Clock {
+  /** The current time, in ms. */
   double now();
 
   /**
-   * Unix time as it was at the start, moved on by the monotonic clock: a stamp of discovery can be
-   * compared with it, and no step of the system's clock bends a duration.
+   * A clock that starts at the system's Unix time and is monotonic from then on. Its times can be
+   * compared with discovery's timestamps, and adjustments of the system's clock change no duration.
    */
   static Clock system() {
-    double wall = System.currentTimeMillis();
-    long start = System.nanoTime();
-    return () -> wall + (System.nanoTime() - start) / 1e6;
+    double wallStartMs = System.currentTimeMillis();
+    long startNs = System.nanoTime();
+    return () -> wallStartMs + (System.nanoTime() - startNs) / 1e6;
   }
 }
--- a/src/main/java/bitternpulley/broker/ClusterState.java
+++ b/src/main/java/bitternpulley/broker/ClusterState.java
@@ -1,64 +1,100 @@
 package bitternpulley.broker;
 
+import bitternpulley.leases.LeaseMessage;
 import bitternpulley.leases.Leases;
+import bitternpulley.membership.GossipMessage;
 import bitternpulley.membership.Membership;
 import bitternpulley.membership.MembershipAction;
 import java.util.List;
 import java.util.Optional;
 
 /**
- * What the core holds of the other aggregators: who is here, and which part of what all may do
- * together is this one's.
+ * Drives membership and leases, where they are on, and turns their actions into effects. Events of
+ * a part that is off have no effect.
  */
 final class ClusterState {
+  private final ReductionContext context;
+
+  /** Null while membership is off. */
   private Membership membership;
+
+  /** Null while the quota of this instance is the one configured. */
   private Leases leases;
 
-  /**
-   * Takes an event of the other aggregators; what is to be done comes behind the effects so far.
-   */
-  void apply(Event event, double now, List<Effect> effects) {
-    if (event instanceof Event.LeasesStarted e) {
-      leases = e.leases();
-    } else if (event instanceof Event.MembershipStarted e) {
-      membership = e.membership();
-      if (leases != null) {
-        leases.start(membership.epoch(), now);
-      }
-    } else if (event instanceof Event.MembershipTick && membership != null) {
-      told(membership.tick(now), effects);
-      lent(leases == null ? List.of() : leases.tick(now), effects);
-    } else if (event instanceof Event.GossipReceived e && membership != null) {
-      told(membership.onMessage(e.message(), now), effects);
-    } else if (event instanceof Event.LeaseMessageReceived e && leases != null) {
-      lent(leases.onMessage(e.message(), now), effects);
-    } else if (event instanceof Event.MembershipLeaveRequested && membership != null) {
-      told(membership.leave(now), effects);
-      if (leases != null) {
-        leases.stop();
-      }
+  ClusterState(ReductionContext context) {
+    this.context = context;
+  }
+
+  Optional<Membership> membership() {
+    return Optional.ofNullable(membership);
+  }
+
+  Optional<Leases> leases() {
+    return Optional.ofNullable(leases);
+  }
+
+  /** From now on the quota of this instance follows from leases. */
+  void useLeases(Leases started) {
+    leases = started;
+  }
+
+  /** Turns membership on, and starts the leases if they are in use by now. */
+  void startMembership(Membership started) {
+    membership = started;
+    if (leases != null) {
+      leases.start(membership.epoch(), context.now());
     }
   }
 
-  private static void told(List<MembershipAction> outputs, List<Effect> effects) {
-    for (MembershipAction o : outputs) {
-      if (o instanceof MembershipAction.Send s) {
-        effects.add(new Effect.SendGossip(s.to(), s.message()));
-      } else if (!(o instanceof MembershipAction.PayloadReceived)) {
-        effects.add(new Effect.Log(o.toString()));
-      }
+  /** The periodic step of membership and leases. */
+  void tick() {
+    if (membership == null) {
+      return;
+    }
+    emitMembershipActions(membership.tick(context.now()));
+    if (leases != null) {
+      emitLeaseMessages(leases.tick(context.now()));
     }
   }
 
-  private static void lent(List<Leases.OutgoingMessage> sends, List<Effect> effects) {
-    sends.forEach(s -> effects.add(new Effect.SendLeaseMessage(s.to(), s.message())));
+  /** Handles a gossip message from another member. */
+  void gossipReceived(GossipMessage message) {
+    if (membership != null) {
+      emitMembershipActions(membership.onMessage(message, context.now()));
+    }
   }
 
-  Optional<Membership> membership() {
-    return Optional.ofNullable(membership);
+  /** Handles a lease message from another member. */
+  void leaseMessageReceived(LeaseMessage message) {
+    if (leases != null) {
+      emitLeaseMessages(leases.onMessage(message, context.now()));
+    }
   }
 
-  Optional<Leases> leases() {
-    return Optional.ofNullable(leases);
+  /** Tells the other members that this instance leaves, and gives its leases up. */
+  void leave() {
+    if (membership == null) {
+      return;
+    }
+    emitMembershipActions(membership.leave(context.now()));
+    if (leases != null) {
+      leases.stop();
+    }
+  }
+
+  private void emitMembershipActions(List<MembershipAction> actions) {
+    for (MembershipAction action : actions) {
+      if (action instanceof MembershipAction.Send send) {
+        context.emit(new Effect.SendGossip(send.to(), send.message()));
+      } else if (!(action instanceof MembershipAction.PayloadReceived)) {
+        context.emit(new Effect.Log(action.toString()));
+      }
+    }
+  }
+
+  private void emitLeaseMessages(List<Leases.OutgoingMessage> messages) {
+    for (Leases.OutgoingMessage outgoing : messages) {
+      context.emit(new Effect.SendLeaseMessage(outgoing.to(), outgoing.message()));
+    }
   }
 }
--- a/src/main/java/bitternpulley/broker/ContractAccounting.java
+++ b/src/main/java/bitternpulley/broker/ContractAccounting.java
@@ -11,96 +11,112 @@
 import java.util.List;
 
 /**
- * The core's side of contracts: it hands requests, attempts and ends on to {@link
- * AdmissionControl}, and is nothing at all where no contracts are in force.
+ * Passes requests, attempts and their ends to {@link AdmissionControl} and reports settled charges
+ * as effects. Charges are null for requests taken while no contracts were in force; for these
+ * nothing is done. Amounts are in standard parts (docs/contracts.md).
  */
 public final class ContractAccounting {
   private final Settings settings;
+  private final ReductionContext context;
 
-  /**
-   * Null until the first contracts are put in force: guards against a start that pays for what is
-   * off.
-   */
+  /** Null until the first contracts are in force, so that a start without any does not pay. */
   private AdmissionControl control;
 
-  ContractAccounting(Settings settings) {
+  ContractAccounting(Settings settings, ReductionContext context) {
     this.settings = settings;
+    this.context = context;
   }
 
+  /** Whether contracts are in force. */
   boolean isActive() {
     return control != null && control.isActive();
   }
 
-  void apply(ContractBook book, double now) {
+  /** Puts contracts in force in place of those before. */
+  void activate(ContractBook book) {
     if (control == null && book.isEmpty()) {
       return;
     }
     if (control == null) {
-      double mostPause =
-          settings.limits().retryAfterAllowed() ? settings.limits().maxRetryAfter() : 0;
-      control =
-          new AdmissionControl(
-              settings.classes().stream().mapToDouble(c -> c.latencyObjective()).toArray(),
-              mostPause);
+      control = createControl();
     }
-    control.apply(book, now);
+    control.apply(book, context.now());
+  }
+
+  private AdmissionControl createControl() {
+    Settings.Limits limits = settings.limits();
+    double maxRetryAfter = limits.retryAfterAllowed() ? limits.maxRetryAfter() : 0;
+    double[] latencyObjectives =
+        settings.classes().stream().mapToDouble(Settings.QueryClass::latencyObjective).toArray();
+    return new AdmissionControl(latencyObjectives, maxRetryAfter);
   }
 
-  AdmissionDecision admit(Request r, double now) {
-    double work = r.parts().stream().mapToDouble(Request.QueryPart::estimatedWork).sum();
+  /** Admits or rejects a request; only while contracts are in force. */
+  AdmissionDecision admit(Request request) {
     return control.admit(
         new AdmissionRequest(
-            r.team(), r.queryClass(), r.parts().size(), work, r.retry(), r.fingerprint()),
-        now);
+            request.team(),
+            request.queryClass(),
+            request.parts().size(),
+            request.estimatedWork(),
+            request.retry(),
+            request.fingerprint()),
+        context.now());
   }
 
-  /** Whether an attempt may go out; one beyond the first is taken from the team's budget. */
-  boolean maySend(UsageCharge charge, int number) {
+  /**
+   * Whether an attempt may be sent, which is then charged. Each one beyond the first of a part
+   * counts against the retry budget of the team.
+   *
+   * @param number the attempt's number within its part, from 0
+   */
+  boolean allowAttempt(UsageCharge charge, int number) {
     if (charge == null) {
       return true;
     }
-    boolean may = number == 0 || control.allowRetry(charge);
-    if (may) {
+    boolean allowed = number == 0 || control.allowRetry(charge);
+    if (allowed) {
       control.onAttemptSent(charge);
     }
-    return may;
+    return allowed;
   }
 
-  void attemptEnded(
-      UsageCharge charge, Router.Outcome outcome, double took, double now, List<Effect> effects) {
+  /** Charges the end of an attempt, {@code elapsed} ms after it was sent. */
+  void attemptEnded(UsageCharge charge, Router.Outcome outcome, double elapsed) {
     if (charge != null) {
-      control.onAttemptEnded(charge, outcome, took, now);
-      settled(charge, effects);
+      control.onAttemptEnded(charge, outcome, elapsed, context.now());
+      reportIfSettled(charge);
     }
   }
 
-  void requestEnded(UsageCharge charge, boolean served, double now, List<Effect> effects) {
+  /** Notes the end of a request, and whether it was answered. */
+  void requestEnded(UsageCharge charge, boolean answered) {
     if (charge != null) {
-      control.onRequestEnded(charge, served, now);
-      settled(charge, effects);
+      control.onRequestEnded(charge, answered, context.now());
+      reportIfSettled(charge);
     }
   }
 
-  private static void settled(UsageCharge charge, List<Effect> effects) {
+  private void reportIfSettled(UsageCharge charge) {
     if (charge.settled()) {
-      effects.add(new Effect.ChargeSettled(charge));
+      context.emit(new Effect.ChargeSettled(charge));
     }
   }
 
-  /** How each account that was used stands. */
+  /** The accounts that were used, at a time in ms. */
   public List<AccountView> views(double now) {
     return control == null ? List.of() : control.accounts(now);
   }
 
   /**
-   * Standard parts a second that this aggregator is reckoned to do; infinite while nothing is
-   * scarce.
+   * The estimated capacity available to this aggregator, in standard parts per second; infinite
+   * while it is not scarce.
    */
   public double capacity() {
     return control == null ? Double.POSITIVE_INFINITY : control.capacity();
   }
 
-  /** Standard parts a second that were delivered of late. */
+  /** The rate delivered recently, in standard parts per second. */
   public double delivered() {
     return control == null ? 0 : control.deliveredRate();
   }
--- a/src/main/java/bitternpulley/broker/ContractLog.java
+++ b/src/main/java/bitternpulley/broker/ContractLog.java
@@ -4,40 +4,49 @@
 import bitternpulley.contracts.UsageCharge;
 import java.util.Locale;
 
-/** The lines on contracts: one when a request is judged, one when its charge is settled. */
+/**
+ * Formats the log lines on contracts: one for an admission decision, one for a settled charge.
+ * Operators' tools read them, so their form is fixed.
+ */
 final class ContractLog {
   private ContractLog() {}
 
-  static String judged(Effect.AdmissionDecided e) {
-    if (e.decision() instanceof AdmissionDecision.Rejected no) {
-      return String.format(
-          Locale.ROOT,
-          "contract request=%d team=%s version=%d verdict=refused limit=%s pause_ms=%.0f",
-          e.request(),
-          no.team(),
-          no.version(),
-          no.limit().text(),
-          no.retryAfter());
-    }
-    UsageCharge c = (UsageCharge) e.decision();
+  static String admissionDecided(Effect.AdmissionDecided effect) {
+    return effect.decision() instanceof AdmissionDecision.Rejected rejected
+        ? rejected(effect.request(), rejected)
+        : admitted(effect.request(), (UsageCharge) effect.decision());
+  }
+
+  private static String rejected(long request, AdmissionDecision.Rejected decision) {
+    return String.format(
+        Locale.ROOT,
+        "contract request=%d team=%s version=%d verdict=refused limit=%s pause_ms=%.0f",
+        request,
+        decision.team(),
+        decision.version(),
+        decision.limit().text(),
+        decision.retryAfter());
+  }
+
+  private static String admitted(long request, UsageCharge charge) {
     return String.format(
         Locale.ROOT,
         "contract request=%d team=%s version=%d verdict=admitted basis=%s booked=%.2f",
-        e.request(),
-        c.team(),
-        c.version(),
-        c.basis(),
-        c.booked());
+        request,
+        charge.team(),
+        charge.version(),
+        charge.basis(),
+        charge.booked());
   }
 
-  static String settled(Effect.ChargeSettled e) {
-    UsageCharge c = e.charge();
+  static String chargeSettled(Effect.ChargeSettled effect) {
+    UsageCharge charge = effect.charge();
     return String.format(
         Locale.ROOT,
         "contract settled team=%s version=%d booked=%.2f used=%.2f",
-        c.team(),
-        c.version(),
-        c.booked(),
-        c.used());
+        charge.team(),
+        charge.version(),
+        charge.booked(),
+        charge.used());
   }
 }
--- a/src/main/java/bitternpulley/broker/Effect.java
+++ b/src/main/java/bitternpulley/broker/Effect.java
@@ -8,112 +8,208 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the core asks the outside to do. */
+/** An output of the core: something to carry out. */
 public sealed interface Effect {
+  /** Calls the method of the handler for this kind of effect. */
+  void dispatch(EffectHandler handler);
+
   /**
-   * Send an attempt of the slice {@code partIndex} of a request to a server, which may take {@code
-   * timeout} ms. Where not a byte of it can go by the time {@code sendBy}, it ends unsent: a
-   * repeated part may wait for a connection, and its window goes on.
+   * Send an attempt of a part to a server.
+   *
+   * @param partIndex the position of the part in its request
+   * @param timeout ms until the attempt is cancelled
+   * @param sendBy time in ms by which its first byte has to be sent; else it ends as not sent,
+   *     since the idempotency window goes on while a retry waits for a connection
    */
   record StartAttempt(
       AttemptId id, Request request, int partIndex, String server, double timeout, double sendBy)
       implements Effect {
-    /** One that may be sent at any time. */
-    public StartAttempt(AttemptId id, Request request, int slice, String server, double timeout) {
-      this(id, request, slice, server, timeout, Double.POSITIVE_INFINITY);
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onStartAttempt(this);
+    }
+
+    /** An attempt that may be sent at any time. */
+    public StartAttempt(
+        AttemptId id, Request request, int partIndex, String server, double timeout) {
+      this(id, request, partIndex, server, timeout, Double.POSITIVE_INFINITY);
     }
   }
 
   /**
-   * Send attempts to one server as one call, where the wire has such; at least two, all of one
-   * dialect.
+   * Send attempts to one server as one call, where the dialect has shared calls; at least two, all
+   * of one dialect.
    */
-  record StartCall(List<StartAttempt> attempts) implements Effect {}
+  record StartCall(List<StartAttempt> attempts) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onStartCall(this);
+    }
+  }
 
-  /** Stop waiting for an attempt. */
-  record CancelAttempt(AttemptId id, Request request, String server) implements Effect {}
+  /** Cancel an attempt. */
+  record CancelAttempt(AttemptId id, Request request, String server) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onCancelAttempt(this);
+    }
+  }
 
   /**
-   * Take back an attempt that serves nobody any more, if not a byte of it has gone: what has gone
-   * may not be called off here.
+   * Cancel an attempt of a finished request unless a byte of it was sent, at sites that forbid
+   * cancellation.
    */
-  record CancelUnsent(AttemptId id, Request request) implements Effect {}
+  record CancelUnsent(AttemptId id, Request request) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onCancelUnsent(this);
+    }
+  }
 
-  /** Take back what has not begun to go to a server, which is to have nothing new. */
-  record CancelUnsentTo(String server) implements Effect {}
+  /** Cancel the attempts to a server of which nothing was sent, since it accepts no new work. */
+  record CancelUnsentTo(String server) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onCancelUnsentTo(this);
+    }
+  }
 
-  /** Deliver the final answer. */
-  record Reply(Request request, Answer answer) implements Effect {}
+  /** Deliver the final answer of a request. */
+  record Reply(Request request, Answer answer) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onReply(this);
+    }
+  }
 
-  /** Hand an event back at a time. */
-  record WakeAt(double time, Event event) implements Effect {}
+  /** Submit an event at a time in ms. */
+  record WakeAt(double time, Event event) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onWakeAt(this);
+    }
+  }
 
   /** Close the idle connections to a server. */
-  record CloseIdleConnections(String server) implements Effect {}
+  record CloseIdleConnections(String server) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onCloseIdleConnections(this);
+    }
+  }
 
-  /** Keep an operator's order, then tell its caller. */
-  record PersistOverride(OperatorOverrides.Override override, Payload caller) implements Effect {}
+  /** Store an operator override, then answer its caller. */
+  record PersistOverride(OperatorOverrides.Override override, Payload caller) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onPersistOverride(this);
+    }
+  }
 
-  /** Tell an operator that an order cannot be carried out. */
-  record RejectCommand(Payload caller, String reason) implements Effect {}
+  /** Answer an operator that a command cannot be carried out. */
+  record RejectCommand(Payload caller, String reason) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onRejectCommand(this);
+    }
+  }
 
-  /** Send clients away, or take them again. */
-  record Quiesce(boolean on) implements Effect {}
+  /** Send clients away, or serve them again. */
+  record Quiesce(boolean on) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onQuiesce(this);
+    }
+  }
 
-  /**
-   * Note what the contracts in force made of a request: with the event that asked, all that a
-   * replay needs.
-   */
-  record AdmissionDecided(long request, AdmissionDecision decision) implements Effect {}
+  /** Record what the contracts in force decided on a request, given by its id. */
+  record AdmissionDecided(long request, AdmissionDecision decision) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onAdmissionDecided(this);
+    }
+  }
 
-  /** Note that a request's charge is settled: nothing of it is out any more. */
-  record ChargeSettled(UsageCharge charge) implements Effect {}
+  /** Record that the charge of a request is settled: none of its attempts is in flight any more. */
+  record ChargeSettled(UsageCharge charge) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onChargeSettled(this);
+    }
+  }
 
-  /** Tell another aggregator something, which may be lost. */
-  record SendGossip(int to, GossipMessage message) implements Effect {}
+  /** Send a gossip message to another aggregator, given by its number; it may be lost. */
+  record SendGossip(int to, GossipMessage message) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onSendGossip(this);
+    }
+  }
 
-  /** Ask another aggregator for a lease, or grant it one, which may be lost. */
-  record SendLeaseMessage(int to, LeaseMessage message) implements Effect {}
+  /** Send a message on leases to another aggregator, given by its number; it may be lost. */
+  record SendLeaseMessage(int to, LeaseMessage message) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onSendLeaseMessage(this);
+    }
+  }
 
-  /** Write a line to the log. */
-  record Log(String text) implements Effect {}
+  /** Write a log line. */
+  record Log(String text) implements Effect {
+    @Override
+    public void dispatch(EffectHandler handler) {
+      handler.onLog(this);
+    }
+  }
 
   /** The final answer of a request. */
   sealed interface Answer {
     /**
-     * Answered from the slices that are in, by their position; the others by what became of them.
+     * Answered from the values that arrived.
+     *
+     * @param complete whether the answer counts as complete
+     * @param values the values by position of their parts
+     * @param missing the other parts by position
      */
     record Answered(
         boolean complete, Map<Integer, Payload> values, Map<Integer, MissingPart> missing)
         implements Answer {}
 
     /**
-     * Refused: asking again is harmless, best after {@code retryAfter} ms (0: no advice). {@code
-     * contract} tells what was met where a contract refused it; null where the module did.
+     * Rejected: a retry is safe.
+     *
+     * @param retryAfter ms that the client is to wait before it; 0 gives no advice
+     * @param contract the decision where a contract rejected it; null where the routing policy did
      */
     record Rejected(double retryAfter, Ending ending, AdmissionDecision.Rejected contract)
         implements Answer {
-      /** Refused by the module. */
-      public Rejected(double pause, Ending ending) {
-        this(pause, ending, null);
+      /** Rejected by the routing policy. */
+      public Rejected(double retryAfter, Ending ending) {
+        this(retryAfter, ending, null);
       }
     }
 
-    /** Failed, with no promise about what has run. */
+    /** Failed: servers may have run some of it. */
     record Failed(Ending ending) implements Answer {}
 
-    /** Failed since the request itself is at fault, as a server found. */
+    /** Failed since a server found the request itself invalid. */
     record InvalidRequest(Payload reason) implements Answer {}
 
-    /** How things stood at an end without an answer. */
+    /**
+     * The state of a request that ends without an answer.
+     *
+     * @param late whether it counts as timed out
+     * @param mayHaveRun whether a server may have run some of it
+     * @param missing the parts without a value, by position
+     */
     record Ending(boolean late, boolean mayHaveRun, Map<Integer, MissingPart> missing) {
-      /** Nothing of it was sent. */
+      /** The state of a request of which nothing was sent. */
       public static final Ending NOTHING_SENT = new Ending(false, false, Map.of());
     }
 
     /**
-     * A slice that is not in: how its last attempt ended and what came with that; all null while
-     * none has.
+     * A part without a value: the end of its last attempt, with the payload that came with it. The
+     * outcome is null while an attempt is in flight; all are null where none was sent.
      */
     record MissingPart(Router.Outcome outcome, String server, Payload reason) {}
   }
--- /dev/null
+++ b/src/main/java/bitternpulley/broker/EffectHandler.java
@@ -0,0 +1,52 @@
+package bitternpulley.broker;
+
+/** Carries out effects of the core, one method a kind; {@link Effect#dispatch} selects it. */
+public interface EffectHandler {
+  /** Sends an attempt. */
+  void onStartAttempt(Effect.StartAttempt effect);
+
+  /** Sends several attempts as one call. */
+  void onStartCall(Effect.StartCall effect);
+
+  /** Cancels an attempt. */
+  void onCancelAttempt(Effect.CancelAttempt effect);
+
+  /** Cancels an attempt if none of it was sent. */
+  void onCancelUnsent(Effect.CancelUnsent effect);
+
+  /** Cancels the attempts to a server of which nothing was sent. */
+  void onCancelUnsentTo(Effect.CancelUnsentTo effect);
+
+  /** Delivers a final answer. */
+  void onReply(Effect.Reply effect);
+
+  /** Schedules an event. */
+  void onWakeAt(Effect.WakeAt effect);
+
+  /** Closes idle connections. */
+  void onCloseIdleConnections(Effect.CloseIdleConnections effect);
+
+  /** Stores an operator override. */
+  void onPersistOverride(Effect.PersistOverride effect);
+
+  /** Rejects an operator command. */
+  void onRejectCommand(Effect.RejectCommand effect);
+
+  /** Sends clients away, or serves them again. */
+  void onQuiesce(Effect.Quiesce effect);
+
+  /** Records an admission decision. */
+  void onAdmissionDecided(Effect.AdmissionDecided effect);
+
+  /** Records a settled charge. */
+  void onChargeSettled(Effect.ChargeSettled effect);
+
+  /** Sends a gossip message. */
+  void onSendGossip(Effect.SendGossip effect);
+
+  /** Sends a lease message. */
+  void onSendLeaseMessage(Effect.SendLeaseMessage effect);
+
+  /** Writes a log line. */
+  void onLog(Effect.Log effect);
+}
--- /dev/null
+++ b/src/main/java/bitternpulley/broker/EffectPerformer.java
@@ -0,0 +1,121 @@
+package bitternpulley.broker;
+
+import java.lang.System.Logger.Level;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+
+/** Carries out each effect by the collaborator that it is meant for. */
+final class EffectPerformer implements EffectHandler {
+  private static final System.Logger LOG = System.getLogger(EffectPerformer.class.getName());
+
+  private final Clock clock;
+  private final Broker.Timer timer;
+  private final Consumer<Event> submit;
+  private final List<Dialect> dialects = new ArrayList<>();
+  private OperatorCommands operatorCommands;
+  private GossipTransport gossipTransport;
+
+  /**
+   * Creates a performer.
+   *
+   * @param submit takes the events of alarms that are due
+   */
+  EffectPerformer(Clock clock, Broker.Timer timer, Consumer<Event> submit) {
+    this.clock = clock;
+    this.timer = timer;
+    this.submit = submit;
+  }
+
+  void addDialect(Dialect dialect) {
+    dialects.add(dialect);
+  }
+
+  void setOperatorCommands(OperatorCommands operators) {
+    operatorCommands = operators;
+  }
+
+  void setGossipTransport(GossipTransport transport) {
+    gossipTransport = transport;
+  }
+
+  @Override
+  public void onStartAttempt(Effect.StartAttempt effect) {
+    effect.request().dialect().start(effect);
+  }
+
+  @Override
+  public void onStartCall(Effect.StartCall effect) {
+    effect.attempts().get(0).request().dialect().startCall(effect.attempts());
+  }
+
+  @Override
+  public void onCancelAttempt(Effect.CancelAttempt effect) {
+    effect.request().dialect().cancel(effect);
+  }
+
+  @Override
+  public void onCancelUnsent(Effect.CancelUnsent effect) {
+    effect.request().dialect().cancelUnsent(effect);
+  }
+
+  @Override
+  public void onCancelUnsentTo(Effect.CancelUnsentTo effect) {
+    dialects.forEach(dialect -> dialect.cancelUnsentTo(effect.server()));
+  }
+
+  @Override
+  public void onReply(Effect.Reply effect) {
+    effect.request().dialect().reply(effect);
+  }
+
+  @Override
+  public void onWakeAt(Effect.WakeAt effect) {
+    timer.after(effect.time() - clock.now(), () -> submit.accept(effect.event()));
+  }
+
+  @Override
+  public void onCloseIdleConnections(Effect.CloseIdleConnections effect) {
+    dialects.forEach(dialect -> dialect.closeIdleConnections(effect.server()));
+  }
+
+  @Override
+  public void onPersistOverride(Effect.PersistOverride effect) {
+    operatorCommands.persist(effect);
+  }
+
+  @Override
+  public void onRejectCommand(Effect.RejectCommand effect) {
+    operatorCommands.reject(effect);
+  }
+
+  @Override
+  public void onQuiesce(Effect.Quiesce effect) {
+    operatorCommands.quiesce(effect.on());
+  }
+
+  @Override
+  public void onAdmissionDecided(Effect.AdmissionDecided effect) {
+    LOG.log(Level.DEBUG, () -> ContractLog.admissionDecided(effect));
+  }
+
+  @Override
+  public void onChargeSettled(Effect.ChargeSettled effect) {
+    LOG.log(Level.DEBUG, () -> ContractLog.chargeSettled(effect));
+  }
+
+  @Override
+  public void onSendGossip(Effect.SendGossip effect) {
+    gossipTransport.send(effect);
+  }
+
+  @Override
+  public void onSendLeaseMessage(Effect.SendLeaseMessage effect) {
+    gossipTransport.send(effect);
+  }
+
+  @Override
+  public void onLog(Effect.Log effect) {
+    LOG.log(Level.INFO, effect.text());
+  }
+}
--- /dev/null
+++ b/src/main/java/bitternpulley/broker/EndpointListHandler.java
@@ -0,0 +1,44 @@
+package bitternpulley.broker;
+
+import bitternpulley.routing.Router;
+import java.util.List;
+
+/** Handles changes of the endpoint list and takes back what waits for servers that left it. */
+final class EndpointListHandler {
+  private final ReductionContext context;
+  private final PendingRequests pending;
+  private final ServerDirectory directory;
+  private final PolicyDriver policy;
+
+  EndpointListHandler(
+      ReductionContext context,
+      PendingRequests pending,
+      ServerDirectory directory,
+      PolicyDriver policy) {
+    this.context = context;
+    this.pending = pending;
+    this.directory = directory;
+    this.policy = policy;
+  }
+
+  /** Applies a list from discovery, or a change to it. */
+  void serversChanged(Router.ListKind kind, List<Router.Endpoint> endpoints) {
+    passToPolicy(kind, directory.update(kind, endpoints));
+  }
+
+  /** Passes endpoints, as the operators' overrides have them, to the routing policy. */
+  void passToPolicy(Router.ListKind kind, List<Router.Endpoint> endpoints) {
+    policy.serversChanged(kind, endpoints);
+    cancelUnsentToUnavailableServers();
+  }
+
+  /** A part that waits for a connection would else reach a server after its drain began. */
+  private void cancelUnsentToUnavailableServers() {
+    pending.parts().stream()
+        .filter(PendingPart::hasAttemptInFlight)
+        .map(part -> part.attemptInFlight().server())
+        .filter(server -> !directory.acceptsNewWork(server))
+        .distinct()
+        .forEach(server -> context.emit(new Effect.CancelUnsentTo(server)));
+  }
+}
--- a/src/main/java/bitternpulley/broker/Event.java
+++ b/src/main/java/bitternpulley/broker/Event.java
@@ -8,89 +8,189 @@
 import bitternpulley.routing.Router;
 import java.util.List;
 
-/** What can happen to the core. */
+/** An input of the core: something that happened. */
 public sealed interface Event {
-  /** What concerns one attempt. */
+  /** Calls the method of the handler for this kind of event. */
+  void dispatch(EventHandler handler);
+
+  /** An event of one attempt. */
   sealed interface AttemptEvent extends Event {
+    /** The attempt that it is about. */
     AttemptId attempt();
   }
 
-  /** A request has come in whole. */
-  record RequestReceived(Request request) implements Event {}
+  /** A request was received completely. */
+  record RequestReceived(Request request) implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onRequestReceived(this);
+    }
+  }
 
-  /** The client of a request has left. */
-  record ClientDisconnected(long request) implements Event {}
+  /** The client of a request, given by the request's id, disconnected. */
+  record ClientDisconnected(long request) implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onClientDisconnected(this);
+    }
+  }
 
-  /** Discovery has told a list of servers or a change. */
-  record ServersChanged(Router.ListKind kind, List<Router.Endpoint> endpoints) implements Event {}
+  /** Discovery sent an endpoint list or a change to it. */
+  record ServersChanged(Router.ListKind kind, List<Router.Endpoint> endpoints) implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onServersChanged(this);
+    }
+  }
 
-  /** An attempt has ended by itself; {@code value} is what it brought, or null. */
+  /**
+   * An attempt ended by itself; {@code value} is its result or what explains its failure, or null.
+   */
   record AttemptEnded(AttemptId attempt, Router.Outcome outcome, Payload value)
-      implements AttemptEvent {}
+      implements AttemptEvent {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onAttemptEnded(this);
+    }
+  }
 
-  /** A server finds fault with the request itself: no other would take it either. */
-  record RequestRejectedByServer(AttemptId attempt, Payload reason) implements AttemptEvent {}
+  /** A server found the request itself invalid, so that no other server would accept it. */
+  record RequestRejectedByServer(AttemptId attempt, Payload reason) implements AttemptEvent {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onRequestRejectedByServer(this);
+    }
+  }
 
-  /** A server has been told that an attempt is given up, or was never asked. */
-  record AttemptCancelled(AttemptId attempt) implements AttemptEvent {}
+  /** The cancellation of an attempt is done: its server was notified, or never received it. */
+  record AttemptCancelled(AttemptId attempt) implements AttemptEvent {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onAttemptCancelled(this);
+    }
+  }
 
-  /**
-   * A request's time is over, and deciding on something of it may have failed: it must have its
-   * answer all the same.
-   */
-  record RequestDeadlineExpired(long request) implements Event {}
+  /** The deadline of a request passed that the routing policy may have failed to finish. */
+  record RequestDeadlineExpired(long request) implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onRequestDeadlineExpired(this);
+    }
+  }
 
-  /** An attempt was never sent, since the rules forbid it. */
-  record AttemptNotSent(AttemptId attempt, String server) implements AttemptEvent {}
+  /** An attempt was not sent, since a limit on attempts forbids it. */
+  record AttemptNotSent(AttemptId attempt, String server) implements AttemptEvent {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onAttemptNotSent(this);
+    }
+  }
 
   /**
-   * An attempt's time is over; it is one of a request's, whose parts have the numbers from {@code
-   * first} on.
+   * An attempt timed out; others of the same request may have timed out as well.
+   *
+   * @param attempt the attempt that the alarm was set for
+   * @param firstPart the id of the request's first part; the others follow
+   * @param parts the number of its parts
    */
   record AttemptTimedOut(AttemptId attempt, long firstPart, int parts) implements Event {
-    /** Of an attempt alone. */
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onAttemptTimedOut(this);
+    }
+
+    /** A timeout that concerns no other part. */
     public AttemptTimedOut(AttemptId attempt) {
       this(attempt, attempt.part(), 1);
     }
   }
 
-  /** An operator has ordered something; {@code caller} is for the answer. */
+  /** An operator sent a command; {@code caller} identifies the connection for the answer. */
   record OperatorCommandReceived(OperatorOverrides.Override override, Payload caller)
-      implements Event {}
+      implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onOperatorCommandReceived(this);
+    }
+  }
 
-  /** What now stands of the operators' orders, as it is kept. */
-  record OverridesChanged(OperatorOverrides overrides) implements Event {}
+  /** The operator overrides in force changed and are stored. */
+  record OverridesChanged(OperatorOverrides overrides) implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onOverridesChanged(this);
+    }
+  }
 
-  /** Another process of this aggregator runs at the same time, or none does any more. */
-  record HotRestartRoleChanged(Router.HotRestartRole role) implements Event {}
+  /** A hot restart began, with this process in the given role, or ended. */
+  record HotRestartRoleChanged(Router.HotRestartRole role) implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onHotRestartRoleChanged(this);
+    }
+  }
 
-  /** Other contracts are in force from now on. */
-  record ContractsActivated(ContractBook book) implements Event {}
+  /** New contracts are in force from now on. */
+  record ContractsActivated(ContractBook book) implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onContractsActivated(this);
+    }
+  }
 
-  /**
-   * From now on this instance's part of what all may do together goes by leases, of which it has
-   * none yet.
-   */
-  record LeasesStarted(Leases leases) implements Event {}
+  /** From now on the quota of this instance follows from its leases, of which it holds none yet. */
+  record LeasesStarted(Leases leases) implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onLeasesStarted(this);
+    }
+  }
 
-  /**
-   * From now on there are other aggregators, and this instance's part in finding out who of them is
-   * here.
-   */
-  record MembershipStarted(Membership membership) implements Event {}
+  /** Membership of the fleet starts. */
+  record MembershipStarted(Membership membership) implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onMembershipStarted(this);
+    }
+  }
 
-  /** Membership's beat, which is due each {@link Membership#tickInterval} ms. */
-  record MembershipTick() implements Event {}
+  /** The periodic step of membership, due every {@link Membership#tickInterval} ms. */
+  record MembershipTick() implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onMembershipTick(this);
+    }
+  }
 
-  /** Another aggregator has said something. */
-  record GossipReceived(GossipMessage message) implements Event {}
+  /** A gossip message was received from another aggregator. */
+  record GossipReceived(GossipMessage message) implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onGossipReceived(this);
+    }
+  }
 
-  /** Another aggregator asks for a lease, or grants one. */
-  record LeaseMessageReceived(LeaseMessage message) implements Event {}
+  /** A message on leases was received from another aggregator. */
+  record LeaseMessageReceived(LeaseMessage message) implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onLeaseMessageReceived(this);
+    }
+  }
 
-  /** This instance is to tell the others that it goes. */
-  record MembershipLeaveRequested() implements Event {}
+  /** This instance is to leave the membership. */
+  record MembershipLeaveRequested() implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onMembershipLeaveRequested(this);
+    }
+  }
 
-  /** An alarm that the module set is due. */
-  record AlarmFired(String token) implements Event {}
+  /** An alarm that the routing policy set is due. */
+  record AlarmFired(String token) implements Event {
+    @Override
+    public void dispatch(EventHandler handler) {
+      handler.onAlarmFired(this);
+    }
+  }
 }
--- a/src/main/java/bitternpulley/broker/GossipTransport.java
+++ b/src/main/java/bitternpulley/broker/GossipTransport.java
@@ -1,10 +1,10 @@
 package bitternpulley.broker;
 
-/** The way to the other aggregators, seen from the core. */
+/** Sends messages to other aggregators; any of them may be lost. */
 public interface GossipTransport {
-  /** Sends what a member is to be told; it may be lost. */
-  void send(Effect.SendGossip told);
+  /** Sends a gossip message. */
+  void send(Effect.SendGossip message);
 
-  /** Sends what concerns a lease; it may be lost. */
-  void send(Effect.SendLeaseMessage told);
+  /** Sends a message on leases. */
+  void send(Effect.SendLeaseMessage message);
 }
--- /dev/null
+++ b/src/main/java/bitternpulley/broker/OperatorCommandHandler.java
@@ -0,0 +1,45 @@
+package bitternpulley.broker;
+
+import bitternpulley.routing.Router;
+
+/** Handles operator commands, and the overrides that are in force once a command is stored. */
+final class OperatorCommandHandler {
+  private final ReductionContext context;
+  private final ServerDirectory directory;
+  private final EndpointListHandler endpointList;
+  private final PolicyDriver policy;
+
+  OperatorCommandHandler(
+      ReductionContext context,
+      ServerDirectory directory,
+      EndpointListHandler endpointList,
+      PolicyDriver policy) {
+    this.context = context;
+    this.directory = directory;
+    this.endpointList = endpointList;
+    this.policy = policy;
+  }
+
+  /** Has a command stored, or rejects it where it names an unknown server. */
+  void received(OperatorOverrides.Override override, Payload caller) {
+    String server = override.server();
+    context.emit(
+        server == null || directory.isKnown(server)
+            ? new Effect.PersistOverride(override, caller)
+            : new Effect.RejectCommand(caller, "no server is known by this id"));
+  }
+
+  /** Puts the stored overrides in force. */
+  void overridesChanged(OperatorOverrides overrides) {
+    OverridesChange change = directory.applyOverrides(overrides);
+    if (!change.cordoned().isEmpty()) {
+      endpointList.passToPolicy(Router.ListKind.CHANGES, change.cordoned());
+    }
+    for (Router.Endpoint endpoint : change.readmitted()) {
+      policy.serverReadmitted(endpoint);
+    }
+    if (change.quiesceChanged()) {
+      context.emit(new Effect.Quiesce(overrides.quiesced()));
+    }
+  }
+}
--- a/src/main/java/bitternpulley/broker/OperatorCommands.java
+++ b/src/main/java/bitternpulley/broker/OperatorCommands.java
@@ -1,18 +1,16 @@
 package bitternpulley.broker;
 
-/**
- * The operators' side, seen from the core: it keeps what they order and tells them what came of it.
- */
+/** Carries out the effects of operator commands: stores overrides and answers the callers. */
 public interface OperatorCommands {
   /**
-   * Keeps an order; what then stands comes back as {@link Event.OverridesChanged}, after which its
-   * caller is told.
+   * Stores an override. The overrides in force then come back as {@link Event.OverridesChanged},
+   * and the caller is answered after that.
    */
-  void persist(Effect.PersistOverride order);
+  void persist(Effect.PersistOverride override);
 
-  /** Tells a caller that its order cannot be carried out. */
-  void reject(Effect.RejectCommand order);
+  /** Answers a caller that its command cannot be carried out. */
+  void reject(Effect.RejectCommand command);
 
-  /** Sends clients away, or takes them again. */
+  /** Sends clients away, or serves them again. */
   void quiesce(boolean on);
 }
--- a/src/main/java/bitternpulley/broker/Payload.java
+++ b/src/main/java/bitternpulley/broker/Payload.java
@@ -1,4 +1,4 @@
 package bitternpulley.broker;
 
-/** What a wire attaches to a request or an outcome; the core hands it on and never looks inside. */
+/** What a dialect attaches to a request or an outcome; the core passes it on unread. */
 public interface Payload {}
--- a/src/main/java/bitternpulley/broker/PendingRequests.java
+++ b/src/main/java/bitternpulley/broker/PendingRequests.java
@@ -11,219 +11,140 @@
 import java.util.stream.IntStream;
 
 /**
- * What the reducer holds of requests, their parts and the attempts that are out. It decides
- * nothing: {@link Reducer}, its one user, changes it as events ask.
+ * The requests without a final answer, and the parts that still matter: those of pending requests
+ * and those with an attempt in flight. Keeps state only; the reducer's handlers decide nothing here
+ * and change it as events ask.
  */
 final class PendingRequests {
-  /**
-   * Ms before a client's end from which an end without an answer counts as out of time: more where
-   * answers leave earlier.
-   */
-  private static final double LATE = 100;
-
-  /** Share of a client's time that this takes at most: some wait for less. */
-  private static final double LATE_SHARE = 0.25;
-
-  private final Map<Long, Open> requests = new HashMap<>();
-  private final Map<Long, Part> parts = new HashMap<>();
+  private final Map<Long, PendingRequest> requests = new HashMap<>();
+  private final Map<Long, PendingPart> parts = new HashMap<>();
   private long nextPart = 1;
-  private int partsHeld;
-
-  /** A request without a final answer. */
-  static final class Open {
-    final Request request;
-
-    /** Null where no contracts are in force. */
-    final UsageCharge charge;
-
-    final double endsAt;
-
-    /** From when on an end without an answer counts as out of time. */
-    final double lateFrom;
-
-    final long firstPart;
-    final TreeMap<Integer, Payload> values = new TreeMap<>();
-
-    /** Whether it is looked at once more when its time is over. */
-    boolean lapses;
-
-    /** When an attempt of it is looked at for being overdue. */
-    double overdueAt = Double.POSITIVE_INFINITY;
-
-    private Open(
-        Request request, UsageCharge charge, double endsAt, double lateFrom, long firstPart) {
-      this.lateFrom = lateFrom;
-      this.request = request;
-      this.charge = charge;
-      this.endsAt = endsAt;
-      this.firstPart = firstPart;
-    }
-
-    int parts() {
-      return request.parts().size();
-    }
-  }
-
-  /** A part lives until its request is over and none of its attempts is out. */
-  static final class Part {
-    final Open open;
-    final int slice;
-    int sent;
-    Out out;
-    boolean mayHaveRun;
-
-    /** When the first attempt that may have run was sent. */
-    double mayRunFrom = Double.POSITIVE_INFINITY;
+  private int missingParts;
 
-    Effect.Answer.MissingPart last = new Effect.Answer.MissingPart(null, null, null);
-
-    private Part(Open open, int slice) {
-      this.open = open;
-      this.slice = slice;
-    }
-  }
-
-  /** The attempt of a part that is out. */
-  static final class Out {
-    final AttemptId id;
-    final String server;
-    final double sentAt;
-    final double dueAt;
-    Router.Outcome given;
-
-    Out(AttemptId id, String server, double sentAt, double dueAt) {
-      this.id = id;
-      this.server = server;
-      this.sentAt = sentAt;
-      this.dueAt = dueAt;
-    }
-  }
-
-  /** Begins to hold a request, whose time is over after so many ms; its parts follow one by one. */
-  Open hold(Request r, UsageCharge charge, double timeLeft, double now) {
-    Open open =
-        new Open(
-            r,
-            charge,
-            now + timeLeft - r.lateness().unreadFor(),
-            now + r.lateness().timeLeft(timeLeft, Math.min(LATE, LATE_SHARE * timeLeft)),
-            nextPart);
-    requests.put(r.id(), open);
-    nextPart += open.parts();
-    partsHeld += open.parts();
-    return open;
+  /**
+   * Adds a request; its parts follow by {@link #addPart}.
+   *
+   * @param charge the charge under the request's contract; null where none is in force
+   * @param timeLeft ms until its deadline
+   */
+  PendingRequest add(Request request, UsageCharge charge, double timeLeft, double now) {
+    PendingRequest pending = new PendingRequest(request, charge, nextPart, timeLeft, now);
+    requests.put(request.id(), pending);
+    nextPart += pending.partCount();
+    missingParts += pending.partCount();
+    return pending;
   }
 
-  /** Begins to hold a part, by its place in the request; its number is returned. */
-  long holdPart(Open open, int place) {
-    parts.put(open.firstPart + place, new Part(open, place));
-    return open.firstPart + place;
+  /** Adds the part at this position of a request and returns the part's id. */
+  long addPart(PendingRequest request, int index) {
+    long id = request.firstPart() + index;
+    parts.put(id, new PendingPart(request, index));
+    return id;
   }
 
-  /** Requests without a final answer. */
-  Collection<Open> requests() {
+  /** All requests without a final answer. */
+  Collection<PendingRequest> requests() {
     return requests.values();
   }
 
-  /** The request of this number, or null. */
-  Open request(long id) {
+  /** The request with this id; null where it is finished or unknown. */
+  PendingRequest request(long id) {
     return requests.get(id);
   }
 
-  Collection<Part> parts() {
+  /** All parts that still matter, also of finished requests. */
+  Collection<PendingPart> parts() {
     return parts.values();
   }
 
-  /** The part of this number, or null. */
-  Part part(long id) {
+  /** The part with this id, or null. */
+  PendingPart part(long id) {
     return parts.get(id);
   }
 
-  /** The part at this place of a request, or null. */
-  Part part(Open open, int place) {
-    return parts.get(open.firstPart + place);
+  /** The part of this attempt if the attempt is in flight, else null. */
+  PendingPart partInFlight(AttemptId attempt) {
+    PendingPart part = parts.get(attempt.part());
+    return part != null && part.hasAttemptInFlight() && part.attemptInFlight().id().equals(attempt)
+        ? part
+        : null;
   }
 
-  /**
-   * Requests and those of their parts that are not in, as the site's limit counts them: a part that
-   * is answered is over.
-   */
+  /** Requests plus their parts without a value, which is what the site's limit counts. */
   int count() {
-    return requests.size() + partsHeld;
+    return requests.size() + missingParts;
   }
 
-  /** A part's value is in. */
-  void in(Part p, Payload value) {
-    if (p.open.values.put(p.slice, value) == null && !isOver(p)) {
-      partsHeld--;
+  /** Records the value of a part. */
+  void recordValue(PendingPart part, Payload value) {
+    if (part.request().recordValue(part.index(), value) && !isFinished(part)) {
+      missingParts--;
     }
   }
 
-  boolean isOver(Part p) {
-    return !requests.containsKey(p.open.request.id());
-  }
-
-  /** The attempt if it is out, or null. */
-  Out out(AttemptId id) {
-    Part p = parts.get(id.part());
-    return p != null && p.out != null && p.out.id.equals(id) ? p.out : null;
+  /** Whether the request of a part has its final answer or lost its client. */
+  boolean isFinished(PendingPart part) {
+    return !requests.containsKey(part.request().id());
   }
 
-  /** The attempts of a request that are out and not given up. */
-  List<Out> outOf(Open open) {
-    return IntStream.range(0, open.parts())
-        .mapToObj(i -> part(open, i))
-        .filter(p -> p != null && p.out != null && p.out.given == null)
-        .map(p -> p.out)
+  /** The parts of a request with an attempt in flight that was not cancelled. */
+  List<PendingPart> partsWithActiveAttempt(PendingRequest request) {
+    return IntStream.range(0, request.partCount())
+        .mapToObj(index -> part(request.firstPart() + index))
+        .filter(part -> part != null && part.hasActiveAttempt())
         .toList();
   }
 
-  /** The request that an attempt is of, if that is known. */
+  /** The id of the request that an attempt belongs to; empty where its part no longer exists. */
   Optional<Long> requestOf(AttemptId attempt) {
-    return Optional.ofNullable(parts.get(attempt.part())).map(p -> p.open.request.id());
+    return Optional.ofNullable(parts.get(attempt.part())).map(part -> part.request().id());
   }
 
-  /** Ends a request here; null where it has ended before. */
-  Open forget(long id) {
-    Open open = requests.remove(id);
-    if (open != null) {
-      partsHeld -= open.parts() - open.values.size();
-      for (int i = 0; i < open.parts(); i++) {
-        tidy(open.firstPart + i);
+  /** Removes a request; returns null where it is finished already. */
+  PendingRequest remove(long id) {
+    PendingRequest request = requests.remove(id);
+    if (request != null) {
+      missingParts -= request.missingParts();
+      for (int index = 0; index < request.partCount(); index++) {
+        removePartIfDone(request.firstPart() + index);
       }
     }
-    return open;
+    return request;
   }
 
-  /** Drops a part of which nothing is out and whose request is over. */
-  void tidy(long part) {
-    Part p = parts.get(part);
-    if (p != null && p.out == null && isOver(p)) {
-      parts.remove(part);
+  /** Removes a part whose request is finished and that has no attempt in flight. */
+  void removePartIfDone(long id) {
+    PendingPart part = parts.get(id);
+    if (part != null && !part.hasAttemptInFlight() && isFinished(part)) {
+      parts.remove(id);
     }
   }
 
-  /** How things stand with a request that is to end without an answer. */
-  Effect.Answer.Ending ending(Open open, double now) {
+  /** Describes a request that is to end without an answer. */
+  Effect.Answer.Ending ending(PendingRequest request, double now) {
     TreeMap<Integer, Effect.Answer.MissingPart> missing = new TreeMap<>();
     boolean mayHaveRun = false;
-    for (int i = 0; i < open.parts(); i++) {
-      Part p = part(open, i);
-      if (p != null && !open.values.containsKey(i)) {
-        missing.put(
-            i, p.out == null ? p.last : new Effect.Answer.MissingPart(null, p.out.server, null));
+    for (int index = 0; index < request.partCount(); index++) {
+      PendingPart part = part(request.firstPart() + index);
+      if (part != null && !request.hasValue(index)) {
+        missing.put(index, part.asMissing());
       }
-      mayHaveRun |= p != null && (p.mayHaveRun || p.out != null);
+      mayHaveRun |= part != null && part.mayHaveRun();
     }
-    // Given up a little earlier, since nothing could come in time any more, it is out of time all
-    // the same.
-    boolean unanswered =
-        !missing.isEmpty()
-            && missing.values().stream()
-                .allMatch(
-                    m ->
-                        m.outcome() == Router.Outcome.TIMEOUT
-                            || m.outcome() == Router.Outcome.CANCELLED);
-    return new Effect.Answer.Ending(unanswered || now >= open.lateFrom, mayHaveRun, missing);
+    boolean timedOut = request.isTimedOut(now) || allUnanswered(missing.values());
+    return new Effect.Answer.Ending(timedOut, mayHaveRun, missing);
+  }
+
+  /**
+   * Whether no server answered any of these. Such a request was given up somewhat early, when no
+   * answer could arrive in time any more, and counts as timed out too.
+   */
+  private static boolean allUnanswered(Collection<Effect.Answer.MissingPart> missing) {
+    return !missing.isEmpty()
+        && missing.stream()
+            .map(Effect.Answer.MissingPart::outcome)
+            .allMatch(
+                outcome ->
+                    outcome == Router.Outcome.TIMEOUT || outcome == Router.Outcome.CANCELLED);
   }
 }
--- a/src/main/java/bitternpulley/broker/ServerDirectory.java
+++ b/src/main/java/bitternpulley/broker/ServerDirectory.java
@@ -4,76 +4,78 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 
-/**
- * What discovery last said of each server that is there, with the operators' orders laid over it.
- */
+/** The servers of the endpoint list as discovery last described them, and operator overrides. */
 final class ServerDirectory {
   private final Map<String, Router.Endpoint> listed = new HashMap<>();
-  private OperatorOverrides standing = OperatorOverrides.NONE;
+  private OperatorOverrides overrides = OperatorOverrides.NONE;
 
-  /** Takes in a list or a change and returns its members as the module is to hear of them. */
-  List<Router.Endpoint> told(Event.ServersChanged e) {
-    if (e.kind() != Router.ListKind.CHANGES) {
+  /**
+   * Applies a list from discovery, or a change to it, and returns its endpoints with the overrides
+   * applied.
+   */
+  List<Router.Endpoint> update(Router.ListKind kind, List<Router.Endpoint> endpoints) {
+    if (kind != Router.ListKind.CHANGES) {
       listed.clear();
     }
-    for (Router.Endpoint m : e.endpoints()) {
-      if (m.state() == Router.ServerState.GONE) {
-        listed.remove(m.server());
+    for (Router.Endpoint endpoint : endpoints) {
+      if (endpoint.state() == Router.ServerState.GONE) {
+        listed.remove(endpoint.server());
       } else {
-        listed.put(m.server(), m);
+        listed.put(endpoint.server(), endpoint);
       }
     }
-    return e.endpoints().stream().map(this::asOrdered).toList();
+    return endpoints.stream().map(this::withOverrides).toList();
   }
 
-  /**
-   * A cordoned server drains, whatever discovery says of it meanwhile, so that the module's own
-   * rule on that holds.
-   */
-  private Router.Endpoint asOrdered(Router.Endpoint m) {
-    return m.state() == Router.ServerState.LIVE && standing.cordoned().contains(m.server())
+  /** A cordoned server counts as draining while discovery has it as live. */
+  private Router.Endpoint withOverrides(Router.Endpoint endpoint) {
+    return endpoint.state() == Router.ServerState.LIVE
+            && overrides.cordoned().contains(endpoint.server())
         ? new Router.Endpoint(
-            m.server(), m.zone(), m.cell(), Router.ServerState.DRAINING, m.startedAt())
-        : m;
+            endpoint.server(),
+            endpoint.zone(),
+            endpoint.cell(),
+            Router.ServerState.DRAINING,
+            endpoint.startedAt())
+        : endpoint;
   }
 
-  /** Whether new work may go there: it is listed, does not drain and is not cordoned. */
-  boolean takesWork(String server) {
-    Router.Endpoint m = listed.get(server);
-    return m != null && asOrdered(m).state() == Router.ServerState.LIVE;
+  /** Whether new work may go to a server: it is listed, not draining and not cordoned. */
+  boolean acceptsNewWork(String server) {
+    Router.Endpoint endpoint = listed.get(server);
+    return endpoint != null && withOverrides(endpoint).state() == Router.ServerState.LIVE;
   }
 
-  /** A cordoned server may have left the list since; letting it back in must work all the same. */
-  boolean knows(String server) {
-    return listed.containsKey(server) || standing.cordoned().contains(server);
+  /** Whether a server is listed, or cordoned: a cordon outlives the server's place on the list. */
+  boolean isKnown(String server) {
+    return listed.containsKey(server) || overrides.cordoned().contains(server);
   }
 
-  /**
-   * What the operators' orders change: the servers out from now on, those back in, and whether
-   * clients are sent away.
-   */
-  record Change(
-      List<Router.Endpoint> out, List<Router.Endpoint> back, boolean quiesces, boolean quiesced) {}
+  /** Replaces the overrides and returns what that changes. */
+  OverridesChange applyOverrides(OperatorOverrides replacement) {
+    OperatorOverrides before = overrides;
+    overrides = replacement;
+    return new OverridesChange(
+        newlyCordoned(before), readmitted(before), replacement.quiesced() != before.quiesced());
+  }
+
+  private List<Router.Endpoint> newlyCordoned(OperatorOverrides before) {
+    return listed.values().stream()
+        .filter(
+            endpoint ->
+                overrides.cordoned().contains(endpoint.server())
+                    && !before.cordoned().contains(endpoint.server()))
+        .map(this::withOverrides)
+        .toList();
+  }
 
-  /** Puts other orders in force. */
-  Change stands(OperatorOverrides fresh) {
-    OperatorOverrides before = standing;
-    standing = fresh;
-    List<Router.Endpoint> out =
-        listed.values().stream()
-            .filter(
-                m ->
-                    fresh.cordoned().contains(m.server())
-                        && !before.cordoned().contains(m.server()))
-            .map(this::asOrdered)
-            .toList();
-    List<Router.Endpoint> back =
-        before.cordoned().stream()
-            .filter(s -> !fresh.cordoned().contains(s))
-            .map(listed::get)
-            .filter(m -> m != null)
-            .toList();
-    return new Change(out, back, fresh.quiesced() != before.quiesced(), fresh.quiesced());
+  private List<Router.Endpoint> readmitted(OperatorOverrides before) {
+    return before.cordoned().stream()
+        .filter(server -> !overrides.cordoned().contains(server))
+        .map(listed::get)
+        .filter(Objects::nonNull)
+        .toList();
   }
 }
--- a/src/test/java/bitternpulley/broker/ContractLogTest.java
+++ b/src/test/java/bitternpulley/broker/ContractLogTest.java
@@ -40,10 +40,10 @@
   public void admissionsAreLoggedWithTheirBasis() {
     AdmissionDecision verdict = control().admit(claim("team-a", 0, 2), 1);
     assertEquals(
-        ContractLog.judged(new Effect.AdmissionDecided(7, verdict)),
+        ContractLog.admissionDecided(new Effect.AdmissionDecided(7, verdict)),
         "contract request=7 team=team-a version=3 verdict=admitted basis=UNLIMITED booked=2.00");
     assertEquals(
-        ContractLog.settled(new Effect.ChargeSettled((UsageCharge) verdict)),
+        ContractLog.chargeSettled(new Effect.ChargeSettled((UsageCharge) verdict)),
         "contract settled team=team-a version=3 booked=2.00 used=0.00");
   }
 
@@ -51,13 +51,15 @@
   public void refusalsAreLoggedWithTheirLimit() {
     AdmissionControl control = control();
     assertEquals(
-        ContractLog.judged(new Effect.AdmissionDecided(8, control.admit(claim("team-a", 1, 1), 1))),
+        ContractLog.admissionDecided(
+            new Effect.AdmissionDecided(8, control.admit(claim("team-a", 1, 1), 1))),
         "contract request=8 team=team-a version=3 verdict=refused limit=class pause_ms=0");
     assertEquals(
-        ContractLog.judged(new Effect.AdmissionDecided(9, control.admit(claim("other", 0, 1), 1))),
+        ContractLog.admissionDecided(
+            new Effect.AdmissionDecided(9, control.admit(claim("other", 0, 1), 1))),
         "contract request=9 team=other version=3 verdict=refused limit=no contract pause_ms=0");
     assertEquals(
-        ContractLog.judged(
+        ContractLog.admissionDecided(
             new Effect.AdmissionDecided(10, control.admit(claim("team-a", 0, 9), 1))),
         "contract request=10 team=team-a version=3 verdict=refused limit=holds pause_ms=0");
   }
