--- a/src/test/java/bitternpulley/broker/ContractLogTest.java
+++ b/src/test/java/bitternpulley/broker/ContractLogTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** The lines of the contract log keep their form: tools of operators read them. */
+/** The lines of the contract log keep their form, since operators' tools read them. */
 public class ContractLogTest {
   private static AdmissionControl control() {
     Contract team =
@@ -32,35 +32,35 @@
     return control;
   }
 
-  private static AdmissionRequest claim(String team, int queryClass, int parts) {
+  private static AdmissionRequest request(String team, int queryClass, int parts) {
     return new AdmissionRequest(team, queryClass, parts, 0, false, 0);
   }
 
   @Test
-  public void admissionsAreLoggedWithTheirBasis() {
-    AdmissionDecision verdict = control().admit(claim("team-a", 0, 2), 1);
+  public void logsAnAdmissionWithItsBasis() {
+    AdmissionDecision decision = control().admit(request("team-a", 0, 2), 1);
     assertEquals(
-        ContractLog.admissionDecided(new Effect.AdmissionDecided(7, verdict)),
+        ContractLog.admissionDecided(new Effect.AdmissionDecided(7, decision)),
         "contract request=7 team=team-a version=3 verdict=admitted basis=UNLIMITED booked=2.00");
     assertEquals(
-        ContractLog.chargeSettled(new Effect.ChargeSettled((UsageCharge) verdict)),
+        ContractLog.chargeSettled(new Effect.ChargeSettled((UsageCharge) decision)),
         "contract settled team=team-a version=3 booked=2.00 used=0.00");
   }
 
   @Test
-  public void refusalsAreLoggedWithTheirLimit() {
+  public void logsARejectionWithItsLimit() {
     AdmissionControl control = control();
     assertEquals(
         ContractLog.admissionDecided(
-            new Effect.AdmissionDecided(8, control.admit(claim("team-a", 1, 1), 1))),
+            new Effect.AdmissionDecided(8, control.admit(request("team-a", 1, 1), 1))),
         "contract request=8 team=team-a version=3 verdict=refused limit=class pause_ms=0");
     assertEquals(
         ContractLog.admissionDecided(
-            new Effect.AdmissionDecided(9, control.admit(claim("other", 0, 1), 1))),
+            new Effect.AdmissionDecided(9, control.admit(request("other", 0, 1), 1))),
         "contract request=9 team=other version=3 verdict=refused limit=no contract pause_ms=0");
     assertEquals(
         ContractLog.admissionDecided(
-            new Effect.AdmissionDecided(10, control.admit(claim("team-a", 0, 9), 1))),
+            new Effect.AdmissionDecided(10, control.admit(request("team-a", 0, 9), 1))),
         "contract request=10 team=team-a version=3 verdict=refused limit=holds pause_ms=0");
   }
 }
--- /dev/null
+++ b/src/test/java/bitternpulley/broker/TestServers.java
@@ -0,0 +1,28 @@
+package bitternpulley.broker;
+
+import bitternpulley.routing.Router;
+import java.util.List;
+import java.util.stream.IntStream;
+
+/** Endpoint lists of tests: server {@code sN} holds cell N and alternates between two zones. */
+final class TestServers {
+  private TestServers() {}
+
+  static Router.Endpoint server(int cell, Router.ServerState state, double startedAt) {
+    return new Router.Endpoint("s" + cell, cell % 2, cell, state, startedAt);
+  }
+
+  /** A list of so many servers, all live for long. */
+  static Event.ServersChanged live(int count) {
+    return new Event.ServersChanged(
+        Router.ListKind.REMEMBERED,
+        IntStream.range(0, count)
+            .mapToObj(cell -> server(cell, Router.ServerState.LIVE, 0))
+            .toList());
+  }
+
+  /** A change of single servers. */
+  static Event.ServersChanged change(Router.Endpoint... endpoints) {
+    return new Event.ServersChanged(Router.ListKind.CHANGES, List.of(endpoints));
+  }
+}
--- /dev/null
+++ b/src/test/java/bitternpulley/broker/TestValue.java
@@ -0,0 +1,4 @@
+package bitternpulley.broker;
+
+/** A payload that tests recognise. */
+record TestValue(String text) implements Payload {}
