--- a/src/test/java/bitternpulley/broker/PolicyFailureTest.java
+++ b/src/test/java/bitternpulley/broker/PolicyFailureTest.java
@@ -12,6 +12,7 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Predicate;
 import org.testng.annotations.Test;
 
 /** Requests are not lost when the routing policy throws. */
@@ -30,6 +31,30 @@
     }
   }
 
+  /** Which requests a failed alarm was to decide on is not known. */
+  @Test
+  public void aFailureOfUnknownScopeEndsEveryPendingRequestAtItsDeadline() {
+    Settings settings = ReducerHarness.settings(Settings.Idempotency.IDEMPOTENT);
+    ReducerHarness harness =
+        new ReducerHarness(
+            settings, actions -> throwingIn(policy(settings, actions), "onAlarm"::equals));
+    harness.request(1, 0);
+    harness.request(2, 1);
+    List<Effect> deadlines =
+        List.of(
+            new Effect.WakeAt(DEADLINE, new Event.RequestDeadlineExpired(1)),
+            new Effect.WakeAt(DEADLINE, new Event.RequestDeadlineExpired(2)));
+    assertEquals(harness.submit(new Event.AlarmFired("q1")), deadlines);
+    assertEquals(harness.submit(new Event.AlarmFired("q1")), List.of(), "each has its alarm");
+    harness.advanceTo(DEADLINE);
+    harness.submit(new Event.RequestDeadlineExpired(1));
+    harness.submit(new Event.RequestDeadlineExpired(2));
+    assertEquals(harness.replies().size(), 2);
+    assertTrue(harness.answer(0) instanceof Effect.Answer.Failed);
+    assertTrue(harness.answer(1) instanceof Effect.Answer.Failed);
+    assertEquals(harness.pendingRequests(), 0);
+  }
+
   /**
    * Plays two requests to their end, each attempt answered after 50 ms, while one call into the
    * policy throws; returns the number of calls.
@@ -39,12 +64,7 @@
     AtomicInteger calls = new AtomicInteger();
     ReducerHarness harness =
         new ReducerHarness(
-            settings,
-            actions ->
-                failingAt(
-                    new RoutingPolicy(settings, ReducerHarness.SEED, ReducerHarness.START, actions),
-                    failingCall,
-                    calls));
+            settings, actions -> failingAt(policy(settings, actions), failingCall, calls));
     PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at));
     harness.request(1, 0, 1);
     harness.request(2, 2, 3);
@@ -66,6 +86,10 @@
     return calls.get();
   }
 
+  private static Router policy(Settings settings, Router.Actions actions) {
+    return new RoutingPolicy(settings, ReducerHarness.SEED, ReducerHarness.START, actions);
+  }
+
   /** Schedules the events by which servers and the timer respond to effects. */
   private static void schedule(List<Effect> effects, double now, PriorityQueue<Due> due) {
     for (Effect effect : effects) {
@@ -84,13 +108,21 @@
 
   /** The router, except that one call, counted from the first query on, throws. */
   private static Router failingAt(Router router, int failingCall, AtomicInteger calls) {
+    return throwingIn(
+        router,
+        method ->
+            (calls.get() > 0 || method.equals("onQuery"))
+                && calls.incrementAndGet() == failingCall);
+  }
+
+  /** The router, except for calls of methods, given by their names, in which it throws. */
+  private static Router throwingIn(Router router, Predicate<String> failing) {
     return (Router)
         Proxy.newProxyInstance(
             Router.class.getClassLoader(),
             new Class<?>[] {Router.class},
             (proxy, method, arguments) -> {
-              if ((calls.get() > 0 || method.getName().equals("onQuery"))
-                  && calls.incrementAndGet() == failingCall) {
+              if (failing.test(method.getName())) {
                 throw new IllegalStateException("Failure on purpose in " + method.getName());
               }
               try {
