--- a/src/test/java/bitternpulley/broker/ReducerHarness.java
+++ b/src/test/java/bitternpulley/broker/ReducerHarness.java
@@ -77,15 +77,15 @@
     return submit(new Event.RequestReceived(new RequestBuilder(id).shards(shards).build()));
   }
 
-  /** Ends the n-th attempt of all that were started. */
-  void end(int n, Router.Outcome outcome, String value) {
+  /** Ends the attempt of this position of all that were started. */
+  void end(int index, Router.Outcome outcome, String value) {
     Payload payload = value == null ? null : new TestValue(value);
-    submit(new Event.AttemptEnded(attempt(n).id(), outcome, payload));
+    submit(new Event.AttemptEnded(attempt(index).id(), outcome, payload));
   }
 
   /** Lets time pass, in which the policy of request 1 looks at it, until an attempt starts. */
-  void awaitAttempt(int n) {
-    for (int i = 0; i < 20 && attempts().size() <= n; i++) {
+  void awaitAttempt(int index) {
+    for (int i = 0; i < 20 && attempts().size() <= index; i++) {
       advance(20);
       submit(new Event.AlarmFired("q1"));
     }
@@ -103,8 +103,8 @@
     return all(Effect.StartAttempt.class);
   }
 
-  Effect.StartAttempt attempt(int n) {
-    return attempts().get(n);
+  Effect.StartAttempt attempt(int index) {
+    return attempts().get(index);
   }
 
   List<Effect.CancelAttempt> cancellations() {
@@ -115,8 +115,8 @@
     return all(Effect.Reply.class);
   }
 
-  Effect.Answer answer(int n) {
-    return replies().get(n).answer();
+  Effect.Answer answer(int index) {
+    return replies().get(index).answer();
   }
 
   int pendingRequests() {
