--- a/src/main/java/bitternpulley/broker/Reducer.java
+++ b/src/main/java/bitternpulley/broker/Reducer.java
@@ -15,8 +15,7 @@
  * passes each event to the handler of its concern, which changes state and drives the routing
  * policy; the policy's actions become effects by {@link EffectRecorder}.
  *
- * <p>Not thread-safe; reads no clock and does no I/O, so that a sequence of events with their times
- * always gives the same effects.
+ * <p>Not thread-safe; reads no clock and does no I/O, so that tests can drive it in virtual time.
  */
 public final class Reducer {
   private static final System.Logger LOG = System.getLogger(Reducer.class.getName());
