--- /dev/null
+++ b/src/main/java/bitternpulley/ActiveBrokerConfiguration.java
@@ -0,0 +1,61 @@
+package bitternpulley;
+
+import bitternpulley.broker.Broker;
+import bitternpulley.broker.Event;
+import bitternpulley.config.BrokerConfiguration;
+import bitternpulley.contracts.TenantIdentification;
+import java.lang.System.Logger.Level;
+
+/** The operators' script in force and the version of its contracts. Used on the loop thread. */
+final class ActiveBrokerConfiguration {
+  private static final System.Logger LOG =
+      System.getLogger(ActiveBrokerConfiguration.class.getName());
+
+  private final Broker broker;
+  private BrokerConfiguration active;
+  private int version = 1;
+
+  ActiveBrokerConfiguration(Broker broker, BrokerConfiguration initial) {
+    this.broker = broker;
+    this.active = initial;
+  }
+
+  /** How the tenant of a request is identified now. */
+  TenantIdentification tenantIdentification() {
+    return active.tenantIdentification();
+  }
+
+  /** Whether the admin endpoint may list accounts now. */
+  boolean listsAccounts() {
+    return active.listsAccounts();
+  }
+
+  /** Puts the contracts that the process was started with in force. */
+  void activateInitial() {
+    broker.submit(new Event.ContractsActivated(active.contracts()));
+  }
+
+  /**
+   * Puts a changed script in force as the next version; an unchanged one has no effect. Queries in
+   * flight end under the contracts that admitted them.
+   */
+  void replace(BrokerConfiguration next) {
+    if (next.document().equals(active.document())) {
+      return;
+    }
+    if (!next.searchFront().equals(active.searchFront())) {
+      LOG.log(
+          Level.WARNING,
+          "opensearch() of the operators' script changed; this takes effect at the next start");
+    }
+    active = next;
+    version++;
+    broker.submit(new Event.ContractsActivated(next.contracts().withVersion(version)));
+    LOG.log(
+        Level.INFO,
+        "contracts of version "
+            + version
+            + " are in force: "
+            + next.contracts().contracts().size());
+  }
+}
--- /dev/null
+++ b/src/main/java/bitternpulley/EndpointListDistributor.java
@@ -0,0 +1,92 @@
+package bitternpulley;
+
+import bitternpulley.broker.Broker;
+import bitternpulley.broker.Event;
+import bitternpulley.config.EndpointList;
+import bitternpulley.net.HostPort;
+import bitternpulley.platform.Preparation;
+import bitternpulley.platform.SlotServers;
+import bitternpulley.routing.Router;
+import java.util.Optional;
+import java.util.Set;
+import java.util.stream.Collectors;
+
+/** Passes each endpoint list to the server protocols, the connection pre-warming and the broker. */
+final class EndpointListDistributor {
+  private final Broker broker;
+  private final ServiceState state;
+  private final SlotServers slotServers;
+  private final Optional<SearchService> search;
+  private final Preparation connectionPrewarmer;
+  private boolean discoveryAnswered;
+
+  EndpointListDistributor(
+      Broker broker,
+      ServiceState state,
+      SlotServers slotServers,
+      Optional<SearchService> search,
+      Preparation connectionPrewarmer) {
+    this.broker = broker;
+    this.state = state;
+    this.slotServers = slotServers;
+    this.search = search;
+    this.connectionPrewarmer = connectionPrewarmer;
+  }
+
+  /** Whether discovery has sent a list or a change since the start. */
+  boolean hasDiscoveryAnswered() {
+    return discoveryAnswered;
+  }
+
+  /** Takes the list that was stored before the start, which discovery has yet to confirm. */
+  void onStoredList(EndpointList list) {
+    distribute(list, Router.ListKind.REMEMBERED);
+  }
+
+  /** Takes a list or a change from discovery. */
+  void onDiscoveryList(EndpointList list) {
+    discoveryAnswered = true;
+    distribute(list, list.complete() ? Router.ListKind.COMPLETE : Router.ListKind.CHANGES);
+  }
+
+  private void distribute(EndpointList list, Router.ListKind kind) {
+    list.entries().stream()
+        .filter(entry -> entry.address() != null)
+        .forEach(entry -> setAddress(entry.endpoint().server(), entry.address()));
+    list.entries().stream()
+        .filter(entry -> entry.endpoint().state() == Router.ServerState.GONE)
+        .forEach(entry -> removeServer(entry.endpoint().server()));
+    connectionPrewarmer.told(list);
+    if (namesLiveServer(list)) {
+      state.recordLiveServer();
+    }
+    if (kind == Router.ListKind.COMPLETE) {
+      removeServersMissingFrom(list);
+    }
+    broker.submit(
+        new Event.ServersChanged(
+            kind, list.entries().stream().map(EndpointList.Entry::endpoint).toList()));
+  }
+
+  private static boolean namesLiveServer(EndpointList list) {
+    return list.entries().stream()
+        .anyMatch(entry -> entry.endpoint().state() == Router.ServerState.LIVE);
+  }
+
+  private void setAddress(String server, HostPort address) {
+    slotServers.address(server, address);
+    search.ifPresent(service -> service.servers().address(server, address));
+  }
+
+  private void removeServer(String server) {
+    slotServers.forget(server);
+    search.ifPresent(service -> service.servers().forget(server));
+  }
+
+  private void removeServersMissingFrom(EndpointList list) {
+    Set<String> servers =
+        list.entries().stream().map(entry -> entry.endpoint().server()).collect(Collectors.toSet());
+    slotServers.keepOnly(servers);
+    search.ifPresent(service -> service.servers().keepOnly(servers));
+  }
+}
--- a/src/main/java/bitternpulley/Main.java
+++ b/src/main/java/bitternpulley/Main.java
@@ -1,28 +1,53 @@
 package bitternpulley;
 
+import bitternpulley.config.ConfigurationException;
 import java.io.IOException;
+import java.nio.file.Path;
 
-/**
- * Starts the real aggregator, its rehearsal at the build, or the decision module on the simulator's
- * pipe.
- */
+/** Command line of the jar: runs the command that the first argument names. */
 public final class Main {
+  private static final String USAGE = "usage: serve | simhost | rehearse | check FILE";
+
+  /** Exit status of a wrong command line and of a configuration that cannot be used. */
+  private static final int STATUS_UNUSABLE_INPUT = 2;
+
   private Main() {}
 
+  /**
+   * Runs one command.
+   *
+   * @param args the command and, for {@code check}, the operators' script
+   * @throws IOException when the simulator's pipe fails
+   */
   public static void main(String[] args) throws IOException {
-    String what =
-        args.length == 1 || (args.length == 2 && args[0].equals("check"))
-            ? args[0] + "/" + args.length
-            : "";
-    switch (what) {
-      case "serve/1" -> Aggregator.main();
-      case "rehearse/1" -> Aggregator.rehearse();
-      case "simhost/1" -> bitternpulley.simulator.Main.main(args);
-      case "check/2" -> System.exit(Check.main(args[1]));
-      default -> {
-        System.err.println("usage: serve | simhost | rehearse | check FILE");
-        System.exit(2);
-      }
+    if (args.length == 2 && args[0].equals("check")) {
+      exitOnConfigurationError(() -> CheckCommand.run(Path.of(args[1])));
+    } else if (args.length == 1) {
+      run(args);
+    } else {
+      exitWith(USAGE);
+    }
+  }
+
+  private static void run(String[] args) throws IOException {
+    switch (args[0]) {
+      case "serve" -> exitOnConfigurationError(Aggregator::serve);
+      case "rehearse" -> exitOnConfigurationError(Aggregator::serveUntilReady);
+      case "simhost" -> bitternpulley.simulator.Main.main(args);
+      default -> exitWith(USAGE);
     }
   }
+
+  private static void exitOnConfigurationError(Runnable command) {
+    try {
+      command.run();
+    } catch (ConfigurationException exception) {
+      exitWith("configuration: " + exception.getMessage());
+    }
+  }
+
+  private static void exitWith(String message) {
+    System.err.println(message);
+    System.exit(STATUS_UNUSABLE_INPUT);
+  }
 }
--- a/src/main/java/bitternpulley/admin/AccountsReport.java
+++ b/src/main/java/bitternpulley/admin/AccountsReport.java
@@ -4,87 +4,92 @@
 import bitternpulley.broker.ContractAccounting;
 import bitternpulley.contracts.AccountView;
 import bitternpulley.contracts.Limit;
-import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
-import java.io.StringWriter;
-import java.io.UncheckedIOException;
 import java.util.Comparator;
 import java.util.List;
+import java.util.function.Predicate;
 
-/** The teams' accounts as one line of JSON; amounts are standard parts (docs/contracts.md). */
+/** The tenants' accounts as one line of JSON; amounts are standard parts (docs/contracts.md). */
 final class AccountsReport {
-  private static final JsonFactory JSON = new JsonFactory();
+  /** Bounds the line, which people read and which is built in memory. */
+  private static final int MAX_ACCOUNTS = 100;
 
-  /**
-   * Accounts listed at most, those that used most first: a line is read by people and held in
-   * memory.
-   */
-  private static final int MOST = 100;
+  /** Highest usage first, then by name. */
+  private static final Comparator<AccountView> BY_USAGE =
+      Comparator.comparingDouble((AccountView account) -> -account.used())
+          .thenComparing(AccountView::team);
+
+  /** Figures have two decimals. */
+  private static final double FIGURE_SCALE = 100;
 
   private AccountsReport() {}
 
-  /** All accounts that were used, or that of one team. */
-  static String of(Broker broker, String team) {
-    List<AccountView> all = broker.contractAccounting().views(broker.now());
-    List<AccountView> listed =
-        all.stream()
-            .filter(a -> team == null || a.team().equals(team))
-            .sorted(
-                Comparator.comparingDouble((AccountView a) -> -a.used())
-                    .thenComparing(AccountView::team))
-            .limit(MOST)
-            .toList();
-    StringWriter line = new StringWriter();
-    try (JsonGenerator out = JSON.createGenerator(line)) {
-      out.writeStartObject();
-      ContractAccounting accounts = broker.contractAccounting();
-      figure(out, "capacity_per_s", accounts.capacity());
-      figure(out, "delivered_per_s", accounts.delivered());
-      out.writeNumberField("accounts_used", all.size());
-      out.writeArrayFieldStart("accounts");
-      for (AccountView a : listed) {
-        account(out, a);
-      }
-      out.writeEndArray();
-      out.writeEndObject();
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
-    }
-    return line.toString();
+  /** Reports the accounts with the highest usage. */
+  static String ofAllTeams(Broker broker) {
+    return report(broker, account -> true);
+  }
+
+  /** Reports the account of one team; the list is empty where it has none. */
+  static String ofTeam(Broker broker, String team) {
+    return report(broker, account -> account.team().equals(team));
+  }
+
+  private static String report(Broker broker, Predicate<AccountView> selection) {
+    ContractAccounting accounting = broker.contractAccounting();
+    List<AccountView> accounts = accounting.views(broker.now());
+    List<AccountView> reported =
+        accounts.stream().filter(selection).sorted(BY_USAGE).limit(MAX_ACCOUNTS).toList();
+    return JsonLine.of(
+        json -> {
+          writeFigure(json, "capacity_per_s", accounting.capacity());
+          writeFigure(json, "delivered_per_s", accounting.delivered());
+          json.writeNumberField("accounts_used", accounts.size());
+          json.writeArrayFieldStart("accounts");
+          for (AccountView account : reported) {
+            writeAccount(json, account);
+          }
+          json.writeEndArray();
+        });
+  }
+
+  private static void writeAccount(JsonGenerator json, AccountView account) throws IOException {
+    json.writeStartObject();
+    json.writeStringField("team", account.team());
+    json.writeNumberField("version", account.version());
+    writeFigure(json, "share", account.contract().guaranteedQuota());
+    writeFigure(json, "ceiling", account.contract().ceiling());
+    writeFigure(json, "balance", account.balance());
+    writeFigure(json, "loan", account.loan());
+    writeFigure(json, "used", account.used());
+    writeFigure(json, "borrowed", account.borrowed());
+    json.writeNumberField("held", account.pending());
+    json.writeNumberField("admitted", account.admitted());
+    json.writeNumberField("promised", account.reservations());
+    writeFigure(json, "further_attempts_left", account.retriesLeft());
+    writeFigure(json, "client_retries_left", account.clientRetriesLeft());
+    writeRejections(json, account.rejected());
+    json.writeEndObject();
   }
 
-  private static void account(JsonGenerator out, AccountView a) throws IOException {
-    out.writeStartObject();
-    out.writeStringField("team", a.team());
-    out.writeNumberField("version", a.version());
-    figure(out, "share", a.contract().guaranteedQuota());
-    figure(out, "ceiling", a.contract().ceiling());
-    figure(out, "balance", a.balance());
-    figure(out, "loan", a.loan());
-    figure(out, "used", a.used());
-    figure(out, "borrowed", a.borrowed());
-    out.writeNumberField("held", a.pending());
-    out.writeNumberField("admitted", a.admitted());
-    out.writeNumberField("promised", a.reservations());
-    figure(out, "further_attempts_left", a.retriesLeft());
-    figure(out, "client_retries_left", a.clientRetriesLeft());
-    out.writeObjectFieldStart("refused");
-    for (Limit limit : Limit.values()) {
-      if (a.rejected()[limit.ordinal()] > 0) {
-        out.writeNumberField(limit.text(), a.rejected()[limit.ordinal()]);
+  private static void writeRejections(JsonGenerator json, long[] rejectedByLimit)
+      throws IOException {
+    json.writeObjectFieldStart("refused");
+    Limit[] limits = Limit.values();
+    for (int index = 0; index < limits.length; index++) {
+      if (rejectedByLimit[index] > 0) {
+        json.writeNumberField(limits[index].text(), rejectedByLimit[index]);
       }
     }
-    out.writeEndObject();
-    out.writeEndObject();
+    json.writeEndObject();
   }
 
-  /** Two decimals; null where nothing limits it. */
-  private static void figure(JsonGenerator out, String key, double value) throws IOException {
+  /** An unlimited figure is null. */
+  private static void writeFigure(JsonGenerator json, String key, double value) throws IOException {
     if (Double.isInfinite(value)) {
-      out.writeNullField(key);
+      json.writeNullField(key);
     } else {
-      out.writeNumberField(key, Math.round(value * 100) / 100.0);
+      json.writeNumberField(key, Math.round(value * FIGURE_SCALE) / FIGURE_SCALE);
     }
   }
 }
--- a/src/main/java/bitternpulley/admin/AdminEndpoint.java
+++ b/src/main/java/bitternpulley/admin/AdminEndpoint.java
@@ -11,136 +11,182 @@
 import bitternpulley.net.LineServer;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
+import java.util.Optional;
 import java.util.function.Consumer;
+import java.util.stream.Collectors;
 
 /**
- * The operators' admin endpoint, which these pages call their door: one line in, one line back,
- * which starts with 200 or 400. It decides nothing itself.
+ * The operators' admin endpoint: one line in, one line back, which starts with 200 or 400. Commands
+ * become events of the broker or calls of {@link ServiceControl}; nothing is decided here.
  */
 public final class AdminEndpoint implements LineServer.Handler, OperatorCommands {
   private static final System.Logger LOG = System.getLogger(AdminEndpoint.class.getName());
+  private static final String SUCCESS = "200 ";
+  private static final String FAILURE = "400 ";
+  private static final String USAGE =
+      "calls are: health, cordon ID, uncordon ID, quiesce, resume, reload, accounts [TEAM],"
+          + " members";
 
-  /** The program that the door belongs to. */
-  public interface Program {
-    /** Whether this process takes clients. */
-    boolean serving();
-
-    /** Has the fronts send clients away, or take them again. */
-    void quiesce(boolean on);
-
-    /** Whether the operators' script lets the accounts be listed here. */
-    boolean listsAccounts();
-
-    /**
-     * Reads the configuration again; the answer, a line that starts with 200 or 400, may come at
-     * any time, on any thread.
-     */
-    void reload(Consumer<String> answer);
-  }
-
+  /** The operator who waits for the answer to a command that the broker handles. */
   private record Caller(String line, Consumer<String> answer) implements Payload {}
 
   private final EventLoop loop;
   private final Broker broker;
-  private final OverridesFile file;
-  private final Program program;
+  private final OverridesFile overridesFile;
+  private final ServiceControl service;
 
-  public AdminEndpoint(EventLoop loop, Broker broker, OverridesFile file, Program program) {
+  /** Creates an endpoint that carries out the broker's operator commands. */
+  public AdminEndpoint(
+      EventLoop loop, Broker broker, OverridesFile overridesFile, ServiceControl service) {
     this.loop = loop;
     this.broker = broker;
-    this.file = file;
-    this.program = program;
+    this.overridesFile = overridesFile;
+    this.service = service;
     broker.operatorCommands(this);
   }
 
   /**
-   * Has what stands take effect, before anything is sent, and then what another process changes of
-   * it.
+   * Applies the stored overrides, which must happen before the first request is sent, and from then
+   * on each change that another process makes.
    */
-  public void takeUp() {
-    stands(file.read());
-    file.watch(standing -> loop.execute(() -> stands(standing)));
+  public void loadOverrides() {
+    applyOverrides(overridesFile.read());
+    overridesFile.watch(overrides -> loop.execute(() -> applyOverrides(overrides)));
   }
 
-  public void listen(HostPort at) throws IOException {
-    new LineServer(loop, this).listen(at);
+  /**
+   * Begins to listen.
+   *
+   * @throws IOException when the address cannot be bound
+   */
+  public void listen(HostPort address) throws IOException {
+    new LineServer(loop, this).listen(address);
   }
 
-  private void stands(OperatorOverrides standing) {
-    broker.submit(new Event.OverridesChanged(standing));
+  private void applyOverrides(OperatorOverrides overrides) {
+    broker.submit(new Event.OverridesChanged(overrides));
   }
 
   @Override
   public void line(String line, Consumer<String> answer) {
-    String[] words = line.split(" +");
-    switch (words[0] + "/" + words.length) {
-      case "health/1" -> answer.accept(program.serving() ? "200 yes" : "400 no clients are taken");
-      case "cordon/2" -> order(new OperatorOverrides.Override(words[1], true), line, answer);
-      case "uncordon/2" -> order(new OperatorOverrides.Override(words[1], false), line, answer);
-      case "quiesce/1" -> order(new OperatorOverrides.Override(null, true), line, answer);
-      case "resume/1" -> order(new OperatorOverrides.Override(null, false), line, answer);
-      case "reload/1" -> {
-        LOG.log(Level.INFO, "by an operator: reload");
-        program.reload(told -> loop.execute(() -> answer.accept(told)));
-      }
-      case "accounts/1", "accounts/2" ->
-          answer.accept(
-              program.listsAccounts()
-                  ? "200 " + AccountsReport.of(broker, words.length > 1 ? words[1] : null)
-                  : "400 accounts are not listed: set accounts(list = True) in the operators' script");
-      case "members/1" ->
-          answer.accept(
-              broker
-                  .membership()
-                  .map(
-                      m ->
-                          "200 "
-                              + MembersReport.of(
-                                  m, broker.leases().map(l -> l.status(broker.now()))))
-                  .orElse(
-                      "400 membership is off, or waits for its address: set membership() in the operators' script"));
-      default ->
-          answer.accept(
-              "400 calls are: health, cordon ID, uncordon ID, quiesce, resume, reload, accounts [TEAM], members");
+    String[] words = line.split(" +", -1);
+    Optional<String> argument = words.length > 1 ? Optional.of(words[1]) : Optional.empty();
+    AdminCommand.find(words[0], words.length - 1)
+        .ifPresentOrElse(
+            command -> execute(command, argument, new Caller(line, answer)),
+            () -> answer.accept(FAILURE + USAGE));
+  }
+
+  private void execute(AdminCommand command, Optional<String> argument, Caller caller) {
+    switch (command) {
+      case HEALTH -> caller.answer().accept(health());
+      case CORDON -> override(argument.orElseThrow(), true, caller);
+      case UNCORDON -> override(argument.orElseThrow(), false, caller);
+      case QUIESCE -> override(null, true, caller);
+      case RESUME -> override(null, false, caller);
+      case RELOAD -> reload(caller);
+      case ACCOUNTS -> caller.answer().accept(accounts(argument));
+      case MEMBERS -> caller.answer().accept(members());
+    }
+  }
+
+  private String health() {
+    return service.isServing() ? SUCCESS + "yes" : FAILURE + "no clients are taken";
+  }
+
+  private String accounts(Optional<String> team) {
+    if (!service.listsAccounts()) {
+      return FAILURE
+          + "accounts are not listed: set accounts(list = True) in the operators' script";
     }
+    return SUCCESS
+        + team.map(name -> AccountsReport.ofTeam(broker, name))
+            .orElseGet(() -> AccountsReport.ofAllTeams(broker));
+  }
+
+  private String members() {
+    return broker
+        .membership()
+        .map(
+            membership ->
+                SUCCESS
+                    + MembersReport.of(
+                        membership, broker.leases().map(leases -> leases.status(broker.now()))))
+        .orElse(
+            FAILURE
+                + "membership is off, or waits for its address:"
+                + " set membership() in the operators' script");
+  }
+
+  private void reload(Caller caller) {
+    LOG.log(Level.INFO, "Admin command received: " + caller.line());
+    service.reload(
+        new ReloadObserver() {
+          @Override
+          public void succeeded() {
+            answer(SUCCESS + "done");
+          }
+
+          @Override
+          public void failed(String reason) {
+            String oneLine = reason.lines().collect(Collectors.joining(" "));
+            answer(FAILURE + "the configuration before stays: " + oneLine);
+          }
+
+          private void answer(String text) {
+            loop.execute(() -> caller.answer().accept(text));
+          }
+        });
   }
 
   @Override
   public String tooLong() {
-    return "400 the line is too long";
+    return FAILURE + "the line is too long";
   }
 
-  private void order(OperatorOverrides.Override order, String line, Consumer<String> answer) {
-    broker.submit(new Event.OperatorCommandReceived(order, new Caller(line, answer)));
+  /** The broker checks the override, and then has it persisted or rejected. */
+  private void override(String server, boolean enabled, Caller caller) {
+    broker.submit(
+        new Event.OperatorCommandReceived(new OperatorOverrides.Override(server, enabled), caller));
   }
 
   @Override
-  public void persist(Effect.PersistOverride kept) {
-    Caller caller = (Caller) kept.caller();
-    file.change(
-        kept.override(),
-        (standing, failure) ->
-            loop.execute(
-                () -> {
-                  LOG.log(Level.INFO, "by an operator: " + caller.line());
-                  stands(standing);
-                  caller
-                      .answer()
-                      .accept(
-                          failure == null
-                              ? "200 done"
-                              : "200 done, but an upgrade will not know of it: " + failure);
-                }));
+  public void persist(Effect.PersistOverride command) {
+    Caller caller = (Caller) command.caller();
+    overridesFile.change(
+        command.override(),
+        new OverridesFile.ChangeObserver() {
+          @Override
+          public void stored(OperatorOverrides overrides) {
+            loop.execute(() -> complete(caller, overrides, "done"));
+          }
+
+          @Override
+          public void keptInMemory(OperatorOverrides overrides, String failure) {
+            String text = "done, but an upgrade will not know of it: " + failure;
+            loop.execute(() -> complete(caller, overrides, text));
+          }
+        });
+  }
+
+  private void complete(Caller caller, OperatorOverrides overrides, String text) {
+    LOG.log(Level.INFO, "Admin command received: " + caller.line());
+    applyOverrides(overrides);
+    caller.answer().accept(SUCCESS + text);
   }
 
   @Override
-  public void reject(Effect.RejectCommand turned) {
-    ((Caller) turned.caller()).answer().accept("400 " + turned.reason());
+  public void reject(Effect.RejectCommand command) {
+    ((Caller) command.caller()).answer().accept(FAILURE + command.reason());
   }
 
   @Override
-  public void quiesce(boolean on) {
-    LOG.log(Level.INFO, on ? "clients are sent away" : "clients are taken");
-    program.quiesce(on);
+  public void quiesce(boolean quiesced) {
+    LOG.log(
+        Level.INFO,
+        quiesced
+            ? "Quiesced: each client connection is closed after its next response"
+            : "Not quiesced: client connections are kept open");
+    service.setQuiesced(quiesced);
   }
 }
--- a/src/main/java/bitternpulley/admin/MembersReport.java
+++ b/src/main/java/bitternpulley/admin/MembersReport.java
@@ -3,68 +3,79 @@
 import bitternpulley.leases.Leases;
 import bitternpulley.membership.MemberView;
 import bitternpulley.membership.Membership;
-import com.fasterxml.jackson.core.JsonFactory;
+import bitternpulley.membership.ReachabilityReport;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
-import java.io.StringWriter;
-import java.io.UncheckedIOException;
+import java.util.HexFormat;
 import java.util.Locale;
 import java.util.Optional;
 
-/** Who is here, as one instance holds it: one line of JSON (docs/membership.md). */
+/** The members of the fleet as this instance sees them: one line of JSON (docs/membership.md). */
 final class MembersReport {
-  private static final JsonFactory JSON = new JsonFactory();
-
   private MembersReport() {}
 
+  /** Reports the members and, where leases are in use, those of this instance. */
   static String of(Membership membership, Optional<Leases.LeaseStatus> leases) {
-    StringWriter line = new StringWriter();
-    try (JsonGenerator out = JSON.createGenerator(line)) {
-      out.writeStartObject();
-      out.writeStringField("view", String.format(Locale.ROOT, "%08x", membership.viewDigest()));
-      out.writeNumberField("self_health", membership.localHealth());
-      out.writeNumberField("ignored", membership.ignoredMessages());
-      if (leases.isPresent()) {
-        Leases.LeaseStatus l = leases.get();
-        out.writeObjectFieldStart("lease");
-        out.writeNumberField("part", l.quota());
-        out.writeNumberField("named", l.activeMembers());
-        out.writeNumberField("held", l.leases());
-        out.writeNumberField("witnesses", l.witnesses());
-        out.writeEndObject();
-      }
-      out.writeArrayFieldStart("members");
-      for (MemberView m : membership.members()) {
-        out.writeStartObject();
-        out.writeStringField("name", m.metadata() == null ? null : m.metadata().name());
-        out.writeNumberField("number", m.number());
-        out.writeNumberField("epoch", m.epoch());
-        out.writeStringField("state", m.state().name().toLowerCase(Locale.ROOT));
-        out.writeStringField("zone", m.metadata() == null ? null : m.metadata().zone());
-        out.writeNumberField("since_ms", Math.round(m.since()));
-        if (Double.isInfinite(m.heardFrom())) {
-          out.writeNullField("heard_ms");
-        } else {
-          out.writeNumberField("heard_ms", Math.round(m.heardFrom()));
-        }
-        out.writeBooleanField("by_others", m.byOthers());
-        out.writeStringField("build", m.metadata() == null ? null : m.metadata().build());
-        out.writeArrayFieldStart("misses");
-        for (int missed : m.reachability().missed()) {
-          out.writeNumber(missed);
-        }
-        out.writeEndArray();
-        if (m.reachability().payload().length > 0) {
-          out.writeStringField(
-              "payload", java.util.HexFormat.of().formatHex(m.reachability().payload()));
-        }
-        out.writeEndObject();
-      }
-      out.writeEndArray();
-      out.writeEndObject();
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
+    return JsonLine.of(
+        json -> {
+          json.writeStringField(
+              "view", String.format(Locale.ROOT, "%08x", membership.viewDigest()));
+          json.writeNumberField("self_health", membership.localHealth());
+          json.writeNumberField("ignored", membership.ignoredMessages());
+          if (leases.isPresent()) {
+            writeLeases(json, leases.get());
+          }
+          json.writeArrayFieldStart("members");
+          for (MemberView member : membership.members()) {
+            writeMember(json, member);
+          }
+          json.writeEndArray();
+        });
+  }
+
+  private static void writeLeases(JsonGenerator json, Leases.LeaseStatus status)
+      throws IOException {
+    json.writeObjectFieldStart("lease");
+    json.writeNumberField("part", status.quota());
+    json.writeNumberField("named", status.activeMembers());
+    json.writeNumberField("held", status.leases());
+    json.writeNumberField("witnesses", status.witnesses());
+    json.writeEndObject();
+  }
+
+  private static void writeMember(JsonGenerator json, MemberView member) throws IOException {
+    json.writeStartObject();
+    json.writeStringField("name", member.metadata() == null ? null : member.metadata().name());
+    json.writeNumberField("number", member.number());
+    json.writeNumberField("epoch", member.epoch());
+    json.writeStringField("state", member.state().name().toLowerCase(Locale.ROOT));
+    json.writeStringField("zone", member.metadata() == null ? null : member.metadata().zone());
+    json.writeNumberField("since_ms", Math.round(member.since()));
+    writeAge(json, "heard_ms", member.heardFrom());
+    json.writeBooleanField("by_others", member.byOthers());
+    json.writeStringField("build", member.metadata() == null ? null : member.metadata().build());
+    writeReachability(json, member.reachability());
+    json.writeEndObject();
+  }
+
+  /** An infinite age, that of what never happened, is null. */
+  private static void writeAge(JsonGenerator json, String key, double age) throws IOException {
+    if (Double.isInfinite(age)) {
+      json.writeNullField(key);
+    } else {
+      json.writeNumberField(key, Math.round(age));
+    }
+  }
+
+  private static void writeReachability(JsonGenerator json, ReachabilityReport report)
+      throws IOException {
+    json.writeArrayFieldStart("misses");
+    for (int missed : report.missed()) {
+      json.writeNumber(missed);
+    }
+    json.writeEndArray();
+    if (report.payload().length > 0) {
+      json.writeStringField("payload", HexFormat.of().formatHex(report.payload()));
     }
-    return line.toString();
   }
 }
--- a/src/main/java/bitternpulley/admin/OverridesFile.java
+++ b/src/main/java/bitternpulley/admin/OverridesFile.java
@@ -11,157 +11,163 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.Optional;
-import java.util.TreeSet;
 import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
 /**
- * Keeps what operators have ordered in a small file, which outlives the process and which the next
- * one, or one that runs at the same time, reads. Works on a thread of its own: nothing on the loop
+ * Persists operator overrides in a small file that outlives the process and that processes of one
+ * hot restart share. Reads and writes on a daemon thread of its own, so that the event loop never
  * waits for a file.
  */
 public final class OverridesFile {
   private static final System.Logger LOG = System.getLogger(OverridesFile.class.getName());
   private static final String NAME = "bitternpulley-orders";
-  private static final String CORDONED = "cordoned ";
-  private static final String QUIESCED = "quiesced";
+  private static final String LOCK_NAME = NAME + ".lock";
+  private static final String NEXT_NAME = NAME + ".next";
+  private static final String THREAD_NAME = "orders";
 
-  /** Ms between looks for another process's changes: well within the 250 ms that a drain has. */
-  private static final long LOOK = 50;
+  /**
+   * Ms between checks for changes by another process. A draining server may get no new requests 250
+   * ms after it was announced, and a cordon follows the same limit.
+   */
+  private static final long CHECK_INTERVAL_MS = 50;
 
-  private static final long MOST_BYTES = 256 * 1024;
+  private static final long MAX_BYTES = 256 * 1024;
+
+  /** Learns how a change ended; called on the file's thread. */
+  interface ChangeObserver {
+    /** The file holds the overrides. */
+    void stored(OperatorOverrides overrides);
+
+    /** The overrides hold in this process alone, since the file could not be written. */
+    void keptInMemory(OperatorOverrides overrides, String failure);
+  }
 
   private final Optional<Path> file;
-  private final ScheduledExecutorService thread =
-      Executors.newSingleThreadScheduledExecutor(
-          r -> {
-            Thread made = new Thread(r, "orders");
-            made.setDaemon(true);
-            return made;
-          });
-  private OperatorOverrides last = OperatorOverrides.NONE;
-  private boolean unusable;
-
-  /** A file in a folder; with none, orders are only remembered. */
+  private final ScheduledExecutorService executor =
+      Executors.newSingleThreadScheduledExecutor(OverridesFile::newThread);
+  private OperatorOverrides current = OperatorOverrides.NONE;
+  private boolean unreadableLogged;
+
+  /** Uses the file in a folder; without a folder, overrides are kept in memory only. */
   public OverridesFile(Optional<Path> folder) {
-    file = folder.map(f -> f.resolve(NAME));
+    file = folder.map(path -> path.resolve(NAME));
   }
 
-  /** What stands; called once, before the file is watched. */
-  public OperatorOverrides read() {
-    last = current();
-    return last;
+  private static Thread newThread(Runnable task) {
+    Thread thread = new Thread(task, THREAD_NAME);
+    thread.setDaemon(true);
+    return thread;
   }
 
-  /** Tells of each change that another process made. */
-  public void watch(Consumer<OperatorOverrides> changed) {
-    thread.scheduleWithFixedDelay(
-        () -> {
-          OperatorOverrides now = current();
-          if (!now.equals(last)) {
-            last = now;
-            changed.accept(now);
-          }
-        },
-        LOOK,
-        LOOK,
-        TimeUnit.MILLISECONDS);
+  /** Returns the stored overrides. Called once, before {@link #watch}. */
+  OperatorOverrides read() {
+    current = load();
+    return current;
   }
 
-  /**
-   * Carries out an order; {@code done} hears what then stands, and what went wrong with the file or
-   * null.
-   */
-  public void change(OperatorOverrides.Override order, BiConsumer<OperatorOverrides, String> done) {
-    thread.execute(
-        () -> {
-          String failure = null;
-          try {
-            change(order);
-          } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "orders are not kept", e);
-            failure = e.toString();
-            last = last.with(order);
-          }
-          done.accept(last, failure);
-        });
+  /** Reports each change that another process made; the observer is called on the file's thread. */
+  void watch(Consumer<OperatorOverrides> observer) {
+    // Runs until the process ends, so nothing cancels it.
+    Future<?> unused =
+        executor.scheduleWithFixedDelay(
+            () -> check(observer), CHECK_INTERVAL_MS, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
-  @SuppressWarnings("try") // the lock is held, not used
-  private void change(OperatorOverrides.Override order) throws IOException {
-    if (file.isEmpty()) {
-      last = last.with(order);
+  private void check(Consumer<OperatorOverrides> observer) {
+    OperatorOverrides loaded = load();
+    if (!loaded.equals(current)) {
+      current = loaded;
+      observer.accept(loaded);
+    }
+  }
+
+  /** Adds an override to the file. */
+  void change(OperatorOverrides.Override override, ChangeObserver observer) {
+    executor.execute(() -> storeOrKeep(override, observer));
+  }
+
+  private void storeOrKeep(OperatorOverrides.Override override, ChangeObserver observer) {
+    try {
+      store(override);
+    } catch (IOException | RuntimeException exception) {
+      // Whatever goes wrong with the file, the override has to take effect and the operator gets an
+      // answer.
+      LOG.log(
+          Level.WARNING,
+          "Cannot write operator overrides; they hold in this process only",
+          exception);
+      current = current.with(override);
+      observer.keptInMemory(current, exception.toString());
       return;
     }
-    Path at = file.get();
-    // Guards against two processes that read, change and replace at once, of which one's change
-    // would be lost.
+    observer.stored(current);
+  }
+
+  private void store(OperatorOverrides.Override override) throws IOException {
+    if (file.isEmpty()) {
+      current = current.with(override);
+    } else {
+      storeLocked(file.get(), override);
+    }
+  }
+
+  /** The lock keeps two processes that read, change and replace the file from losing a change. */
+  @SuppressWarnings("try") // the lock is held, not used
+  private void storeLocked(Path path, OperatorOverrides.Override override) throws IOException {
     try (FileChannel channel =
             FileChannel.open(
-                at.resolveSibling(NAME + ".lock"),
+                path.resolveSibling(LOCK_NAME),
                 StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE);
         FileLock lock = channel.lock()) {
-      OperatorOverrides fresh = current().with(order);
-      List<String> lines = new ArrayList<>();
-      new TreeSet<>(fresh.cordoned()).forEach(s -> lines.add(CORDONED + s));
-      if (fresh.quiesced()) {
-        lines.add(QUIESCED);
-      }
-      Path next = at.resolveSibling(NAME + ".next");
-      Files.write(next, lines);
-      Files.move(next, at, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-      last = fresh;
+      OperatorOverrides changed = load().with(override);
+      Path next = path.resolveSibling(NEXT_NAME);
+      Files.write(next, OverridesCodec.encode(changed));
+      Files.move(next, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+      current = changed;
     }
   }
 
   /**
-   * What the file says; what stood before where it cannot be used, since a ban must not be lifted
-   * by that.
+   * Loads the file. Where that fails the overrides before stay, because an unreadable file must not
+   * lift a cordon.
    */
-  private OperatorOverrides current() {
+  private OperatorOverrides load() {
     if (file.isEmpty()) {
-      return last;
+      return current;
     }
     try {
-      if (Files.size(file.get()) > MOST_BYTES) {
-        throw new IOException("it is too large");
-      }
-      TreeSet<String> cordoned = new TreeSet<>();
-      boolean quiesced = false;
-      for (String line : Files.readAllLines(file.get())) {
-        if (line.startsWith(CORDONED)) {
-          cordoned.add(line.substring(CORDONED.length()));
-        } else if (line.equals(QUIESCED)) {
-          quiesced = true;
-        } else {
-          throw new IOException("a line that is none of ours");
-        }
-      }
-      unusable = false;
-      return new OperatorOverrides(cordoned, quiesced);
-    } catch (NoSuchFileException e) {
-      return last;
-    } catch (MalformedInputException e) {
-      return keep("it is not text");
-    } catch (IOException e) {
-      return keep(e.toString());
+      OperatorOverrides loaded = load(file.get());
+      unreadableLogged = false;
+      return loaded;
+    } catch (NoSuchFileException exception) {
+      return current;
+    } catch (MalformedInputException exception) {
+      return keepCurrent("it is not text in UTF-8");
+    } catch (IOException exception) {
+      return keepCurrent(exception.toString());
+    }
+  }
+
+  private static OperatorOverrides load(Path path) throws IOException {
+    if (Files.size(path) > MAX_BYTES) {
+      throw new UnreadableOverridesException("it has more than " + MAX_BYTES + " bytes");
     }
+    return OverridesCodec.decode(Files.readAllLines(path));
   }
 
-  private OperatorOverrides keep(String why) {
-    if (!unusable) {
-      unusable = true;
+  private OperatorOverrides keepCurrent(String reason) {
+    if (!unreadableLogged) {
+      unreadableLogged = true;
       LOG.log(
           Level.WARNING,
-          "the file of operators' orders cannot be used, what stood before stays: " + why);
+          "the file of operators' orders cannot be used, what stood before stays: " + reason);
     }
-    return last;
+    return current;
   }
 }
--- a/src/test/java/bitternpulley/admin/StoredOrdersTest.java
+++ b/src/test/java/bitternpulley/admin/OverridesFileTest.java
@@ -12,18 +12,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * The file of operator overrides as an earlier version wrote it is read, and is written in the same
- * form.
- */
-class StoredOrdersTest {
+/** The stored form of operator overrides must not change, since other versions read it. */
+class OverridesFileTest {
   private static final String NAME = "bitternpulley-orders";
   private static final Path STORED = Path.of("src/test/resources/stored").resolve(NAME);
 
   @TempDir Path folder;
 
   @Test
-  void areReadAsStored() throws IOException {
+  void readsFileOfEarlierVersion() throws IOException {
     Files.copy(STORED, folder.resolve(NAME));
     assertEquals(
         new OperatorOverrides(Set.of("s1", "s12"), true),
@@ -31,15 +28,27 @@
   }
 
   @Test
-  void areWrittenInTheStoredForm() throws Exception {
+  void writesFormOfEarlierVersion() throws Exception {
     Files.copy(STORED, folder.resolve(NAME));
     OverridesFile file = new OverridesFile(Optional.of(folder));
     file.read();
-    CompletableFuture<OperatorOverrides> done = new CompletableFuture<>();
-    file.change(
-        new OperatorOverrides.Override("s0", true), (orders, failure) -> done.complete(orders));
-    assertEquals(Set.of("s0", "s1", "s12"), done.get().cordoned());
+    CompletableFuture<OperatorOverrides> stored = new CompletableFuture<>();
+    file.change(new OperatorOverrides.Override("s0", true), new StoredOverrides(stored));
+    assertEquals(Set.of("s0", "s1", "s12"), stored.get().cordoned());
     assertEquals(
         "cordoned s0\n" + Files.readString(STORED), Files.readString(folder.resolve(NAME)));
   }
+
+  private record StoredOverrides(CompletableFuture<OperatorOverrides> result)
+      implements OverridesFile.ChangeObserver {
+    @Override
+    public void stored(OperatorOverrides overrides) {
+      result.complete(overrides);
+    }
+
+    @Override
+    public void keptInMemory(OperatorOverrides overrides, String failure) {
+      result.completeExceptionally(new AssertionError(failure));
+    }
+  }
 }
