--- a/src/main/java/bitternpulley/Main.java
+++ b/src/main/java/bitternpulley/Main.java
@@ -1,5 +1,6 @@
 package bitternpulley;
 
+import bitternpulley.aggregator.Aggregator;
 import bitternpulley.config.ConfigurationException;
 import java.io.IOException;
 import java.nio.file.Path;
--- a/src/main/java/bitternpulley/Aggregator.java
+++ b/src/main/java/bitternpulley/aggregator/Aggregator.java
@@ -1,4 +1,4 @@
-package bitternpulley;
+package bitternpulley.aggregator;
 
 import bitternpulley.admin.AdminEndpoint;
 import bitternpulley.admin.OverridesFile;
@@ -19,7 +19,7 @@
  * One aggregator process: creates its subsystems and starts them in order. {@link GracefulShutdown}
  * stops them: fronts, membership, passed socket, listeners.
  */
-final class Aggregator {
+public final class Aggregator {
   private static final System.Logger LOG = System.getLogger(Aggregator.class.getName());
 
   private final Configuration site;
@@ -81,7 +81,7 @@
    *
    * @throws bitternpulley.config.ConfigurationException when the configuration cannot be used
    */
-  static void serve() {
+  public static void serve() {
     run(() -> {});
   }
 
@@ -91,7 +91,7 @@
    *
    * @throws bitternpulley.config.ConfigurationException when the configuration cannot be used
    */
-  static void serveUntilReady() {
+  public static void serveUntilReady() {
     run(() -> new Thread(() -> System.exit(0), "exit").start());
   }
 
--- a/src/main/java/bitternpulley/ConfigurationReload.java
+++ b/src/main/java/bitternpulley/aggregator/ConfigurationReload.java
@@ -1,4 +1,4 @@
-package bitternpulley;
+package bitternpulley.aggregator;
 
 import bitternpulley.admin.ReloadObserver;
 import bitternpulley.config.BrokerConfiguration;
--- a/src/main/java/bitternpulley/Fronts.java
+++ b/src/main/java/bitternpulley/aggregator/Fronts.java
@@ -1,4 +1,4 @@
-package bitternpulley;
+package bitternpulley.aggregator;
 
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
--- a/src/main/java/bitternpulley/ProcessSignal.java
+++ b/src/main/java/bitternpulley/aggregator/ProcessSignal.java
@@ -1,4 +1,4 @@
-package bitternpulley;
+package bitternpulley.aggregator;
 
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Method;
--- a/src/main/java/bitternpulley/QueryService.java
+++ b/src/main/java/bitternpulley/aggregator/QueryService.java
@@ -1,4 +1,4 @@
-package bitternpulley;
+package bitternpulley.aggregator;
 
 import bitternpulley.net.HttpServer;
 import bitternpulley.platform.QueryFront;
--- a/src/main/java/bitternpulley/ServiceContext.java
+++ b/src/main/java/bitternpulley/aggregator/ServiceContext.java
@@ -1,4 +1,4 @@
-package bitternpulley;
+package bitternpulley.aggregator;
 
 import bitternpulley.broker.Broker;
 import bitternpulley.broker.Clock;
--- a/src/main/java/bitternpulley/ServiceState.java
+++ b/src/main/java/bitternpulley/aggregator/ServiceState.java
@@ -1,4 +1,4 @@
-package bitternpulley;
+package bitternpulley.aggregator;
 
 /**
  * Whether this process serves clients: its phase, and the conditions that readiness has in
--- a/src/main/java/bitternpulley/StartSequence.java
+++ b/src/main/java/bitternpulley/aggregator/StartSequence.java
@@ -1,4 +1,4 @@
-package bitternpulley;
+package bitternpulley.aggregator;
 
 import bitternpulley.config.Configuration;
 import bitternpulley.platform.Preparation;
--- a/src/main/java/bitternpulley/StartupConfiguration.java
+++ b/src/main/java/bitternpulley/aggregator/StartupConfiguration.java
@@ -1,4 +1,4 @@
-package bitternpulley;
+package bitternpulley.aggregator;
 
 import bitternpulley.config.BrokerConfiguration;
 import bitternpulley.config.BrokerConfigurationReader;
