--- a/src/main/java/bitternpulley/admin/AdminEndpoint.java
+++ b/src/main/java/bitternpulley/admin/AdminEndpoint.java
@@ -11,7 +11,7 @@
 import bitternpulley.net.LineServer;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
-import java.util.Optional;
+import java.util.List;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 
@@ -69,23 +69,23 @@
 
   @Override
   public void line(String line, Consumer<String> answer) {
-    String[] words = line.split(" +", -1);
-    Optional<String> argument = words.length > 1 ? Optional.of(words[1]) : Optional.empty();
-    AdminCommand.find(words[0], words.length - 1)
+    List<String> words = List.of(line.split(" +", -1));
+    List<String> arguments = words.subList(1, words.size());
+    AdminCommand.find(words.get(0), arguments.size())
         .ifPresentOrElse(
-            command -> execute(command, argument, new Caller(line, answer)),
+            command -> execute(command, arguments, new Caller(line, answer)),
             () -> answer.accept(FAILURE + USAGE));
   }
 
-  private void execute(AdminCommand command, Optional<String> argument, Caller caller) {
+  private void execute(AdminCommand command, List<String> arguments, Caller caller) {
     switch (command) {
       case HEALTH -> caller.answer().accept(health());
-      case CORDON -> override(argument.orElseThrow(), true, caller);
-      case UNCORDON -> override(argument.orElseThrow(), false, caller);
-      case QUIESCE -> override(null, true, caller);
-      case RESUME -> override(null, false, caller);
+      case CORDON -> submit(new OperatorOverrides.Override(arguments.get(0), true), caller);
+      case UNCORDON -> submit(new OperatorOverrides.Override(arguments.get(0), false), caller);
+      case QUIESCE -> submit(new OperatorOverrides.Override(null, true), caller);
+      case RESUME -> submit(new OperatorOverrides.Override(null, false), caller);
       case RELOAD -> reload(caller);
-      case ACCOUNTS -> caller.answer().accept(accounts(argument));
+      case ACCOUNTS -> caller.answer().accept(accounts(arguments));
       case MEMBERS -> caller.answer().accept(members());
     }
   }
@@ -94,24 +94,21 @@
     return service.isServing() ? SUCCESS + "yes" : FAILURE + "no clients are taken";
   }
 
-  private String accounts(Optional<String> team) {
+  private String accounts(List<String> arguments) {
     if (!service.listsAccounts()) {
       return FAILURE
           + "accounts are not listed: set accounts(list = True) in the operators' script";
     }
     return SUCCESS
-        + team.map(name -> AccountsReport.ofTeam(broker, name))
-            .orElseGet(() -> AccountsReport.ofAllTeams(broker));
+        + (arguments.isEmpty()
+            ? AccountsReport.ofAllTeams(broker)
+            : AccountsReport.ofTeam(broker, arguments.get(0)));
   }
 
   private String members() {
     return broker
         .membership()
-        .map(
-            membership ->
-                SUCCESS
-                    + MembersReport.of(
-                        membership, broker.leases().map(leases -> leases.status(broker.now()))))
+        .map(membership -> SUCCESS + MembersReport.of(membership, broker))
         .orElse(
             FAILURE
                 + "membership is off, or waits for its address:"
@@ -145,9 +142,8 @@
   }
 
   /** The broker checks the override, and then has it persisted or rejected. */
-  private void override(String server, boolean enabled, Caller caller) {
-    broker.submit(
-        new Event.OperatorCommandReceived(new OperatorOverrides.Override(server, enabled), caller));
+  private void submit(OperatorOverrides.Override override, Caller caller) {
+    broker.submit(new Event.OperatorCommandReceived(override, caller));
   }
 
   @Override
@@ -186,7 +182,7 @@
         Level.INFO,
         quiesced
             ? "Quiesced: each client connection is closed after its next response"
-            : "Not quiesced: client connections are kept open");
+            : "Resumed: client connections are kept open");
     service.setQuiesced(quiesced);
   }
 }
--- a/src/main/java/bitternpulley/admin/MembersReport.java
+++ b/src/main/java/bitternpulley/admin/MembersReport.java
@@ -1,5 +1,6 @@
 package bitternpulley.admin;
 
+import bitternpulley.broker.Broker;
 import bitternpulley.leases.Leases;
 import bitternpulley.membership.MemberView;
 import bitternpulley.membership.Membership;
@@ -14,8 +15,9 @@
 final class MembersReport {
   private MembersReport() {}
 
-  /** Reports the members and, where leases are in use, those of this instance. */
-  static String of(Membership membership, Optional<Leases.LeaseStatus> leases) {
+  /** Reports the members and, where leases are in use, those that this instance holds. */
+  static String of(Membership membership, Broker broker) {
+    Optional<Leases> leases = broker.leases();
     return JsonLine.of(
         json -> {
           json.writeStringField(
@@ -23,7 +25,7 @@
           json.writeNumberField("self_health", membership.localHealth());
           json.writeNumberField("ignored", membership.ignoredMessages());
           if (leases.isPresent()) {
-            writeLeases(json, leases.get());
+            writeLeases(json, leases.get().status(broker.now()));
           }
           json.writeArrayFieldStart("members");
           for (MemberView member : membership.members()) {
--- a/src/main/java/bitternpulley/aggregator/AdministeredService.java
+++ b/src/main/java/bitternpulley/aggregator/AdministeredService.java
@@ -5,19 +5,16 @@
 
 /** Carries out for the admin endpoint what concerns the process as a whole. */
 final class AdministeredService implements ServiceControl {
+  private final ServiceContext context;
   private final ServiceState state;
   private final Fronts fronts;
-  private final ActiveBrokerConfiguration brokerConfiguration;
   private final ConfigurationReload reload;
 
   AdministeredService(
-      ServiceState state,
-      Fronts fronts,
-      ActiveBrokerConfiguration brokerConfiguration,
-      ConfigurationReload reload) {
+      ServiceContext context, ServiceState state, Fronts fronts, ConfigurationReload reload) {
     this.state = state;
     this.fronts = fronts;
-    this.brokerConfiguration = brokerConfiguration;
+    this.context = context;
     this.reload = reload;
   }
 
@@ -28,7 +25,7 @@
 
   @Override
   public boolean listsAccounts() {
-    return brokerConfiguration.listsAccounts();
+    return context.brokerConfiguration().listsAccounts();
   }
 
   @Override
--- a/src/main/java/bitternpulley/aggregator/Aggregator.java
+++ b/src/main/java/bitternpulley/aggregator/Aggregator.java
@@ -3,12 +3,8 @@
 import bitternpulley.admin.AdminEndpoint;
 import bitternpulley.admin.OverridesFile;
 import bitternpulley.admin.ReloadObserver;
-import bitternpulley.broker.Broker;
-import bitternpulley.broker.Clock;
-import bitternpulley.broker.Reducer;
+import bitternpulley.admin.ServiceControl;
 import bitternpulley.config.Configuration;
-import bitternpulley.config.EndpointList;
-import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
 import bitternpulley.platform.Discovery;
 import bitternpulley.platform.Preparation;
@@ -22,58 +18,50 @@
 public final class Aggregator {
   private static final System.Logger LOG = System.getLogger(Aggregator.class.getName());
 
-  private final Configuration site;
-  private final EventLoop loop;
+  private final ServiceContext context;
   private final AdminEndpoint admin;
   private final MembershipSubsystem membership;
   private final EndpointListDistributor endpointLists;
-  private final ActiveBrokerConfiguration brokerConfiguration;
   private final Discovery discovery;
   private final StartSequence startSequence;
   private final ConfigurationReload reload;
   private final GracefulShutdown shutdown;
 
   private Aggregator(StartupConfiguration configuration) {
-    site = configuration.site();
-    Clock clock = Clock.system();
-    loop = new EventLoop(clock::now);
-    Broker.Timer timer = new LoopTimer(loop);
-    Broker broker =
-        new Broker(new Reducer(site.settings(), site.seed(), clock.now()), clock, timer);
-    brokerConfiguration = new ActiveBrokerConfiguration(broker, configuration.broker());
+    context = ServiceContext.create(configuration);
     ServiceState state = new ServiceState();
-
-    int frontCount = configuration.search().isPresent() ? 2 : 1;
-    DescriptorBudget descriptors = DescriptorBudget.of(site, frontCount);
-    ServiceContext context =
-        new ServiceContext(loop, timer, broker, clock, site, brokerConfiguration, descriptors);
     QueryService queries = QueryService.create(context, state);
     Optional<SearchService> search =
         configuration.search().map(settings -> SearchService.create(context, settings));
-    Fronts fronts = new Fronts(loop, queries.front(), site.listen(), search);
+    Fronts fronts = new Fronts(context.loop(), queries.front(), context.site().listen(), search);
 
-    Preparation prewarmer = new Preparation(loop, site.seed(), queries.servers()::prepare);
+    Preparation prewarmer =
+        new Preparation(context.loop(), context.site().seed(), queries.servers()::prepare);
     endpointLists =
-        new EndpointListDistributor(broker, state, queries.servers(), search, prewarmer);
-    discovery = discovery(endpointLists);
-    membership = new MembershipSubsystem(loop, broker, configuration);
-    reload = new ConfigurationReload(loop, site, brokerConfiguration, discovery);
-    admin =
-        new AdminEndpoint(
-            loop,
-            broker,
-            new OverridesFile(site.operations().folder()),
-            new AdministeredService(state, fronts, brokerConfiguration, reload));
+        new EndpointListDistributor(context.broker(), state, queries.servers(), search, prewarmer);
+    discovery = discovery(context, endpointLists);
+    membership = new MembershipSubsystem(context, configuration.broker());
+    reload = new ConfigurationReload(context, discovery);
+    admin = admin(context, new AdministeredService(context, state, fronts, reload));
 
     HotRestart hotRestart = new HotRestart(context, state);
     startSequence = new StartSequence(context, state, fronts, endpointLists, hotRestart, prewarmer);
     shutdown = new GracefulShutdown(context, state, fronts, membership, hotRestart);
   }
 
-  private Discovery discovery(EndpointListDistributor lists) {
-    EndpointList stored = site.lastEndpoints();
+  private static Discovery discovery(ServiceContext context, EndpointListDistributor lists) {
+    Configuration site = context.site();
     return new Discovery(
-        loop, site.discovery(), site.zones(), stored.revision(), lists::onDiscoveryList);
+        context.loop(),
+        site.discovery(),
+        site.zones(),
+        site.lastEndpoints().revision(),
+        lists::onDiscoveryList);
+  }
+
+  private static AdminEndpoint admin(ServiceContext context, ServiceControl service) {
+    OverridesFile overrides = new OverridesFile(context.site().operations().folder());
+    return new AdminEndpoint(context.loop(), context.broker(), overrides, service);
   }
 
   /**
@@ -99,7 +87,7 @@
     Aggregator aggregator = new Aggregator(StartupConfiguration.read(System.getenv()));
     ProcessSignal.TERM.onReceive(aggregator.shutdown::run);
     ProcessSignal.INT.onReceive(aggregator.shutdown::run);
-    aggregator.loop.execute(() -> aggregator.start(onReady));
+    aggregator.context.loop().execute(() -> aggregator.start(onReady));
     // Registered after the start has begun, so that a reload cannot take effect before it.
     if (!ProcessSignal.HUP.onReceive(() -> aggregator.reload.start(ReloadObserver.NONE))) {
       LOG.log(
@@ -112,13 +100,14 @@
 
   /** Operator overrides, leases and endpoints take effect before the first request is accepted. */
   private void start(Runnable onReady) {
-    loop.watchItself();
+    Configuration site = context.site();
+    context.loop().watchItself();
     if (site.operations().admin().isPresent()) {
       startAdmin(site.operations().admin().get());
     }
     membership.startLeases();
     endpointLists.onStoredList(site.lastEndpoints());
-    brokerConfiguration.activateInitial();
+    context.brokerConfiguration().activateInitial();
     discovery.start();
     membership.start();
     startSequence.start(onReady);
--- a/src/main/java/bitternpulley/aggregator/ConfigurationReload.java
+++ b/src/main/java/bitternpulley/aggregator/ConfigurationReload.java
@@ -6,7 +6,6 @@
 import bitternpulley.config.Configuration;
 import bitternpulley.config.ConfigurationException;
 import bitternpulley.config.ConfigurationReader;
-import bitternpulley.net.EventLoop;
 import bitternpulley.platform.Discovery;
 import java.lang.System.Logger.Level;
 
@@ -18,19 +17,11 @@
 final class ConfigurationReload {
   private static final System.Logger LOG = System.getLogger(ConfigurationReload.class.getName());
 
-  private final EventLoop loop;
-  private final Configuration initial;
-  private final ActiveBrokerConfiguration brokerConfiguration;
+  private final ServiceContext context;
   private final Discovery discovery;
 
-  ConfigurationReload(
-      EventLoop loop,
-      Configuration initial,
-      ActiveBrokerConfiguration brokerConfiguration,
-      Discovery discovery) {
-    this.loop = loop;
-    this.initial = initial;
-    this.brokerConfiguration = brokerConfiguration;
+  ConfigurationReload(ServiceContext context, Discovery discovery) {
+    this.context = context;
     this.discovery = discovery;
   }
 
@@ -43,8 +34,8 @@
     try {
       Configuration site = ConfigurationReader.reread(System.getenv());
       BrokerConfiguration broker =
-          BrokerConfigurationReader.read(System.getenv(), initial.settings());
-      loop.execute(() -> apply(site, broker, observer));
+          BrokerConfigurationReader.read(System.getenv(), context.site().settings());
+      context.loop().execute(() -> apply(site, broker, observer));
     } catch (ConfigurationException exception) {
       LOG.log(
           Level.WARNING,
@@ -62,11 +53,12 @@
           "Settings other than 'discovery' changed; they take effect at the next start");
     }
     discovery.moveTo(site.discovery());
-    brokerConfiguration.replace(broker);
+    context.brokerConfiguration().replace(broker);
     observer.succeeded();
   }
 
   private boolean needsRestart(Configuration site) {
+    Configuration initial = context.site();
     return !site.settings().equals(initial.settings())
         || !site.listen().equals(initial.listen())
         || !site.name().equals(initial.name())
--- a/src/main/java/bitternpulley/aggregator/Fronts.java
+++ b/src/main/java/bitternpulley/aggregator/Fronts.java
@@ -6,6 +6,7 @@
 import bitternpulley.net.PassedListener;
 import java.util.Optional;
 import java.util.function.Consumer;
+import java.util.function.Predicate;
 
 /** The HTTP servers for clients: the platform's front and, where configured, the OpenSearch one. */
 final class Fronts {
@@ -75,14 +76,17 @@
 
   /** Whether every request has its response, written in full. */
   boolean allAnswered() {
-    return queryFront.unanswered() == 0
-        && search.stream().allMatch(service -> service.front().unanswered() == 0);
+    return all(front -> front.unanswered() == 0);
   }
 
   /** Whether nothing is owed on any connection, not even a client's close. */
   boolean allIdle() {
-    return queryFront.busy() == 0
-        && search.stream().allMatch(service -> service.front().busy() == 0);
+    return all(front -> front.busy() == 0);
+  }
+
+  private boolean all(Predicate<HttpServer> condition) {
+    return condition.test(queryFront)
+        && search.stream().allMatch(service -> condition.test(service.front()));
   }
 
   private void each(Consumer<HttpServer> action) {
--- a/src/main/java/bitternpulley/aggregator/MembershipSubsystem.java
+++ b/src/main/java/bitternpulley/aggregator/MembershipSubsystem.java
@@ -1,8 +1,7 @@
 package bitternpulley.aggregator;
 
-import bitternpulley.broker.Broker;
+import bitternpulley.config.BrokerConfiguration;
 import bitternpulley.gossip.GossipService;
-import bitternpulley.net.EventLoop;
 import java.util.Optional;
 
 /**
@@ -18,16 +17,16 @@
 
   private final Optional<GossipService> gossip;
 
-  MembershipSubsystem(EventLoop loop, Broker broker, StartupConfiguration configuration) {
+  MembershipSubsystem(ServiceContext context, BrokerConfiguration configuration) {
     gossip =
-        configuration.broker().membership().isEmpty()
+        configuration.membership().isEmpty()
             ? Optional.empty()
             : Optional.of(
                 new GossipService(
-                    loop,
-                    broker,
-                    configuration.site(),
-                    configuration.broker().membership().get(),
+                    context.loop(),
+                    context.broker(),
+                    context.site(),
+                    configuration.membership().get(),
                     build()));
   }
 
--- a/src/main/java/bitternpulley/aggregator/QueryService.java
+++ b/src/main/java/bitternpulley/aggregator/QueryService.java
@@ -30,13 +30,6 @@
             state::isReadyForClients,
             context.brokerConfiguration()::tenantIdentification);
     servers.answersTo(queries::reply);
-    HttpServer front =
-        new HttpServer(
-            context.loop(),
-            ServiceContext.MAX_BODY_BYTES,
-            context.descriptors().clientConnections(),
-            HttpServer.Timeouts.USUAL,
-            queries);
-    return new QueryService(servers, front);
+    return new QueryService(servers, context.newFront(queries));
   }
 }
--- a/src/main/java/bitternpulley/aggregator/SearchService.java
+++ b/src/main/java/bitternpulley/aggregator/SearchService.java
@@ -36,13 +36,6 @@
             context.clock(),
             context.site().name(),
             context.brokerConfiguration()::tenantIdentification);
-    HttpServer front =
-        new HttpServer(
-            context.loop(),
-            ServiceContext.MAX_BODY_BYTES,
-            context.descriptors().clientConnections(),
-            HttpServer.Timeouts.USUAL,
-            searches);
-    return new SearchService(servers, front, configuration.listen());
+    return new SearchService(servers, context.newFront(searches), configuration.listen());
   }
 }
--- a/src/main/java/bitternpulley/aggregator/ServiceContext.java
+++ b/src/main/java/bitternpulley/aggregator/ServiceContext.java
@@ -2,8 +2,10 @@
 
 import bitternpulley.broker.Broker;
 import bitternpulley.broker.Clock;
+import bitternpulley.broker.Reducer;
 import bitternpulley.config.Configuration;
 import bitternpulley.net.EventLoop;
+import bitternpulley.net.HttpServer;
 
 /**
  * What the subsystems of the process share.
@@ -28,6 +30,31 @@
   /** Largest body of a client's request, in bytes. */
   static final int MAX_BODY_BYTES = 64 * 1024;
 
+  /** Creates the event loop and the broker of a process. */
+  static ServiceContext create(StartupConfiguration configuration) {
+    Configuration site = configuration.site();
+    Clock clock = Clock.system();
+    EventLoop loop = new EventLoop(clock::now);
+    Broker.Timer timer = new LoopTimer(loop);
+    Reducer reducer = new Reducer(site.settings(), site.seed(), clock.now());
+    Broker broker = new Broker(reducer, clock, timer);
+    int fronts = configuration.search().isPresent() ? 2 : 1;
+    return new ServiceContext(
+        loop,
+        timer,
+        broker,
+        clock,
+        site,
+        new ActiveBrokerConfiguration(broker, configuration.broker()),
+        DescriptorBudget.of(site, fronts));
+  }
+
+  /** Creates a server for clients, which does not listen yet. */
+  HttpServer newFront(HttpServer.Handler handler) {
+    return new HttpServer(
+        loop, MAX_BODY_BYTES, descriptors.clientConnections(), HttpServer.Timeouts.USUAL, handler);
+  }
+
   /** Ms within which a connection to a slot server must be open. */
   double connectTimeout() {
     return site.settings().limits().connectTimeout();
