--- a/src/test/java/bitternpulley/PackagesTest.java
+++ b/src/test/java/bitternpulley/PackagesTest.java
@@ -54,7 +54,21 @@
               Map.entry("emulator", Set.of("net")),
               Map.entry("faultinjection", Set.of("net", "emulator")),
               Map.entry("benchmark", Set.of("net", "contracts", "emulator", "faultinjection")),
-              Map.entry("simulator", Set.of("routing", "policy", "config"))));
+              Map.entry("simulator", Set.of("routing", "policy", "config")),
+              Map.entry(
+                  "aggregator",
+                  Set.of(
+                      "routing",
+                      "net",
+                      "contracts",
+                      "membership",
+                      "leases",
+                      "broker",
+                      "gossip",
+                      "config",
+                      "admin",
+                      "platform",
+                      "opensearch"))));
 
   /** Packages that are pure: events and values in, effects and values out. */
   private static final Set<String> PURE =
