--- a/src/main/java/bitternpulley/leases/LeaseTerms.java
+++ b/src/main/java/bitternpulley/leases/LeaseTerms.java
@@ -3,51 +3,55 @@
 import java.util.List;
 
 /**
- * What all members must have alike: how many they are, who the witnesses are, for how many ms a
- * lease lasts; and for how many ms what was decided under a lease may still take effect, which is
- * kept free at its end.
+ * The lease parameters, which have to be equal on all members.
+ *
+ * @param members number of configured members
+ * @param witnesses numbers of the members that grant leases
+ * @param duration ms for which a lease is granted; raised where a fleet of this size would make
+ *     renewal too frequent
+ * @param effectTime ms for which a decision taken under a lease may still take effect; holders stop
+ *     using a lease this long before it ends
  */
 public record LeaseTerms(int members, List<Integer> witnesses, double duration, double effectTime) {
-  /** Members that a witness can name in one datagram of 256 bytes. */
+  /** The largest number of members that a grant can list in one datagram of 256 bytes. */
   public static final int MAX_MEMBERS = 1500;
 
-  /**
-   * Ms that a lease lasts at the least for each member: a witness is asked 40 times a second at the
-   * most.
-   */
-  private static final double LASTS_BY_MEMBER = 100;
+  /** Lower bound of the duration per member: a witness gets at most 40 requests a second. */
+  private static final double MIN_DURATION_PER_MEMBER_MS = 100;
 
-  private static final double RENEWALS = 4;
+  private static final double RENEWALS_PER_LEASE = 4;
 
-  /** Share by which two clocks may differ in pace, far beyond what any machine's do. */
-  private static final double DRIFT = 0.01;
+  /** Relative difference in rate between two clocks, far above that of real machines. */
+  private static final double MAX_CLOCK_DRIFT = 0.01;
 
-  /** Guards against leases so short that their renewal is most of what a witness does. */
+  /** Raises the duration to the least that a fleet of this size allows. */
   public LeaseTerms {
-    duration = Math.max(duration, LASTS_BY_MEMBER * members);
+    duration = Math.max(duration, MIN_DURATION_PER_MEMBER_MS * members);
     witnesses = List.copyOf(witnesses);
   }
 
-  /** Ms between a member's askings. */
-  double renewEvery() {
-    return duration / RENEWALS;
+  /** Ms between a member's requests to one witness. */
+  double renewalInterval() {
+    return duration / RENEWALS_PER_LEASE;
   }
 
-  /** Ms from asking for which its holder may act under a lease. */
+  /** Ms after its request during which a holder may act under a lease. */
   public double usableTime() {
-    return duration / (1 + DRIFT) - effectTime;
+    return duration / (1 + MAX_CLOCK_DRIFT) - effectTime;
   }
 
-  /** Ms for which whoever waits for another's lease to run out waits, by its own clock. */
-  double outlasts() {
-    return outlasts(duration);
+  /** Ms by any clock after which a lease granted on another clock has surely expired. */
+  double expiryWait() {
+    return expiryWait(duration);
   }
 
-  double outlasts(double ms) {
-    return ms * (1 + DRIFT);
+  /** Ms by any clock that cover {@code ms} of another clock. */
+  double expiryWait(double ms) {
+    return ms * (1 + MAX_CLOCK_DRIFT);
   }
 
-  int most() {
+  /** The least number of witnesses that is more than half of them. */
+  int majority() {
     return witnesses.size() / 2 + 1;
   }
 }
--- a/src/main/java/bitternpulley/leases/LeaseWitness.java
+++ b/src/main/java/bitternpulley/leases/LeaseWitness.java
@@ -6,57 +6,37 @@
 import java.util.Optional;
 
 /**
- * A witness's side. Whoever asks is named from then on, but may use its lease only when all that
- * was told without its name has run out; so nobody that acts is missing in what another that acts
- * was told. One that started anew and remembers nothing is no case apart: to it all are new, and
- * when they may use its leases those of its earlier process have run out.
+ * Grants leases to members. A member is listed in all grants from its first request on, but may use
+ * its lease only when every grant that omits it has expired. Hence any two members that act at the
+ * same time list each other. A witness that restarted and remembers nothing treats all members as
+ * new; when they may use their leases, those granted by its earlier process have expired.
  */
 final class LeaseWitness {
-  private static final class Lease {
-    long epoch;
-
-    /** Until when it may be used, at the latest, and from when on. */
-    double until = Double.NEGATIVE_INFINITY;
-
-    double usableAt;
-  }
-
   private final int self;
   private final LeaseTerms terms;
-  private final Map<Integer, Lease> byMember = new HashMap<>();
+  private final Map<Integer, GrantedLease> byMember = new HashMap<>();
 
   LeaseWitness(int self, LeaseTerms terms) {
     this.self = self;
     this.terms = terms;
   }
 
-  /** What the asking member is told; empty where it is told nothing. */
-  Optional<LeaseMessage.LeaseGrant> asked(LeaseMessage.LeaseRequest asked, double now) {
-    if (asked.from() < 0 || asked.from() >= terms.members()) {
+  /** Grants a request; empty for one of no member or of an earlier process of a member. */
+  Optional<LeaseMessage.LeaseGrant> grant(LeaseMessage.LeaseRequest request, double now) {
+    if (request.from() < 0 || request.from() >= terms.members()) {
       return Optional.empty();
     }
-    Lease l = byMember.computeIfAbsent(asked.from(), n -> new Lease());
-    boolean named = now < l.until;
-    if (named && asked.epoch() < l.epoch) {
-      return Optional.empty(); // an earlier process, or its late word
-    }
-    if (!named) {
-      l.usableAt = now + terms.outlasts();
-    } else if (asked.epoch() > l.epoch) {
-      // Guards against two processes of one member, the later of which counts on the earlier one's
-      // place.
-      l.usableAt = Math.max(l.usableAt, l.until);
+    GrantedLease lease = byMember.computeIfAbsent(request.from(), member -> new GrantedLease());
+    if (!lease.renew(request.epoch(), terms.expiryWait(), now)) {
+      return Optional.empty();
     }
-    l.epoch = asked.epoch();
-    l.until = now + terms.outlasts();
     return Optional.of(
-        new LeaseMessage.LeaseGrant(
-            self, asked.sequence(), Math.max(0, l.usableAt - now), named(now)));
+        new LeaseMessage.LeaseGrant(self, request.sequence(), lease.delay(now), holders(now)));
   }
 
-  private BitSet named(double now) {
-    BitSet named = new BitSet(terms.members());
-    byMember.forEach((member, lease) -> named.set(member, now < lease.until));
-    return named;
+  private BitSet holders(double now) {
+    BitSet holders = new BitSet(terms.members());
+    byMember.forEach((member, lease) -> holders.set(member, lease.isActive(now)));
+    return holders;
   }
 }
--- a/src/main/java/bitternpulley/leases/Leases.java
+++ b/src/main/java/bitternpulley/leases/Leases.java
@@ -6,19 +6,26 @@
 import java.util.Optional;
 
 /**
- * One instance's leases, and, where it is a witness, those that it grants. {@link #tick} is to be
- * called some ten times a renewal at least; times are ms of one clock.
+ * The leases of one instance and, where it is a witness, those that it grants. {@link #tick} has to
+ * be called at least some ten times per renewal interval; times are ms of one clock.
  */
 public final class Leases {
-  /** What is to be sent. */
+  /**
+   * A message to be sent.
+   *
+   * @param to number of the receiving member
+   * @param message what to send
+   */
   public record OutgoingMessage(int to, LeaseMessage message) {}
 
   /**
-   * How this instance stands, for operators.
+   * The state of this instance's leases, for operators.
    *
-   * @param quota of the whole that is this instance's, 0 to 1
-   * @param leases witnesses whose leases it may use, of so many
-   * @param activeMembers members that may act, as far as these know; 0 where it may not act itself
+   * @param quota this instance's share of the common budget, 0 to 1
+   * @param leases number of witnesses whose leases are usable
+   * @param witnesses number of all witnesses
+   * @param activeMembers members that may act, as far as these leases list them; 0 where this
+   *     instance may not act itself
    */
   public record LeaseStatus(double quota, int leases, int witnesses, int activeMembers) {}
 
@@ -27,94 +34,113 @@
   private final LeaseHolder holder;
   private Optional<LeaseWitness> witness = Optional.empty();
   private long epoch;
-  private boolean asks;
-  private double nextAsk;
+  private boolean isRequesting;
+  private double nextRequestAt;
   private long ignoredMessages;
 
-  /** One that holds nothing and may do nothing. */
+  /** Leases of member {@code self}, which holds none and does not request any yet. */
   public Leases(int self, LeaseTerms terms) {
     this.self = self;
     this.terms = terms;
     holder = new LeaseHolder(self, terms);
   }
 
-  /** From now on it can be reached, as the process begun at {@code epoch}, and asks. */
+  /** Begins to request leases, as the process started at {@code epoch}. */
   public void start(long epoch, double now) {
     this.epoch = epoch;
-    asks = true;
-    nextAsk = now;
+    isRequesting = true;
+    nextRequestAt = now;
     witness =
         terms.witnesses().contains(self)
             ? Optional.of(new LeaseWitness(self, terms))
             : Optional.empty();
   }
 
-  /** It ends: it asks no more, so that its part is free once its leases have run out. */
+  /** Stops requesting, so that this instance's quota is free once its leases have expired. */
   public void stop() {
-    asks = false;
+    isRequesting = false;
   }
 
-  /** The time goes on. */
+  /** Advances the time; returns the requests that are due. */
   public List<OutgoingMessage> tick(double now) {
-    if (!asks || now < nextAsk) {
+    if (!isRequesting || now < nextRequestAt) {
       return List.of();
     }
-    nextAsk = now + terms.renewEvery();
-    List<OutgoingMessage> out = new ArrayList<>();
+    nextRequestAt = now + terms.renewalInterval();
+    List<OutgoingMessage> requests = new ArrayList<>();
     for (int i = 0; i < terms.witnesses().size(); i++) {
       int to = terms.witnesses().get(i);
-      LeaseMessage.LeaseRequest asked =
-          new LeaseMessage.LeaseRequest(self, epoch, holder.ask(i, now));
+      LeaseMessage.LeaseRequest request =
+          new LeaseMessage.LeaseRequest(self, epoch, holder.request(i, now));
       if (to == self) {
-        witness.flatMap(w -> w.asked(asked, now)).ifPresent(g -> holder.granted(g, now));
+        grant(request, now).ifPresent(grant -> holder.accept(grant, now));
       } else {
-        out.add(new OutgoingMessage(to, asked));
+        requests.add(new OutgoingMessage(to, request));
       }
     }
-    return out;
+    return requests;
+  }
+
+  private Optional<LeaseMessage.LeaseGrant> grant(LeaseMessage.LeaseRequest request, double now) {
+    return witness.flatMap(granting -> granting.grant(request, now));
   }
 
-  /** A message has come from the address of the member that it names. */
+  /**
+   * Handles a message that came from the address of the member it names; returns the answer, if
+   * any.
+   */
   public List<OutgoingMessage> onMessage(LeaseMessage message, double now) {
-    if (message instanceof LeaseMessage.LeaseRequest a && witness.isPresent()) {
-      return witness
-          .get()
-          .asked(a, now)
-          .map(g -> List.of(new OutgoingMessage(a.from(), g)))
-          .orElseGet(
-              () -> {
-                ignoredMessages++;
-                return List.of();
-              });
+    return message.accept(new MessageHandler(now));
+  }
+
+  private final class MessageHandler implements LeaseMessage.Handler<List<OutgoingMessage>> {
+    private final double now;
+
+    MessageHandler(double now) {
+      this.now = now;
+    }
+
+    @Override
+    public List<OutgoingMessage> onRequest(LeaseMessage.LeaseRequest request) {
+      Optional<LeaseMessage.LeaseGrant> grant = grant(request, now);
+      if (grant.isEmpty()) {
+        ignoredMessages++;
+        return List.of();
+      }
+      return List.of(new OutgoingMessage(request.from(), grant.get()));
     }
-    if (!(message instanceof LeaseMessage.LeaseGrant g) || !holder.granted(g, now)) {
-      ignoredMessages++;
+
+    @Override
+    public List<OutgoingMessage> onGrant(LeaseMessage.LeaseGrant grant) {
+      if (!holder.accept(grant, now)) {
+        ignoredMessages++;
+      }
+      return List.of();
     }
-    return List.of();
   }
 
   /**
-   * This instance's part at a time, in parts of an even one by the members configured: one where
-   * all may act, more where fewer do, 0 where it does not know or may not.
+   * This instance's quota at a time, relative to an equal share among the configured members: 1
+   * where all may act, more where fewer do, 0 where it may not act or lacks leases.
    */
   public double quotaFactor(double now) {
     return terms.members() * status(now).quota();
   }
 
-  /** How it stands at a time. */
+  /** The state of the leases at a time. */
   public LeaseStatus status(double now) {
-    int held = holder.held(now);
-    BitSet named = held < terms.most() ? new BitSet() : holder.named(now);
+    int usable = holder.usableLeases(now);
+    BitSet members = usable < terms.majority() ? new BitSet() : holder.activeMembers(now);
     return new LeaseStatus(
-        named.isEmpty() ? 0 : 1.0 / named.cardinality(),
-        held,
+        members.isEmpty() ? 0 : 1.0 / members.cardinality(),
+        usable,
         terms.witnesses().size(),
-        named.cardinality());
+        members.cardinality());
   }
 
   /**
-   * Messages that changed nothing, so far: late, repeated, of an earlier process, or to one that is
-   * no witness.
+   * Number of messages that changed nothing so far: late, repeated, of an earlier process, or
+   * requests to an instance that is no witness.
    */
   public long ignoredMessages() {
     return ignoredMessages;
--- a/src/main/java/bitternpulley/leases/package-info.java
+++ b/src/main/java/bitternpulley/leases/package-info.java
@@ -1,17 +1,20 @@
 /**
- * Which part of what all aggregators may do together is this one's: the whole by the number of
- * those that may act, not of those that were configured, so that the part of the dead is not left
- * unused. A pure state machine: messages and the time in, messages out; no I/O, no thread, no
- * chance.
+ * Decides which share of the fleet's common budget this instance may use. The budget is divided by
+ * the number of members that may act, not by the number configured, so that the quota of a dead
+ * member is not left unused. A pure state machine: messages and the time in, messages out; no I/O,
+ * no threads, no randomness.
  *
- * <p>A few members are witnesses. Each grants any member that asks a lease, for so long, and with
- * it names all who hold one. Whoever holds leases of most witnesses may act, and takes the whole
- * divided by all whom these name. Invariants: two that may act at the same time name each other, so
- * all parts together are never more than the whole, whatever is cut, lost, late, stopped or started
- * anew; who is in doubt is named until its lease has run out; without leases a part is nothing.
+ * <p>A few members are witnesses. A witness grants a lease of fixed duration to any member that
+ * requests one, and lists in each grant all members that hold a lease of it. A member that holds
+ * usable leases of a majority of the witnesses may act; its quota is one divided by the number of
+ * members that these leases list.
  *
- * <p>It knows no queries and judges nobody: a dead member is one that asks no more. Called by the
- * core; the decision module reads {@link bitternpulley.leases.Leases#quotaFactor}. Start with
- * {@link bitternpulley.leases.Leases}.
+ * <p>Invariants: any two members that act at the same time list each other, so all quotas together
+ * never exceed the budget, under partitions, message loss, delay, pauses and restarts; a member is
+ * listed until its lease has surely expired; a member without a majority of leases has quota 0.
+ *
+ * <p>It knows nothing of queries and does not detect failures: a dead member is one that stops
+ * requesting. The broker calls it; the routing policy reads {@link
+ * bitternpulley.leases.Leases#quotaFactor}. Start reading at {@link bitternpulley.leases.Leases}.
  */
 package bitternpulley.leases;
--- a/src/test/java/bitternpulley/leases/LeasesTest.java
+++ b/src/test/java/bitternpulley/leases/LeasesTest.java
@@ -168,10 +168,10 @@
   @Property(tries = 50, seed = "20261202")
   void clocksOfAnotherPaceAreBorne(@ForAll @IntRange(min = 2000, max = 600_000) int lasts) {
     LeaseTerms terms = new LeaseTerms(5, List.of(0), lasts, EFFECT);
-    assertTrue((terms.usableTime() + terms.effectTime()) / 0.9951 <= terms.outlasts() / 1.0049);
+    assertTrue((terms.usableTime() + terms.effectTime()) / 0.9951 <= terms.expiryWait() / 1.0049);
     assertTrue(
         (terms.usableTime() + terms.effectTime()) / 0.9951
-            <= terms.outlasts(terms.duration()) / 1.0049);
+            <= terms.expiryWait(terms.duration()) / 1.0049);
   }
 
   /**
