--- a/src/main/java/bitternpulley/gossip/EpochFile.java
+++ b/src/main/java/bitternpulley/gossip/EpochFile.java
@@ -7,40 +7,44 @@
 import java.nio.file.StandardCopyOption;
 
 /**
- * Tells each start of a member from those before: the time, or one more than the last start's where
- * a clock was set back. A folder that is empty at each start leaves the time alone; what others
- * remember of a later start then raises it.
+ * Chooses the epoch of each start of a member: the time, or one more than the stored epoch of the
+ * last start where the clock was set back. Without a stored epoch only the time counts; members
+ * that remember a later epoch then make this one raise its own.
  */
 final class EpochFile {
   private static final System.Logger LOG = System.getLogger(EpochFile.class.getName());
   private static final String NAME = "bitternpulley-epoch";
+  private static final String TEMPORARY_SUFFIX = ".new";
 
   private EpochFile() {}
 
-  /** The epoch of this start, kept for the next; {@code folder} may be null. */
+  /** The epoch of this start, stored for the next; {@code folder} is null where there is none. */
   static long next(Path folder, double now) {
-    long next = Math.max((long) now, folder == null ? 0 : last(folder.resolve(NAME)) + 1);
-    if (folder != null) {
-      try {
-        Path beside = folder.resolve(NAME + ".new");
-        Files.writeString(beside, Long.toString(next));
-        Files.move(
-            beside,
-            folder.resolve(NAME),
-            StandardCopyOption.ATOMIC_MOVE,
-            StandardCopyOption.REPLACE_EXISTING);
-      } catch (IOException e) {
-        LOG.log(Level.WARNING, "the epoch of this start is not kept: " + e);
-      }
+    if (folder == null) {
+      return Math.max((long) now, 0);
     }
-    return next;
+    Path file = folder.resolve(NAME);
+    long epoch = Math.max((long) now, readLast(file) + 1);
+    store(file, epoch);
+    return epoch;
   }
 
-  private static long last(Path file) {
+  private static void store(Path file, long epoch) {
+    try {
+      Path temporary = file.resolveSibling(NAME + TEMPORARY_SUFFIX);
+      Files.writeString(temporary, Long.toString(epoch));
+      Files.move(
+          temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    } catch (IOException e) {
+      LOG.log(Level.WARNING, "Epoch " + epoch + " is not stored in " + file + ": " + e);
+    }
+  }
+
+  private static long readLast(Path file) {
     try {
       return Files.exists(file) ? Long.parseLong(Files.readString(file).trim()) : 0;
     } catch (IOException | NumberFormatException e) {
-      LOG.log(Level.WARNING, file + " tells no epoch, so the time does: " + e);
+      LOG.log(Level.WARNING, "No epoch in " + file + ", using the time: " + e);
       return 0;
     }
   }
--- a/src/main/java/bitternpulley/gossip/GossipCodec.java
+++ b/src/main/java/bitternpulley/gossip/GossipCodec.java
@@ -20,97 +20,107 @@
 import java.util.List;
 
 /**
- * Messages as CBOR (RFC 8949): one array {@code [version, deployment, kind, from, epoch,
- * incarnation, sequence, target, view, rumors, told]}; a rumor is {@code [number, epoch,
- * incarnation, standing, accuser]} with the four texts of its card behind it where it has one, and
- * the count and bytes of its slot behind those. What concerns leases has kinds of its own: {@code
- * [version, deployment, 16, from, epoch, sequence]} asks, {@code [version, deployment, 17, from,
- * sequence, after how many ms, named as bits]} grants. What a later version adds behind these is
- * not read.
+ * Maps messages between aggregators to datagrams and back, as CBOR (RFC 8949).
+ *
+ * <p>A membership message is one array {@code [version, deployment, kind, from, epoch, incarnation,
+ * sequence, target, viewDigest, updates, payloadDigest]}. An update is {@code [number, epoch,
+ * incarnation, state, accuser]}, followed by the four texts of the member's metadata and by the
+ * count and bytes of its payload, where it has these. Kinds and states are written as the position
+ * of their enum constants. Lease messages have kinds of their own: {@code [version, deployment, 16,
+ * from, epoch, sequence]} is a request, {@code [version, deployment, 17, from, sequence, delay in
+ * ms, holders as bits]} a grant. Elements that a later version appends are not read.
  */
 final class GossipCodec {
-  /** The longest datagram that the platform carries; what is longer voids a run. */
-  static final int MOST_BYTES = 256;
+  /** The longest datagram that the platform carries. */
+  static final int MAX_DATAGRAM_BYTES = 256;
 
   private static final int VERSION = 1;
-  private static final int ASKED = 16;
-  private static final int GRANTED = 17;
-
-  /** A datagram as it was understood: whom it names as its sender, and what it is to the core. */
-  record Datagram(int from, Event event) {}
-
-  private interface Body {
-    void write(JsonGenerator out) throws IOException;
-  }
+  private static final int KIND_LEASE_REQUEST = 16;
+  private static final int KIND_LEASE_GRANT = 17;
+  private static final int LEASE_REQUEST_ELEMENTS = 6;
+  private static final int LEASE_GRANT_ELEMENTS = 7;
+  private static final int GOSSIP_ELEMENTS = 11;
+  private static final int UPDATE_ELEMENTS = 5;
+  private static final int METADATA_ELEMENTS = 4;
+  private static final int PAYLOAD_ELEMENTS = 2;
 
   private static final CBORFactory CBOR = new CBORFactory();
 
   /**
-   * Of another deployment, or of a version that is not known here: no fault, and nothing to do with
-   * us.
+   * A decoded datagram.
+   *
+   * @param from number that the sender claims
+   * @param event the event for the broker
    */
-  static final class Foreign extends IOException {
-    private static final long serialVersionUID = 1;
+  record Datagram(int from, Event event) {}
 
-    Foreign(String why) {
-      super(why);
-    }
+  private interface Body {
+    void write(JsonGenerator out) throws IOException;
   }
 
   private final int deployment;
+  private final LeaseMessage.Handler<byte[]> leaseEncoder = new LeaseEncoder();
 
-  /** {@code deployment} is the same on all that are to find each other. */
+  /** {@code deployment} is equal on all members that are to find each other. */
   GossipCodec(String deployment) {
     this.deployment = deployment.hashCode();
   }
 
-  byte[] encode(LeaseMessage m) {
-    if (m instanceof LeaseMessage.LeaseRequest a) {
+  byte[] encode(LeaseMessage message) {
+    return message.accept(leaseEncoder);
+  }
+
+  private final class LeaseEncoder implements LeaseMessage.Handler<byte[]> {
+    @Override
+    public byte[] onRequest(LeaseMessage.LeaseRequest request) {
       return encode(
-          6,
-          ASKED,
-          a.from(),
+          LEASE_REQUEST_ELEMENTS,
+          KIND_LEASE_REQUEST,
+          request.from(),
           out -> {
-            out.writeNumber(a.epoch());
-            out.writeNumber(a.sequence());
+            out.writeNumber(request.epoch());
+            out.writeNumber(request.sequence());
+          });
+    }
+
+    @Override
+    public byte[] onGrant(LeaseMessage.LeaseGrant grant) {
+      return encode(
+          LEASE_GRANT_ELEMENTS,
+          KIND_LEASE_GRANT,
+          grant.from(),
+          out -> {
+            out.writeNumber(grant.sequence());
+            out.writeNumber((long) Math.ceil(grant.delay()));
+            out.writeBinary(grant.holders().toByteArray());
           });
     }
-    LeaseMessage.LeaseGrant g = (LeaseMessage.LeaseGrant) m;
-    return encode(
-        7,
-        GRANTED,
-        g.from(),
-        out -> {
-          out.writeNumber(g.sequence());
-          out.writeNumber((long) Math.ceil(g.delay()));
-          out.writeBinary(g.holders().toByteArray());
-        });
   }
 
-  byte[] encode(GossipMessage m) {
+  byte[] encode(GossipMessage message) {
     return encode(
-        11,
-        m.kind().ordinal(),
-        m.from(),
+        GOSSIP_ELEMENTS,
+        message.kind().ordinal(),
+        message.from(),
         out -> {
-          out.writeNumber(m.epoch());
-          out.writeNumber(m.incarnation());
-          out.writeNumber(m.sequence());
-          out.writeNumber(m.target());
-          out.writeNumber(m.viewDigest());
-          out.writeStartArray(null, m.updates().size());
-          for (GossipUpdate r : m.updates()) {
-            rumor(out, r);
+          out.writeNumber(message.epoch());
+          out.writeNumber(message.incarnation());
+          out.writeNumber(message.sequence());
+          out.writeNumber(message.target());
+          out.writeNumber(message.viewDigest());
+          out.writeStartArray(null, message.updates().size());
+          for (GossipUpdate update : message.updates()) {
+            writeUpdate(out, update);
           }
           out.writeEndArray();
-          out.writeNumber(m.payloadDigest());
+          out.writeNumber(message.payloadDigest());
         });
   }
 
-  private byte[] encode(int fields, int kind, int from, Body body) {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(MOST_BYTES);
+  private byte[] encode(int elements, int kind, int from, Body body) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(MAX_DATAGRAM_BYTES);
     try (JsonGenerator out = CBOR.createGenerator(bytes)) {
-      out.writeStartArray(null, fields);
+      out.writeStartArray(null, elements);
       out.writeNumber(VERSION);
       out.writeNumber(deployment);
       out.writeNumber(kind);
@@ -120,165 +130,163 @@
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    if (bytes.size() > MOST_BYTES) {
-      throw new IllegalStateException("a datagram of " + bytes.size() + " bytes");
+    if (bytes.size() > MAX_DATAGRAM_BYTES) {
+      throw new IllegalStateException(
+          "datagram of " + bytes.size() + " bytes exceeds " + MAX_DATAGRAM_BYTES);
     }
     return bytes.toByteArray();
   }
 
-  private static void rumor(JsonGenerator out, GossipUpdate r) throws IOException {
-    out.writeStartArray(null, 5 + (r.metadata() == null ? 0 : 4) + (r.payload() == null ? 0 : 2));
-    out.writeNumber(r.number());
-    out.writeNumber(r.epoch());
-    out.writeNumber(r.incarnation());
-    out.writeNumber(r.state().ordinal());
-    out.writeNumber(r.accuser());
-    if (r.metadata() != null) {
-      for (String text :
-          List.of(
-              r.metadata().name(),
-              r.metadata().zone(),
-              r.metadata().region(),
-              r.metadata().build())) {
-        out.writeString(text);
-      }
+  private static void writeUpdate(JsonGenerator out, GossipUpdate update) throws IOException {
+    MemberMetadata metadata = update.metadata();
+    MemberPayload payload = update.payload();
+    out.writeStartArray(
+        null,
+        UPDATE_ELEMENTS
+            + (metadata == null ? 0 : METADATA_ELEMENTS)
+            + (payload == null ? 0 : PAYLOAD_ELEMENTS));
+    out.writeNumber(update.number());
+    out.writeNumber(update.epoch());
+    out.writeNumber(update.incarnation());
+    out.writeNumber(update.state().ordinal());
+    out.writeNumber(update.accuser());
+    if (metadata != null) {
+      out.writeString(metadata.name());
+      out.writeString(metadata.zone());
+      out.writeString(metadata.region());
+      out.writeString(metadata.build());
     }
-    if (r.payload() != null) {
-      out.writeNumber(r.payload().count());
-      out.writeBinary(r.payload().bytes());
+    if (payload != null) {
+      out.writeNumber(payload.count());
+      out.writeBinary(payload.bytes());
     }
     out.writeEndArray();
   }
 
   /**
-   * Reads a datagram; throws {@link Foreign} for another deployment's or version's, IOException for
-   * what is no message.
+   * Decodes a datagram.
+   *
+   * @throws ForeignDatagramException for another deployment or version
+   * @throws MalformedDatagramException for anything that is no message
    */
-  Datagram decode(byte[] bytes, int length) throws IOException {
-    if (length > MOST_BYTES) {
-      throw new IOException("longer than " + MOST_BYTES + " bytes");
+  Datagram decode(byte[] bytes, int length) throws DatagramException {
+    if (length > MAX_DATAGRAM_BYTES) {
+      throw new MalformedDatagramException("longer than " + MAX_DATAGRAM_BYTES + " bytes");
     }
-    try (JsonParser in = CBOR.createParser(bytes, 0, length)) {
-      begin(in, in.nextToken());
-      int version = integer(in);
-      if (version != VERSION) {
-        throw new Foreign("of version " + version + ", not " + VERSION);
-      }
-      if (integer(in) != deployment) {
-        throw new Foreign("of another deployment");
-      }
-      int kind = integer(in);
-      int from = integer(in);
-      if (kind == ASKED || kind == GRANTED) {
-        return new Datagram(
-            from,
-            new Event.LeaseMessageReceived(
-                kind == ASKED
-                    ? new LeaseMessage.LeaseRequest(from, number(in), integer(in))
-                    : new LeaseMessage.LeaseGrant(from, integer(in), number(in), named(in))));
-      }
-      long epoch = number(in);
-      int incarnation = integer(in);
-      int sequence = integer(in);
-      int target = integer(in);
-      int view = integer(in);
-      begin(in, in.nextToken());
-      List<GossipUpdate> rumors = new ArrayList<>();
-      while (in.nextToken() == JsonToken.START_ARRAY && rumors.size() < GossipMessage.MAX_UPDATES) {
-        rumors.add(rumor(in));
-      }
-      return new Datagram(
-          from,
-          new Event.GossipReceived(
-              new GossipMessage(
-                  one(GossipMessage.Kind.values(), kind),
-                  from,
-                  epoch,
-                  incarnation,
-                  sequence,
-                  target,
-                  view,
-                  integer(in),
-                  List.copyOf(rumors))));
+    try (JsonParser parser = CBOR.createParser(bytes, 0, length)) {
+      return decode(new DatagramReader(parser));
+    } catch (DatagramException e) {
+      throw e;
+    } catch (IOException e) {
+      throw new MalformedDatagramException(e);
     }
   }
 
-  private static BitSet named(JsonParser in) throws IOException {
-    if (in.nextToken() != JsonToken.VALUE_EMBEDDED_OBJECT) {
-      throw new IOException("no bytes");
+  private Datagram decode(DatagramReader in) throws IOException {
+    in.readArrayStart();
+    int version = in.readInt();
+    if (version != VERSION) {
+      throw new ForeignDatagramException("protocol version " + version + ", not " + VERSION);
     }
-    BitSet named = BitSet.valueOf(in.getBinaryValue());
-    if (named.length() > LeaseTerms.MAX_MEMBERS) {
-      throw new IOException("members beyond the most");
+    if (in.readInt() != deployment) {
+      throw new ForeignDatagramException("another deployment");
     }
-    return named;
+    int kind = in.readInt();
+    int from = in.readInt();
+    return new Datagram(
+        from,
+        switch (kind) {
+          case KIND_LEASE_REQUEST -> new Event.LeaseMessageReceived(readLeaseRequest(in, from));
+          case KIND_LEASE_GRANT -> new Event.LeaseMessageReceived(readLeaseGrant(in, from));
+          default -> new Event.GossipReceived(readGossip(in, kind, from));
+        });
   }
 
-  private static GossipUpdate rumor(JsonParser in) throws IOException {
-    int number = integer(in);
-    long epoch = number(in);
-    int incarnation = integer(in);
-    MemberState standing = one(MemberState.values(), integer(in));
-    int accuser = integer(in);
-    List<String> texts = new ArrayList<>();
-    JsonToken next = in.nextToken();
-    for (; next == JsonToken.VALUE_STRING; next = in.nextToken()) {
-      texts.add(in.getText());
-    }
-    MemberPayload slot = null;
-    if (next == JsonToken.VALUE_NUMBER_INT) {
-      slot = slot(in);
-      next = in.nextToken();
-    }
-    if (next != JsonToken.END_ARRAY || texts.size() != 0 && texts.size() != 4) {
-      throw new IOException("a rumor that is none");
+  private static LeaseMessage readLeaseRequest(DatagramReader in, int from) throws IOException {
+    long epoch = in.readLong();
+    int sequence = in.readInt();
+    return new LeaseMessage.LeaseRequest(from, epoch, sequence);
+  }
+
+  private static LeaseMessage readLeaseGrant(DatagramReader in, int from) throws IOException {
+    int sequence = in.readInt();
+    long delay = in.readLong();
+    BitSet holders = BitSet.valueOf(in.readBytes());
+    if (holders.length() > LeaseTerms.MAX_MEMBERS) {
+      throw new MalformedDatagramException(
+          "lease holder " + (holders.length() - 1) + " exceeds " + LeaseTerms.MAX_MEMBERS);
     }
-    return new GossipUpdate(
-        number,
+    return new LeaseMessage.LeaseGrant(from, sequence, delay, holders);
+  }
+
+  private static GossipMessage readGossip(DatagramReader in, int kind, int from)
+      throws IOException {
+    long epoch = in.readLong();
+    int incarnation = in.readInt();
+    int sequence = in.readInt();
+    int target = in.readInt();
+    int viewDigest = in.readInt();
+    List<GossipUpdate> updates = readUpdates(in);
+    int payloadDigest = in.readInt();
+    return new GossipMessage(
+        DatagramReader.constant(GossipMessage.Kind.values(), kind),
+        from,
         epoch,
         incarnation,
-        standing,
-        accuser,
-        texts.isEmpty()
-            ? null
-            : new MemberMetadata(texts.get(0), texts.get(1), texts.get(2), texts.get(3)),
-        slot);
+        sequence,
+        target,
+        viewDigest,
+        payloadDigest,
+        updates);
   }
 
-  private static MemberPayload slot(JsonParser in) throws IOException {
-    long count = in.getLongValue();
-    byte[] bytes = in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT ? in.getBinaryValue() : null;
-    if (bytes == null || bytes.length > MemberPayload.MAX_BYTES || count != (int) count) {
-      throw new IOException("a slot that is none");
+  private static List<GossipUpdate> readUpdates(DatagramReader in) throws IOException {
+    in.readArrayStart();
+    List<GossipUpdate> updates = new ArrayList<>();
+    while (in.next() == JsonToken.START_ARRAY && updates.size() < GossipMessage.MAX_UPDATES) {
+      updates.add(readUpdate(in));
     }
-    return new MemberPayload((int) count, bytes);
+    return List.copyOf(updates);
   }
 
-  private static void begin(JsonParser in, JsonToken token) throws IOException {
-    if (token != JsonToken.START_ARRAY) {
-      throw new IOException("no array");
+  private static GossipUpdate readUpdate(DatagramReader in) throws IOException {
+    int number = in.readInt();
+    long epoch = in.readLong();
+    int incarnation = in.readInt();
+    MemberState state = in.readConstant(MemberState.values());
+    int accuser = in.readInt();
+    List<String> texts = new ArrayList<>();
+    JsonToken token = in.next();
+    for (; token == JsonToken.VALUE_STRING; token = in.next()) {
+      texts.add(in.currentText());
     }
-  }
-
-  private static int integer(JsonParser in) throws IOException {
-    long value = number(in);
-    if (value != (int) value) {
-      throw new IOException("a number out of bounds");
+    MemberPayload payload = null;
+    if (token == JsonToken.VALUE_NUMBER_INT) {
+      payload = readPayload(in);
+      token = in.next();
     }
-    return (int) value;
+    if (token != JsonToken.END_ARRAY) {
+      throw new MalformedDatagramException("unexpected element in an update");
+    }
+    return new GossipUpdate(number, epoch, incarnation, state, accuser, toMetadata(texts), payload);
   }
 
-  private static long number(JsonParser in) throws IOException {
-    if (in.nextToken() != JsonToken.VALUE_NUMBER_INT) {
-      throw new IOException("no whole number");
+  private static MemberMetadata toMetadata(List<String> texts) throws MalformedDatagramException {
+    if (texts.isEmpty()) {
+      return null;
+    }
+    if (texts.size() != METADATA_ELEMENTS) {
+      throw new MalformedDatagramException("metadata of " + texts.size() + " texts");
     }
-    return in.getLongValue();
+    return new MemberMetadata(texts.get(0), texts.get(1), texts.get(2), texts.get(3));
   }
 
-  private static <T> T one(T[] of, int place) throws IOException {
-    if (place < 0 || place >= of.length) {
-      throw new IOException("no such kind");
+  private static MemberPayload readPayload(DatagramReader in) throws IOException {
+    int count = in.currentInt();
+    byte[] bytes = in.readBytes();
+    if (bytes.length > MemberPayload.MAX_BYTES) {
+      throw new MalformedDatagramException("payload of " + bytes.length + " bytes");
     }
-    return of[place];
+    return new MemberPayload(count, bytes);
   }
 }
--- a/src/main/java/bitternpulley/gossip/GossipService.java
+++ b/src/main/java/bitternpulley/gossip/GossipService.java
@@ -14,25 +14,28 @@
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
-import java.nio.file.Path;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.stream.IntStream;
 
 /**
- * Membership as a running subsystem: a socket, a beat, and the state machine that the core drives.
+ * Runs membership and leases: owns the datagram socket and the periodic tick, and passes messages
+ * between the socket and the broker, which drives the state machines.
  */
 public final class GossipService implements GossipTransport {
   private static final System.Logger LOG = System.getLogger(GossipService.class.getName());
 
   /**
-   * Ms between tries to take the address: during an upgrade the process that leaves still has it.
+   * Ms between attempts to bind the address: during a hot restart the process that leaves still
+   * holds it.
    */
-  private static final double TAKE_AGAIN = 250;
+  private static final double BIND_RETRY_MS = 250;
 
-  /** Senders that are remembered for having been logged once. */
-  private static final int MOST_LOGGED = 64;
+  /** Bounds the memory for what was logged once, as anyone can send from many addresses. */
+  private static final int MAX_LOGGED_KEYS = 64;
+
+  private static final String BIND_FAILURE_KEY = "bind";
 
   private final EventLoop loop;
   private final Broker broker;
@@ -40,13 +43,17 @@
   private final MembershipConfiguration membership;
   private final GossipCodec codec;
   private final List<InetSocketAddress> addresses;
-  private final Set<String> logged = new HashSet<>();
+  private final Set<String> loggedKeys = new HashSet<>();
   private final String build;
   private DatagramLink link;
-  private boolean ended;
-  private long unusable;
+  private boolean hasLeft;
+  private long ignoredDatagrams;
 
-  /** One that is not begun yet. */
+  /**
+   * A service that does not run yet.
+   *
+   * @param build version of this program, which the other members are shown
+   */
   public GossipService(
       EventLoop loop,
       Broker broker,
@@ -64,37 +71,43 @@
   }
 
   /**
-   * Has what all may do together go by leases, where the script has them, from before the first
-   * query on.
+   * Puts leases in force before the first query, where the operators' script configures them: until
+   * the instance holds leases it has no quota.
    */
   public void open() {
     membership
         .leases()
         .ifPresent(
-            l ->
+            leases ->
                 broker.submit(
                     new Event.LeasesStarted(
-                        new Leases(config.settings().self(), config.leaseTerms(l)))));
+                        new Leases(config.settings().self(), config.leaseTerms(leases)))));
   }
 
-  /** Takes the address, at once or as soon as it is free, and begins to look for the others. */
+  /** Binds the address, at once or as soon as it is free, and starts membership. */
   public void start() {
-    if (ended) {
+    if (hasLeft) {
       return;
     }
     try {
       link =
           new DatagramLink(
-              loop, config.peers().orElseThrow().listen(), GossipCodec.MOST_BYTES, this::received);
+              loop,
+              config.peers().orElseThrow().listen(),
+              GossipCodec.MAX_DATAGRAM_BYTES,
+              this::onDatagram);
     } catch (IOException e) {
-      once(
-          "address",
-          "membership waits for its address, which another process has: " + e.getMessage());
-      loop.after(TAKE_AGAIN, this::start);
+      logOnce(
+          BIND_FAILURE_KEY,
+          "Membership waits for its address, which another process holds: " + e.getMessage());
+      var unused = loop.after(BIND_RETRY_MS, this::start);
       return;
     }
-    Path folder = config.operations().folder().orElse(null);
-    long epoch = EpochFile.next(folder, broker.now());
+    startMembership();
+  }
+
+  private void startMembership() {
+    long epoch = EpochFile.next(config.operations().folder().orElse(null), broker.now());
     int self = config.settings().self();
     Membership core =
         new Membership(
@@ -107,9 +120,9 @@
             broker.now());
     LOG.log(
         Level.INFO,
-        "membership begins: number " + self + " of " + addresses.size() + ", epoch " + epoch);
+        "Membership started: member " + self + " of " + addresses.size() + ", epoch " + epoch);
     broker.submit(new Event.MembershipStarted(core));
-    beat(core);
+    tick(core);
   }
 
   private String zone() {
@@ -117,29 +130,29 @@
     return zone < config.zones().size() ? config.zones().get(zone) : "";
   }
 
-  private void beat(Membership core) {
-    if (!ended) {
+  private void tick(Membership core) {
+    if (!hasLeft) {
       broker.submit(new Event.MembershipTick());
-      loop.after(core.tickInterval(), () -> beat(core));
+      var unused = loop.after(core.tickInterval(), () -> tick(core));
     }
   }
 
-  /** Tells the others that this one goes, and ends. */
+  /** Announces to the other members that this one leaves, and stops the ticks. */
   public void leave() {
-    if (!ended) {
+    if (!hasLeft) {
       broker.submit(new Event.MembershipLeaveRequested());
-      ended = true;
+      hasLeft = true;
     }
   }
 
   @Override
-  public void send(Effect.SendGossip told) {
-    send(told.to(), codec.encode(told.message()));
+  public void send(Effect.SendGossip effect) {
+    send(effect.to(), codec.encode(effect.message()));
   }
 
   @Override
-  public void send(Effect.SendLeaseMessage told) {
-    send(told.to(), codec.encode(told.message()));
+  public void send(Effect.SendLeaseMessage effect) {
+    send(effect.to(), codec.encode(effect.message()));
   }
 
   private void send(int to, byte[] datagram) {
@@ -148,30 +161,37 @@
     }
   }
 
-  private void received(byte[] bytes, int length, InetSocketAddress from) {
+  private void onDatagram(byte[] bytes, int length, InetSocketAddress from) {
+    GossipCodec.Datagram datagram;
     try {
-      GossipCodec.Datagram datagram = codec.decode(bytes, length);
-      int number = datagram.from();
-      if (number < 0 || number >= addresses.size() || !addresses.get(number).equals(from)) {
-        throw new IOException("it claims number " + number + ", which is elsewhere");
-      }
-      broker.submit(datagram.event());
-    } catch (IOException e) {
-      unusable++;
-      once(
-          from.toString(),
-          "datagrams from "
-              + from
-              + " are ignored: "
-              + e.getMessage()
-              + " ("
-              + unusable
-              + " so far)");
+      datagram = codec.decode(bytes, length);
+    } catch (DatagramException e) {
+      ignore(from, e.getMessage());
+      return;
+    }
+    int number = datagram.from();
+    if (number < 0 || number >= addresses.size() || !addresses.get(number).equals(from)) {
+      ignore(from, "it claims to be member " + number + ", which has another address");
+      return;
     }
+    broker.submit(datagram.event());
+  }
+
+  private void ignore(InetSocketAddress from, String defect) {
+    ignoredDatagrams++;
+    logOnce(
+        from.toString(),
+        "Ignoring datagrams from "
+            + from
+            + ": "
+            + defect
+            + " ("
+            + ignoredDatagrams
+            + " datagrams ignored so far)");
   }
 
-  private void once(String key, String text) {
-    if (logged.size() < MOST_LOGGED && logged.add(key)) {
+  private void logOnce(String key, String text) {
+    if (loggedKeys.size() < MAX_LOGGED_KEYS && loggedKeys.add(key)) {
       LOG.log(Level.WARNING, text);
     }
   }
--- a/src/test/java/bitternpulley/gossip/ControlTrafficTest.java
+++ b/src/test/java/bitternpulley/gossip/ControlTrafficTest.java
@@ -28,7 +28,7 @@
     for (int count : ControlTraffic.SMALL) {
       ControlTraffic.Rate rate = ControlTraffic.atRest(count);
       assertTrue(rate.mostBytes() < MOST_BYTES, count + " members: " + rate);
-      assertTrue(rate.longest() <= GossipCodec.MOST_BYTES, rate.toString());
+      assertTrue(rate.longest() <= GossipCodec.MAX_DATAGRAM_BYTES, rate.toString());
       line.addData(count, rate.bytes());
     }
     assertTrue(
@@ -45,7 +45,7 @@
               ControlTraffic.zoneLost(count),
               ControlTraffic.lossy(count))) {
         assertTrue(rate.mostBytes() < MOST_BYTES, count + " members: " + rate);
-        assertTrue(rate.longest() <= GossipCodec.MOST_BYTES, rate.toString());
+        assertTrue(rate.longest() <= GossipCodec.MAX_DATAGRAM_BYTES, rate.toString());
       }
     }
   }
--- a/src/test/java/bitternpulley/gossip/PeerCodecTest.java
+++ b/src/test/java/bitternpulley/gossip/PeerCodecTest.java
@@ -103,7 +103,7 @@
                   now)));
       for (GossipMessage message : out) {
         byte[] bytes = codec.encode(message);
-        assertTrue(bytes.length <= GossipCodec.MOST_BYTES);
+        assertTrue(bytes.length <= GossipCodec.MAX_DATAGRAM_BYTES);
         assertEquals(new Event.GossipReceived(message), codec.decode(bytes, bytes.length).event());
       }
     }
@@ -138,7 +138,7 @@
             new LeaseMessage.LeaseGrant(1499, Integer.MAX_VALUE, 600_000, all),
             new LeaseMessage.LeaseGrant(0, 1, 0, new BitSet()))) {
       byte[] bytes = codec.encode(m);
-      assertTrue(bytes.length <= GossipCodec.MOST_BYTES);
+      assertTrue(bytes.length <= GossipCodec.MAX_DATAGRAM_BYTES);
       assertEquals(
           new GossipCodec.Datagram(m.from(), new Event.LeaseMessageReceived(m)),
           codec.decode(bytes, bytes.length));
@@ -146,7 +146,7 @@
     BitSet beyond = new BitSet();
     beyond.set(LeaseTerms.MAX_MEMBERS);
     byte[] bytes = codec.encode(new LeaseMessage.LeaseGrant(0, 1, 0, beyond));
-    assertThrows(IOException.class, () -> codec.decode(bytes, bytes.length));
+    assertThrows(MalformedDatagramException.class, () -> codec.decode(bytes, bytes.length));
   }
 
   private void take(byte[] bytes) {
@@ -180,8 +180,8 @@
     byte[] bytes =
         codec.encode(new GossipMessage(GossipMessage.Kind.PING, 1, 5, 0, 1, 0, 0, List.of()));
     assertThrows(
-        GossipCodec.Foreign.class, () -> new GossipCodec("other").decode(bytes, bytes.length));
+        ForeignDatagramException.class, () -> new GossipCodec("other").decode(bytes, bytes.length));
     bytes[1] = 2;
-    assertThrows(GossipCodec.Foreign.class, () -> codec.decode(bytes, bytes.length));
+    assertThrows(ForeignDatagramException.class, () -> codec.decode(bytes, bytes.length));
   }
 }
