--- a/src/main/java/bitternpulley/gossip/EpochFile.java
+++ b/src/main/java/bitternpulley/gossip/EpochFile.java
@@ -35,16 +35,16 @@
       Files.writeString(temporary, Long.toString(epoch));
       Files.move(
           temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-    } catch (IOException e) {
-      LOG.log(Level.WARNING, "Epoch " + epoch + " is not stored in " + file + ": " + e);
+    } catch (IOException failure) {
+      LOG.log(Level.WARNING, "Epoch " + epoch + " is not stored in " + file + ": " + failure);
     }
   }
 
   private static long readLast(Path file) {
     try {
       return Files.exists(file) ? Long.parseLong(Files.readString(file).trim()) : 0;
-    } catch (IOException | NumberFormatException e) {
-      LOG.log(Level.WARNING, "No epoch in " + file + ", using the time: " + e);
+    } catch (IOException | NumberFormatException failure) {
+      LOG.log(Level.WARNING, "No epoch in " + file + ", using the time: " + failure);
       return 0;
     }
   }
--- a/src/main/java/bitternpulley/gossip/GossipCodec.java
+++ b/src/main/java/bitternpulley/gossip/GossipCodec.java
@@ -127,8 +127,8 @@
       out.writeNumber(from);
       body.write(out);
       out.writeEndArray();
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
     }
     if (bytes.size() > MAX_DATAGRAM_BYTES) {
       throw new IllegalStateException(
@@ -175,10 +175,10 @@
     }
     try (JsonParser parser = CBOR.createParser(bytes, 0, length)) {
       return decode(new DatagramReader(parser));
-    } catch (DatagramException e) {
-      throw e;
-    } catch (IOException e) {
-      throw new MalformedDatagramException(e);
+    } catch (DatagramException failure) {
+      throw failure;
+    } catch (IOException failure) {
+      throw new MalformedDatagramException(failure);
     }
   }
 
--- a/src/main/java/bitternpulley/gossip/GossipService.java
+++ b/src/main/java/bitternpulley/gossip/GossipService.java
@@ -96,10 +96,10 @@
               config.peers().orElseThrow().listen(),
               GossipCodec.MAX_DATAGRAM_BYTES,
               this::onDatagram);
-    } catch (IOException e) {
+    } catch (IOException failure) {
       logOnce(
           BIND_FAILURE_KEY,
-          "Membership waits for its address, which another process holds: " + e.getMessage());
+          "Membership waits for its address, which another process holds: " + failure.getMessage());
       var unused = loop.after(BIND_RETRY_MS, this::start);
       return;
     }
@@ -165,8 +165,8 @@
     GossipCodec.Datagram datagram;
     try {
       datagram = codec.decode(bytes, length);
-    } catch (DatagramException e) {
-      ignore(from, e.getMessage());
+    } catch (DatagramException failure) {
+      ignore(from, failure.getMessage());
       return;
     }
     int number = datagram.from();
--- a/src/main/java/bitternpulley/leases/LeaseHolder.java
+++ b/src/main/java/bitternpulley/leases/LeaseHolder.java
@@ -1,5 +1,6 @@
 package bitternpulley.leases;
 
+import java.util.Arrays;
 import java.util.BitSet;
 
 /** A member's leases, one of each witness. */
@@ -13,9 +14,7 @@
     this.self = self;
     this.terms = terms;
     leases = new WitnessLease[terms.witnesses().size()];
-    for (int i = 0; i < leases.length; i++) {
-      leases[i] = new WitnessLease();
-    }
+    Arrays.setAll(leases, position -> new WitnessLease());
   }
 
   /**
--- a/src/main/java/bitternpulley/leases/Leases.java
+++ b/src/main/java/bitternpulley/leases/Leases.java
@@ -68,10 +68,10 @@
     }
     nextRequestAt = now + terms.renewalInterval();
     List<OutgoingMessage> requests = new ArrayList<>();
-    for (int i = 0; i < terms.witnesses().size(); i++) {
-      int to = terms.witnesses().get(i);
+    for (int position = 0; position < terms.witnesses().size(); position++) {
+      int to = terms.witnesses().get(position);
       LeaseMessage.LeaseRequest request =
-          new LeaseMessage.LeaseRequest(self, epoch, holder.request(i, now));
+          new LeaseMessage.LeaseRequest(self, epoch, holder.request(position, now));
       if (to == self) {
         grant(request, now).ifPresent(grant -> holder.accept(grant, now));
       } else {
--- a/src/main/java/bitternpulley/leases/package-info.java
+++ b/src/main/java/bitternpulley/leases/package-info.java
@@ -13,7 +13,7 @@
  * never exceed the budget, under partitions, message loss, delay, pauses and restarts; a member is
  * listed until its lease has surely expired; a member without a majority of leases has quota 0.
  *
- * <p>It knows nothing of queries and does not detect failures: a dead member is one that stops
+ * <p>It does not know queries and does not detect failures: a dead member is one that stops
  * requesting. The broker calls it; the routing policy reads {@link
  * bitternpulley.leases.Leases#quotaFactor}. Start reading at {@link bitternpulley.leases.Leases}.
  */
