--- a/src/main/java/bitternpulley/membership/AntiEntropy.java
+++ b/src/main/java/bitternpulley/membership/AntiEntropy.java
@@ -4,62 +4,68 @@
 import java.util.List;
 
 /**
- * What is known of all members, a page in each message, the next one each time: repairs what rumors
- * missed.
+ * Pages of what this instance knows of all members, a further page with each sync message. Repairs
+ * what dissemination has missed.
  */
 final class AntiEntropy {
-  private final int self;
-  private int from;
-  private int slotFrom;
+  private final LocalMember local;
+  private final MembershipTable table;
+  private int nextState;
+  private int nextPayload;
 
-  AntiEntropy(int self) {
-    this.self = self;
+  AntiEntropy(LocalMember local, MembershipTable table) {
+    this.local = local;
+    this.table = table;
   }
 
-  /** As many slots as fit, of members by turns, for one that needs to be told nothing of itself. */
-  List<GossipUpdate> slots(LocalMember me, MembershipTable table, int to) {
+  /** The next page of payloads for a receiver, without the receiver's own. */
+  List<GossipUpdate> payloadPage(int receiver) {
     List<GossipUpdate> page = new ArrayList<>();
-    int left = GossipMessage.UPDATE_BYTES;
-    if (me.slot() != null) {
-      page.add(me.slotRumor());
-      left -= me.slotRumor().bytes();
+    int bytesLeft = GossipMessage.UPDATE_BYTES;
+    if (local.hasPayload()) {
+      page.add(local.payloadUpdate());
+      bytesLeft -= local.payloadUpdate().maxEncodedBytes();
     }
-    List<Member> told = table.all().stream().filter(m -> m.slot != null && m.number != to).toList();
-    for (int i = 0; i < told.size() && page.size() < GossipMessage.MAX_UPDATES; i++) {
-      GossipUpdate next = told.get((slotFrom + i) % told.size()).slotRumor();
-      if (next.bytes() > left) {
-        slotFrom = (slotFrom + i) % told.size();
+    List<Member> publishers =
+        table.all().stream()
+            .filter(member -> member.payload() != null && member.number() != receiver)
+            .toList();
+    int offset = 0;
+    while (offset < publishers.size() && page.size() < GossipMessage.MAX_UPDATES) {
+      int position = (nextPayload + offset) % publishers.size();
+      GossipUpdate update = publishers.get(position).payloadUpdate();
+      if (update.maxEncodedBytes() > bytesLeft) {
+        nextPayload = position;
         break;
       }
-      page.add(next);
-      left -= next.bytes();
+      page.add(update);
+      bytesLeft -= update.maxEncodedBytes();
+      offset++;
     }
     return page;
   }
 
-  /**
-   * The next page of standings for one that needs to be told nothing of itself; {@code own} is this
-   * instance's word and comes first.
-   */
-  List<GossipUpdate> standings(GossipUpdate own, MembershipTable table, int to) {
+  /** The next page of states for a receiver: this instance's own first, the receiver's left out. */
+  List<GossipUpdate> statePage(int receiver) {
+    GossipUpdate own = local.update();
     List<GossipUpdate> page = new ArrayList<>();
     page.add(own);
-    int left = GossipMessage.UPDATE_BYTES - own.bytes();
-    List<Member> all = new ArrayList<>(table.all());
-    int next = from;
-    for (int i = 0; i < all.size() && page.size() < GossipMessage.MAX_UPDATES; i++) {
-      Member m = all.get((from + i) % all.size());
-      GossipUpdate known = m.rumor(m.standing == MemberState.ALIVE ? -1 : self);
-      if (known.bytes() > left) {
+    int bytesLeft = GossipMessage.UPDATE_BYTES - own.maxEncodedBytes();
+    List<Member> members = new ArrayList<>(table.all());
+    int offset = 0;
+    while (offset < members.size() && page.size() < GossipMessage.MAX_UPDATES) {
+      Member member = members.get((nextState + offset) % members.size());
+      GossipUpdate update = member.isAlive() ? member.update() : member.update(local.number());
+      if (update.maxEncodedBytes() > bytesLeft) {
         break;
       }
-      next = from + i + 1;
-      if (m.epoch != 0 && m.number != to) {
-        page.add(known);
-        left -= known.bytes();
+      offset++;
+      if (member.isKnown() && member.number() != receiver) {
+        page.add(update);
+        bytesLeft -= update.maxEncodedBytes();
       }
     }
-    from = all.isEmpty() ? 0 : next % all.size();
+    nextState = members.isEmpty() ? 0 : (nextState + offset) % members.size();
     return page;
   }
 }
--- a/src/main/java/bitternpulley/membership/DisseminationQueue.java
+++ b/src/main/java/bitternpulley/membership/DisseminationQueue.java
@@ -7,72 +7,89 @@
 import java.util.Map;
 
 /**
- * What is to be told to others: each rumor some times the logarithm of the members' number, what is
- * urgent and told least first.
+ * Updates to be piggybacked on messages: urgent ones first, then the least transmitted. Each is
+ * transmitted a multiple of the logarithm of the number of members (SWIM's infection-style
+ * dissemination). A later update about a member replaces the earlier one.
  */
 final class DisseminationQueue {
-  /** Times the logarithm (base 2) of the number of members that a rumor is told. */
-  private static final double TIMES = 3;
+  /** Transmissions of an update per binary logarithm of the number of members. */
+  private static final double TRANSMISSIONS_PER_LOG = 3;
+
+  private static final int URGENT = 0;
+  private static final int DEFERRABLE = 1;
 
   private static final class Entry {
-    final GossipUpdate rumor;
-    final int rank;
-    int told;
+    private final GossipUpdate update;
+    private final int rank;
+    private int transmissions;
 
-    Entry(GossipUpdate rumor, int rank) {
-      this.rumor = rumor;
+    Entry(GossipUpdate update, int rank) {
+      this.update = update;
       this.rank = rank;
     }
   }
 
+  private static final Comparator<Entry> ORDER =
+      Comparator.<Entry>comparingInt(entry -> entry.rank)
+          .thenComparingInt(entry -> entry.transmissions)
+          .thenComparingInt(entry -> entry.update.number());
+
   private final Map<Integer, Entry> byMember = new HashMap<>();
 
-  /** The latest word on a member takes the place of the one before. */
-  void add(GossipUpdate rumor) {
-    byMember.put(rumor.number(), new Entry(rumor, 0));
+  void add(GossipUpdate update) {
+    byMember.put(update.number(), new Entry(update, URGENT));
   }
 
   /**
-   * The same for what can wait: it goes behind all else. Guards against a start of very many, of
-   * each of which all others have much to say, by which the word on one that is suspect would be
-   * minutes late.
+   * Adds an update that waits until nothing urgent is left: the first contacts of a starting fleet
+   * would otherwise delay suspicions by minutes.
    */
-  void addLater(GossipUpdate rumor) {
-    byMember.put(rumor.number(), new Entry(rumor, 1));
+  void addDeferrable(GossipUpdate update) {
+    byMember.put(update.number(), new Entry(update, DEFERRABLE));
   }
 
-  /**
-   * As many rumors, up to {@code most}, as fit so many bytes of the next message; {@code first} (or
-   * null) is one of them.
-   */
-  List<GossipUpdate> next(int members, GossipUpdate first, int bytes, int most) {
-    List<GossipUpdate> next = new ArrayList<>();
-    int left = bytes;
-    if (first == null && byMember.isEmpty()) {
-      return next;
-    }
-    if (first != null) {
-      next.add(first);
-      left -= first.bytes();
+  /** Takes updates for one message, at most {@code limit} and of at most that many bytes. */
+  List<GossipUpdate> take(int members, int bytes, int limit) {
+    List<GossipUpdate> selected = new ArrayList<>();
+    selectInto(selected, members, bytes, limit);
+    return selected;
+  }
+
+  /** The same, with {@code first} as the first update of the message. */
+  List<GossipUpdate> takeAfter(GossipUpdate first, int members, int bytes, int limit) {
+    List<GossipUpdate> selected = new ArrayList<>();
+    selected.add(first);
+    selectInto(selected, members, bytes - first.maxEncodedBytes(), limit);
+    return selected;
+  }
+
+  private void selectInto(List<GossipUpdate> selected, int members, int bytes, int limit) {
+    if (byMember.isEmpty()) {
+      return;
     }
-    int limit = (int) Math.ceil(TIMES * Math.log(members + 1) / Math.log(2));
+    int alreadyIncluded = selected.isEmpty() ? -1 : selected.get(0).number();
+    int bytesLeft = bytes;
+    int maxTransmissions =
+        (int) Math.ceil(TRANSMISSIONS_PER_LOG * Math.log(members + 1) / Math.log(2));
     List<Entry> entries = new ArrayList<>(byMember.values());
-    entries.sort(
-        Comparator.<Entry>comparingInt(e -> e.rank)
-            .thenComparingInt(e -> e.told)
-            .thenComparingInt(e -> e.rumor.number()));
-    for (Entry e : entries) {
-      if (next.size() >= most) {
-        break;
+    entries.sort(ORDER);
+    for (Entry entry : entries) {
+      if (selected.size() >= limit) {
+        return;
       }
-      if (e.rumor.bytes() <= left && (first == null || e.rumor.number() != first.number())) {
-        next.add(e.rumor);
-        left -= e.rumor.bytes();
-        if (++e.told >= limit) {
-          byMember.remove(e.rumor.number());
-        }
+      GossipUpdate update = entry.update;
+      if (update.maxEncodedBytes() <= bytesLeft && update.number() != alreadyIncluded) {
+        selected.add(update);
+        bytesLeft -= update.maxEncodedBytes();
+        recordTransmission(entry, maxTransmissions);
       }
     }
-    return next;
+  }
+
+  private void recordTransmission(Entry entry, int maxTransmissions) {
+    entry.transmissions++;
+    if (entry.transmissions >= maxTransmissions) {
+      byMember.remove(entry.update.number());
+    }
   }
 }
--- a/src/main/java/bitternpulley/membership/GossipMessage.java
+++ b/src/main/java/bitternpulley/membership/GossipMessage.java
@@ -3,13 +3,19 @@
 import java.util.List;
 
 /**
- * One datagram. Its sender's number, epoch and incarnation stand in each: who hears it hears that
- * this process runs.
+ * One datagram of the membership protocol. It names its sender's process, so every message is
+ * evidence that this process runs.
  *
- * @param target whom a {@link Kind#RELAY} asks about, or an {@link Kind#ACK} speaks for; else the
- *     receiver
- * @param viewDigest the sender's digest of its view, so that a difference is noticed
- * @param payloadDigest the same of what members tell of themselves
+ * @param kind what the message is for
+ * @param from number of the sender
+ * @param epoch start of the sender's process
+ * @param incarnation how often that process has refuted a suspicion
+ * @param sequence number of the probe that the message belongs to, 0 for none
+ * @param target the member that a {@link Kind#RELAY} asks to probe or an {@link Kind#ACK} speaks
+ *     for; otherwise the receiver
+ * @param viewDigest digest of the sender's view, by which a difference is detected
+ * @param payloadDigest digest of the payloads that the sender knows
+ * @param updates claims about members, at most {@link #MAX_UPDATES} of which are read
  */
 public record GossipMessage(
     Kind kind,
@@ -21,7 +27,16 @@
     int viewDigest,
     int payloadDigest,
     List<GossipUpdate> updates) {
-  /** One whose sender knows of nothing that members tell. */
+  /** The most updates that are read of one message. */
+  public static final int MAX_UPDATES = 8;
+
+  private static final int DATAGRAM_BYTES = 256;
+  private static final int MAX_HEADER_BYTES = 47;
+
+  /** Bytes of a datagram that are left for updates. */
+  static final int UPDATE_BYTES = DATAGRAM_BYTES - MAX_HEADER_BYTES;
+
+  /** A message whose sender knows no payloads. */
   public GossipMessage(
       Kind kind,
       int from,
@@ -29,26 +44,22 @@
       int incarnation,
       int sequence,
       int target,
-      int view,
-      List<GossipUpdate> rumors) {
-    this(kind, from, epoch, incarnation, sequence, target, view, 0, rumors);
+      int viewDigest,
+      List<GossipUpdate> updates) {
+    this(kind, from, epoch, incarnation, sequence, target, viewDigest, 0, updates);
   }
 
-  /** Most rumors that a message may bear; what is beyond is not looked at. */
-  public static final int MAX_UPDATES = 8;
-
-  /** Bytes that a datagram has for rumors, of the platform's 256. */
-  static final int UPDATE_BYTES = 256 - 47;
-
-  /**
-   * A probe; its answer; a request to probe another; word that this other did not answer; a page of
-   * the sender's view.
-   */
+  /** The kinds of messages. Datagrams carry the position of the constant. */
   public enum Kind {
+    /** A probe. */
     PING,
+    /** The answer to a probe, by its target or passed on by a relay. */
     ACK,
+    /** A request to probe the target on the sender's behalf (SWIM's ping-req). */
     RELAY,
+    /** A relay's message that the target did not answer it. */
     NACK,
+    /** A page of the sender's view, for anti-entropy. */
     SYNC
   }
 }
--- a/src/main/java/bitternpulley/membership/LocalHealth.java
+++ b/src/main/java/bitternpulley/membership/LocalHealth.java
@@ -1,15 +1,21 @@
 package bitternpulley.membership;
 
 /**
- * How far an instance trusts itself: 0 where it is well, up to {@link #MOST} (Lifeguard's local
- * health multiplier). What it fails at, and what others hold against it, may be its own fault; then
- * it waits longer before it blames anybody.
+ * How far this instance doubts itself: 0 where it is healthy, up to {@link #MAX_SCORE} (Lifeguard's
+ * local health multiplier). Missed acks and refuted suspicions may be its own fault; the higher the
+ * score, the longer it waits before it blames others.
  */
 final class LocalHealth {
-  static final int MOST = 8;
+  static final int MAX_SCORE = 8;
 
-  /** Each so many intervals that an instance did not run count as a failure of its own. */
-  private static final double PAUSE_INTERVALS = 1;
+  /** Intervals of a pause that count as one missed ack. */
+  private static final double INTERVALS_PER_SCORE = 1;
+
+  /** Score at which the probe interval doubles. */
+  private static final double INTERVAL_DOUBLING_SCORE = 4.0;
+
+  /** Score at which the time that suspects have doubles. */
+  private static final double SUSPICION_DOUBLING_SCORE = 2.0;
 
   private int score;
 
@@ -17,42 +23,42 @@
     return score;
   }
 
-  /** Times as long that its probes wait for an answer. */
-  double stretch() {
+  /** Factor of the time that probes wait for an answer. */
+  double timeoutFactor() {
     return 1 + score;
   }
 
   /**
-   * Times as long until its next probe: less than it waits, as only by answers does it come to
-   * trust itself again.
+   * Factor of the probe interval. It grows less than the time-out, since only answered probes lower
+   * the score again.
    */
-  double pace() {
-    return 1 + score / 4.0;
+  double intervalFactor() {
+    return 1 + score / INTERVAL_DOUBLING_SCORE;
   }
 
-  /** Times as long that a suspect has before this instance believes what it sees. */
-  double patience() {
-    return 1 + score / 2.0;
+  /** Factor of the time that a suspect has to refute. */
+  double suspicionFactor() {
+    return 1 + score / SUSPICION_DOUBLING_SCORE;
   }
 
-  void answered() {
+  void recordAck() {
     score = Math.max(0, score - 1);
   }
 
-  void unanswered() {
+  void recordMissedAck() {
     raise(1);
   }
 
-  /** It had to refute what others held of it. */
-  void accused() {
+  /** Others suspected this instance, so it was slow to answer them. */
+  void recordRefutation() {
     raise(1);
   }
 
-  void paused(double ms, double interval) {
-    raise((int) Math.min(MOST, ms / (PAUSE_INTERVALS * interval)));
+  void recordPause(double ms, double interval) {
+    raise((int) Math.min(MAX_SCORE, ms / (INTERVALS_PER_SCORE * interval)));
   }
 
-  private void raise(int by) {
-    score = Math.min(MOST, score + by);
+  private void raise(int increment) {
+    score = Math.min(MAX_SCORE, score + increment);
   }
 }
--- a/src/main/java/bitternpulley/membership/LocalMember.java
+++ b/src/main/java/bitternpulley/membership/LocalMember.java
@@ -1,41 +1,24 @@
 package bitternpulley.membership;
 
-/** What this instance is, and how it answers what is said of it. */
-final class LocalMember {
-  /**
-   * Ms by which a process may be ahead of our clock; one further ahead is made up. Bears clocks
-   * that are hours apart.
-   */
-  private static final double EPOCH_AHEAD = 86_400_000;
-
-  /**
-   * So often refuted, a process begins a new epoch: what is said of a higher incarnation is made
-   * up.
-   */
-  private static final int MOST_INCARNATION = 1_000_000;
-
-  /** What is said of a slot of a higher count is made up: at one a second it takes years. */
-  static final int MOST_COUNT = 1_000_000_000;
+import java.util.Arrays;
 
+/** This instance as a member: its process, metadata and payload, and how it refutes suspicions. */
+final class LocalMember {
   private final int number;
-  private final MemberMetadata card;
+  private final MemberMetadata metadata;
   private long epoch;
   private int incarnation;
-  private boolean leaving;
-  private MemberPayload slot;
+  private boolean isLeaving;
+  private MemberPayload payload;
 
-  LocalMember(int number, MemberMetadata card, long epoch) {
+  LocalMember(int number, MemberMetadata metadata, long epoch) {
     this.number = number;
-    this.card = card;
+    this.metadata = metadata;
     this.epoch = epoch;
   }
 
-  /** Whether there can be such a process. Guards against numbers that nobody could ever exceed. */
-  static boolean plausible(long epoch, int incarnation, double now) {
-    return epoch > 0
-        && epoch <= now + EPOCH_AHEAD
-        && incarnation >= 0
-        && incarnation <= MOST_INCARNATION;
+  int number() {
+    return number;
   }
 
   long epoch() {
@@ -46,79 +29,95 @@
     return incarnation;
   }
 
-  MemberMetadata card() {
-    return card;
-  }
-
-  boolean leaving() {
-    return leaving;
+  boolean isLeaving() {
+    return isLeaving;
   }
 
   void leave() {
-    leaving = true;
+    isLeaving = true;
   }
 
-  MemberState standing() {
-    return leaving ? MemberState.LEFT : MemberState.ALIVE;
+  MemberState state() {
+    return isLeaving ? MemberState.LEFT : MemberState.ALIVE;
   }
 
-  /** What it tells of itself from now on; false where it tells so already. */
-  boolean tell(byte[] bytes) {
-    if (slot != null && java.util.Arrays.equals(slot.bytes(), bytes)) {
+  /** Replaces the payload; false where it is the same already. */
+  boolean publish(byte[] bytes) {
+    if (payload != null && Arrays.equals(payload.bytes(), bytes)) {
       return false;
     }
-    slot = new MemberPayload(slot == null ? 1 : slot.count() + 1, bytes);
+    payload = new MemberPayload(payloadCount() + 1, bytes);
     return true;
   }
 
-  MemberPayload slot() {
-    return slot;
+  /** Number of the latest payload; 0 where none was published. */
+  int payloadCount() {
+    return payload == null ? 0 : payload.count();
   }
 
-  GossipUpdate slotRumor() {
-    return new GossipUpdate(number, epoch, incarnation, standing(), -1, null, slot);
+  boolean hasPayload() {
+    return payload != null;
   }
 
   /**
-   * Whether somebody tells a slot of this process that it did not tell; then its own is told anew,
-   * as a later one.
+   * Whether an update carries a payload of this process that it did not publish; if so, its own is
+   * published again with a greater count.
    */
-  boolean corrects(GossipUpdate said) {
-    boolean wrong =
-        said.payload() != null
-            && said.epoch() == epoch
-            && !said.payload().equals(slot)
-            && said.payload().count() >= (slot == null ? 0 : slot.count())
-            && said.payload().count() < MOST_COUNT;
-    if (wrong) {
-      slot =
-          new MemberPayload(said.payload().count() + 1, slot == null ? new byte[0] : slot.bytes());
+  boolean correctPayload(GossipUpdate update) {
+    MemberPayload received = update.payload();
+    boolean isForged =
+        received != null
+            && update.epoch() == epoch
+            && !received.equals(payload)
+            && received.count() >= payloadCount()
+            && received.count() < GossipLimits.MAX_PAYLOAD_COUNT;
+    if (isForged) {
+      byte[] own = payload == null ? new byte[0] : payload.bytes();
+      payload = new MemberPayload(received.count() + 1, own);
     }
-    return wrong;
-  }
-
-  GossipUpdate rumor() {
-    return new GossipUpdate(number, epoch, incarnation, standing(), -1, card);
+    return isForged;
   }
 
   /**
-   * Takes a later word than what is held of this instance, or of a later process of its number;
-   * whether there was need.
+   * Refutes an update that accuses this instance or is newer than its own incarnation, by taking a
+   * later incarnation or epoch; whether that was necessary.
    */
-  boolean refutes(GossipUpdate said) {
-    boolean later = said.newerThan(epoch, incarnation);
-    boolean accused =
-        said.state() != MemberState.ALIVE
-            && (later || said.epoch() == epoch && said.incarnation() == incarnation);
-    if (leaving || !later && !accused) {
+  boolean refute(GossipUpdate update) {
+    boolean isNewer = update.isNewerThan(epoch, incarnation);
+    boolean isAccused =
+        update.state() != MemberState.ALIVE
+            && (isNewer || update.isSameVersion(epoch, incarnation));
+    if (isLeaving || !isNewer && !isAccused) {
       return false;
     }
-    if (said.epoch() > epoch || Math.max(incarnation, said.incarnation()) >= MOST_INCARNATION) {
-      epoch = Math.max(epoch, said.epoch()) + 1;
+    advancePast(update);
+    return true;
+  }
+
+  private void advancePast(GossipUpdate update) {
+    int highest = Math.max(incarnation, update.incarnation());
+    if (update.epoch() > epoch || highest >= GossipLimits.MAX_INCARNATION) {
+      epoch = Math.max(epoch, update.epoch()) + 1;
       incarnation = 0;
     } else {
-      incarnation = Math.max(incarnation, said.incarnation()) + 1;
+      incarnation = highest + 1;
     }
-    return true;
+  }
+
+  /** Its state as an update. */
+  GossipUpdate update() {
+    return new GossipUpdate(number, epoch, incarnation, state(), GossipUpdate.NO_ACCUSER, metadata);
+  }
+
+  /** Its payload as an update, without its metadata. */
+  GossipUpdate payloadUpdate() {
+    return new GossipUpdate(
+        number, epoch, incarnation, state(), GossipUpdate.NO_ACCUSER, null, payload);
+  }
+
+  /** This instance in its own view. */
+  MemberView view(double uptimeMs) {
+    return new MemberView(
+        number, epoch, state(), metadata, uptimeMs, 0, false, ReachabilityReport.of(payload));
   }
 }
--- a/src/main/java/bitternpulley/membership/Member.java
+++ b/src/main/java/bitternpulley/membership/Member.java
@@ -1,95 +1,253 @@
 package bitternpulley.membership;
 
-/** What is known of one member. Plain state: {@link Membership} changes it. */
+/**
+ * The record of one other member: its process, its state, and the evidence for that. Times are ms
+ * of the caller's clock. A member is suspect exactly while it has a {@link Suspicion}.
+ */
 final class Member {
+  /** Messages read of one member per interval: some 10 are usual, a backlog arrives at once. */
+  private static final int MAX_MESSAGES_PER_INTERVAL = 256;
+
   /**
-   * Messages of one member in an interval: some 10 are usual, and what lay there while one was
-   * stopped comes at once.
+   * Consecutive probes answered only through relays after which the direct path counts as cut: at
+   * 20 % loss, two in a row are still common.
    */
-  private static final int MOST_SAID = 256;
+  private static final int UNREACHABLE_AFTER = 3;
+
+  private static final int NO_CLAIMANT = -1;
+
+  private final int number;
+  private MemberMetadata metadata;
+  private long epoch;
+  private int incarnation;
+  private MemberState state = MemberState.ALIVE;
+  private Suspicion suspicion;
+  private double stateChangedAt;
+  private MemberPayload payload;
+  private double lastMessageAt = Double.NEGATIVE_INFINITY;
+  private double lastEvidenceAt = Double.NEGATIVE_INFINITY;
+  private double lastProbeFailureAt = Double.NEGATIVE_INFINITY;
+  private long claimedEpoch;
+  private int claimedBy = NO_CLAIMANT;
+  private boolean isReachedIndirectly;
+  private int consecutiveIndirectAcks;
+  private boolean isReportedLeaving;
+  private double countingSince = Double.NEGATIVE_INFINITY;
+  private int messagesCounted;
+
+  /** A configured member of which no process is known yet. */
+  Member(int number, double now) {
+    this.number = number;
+    this.stateChangedAt = now;
+  }
+
+  int number() {
+    return number;
+  }
+
+  /** Start of its process; 0 while no process of it is known. */
+  long epoch() {
+    return epoch;
+  }
 
-  final int number;
-  MemberMetadata card;
-  long epoch;
-  int incarnation;
-  MemberState standing = MemberState.ALIVE;
+  /** Whether a process of it is known. */
+  boolean isKnown() {
+    return epoch != 0;
+  }
 
-  /** Set while it is suspect. */
-  Suspicion suspicion;
+  int incarnation() {
+    return incarnation;
+  }
 
-  double since;
+  MemberState state() {
+    return state;
+  }
 
-  /** What this process told last for other subsystems; null where nothing was heard of it. */
-  MemberPayload slot;
+  double stateChangedAt() {
+    return stateChangedAt;
+  }
+
+  /** Whether it counts as part of the fleet: alive or suspect. */
+  boolean isActive() {
+    return state == MemberState.ALIVE || state == MemberState.SUSPECT;
+  }
 
-  /** When a message of its own came last, and when anything showed that it runs. */
-  double spokeAt = Double.NEGATIVE_INFINITY;
+  boolean isAlive() {
+    return state == MemberState.ALIVE;
+  }
 
-  double heardAt = Double.NEGATIVE_INFINITY;
+  boolean isSuspect() {
+    return state == MemberState.SUSPECT;
+  }
 
-  /** When it last failed to answer. */
-  double failedAt = Double.NEGATIVE_INFINITY;
+  /** The suspicion of it; null unless it is suspect. */
+  Suspicion suspicion() {
+    return suspicion;
+  }
 
-  /** A later process of it that one other told of: a second one's word, or its own, is awaited. */
-  long claimed;
+  /** Its metadata; null while unknown. */
+  MemberMetadata metadata() {
+    return metadata;
+  }
 
-  int claimedBy = -1;
+  /** The latest payload of its process; null while unknown. */
+  MemberPayload payload() {
+    return payload;
+  }
 
-  /** Whether it is reached by others only, and for how many probes in a row. */
-  boolean byOthers;
+  /** When its own last message arrived. */
+  double lastMessageAt() {
+    return lastMessageAt;
+  }
 
-  int missed;
+  /** When anything last showed that it runs: its own message, or an ack through a relay. */
+  double lastEvidenceAt() {
+    return lastEvidenceAt;
+  }
 
-  /** Whether the suspicion comes of its own word that it leaves, as others tell it. */
-  boolean saidToLeave;
+  /** When a probe of it last failed. */
+  double lastProbeFailureAt() {
+    return lastProbeFailureAt;
+  }
 
-  private double countedFrom = Double.NEGATIVE_INFINITY;
-  private int counted;
+  /** Whether its last ack came through a relay. */
+  boolean isReachedIndirectly() {
+    return isReachedIndirectly;
+  }
 
-  Member(int number, double now) {
-    this.number = number;
-    this.since = now;
+  /** Whether the direct path to it counts as cut. */
+  boolean isUnreachableDirectly() {
+    return consecutiveIndirectAcks >= UNREACHABLE_AFTER;
   }
 
-  /** It runs, or ran, as this process. */
-  void heardOf(long process, int refutations) {
-    epoch = process;
-    incarnation = refutations;
+  /** Whether the current suspicion includes a report that it announced to leave. */
+  boolean isReportedLeaving() {
+    return isReportedLeaving;
   }
 
   /**
-   * Whether it says more than anybody has to say. Guards against a peer that floods: what is beyond
-   * costs a look and no answer.
+   * Counts a message of it; returns whether it exceeds the limit per interval, beyond which
+   * messages are dropped unanswered.
    */
-  boolean floods(double now, double interval) {
-    if (now >= countedFrom + interval) {
-      countedFrom = now;
-      counted = 0;
+  boolean exceedsMessageLimit(double now, double interval) {
+    if (now >= countingSince + interval) {
+      countingSince = now;
+      messagesCounted = 0;
     }
-    return ++counted > MOST_SAID;
+    return ++messagesCounted > MAX_MESSAGES_PER_INTERVAL;
   }
 
-  boolean here() {
-    return standing == MemberState.ALIVE || standing == MemberState.SUSPECT;
+  /** Its own message arrived. */
+  void recordMessage(double now) {
+    lastMessageAt = now;
+    lastEvidenceAt = now;
+  }
+
+  /** It answered a probe; {@code ackSender} is itself or the relay that passed the ack on. */
+  void recordAck(int ackSender, double now) {
+    isReachedIndirectly = ackSender != number;
+    consecutiveIndirectAcks = isReachedIndirectly ? consecutiveIndirectAcks + 1 : 0;
+    lastEvidenceAt = now;
+  }
+
+  void recordProbeFailure(double now) {
+    lastProbeFailureAt = now;
+  }
+
+  /** A suspicion begins. */
+  void suspect(Suspicion newSuspicion, double now) {
+    state = MemberState.SUSPECT;
+    stateChangedAt = now;
+    suspicion = newSuspicion;
+  }
+
+  /** Ends a suspicion, if there is one, in a state other than suspect. */
+  void resolve(MemberState next, double now) {
+    state = next;
+    stateChangedAt = now;
+    suspicion = null;
+    isReportedLeaving = false;
+  }
+
+  /** Another member reports that it announced to leave. */
+  void recordLeaveReport() {
+    isReportedLeaving = true;
+  }
+
+  /** Takes over the process and incarnation of an update, and nothing else. */
+  void adoptVersion(GossipUpdate update) {
+    epoch = update.epoch();
+    incarnation = update.incarnation();
+  }
+
+  /**
+   * Takes over a newer process or incarnation that is alive. Payload and reachability belong to a
+   * process and do not survive its restart; metadata is kept where the update has none.
+   */
+  void renew(GossipUpdate update) {
+    if (update.epoch() != epoch) {
+      metadata = null;
+      payload = null;
+      consecutiveIndirectAcks = 0;
+    }
+    adoptVersion(update);
+    if (update.metadata() != null) {
+      metadata = update.metadata();
+    }
+    lastProbeFailureAt = Double.NEGATIVE_INFINITY;
+  }
+
+  /** Takes the metadata of an update about its process, where none is known. */
+  void learnMetadata(GossipUpdate update) {
+    if (metadata == null && update.epoch() == epoch) {
+      metadata = update.metadata();
+    }
+  }
+
+  /** Takes the payload of an update if it is a later one of its process; whether it was. */
+  boolean learnPayload(GossipUpdate update) {
+    MemberPayload received = update.payload();
+    boolean isLater =
+        received != null
+            && update.epoch() == epoch
+            && received.count() <= GossipLimits.MAX_PAYLOAD_COUNT
+            && (payload == null || received.count() > payload.count());
+    if (isLater) {
+      payload = received;
+    }
+    return isLater;
+  }
+
+  /**
+   * Whether a report of its process suffices to believe in it: one report for a known process, two
+   * of different members for a new one, so that no single member can make a process up. Records the
+   * claim otherwise.
+   */
+  boolean confirmsEpoch(long reportedEpoch, int reporter) {
+    if (reportedEpoch == epoch || !isKnown()) {
+      return true;
+    }
+    if (reportedEpoch == claimedEpoch && claimedBy != reporter) {
+      return true;
+    }
+    claimedEpoch = reportedEpoch;
+    claimedBy = reporter;
+    return false;
   }
 
-  /** Takes what is said that it told, if it is later; whether it was. */
-  boolean learns(GossipUpdate said) {
-    boolean later =
-        said.payload() != null
-            && said.epoch() == epoch
-            && said.payload().count() <= LocalMember.MOST_COUNT
-            && (slot == null || said.payload().count() > slot.count());
-    slot = later ? said.payload() : slot;
-    return later;
+  /** Its payload as an update, without its metadata. */
+  GossipUpdate payloadUpdate() {
+    return new GossipUpdate(
+        number, epoch, incarnation, state, GossipUpdate.NO_ACCUSER, null, payload);
   }
 
-  /** What it told of itself, without what else is known of it. */
-  GossipUpdate slotRumor() {
-    return new GossipUpdate(number, epoch, incarnation, standing, -1, null, slot);
+  /** Its state as an update that names no accuser. */
+  GossipUpdate update() {
+    return update(GossipUpdate.NO_ACCUSER);
   }
 
-  GossipUpdate rumor(int accuser) {
-    return new GossipUpdate(number, epoch, incarnation, standing, accuser, card);
+  /** Its state as an update. */
+  GossipUpdate update(int accuser) {
+    return new GossipUpdate(number, epoch, incarnation, state, accuser, metadata);
   }
 }
--- a/src/main/java/bitternpulley/membership/MemberMetadata.java
+++ b/src/main/java/bitternpulley/membership/MemberMetadata.java
@@ -1,26 +1,34 @@
 package bitternpulley.membership;
 
 /**
- * What a member says of itself, told while it is new. Each text has at most {@link #MAX_LENGTH}
- * characters, all of ASCII.
+ * Descriptive texts that a member announces when it starts. Each is cut to {@link #MAX_LENGTH}
+ * characters, and characters outside printable ASCII are replaced, so that it fits a datagram.
+ *
+ * @param name the instance's name
+ * @param zone its zone
+ * @param region its region
+ * @param build version of its program
  */
 public record MemberMetadata(String name, String zone, String region, String build) {
   static final int MAX_LENGTH = 24;
 
-  /** Guards against texts that would not fit a datagram, whoever configured them. */
+  /** Length headers of the four texts, at the most. */
+  private static final int MAX_HEADER_BYTES = 9;
+
+  /** Makes the texts fit a datagram, whatever was configured. */
   public MemberMetadata {
-    name = cut(name);
-    zone = cut(zone);
-    region = cut(region);
-    build = cut(build);
+    name = toPrintable(name);
+    zone = toPrintable(zone);
+    region = toPrintable(region);
+    build = toPrintable(build);
   }
 
-  /** Bytes that it takes in a datagram, at the most. */
-  int bytes() {
-    return 9 + name.length() + zone.length() + region.length() + build.length();
+  /** The most bytes that it takes in a datagram. */
+  int maxEncodedBytes() {
+    return MAX_HEADER_BYTES + name.length() + zone.length() + region.length() + build.length();
   }
 
-  private static String cut(String text) {
+  private static String toPrintable(String text) {
     return (text.length() <= MAX_LENGTH ? text : text.substring(0, MAX_LENGTH))
         .replaceAll("[^ -~]", "?");
   }
--- a/src/main/java/bitternpulley/membership/MemberPayload.java
+++ b/src/main/java/bitternpulley/membership/MemberPayload.java
@@ -1,43 +1,57 @@
 package bitternpulley.membership;
 
 import java.util.Arrays;
+import java.util.HexFormat;
 
 /**
- * What a member tells of itself for other subsystems: at most {@link #MAX_BYTES} bytes whose first
- * says, to whoever reads them, of which form they are. Of one process's slots that with the greater
- * count is the later one.
+ * Bytes that a member publishes to all others, at most {@link #MAX_BYTES}; the first byte names the
+ * format. Of two payloads of one process, that with the greater count is the later one.
  */
 public final class MemberPayload {
+  /** The longest payload. */
   public static final int MAX_BYTES = 64;
 
+  /** Count and length header, at the most. */
+  private static final int MAX_HEADER_BYTES = 7;
+
   private final int count;
   private final byte[] bytes;
 
-  /** Throws IllegalArgumentException where it is too long. */
+  /**
+   * A payload.
+   *
+   * @param count number of this publication of the process
+   * @throws IllegalArgumentException if there are more than {@link #MAX_BYTES} bytes
+   */
   public MemberPayload(int count, byte[] bytes) {
     if (bytes.length > MAX_BYTES) {
-      throw new IllegalArgumentException("a slot of " + bytes.length + " bytes");
+      throw new IllegalArgumentException(
+          "payload of " + bytes.length + " bytes exceeds " + MAX_BYTES);
     }
     this.count = count;
     this.bytes = bytes.clone();
   }
 
+  /** Number of this publication of the process. */
   public int count() {
     return count;
   }
 
+  /** A copy of the published bytes. */
   public byte[] bytes() {
     return bytes.clone();
   }
 
-  /** Bytes that it takes in a datagram, at the most. */
-  int size() {
-    return 7 + bytes.length;
+  /** The most bytes that it takes in a datagram. */
+  int maxEncodedBytes() {
+    return MAX_HEADER_BYTES + bytes.length;
   }
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof MemberPayload s && s.count == count && Arrays.equals(s.bytes, bytes);
+    return other instanceof MemberPayload payload
+        && payload.count == count
+        && Arrays.equals(payload.bytes, bytes);
   }
 
   @Override
@@ -47,6 +61,6 @@
 
   @Override
   public String toString() {
-    return count + ":" + java.util.HexFormat.of().formatHex(bytes);
+    return count + ":" + HexFormat.of().formatHex(bytes);
   }
 }
--- a/src/main/java/bitternpulley/membership/MemberState.java
+++ b/src/main/java/bitternpulley/membership/MemberState.java
@@ -1,12 +1,16 @@
 package bitternpulley.membership;
 
 /**
- * What a member is taken to be. A suspect still counts as here, for all that is to err to the safe
- * side.
+ * The state of a member in one instance's view. Datagrams carry the position of the constant, admin
+ * answers its name.
  */
 public enum MemberState {
+  /** It answers probes, directly or through a relay. */
   ALIVE,
+  /** It did not answer a probe and may still refute; it counts as active. */
   SUSPECT,
+  /** It did not refute in time. */
   DEAD,
+  /** It announced that it leaves. */
   LEFT
 }
--- a/src/main/java/bitternpulley/membership/MemberView.java
+++ b/src/main/java/bitternpulley/membership/MemberView.java
@@ -1,8 +1,16 @@
 package bitternpulley.membership;
 
 /**
- * One member as an instance holds it; times are ms ago, infinite where never; {@code reachability}
- * is what it tells of itself.
+ * One member in an instance's view.
+ *
+ * @param number the member
+ * @param epoch start of its process, 0 where no process of it is known
+ * @param state its state
+ * @param metadata its metadata, or null where that is unknown
+ * @param since ms since its state changed
+ * @param heardFrom ms since the last evidence that it runs, infinite where there was none
+ * @param byOthers whether its last answer came through a relay
+ * @param reachability which members it reports as unreachable, and its payload
  */
 public record MemberView(
     int number,
@@ -13,15 +21,15 @@
     double heardFrom,
     boolean byOthers,
     ReachabilityReport reachability) {
-  static MemberView of(Member m, double now) {
+  static MemberView of(Member member, double now) {
     return new MemberView(
-        m.number,
-        m.epoch,
-        m.standing,
-        m.card,
-        now - m.since,
-        now - m.heardAt,
-        m.byOthers,
-        ReachabilityReport.of(m.slot));
+        member.number(),
+        member.epoch(),
+        member.state(),
+        member.metadata(),
+        now - member.stateChangedAt(),
+        now - member.lastEvidenceAt(),
+        member.isReachedIndirectly(),
+        ReachabilityReport.of(member.payload()));
   }
 }
--- a/src/main/java/bitternpulley/membership/MembershipAction.java
+++ b/src/main/java/bitternpulley/membership/MembershipAction.java
@@ -1,11 +1,26 @@
 package bitternpulley.membership;
 
-/** What the state machine asks to be done, or tells. */
+import java.util.Locale;
+
+/** An action that the state machine requests, or an event that it reports for the log. */
 public sealed interface MembershipAction {
-  /** Send a message to a member. */
+  /**
+   * Send a message to a member.
+   *
+   * @param to number of the receiver
+   * @param message what to send
+   */
   record Send(int to, GossipMessage message) implements MembershipAction {}
 
-  /** A member stands otherwise from now on; {@code evidence} says why, for the log. */
+  /**
+   * A member's state changed.
+   *
+   * @param number the member
+   * @param metadata its metadata, or null where that is unknown
+   * @param before its previous state
+   * @param now its state from now on
+   * @param evidence the reason, for the log
+   */
   record StateChanged(
       int number, MemberMetadata metadata, MemberState before, MemberState now, String evidence)
       implements MembershipAction {
@@ -15,30 +30,44 @@
           + number
           + (metadata == null ? "" : " (" + metadata.name() + ")")
           + " is "
-          + now.name().toLowerCase(java.util.Locale.ROOT)
+          + lowerCase(now)
           + ", was "
-          + before.name().toLowerCase(java.util.Locale.ROOT)
+          + lowerCase(before)
           + ": "
           + evidence;
     }
+
+    private static String lowerCase(MemberState state) {
+      return state.name().toLowerCase(Locale.ROOT);
+    }
   }
 
-  /** A member tells this of itself from now on. */
+  /**
+   * A member published a new payload.
+   *
+   * @param number the member
+   * @param epoch start of its process
+   * @param reachability what the payload contains
+   */
   record PayloadReceived(int number, long epoch, ReachabilityReport reachability)
       implements MembershipAction {
     @Override
     public String toString() {
-      return "member " + number + " tells " + reachability;
+      return "member " + number + " published " + reachability;
     }
   }
 
-  /** This instance did not run for so many ms, and withholds judgement until it has heard again. */
+  /**
+   * This instance resumed after a pause and withholds verdicts until it had time to receive again.
+   *
+   * @param pausedForMs ms during which it did not run
+   */
   record Resumed(double pausedForMs) implements MembershipAction {
     @Override
     public String toString() {
       return "this instance did not run for "
           + Math.round(pausedForMs)
-          + " ms and judges nobody for a while";
+          + " ms and declares no member dead for some intervals";
     }
   }
 }
--- a/src/main/java/bitternpulley/membership/MembershipSettings.java
+++ b/src/main/java/bitternpulley/membership/MembershipSettings.java
@@ -1,15 +1,14 @@
 package bitternpulley.membership;
 
 /**
- * What operators set. Times in ms.
+ * Operators' settings. Times in ms.
  *
- * @param interval between probes, stretched by an instance's doubt in itself
- * @param timeout until a probe counts as unanswered, and again until it has failed
- * @param relays how many others are asked to probe in one's stead
- * @param suspicionIntervals intervals for which a suspect may refute, by the decimal logarithm of
- *     the number of members
- * @param withoutMajorityAfter after which one that hears no majority calls its suspects dead all
- *     the same
+ * @param interval time between probes, multiplied while the local health is poor
+ * @param timeout time after which an unanswered probe goes to relays; it fails after three of these
+ * @param relays number of members asked to probe on this one's behalf
+ * @param suspicionIntervals the least number of intervals during which a suspect may refute
+ * @param withoutMajorityAfter time after which an instance that does not hear from a majority
+ *     declares its suspects dead nevertheless
  */
 public record MembershipSettings(
     double interval,
@@ -17,6 +16,6 @@
     int relays,
     double suspicionIntervals,
     double withoutMajorityAfter) {
-  /** Detects within some 5 s among ten, and bears zones cut off for 10 s. */
+  /** Detects a death in some 5 s among ten members; a zone may be cut off for 10 s. */
   public static final MembershipSettings DEFAULT = new MembershipSettings(1000, 300, 3, 3, 20_000);
 }
--- a/src/main/java/bitternpulley/membership/MembershipTable.java
+++ b/src/main/java/bitternpulley/membership/MembershipTable.java
@@ -9,143 +9,118 @@
 import java.util.function.Predicate;
 
 /**
- * The other members, by number: those that are configured. Guards against members made up by what
- * others say.
+ * The other members, by number. It holds the configured members only, so that gossip cannot make it
+ * grow.
  */
 final class MembershipTable {
-  /**
-   * So many members or fewer are all heard within a suspicion; of more, so many at least must be
-   * known of.
-   */
-  private static final int FEW = 16;
+  /** In a fleet of at most this size, all members are heard from within a suspicion. */
+  private static final int SMALL_FLEET = 16;
+
+  /** In a larger fleet, the least number of members whose answers make a majority meaningful. */
+  private static final int MIN_SAMPLE = 8;
 
-  private static final int LEAST_KNOWN = 8;
+  private static final int NOT_COUNTED = -1;
 
+  private final int self;
   private final Map<Integer, Member> byNumber = new TreeMap<>();
   private final List<Member> suspects = new ArrayList<>();
-  private final int self;
-
-  /**
-   * Reckoned anew once something has changed. Guards against a look at all members for each
-   * message.
-   */
-  private int here = -1;
-
-  private int digest;
-  private long digestOf;
-  private int told;
+  private final ViewDigest digest;
+  private int activeCount = NOT_COUNTED;
 
   MembershipTable(int self) {
     this.self = self;
+    digest = new ViewDigest(self);
   }
 
-  /** The member of this number; null for oneself and for whom nobody configured. */
-  Member known(int number) {
+  /**
+   * The other member of this number; null for this instance itself and for unconfigured numbers.
+   */
+  Member find(int number) {
     return byNumber.get(number);
   }
 
   void configure(int number, double now) {
     if (number != self) {
       byNumber.put(number, new Member(number, now));
-      here = -1;
+      invalidate();
     }
   }
 
-  /** A member's process or standing is another now. */
-  void changed(Member m) {
-    here = -1;
-    suspects.remove(m);
-    if (m.standing == MemberState.SUSPECT) {
-      suspects.add(m);
+  /** Has to be called after a member's process, state or payload has changed. */
+  void onChanged(Member member) {
+    invalidate();
+    suspects.remove(member);
+    if (member.isSuspect()) {
+      suspects.add(member);
     }
   }
 
-  /** Those that are suspect just now. */
+  private void invalidate() {
+    activeCount = NOT_COUNTED;
+    digest.invalidate();
+  }
+
+  /** A copy of the list of current suspects. */
   List<Member> suspects() {
     return List.copyOf(suspects);
   }
 
+  /** All other members by number. */
   Collection<Member> all() {
     return byNumber.values();
   }
 
-  /** Members taken to be here, this one included. */
-  int here() {
-    if (here < 0) {
-      here = 1 + (int) byNumber.values().stream().filter(Member::here).count();
-      digestOf = 0;
+  /** Number of active members, this instance included. */
+  int activeCount() {
+    if (activeCount == NOT_COUNTED) {
+      activeCount = 1 + (int) byNumber.values().stream().filter(Member::isActive).count();
     }
-    return here;
+    return activeCount;
   }
 
-  /** Some of those that meet a condition, by chance. */
-  List<Member> some(int most, Random random, Predicate<Member> which) {
-    List<Member> all = new ArrayList<>(byNumber.values().stream().filter(which).toList());
-    List<Member> some = new ArrayList<>();
-    while (some.size() < most && !all.isEmpty()) {
-      some.add(all.remove(random.nextInt(all.size())));
+  /** Randomly chosen members that meet a condition, at most {@code limit}. */
+  List<Member> sample(int limit, Random random, Predicate<Member> condition) {
+    List<Member> candidates =
+        new ArrayList<>(byNumber.values().stream().filter(condition).toList());
+    List<Member> sample = new ArrayList<>();
+    while (sample.size() < limit && !candidates.isEmpty()) {
+      sample.add(candidates.remove(random.nextInt(candidates.size())));
     }
-    return some;
+    return sample;
   }
 
   /**
-   * Whether most members were heard since then, this one included: more than half, so that of two
-   * sides of a cut one at the most judges the other. Where they are too many to be heard in that
-   * time, of those that were asked or heard.
+   * Whether there was evidence of more than half of the active members since that time, this
+   * instance included: of the two sides of a partition at most one can see a majority. In a large
+   * fleet not all members are probed in that time, so only those probed or heard from count.
    */
-  boolean hearsMost(double since) {
-    int known = 1;
-    int heard = 1;
-    int here = here();
-    for (Member m : byNumber.values()) {
-      boolean hears = m.standing == MemberState.ALIVE && m.heardAt > since;
-      if (m.here()
-          && (here <= FEW || hears || m.standing == MemberState.SUSPECT || m.failedAt > since)) {
-        known++;
-        heard += hears ? 1 : 0;
+  boolean hasMajoritySince(double time) {
+    int considered = 1;
+    int responsive = 1;
+    int active = activeCount();
+    for (Member member : byNumber.values()) {
+      boolean isResponsive = member.isAlive() && member.lastEvidenceAt() > time;
+      if (member.isActive()
+          && (active <= SMALL_FLEET
+              || isResponsive
+              || member.isSuspect()
+              || member.lastProbeFailureAt() > time)) {
+        considered++;
+        responsive += isResponsive ? 1 : 0;
       }
     }
-    return 2 * heard > known && heard > 1 && known >= Math.min(here, LEAST_KNOWN);
-  }
-
-  /**
-   * Equal where two instances hold the same members for here, dead and gone. Suspicion is passing,
-   * so it does not count.
-   */
-  int digest(long epoch) {
-    here();
-    if (digestOf != epoch) {
-      digestOf = epoch;
-      digest = reckon(epoch);
-    }
-    return digest;
+    return 2 * responsive > considered
+        && responsive > 1
+        && considered >= Math.min(active, MIN_SAMPLE);
   }
 
-  /**
-   * Equal where two instances know the same of what members tell; {@code own} is this one's count.
-   */
-  int told(long epoch, int own) {
-    digest(epoch);
-    return told + (own == 0 ? 0 : mix(self, epoch, own));
-  }
-
-  private int reckon(long epoch) {
-    int digest = mix(self, epoch, 0);
-    told = 0;
-    for (Member m : byNumber.values()) {
-      if (m.epoch != 0 || !m.here()) {
-        digest += mix(m.number, m.epoch, m.here() ? 0 : m.standing.ordinal());
-      }
-      told += m.slot == null ? 0 : mix(m.number, m.epoch, m.slot.count());
-    }
-    return digest;
+  /** Digest of the view of an instance that runs as the process of this epoch. */
+  int viewDigest(long ownEpoch) {
+    return digest.view(ownEpoch, byNumber.values());
   }
 
-  private static int mix(int number, long epoch, int standing) {
-    long x =
-        (number * 0x9E3779B97F4A7C15L ^ epoch * 0xC2B2AE3D27D4EB4FL)
-            + standing * 0x165667B19E3779F9L;
-    x = (x ^ x >>> 32) * 0xD6E8FEB86659FD93L;
-    return (int) (x ^ x >>> 29);
+  /** Digest of the payloads known, including this instance's own of that count. */
+  int payloadDigest(long ownEpoch, int ownCount) {
+    return digest.payloads(ownEpoch, ownCount, byNumber.values());
   }
 }
--- a/src/main/java/bitternpulley/membership/MessageComposer.java
+++ b/src/main/java/bitternpulley/membership/MessageComposer.java
@@ -1,97 +1,110 @@
 package bitternpulley.membership;
 
 import bitternpulley.membership.GossipMessage.Kind;
-import java.util.ArrayList;
 import java.util.List;
 
 /**
- * What this instance says: each message bears what is news, what is known page by page, and what
- * members tell of themselves.
+ * Composes messages: each carries queued updates of states and payloads, or, for a sync, a page of
+ * what is known.
  */
 final class MessageComposer {
-  private final int self;
-  private final LocalMember me;
+  private final LocalMember local;
   private final MembershipTable table;
-  private final DisseminationQueue spread = new DisseminationQueue();
-  private final DisseminationQueue slots = new DisseminationQueue();
-  private final AntiEntropy pages;
-  private boolean slotsFirst;
+  private final DisseminationQueue states = new DisseminationQueue();
+  private final DisseminationQueue payloads = new DisseminationQueue();
+  private final AntiEntropy antiEntropy;
+  private boolean isPayloadTurn;
 
-  MessageComposer(int self, LocalMember me, MembershipTable table) {
-    this.self = self;
-    this.me = me;
+  MessageComposer(LocalMember local, MembershipTable table) {
+    this.local = local;
     this.table = table;
-    pages = new AntiEntropy(self);
+    antiEntropy = new AntiEntropy(local, table);
   }
 
-  /** News of how a member stands. */
-  void add(GossipUpdate rumor) {
-    spread.add(rumor);
+  /** Queues the state of a member. */
+  void disseminate(GossipUpdate update) {
+    states.add(update);
   }
 
-  /** News that can wait: a member is here, of which nothing was heard before. */
-  void later(GossipUpdate rumor) {
-    spread.addLater(rumor);
+  /** Queues the first contact with a member, which may wait. */
+  void disseminateLater(GossipUpdate update) {
+    states.addDeferrable(update);
   }
 
-  /** News of what a member tells of itself. */
-  void slot(GossipUpdate rumor) {
-    slots.add(rumor);
+  /** Queues the payload of a member. */
+  void disseminatePayload(GossipUpdate update) {
+    payloads.add(update);
   }
 
-  GossipMessage say(Kind kind, int to, int number, int target) {
-    Member m = table.known(to);
-    // Whoever is held for anything but alive is told so first of all, that it may refute.
-    GossipUpdate first = m != null && m.standing != MemberState.ALIVE ? m.rumor(self) : null;
-    // By turns half is for slots. Guards against a start of many, whose news alone fills every
-    // message for minutes.
-    slotsFirst = !slotsFirst;
-    List<GossipUpdate> rumors = new ArrayList<>();
-    if (slotsFirst && first == null) {
-      rumors.addAll(
-          slots.next(
-              table.here(), null, GossipMessage.UPDATE_BYTES / 2, GossipMessage.MAX_UPDATES));
-      rumors.addAll(
-          spread.next(table.here(), null, left(rumors), GossipMessage.MAX_UPDATES - rumors.size()));
+  /** A message of any kind but sync, with queued updates. */
+  GossipMessage compose(Kind kind, int receiver, int sequence, int target) {
+    // In every second message half of the space is for payloads: the first contacts of a starting
+    // fleet fill all messages for minutes.
+    isPayloadTurn = !isPayloadTurn;
+    Member member = table.find(receiver);
+    List<GossipUpdate> updates;
+    if (member != null && !member.isAlive()) {
+      // A member that is not held to be alive learns so first, in order that it can refute.
+      updates =
+          states.takeAfter(
+              member.update(local.number()),
+              table.activeCount(),
+              GossipMessage.UPDATE_BYTES,
+              GossipMessage.MAX_UPDATES);
+      fill(updates, payloads);
+    } else if (isPayloadTurn) {
+      updates = takeFirst(payloads, GossipMessage.UPDATE_BYTES / 2);
+      fill(updates, states);
     } else {
-      rumors.addAll(
-          spread.next(table.here(), first, GossipMessage.UPDATE_BYTES, GossipMessage.MAX_UPDATES));
-      rumors.addAll(
-          slots.next(table.here(), null, left(rumors), GossipMessage.MAX_UPDATES - rumors.size()));
+      updates = takeFirst(states, GossipMessage.UPDATE_BYTES);
+      fill(updates, payloads);
     }
-    return message(kind, number, target, rumors);
+    return message(kind, sequence, target, updates);
   }
 
-  private static int left(List<GossipUpdate> rumors) {
-    return GossipMessage.UPDATE_BYTES - rumors.stream().mapToInt(GossipUpdate::bytes).sum();
+  private List<GossipUpdate> takeFirst(DisseminationQueue queue, int bytes) {
+    return queue.take(table.activeCount(), bytes, GossipMessage.MAX_UPDATES);
   }
 
-  /**
-   * A page of what is known, the next one each time: of what members tell, or of how they stand.
-   */
-  GossipMessage page(int to, boolean told) {
-    return message(
-        Kind.SYNC,
-        0,
-        to,
-        told ? pages.slots(me, table, to) : pages.standings(me.rumor(), table, to));
+  private void fill(List<GossipUpdate> updates, DisseminationQueue queue) {
+    int bytesUsed = updates.stream().mapToInt(GossipUpdate::maxEncodedBytes).sum();
+    updates.addAll(
+        queue.take(
+            table.activeCount(),
+            GossipMessage.UPDATE_BYTES - bytesUsed,
+            GossipMessage.MAX_UPDATES - updates.size()));
   }
 
-  /** Digest of what members tell, as far as it is known. */
-  int told() {
-    return table.told(me.epoch(), me.slot() == null ? 0 : me.slot().count());
+  /** A sync message with the next page of states. */
+  GossipMessage composeStateSync(int receiver) {
+    return message(Kind.SYNC, 0, receiver, antiEntropy.statePage(receiver));
   }
 
-  private GossipMessage message(Kind kind, int number, int target, List<GossipUpdate> rumors) {
+  /** A sync message with the next page of payloads. */
+  GossipMessage composePayloadSync(int receiver) {
+    return message(Kind.SYNC, 0, receiver, antiEntropy.payloadPage(receiver));
+  }
+
+  /** Digest of this instance's view. */
+  int viewDigest() {
+    return table.viewDigest(local.epoch());
+  }
+
+  /** Digest of the payloads that this instance knows. */
+  int payloadDigest() {
+    return table.payloadDigest(local.epoch(), local.payloadCount());
+  }
+
+  private GossipMessage message(Kind kind, int sequence, int target, List<GossipUpdate> updates) {
     return new GossipMessage(
         kind,
-        self,
-        me.epoch(),
-        me.incarnation(),
-        number,
+        local.number(),
+        local.epoch(),
+        local.incarnation(),
+        sequence,
         target,
-        table.digest(me.epoch()),
-        told(),
-        rumors);
+        viewDigest(),
+        payloadDigest(),
+        updates);
   }
 }
--- a/src/main/java/bitternpulley/membership/Probe.java
+++ b/src/main/java/bitternpulley/membership/Probe.java
@@ -3,19 +3,23 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** One probe under way: asked directly first, then again and by helpers, then failed. */
+/**
+ * One probe in progress: a direct ping, then a second one together with indirect pings through
+ * relays, then failed.
+ */
 final class Probe {
-  /** Timeouts after which helpers are asked, and after which it has failed. */
-  private static final double HELP_AFTER = 1;
+  /** Time-outs after which relays are asked. */
+  private static final double RELAYS_AFTER = 1;
 
-  private static final double FAILED_AFTER = 3;
+  /** Time-outs after which it has failed. */
+  private static final double FAILS_AFTER = 3;
 
-  final Member target;
-  final int sequence;
+  private final Member target;
+  private final int sequence;
   private final double sentAt;
   private final double timeout;
-  private final Set<Integer> silent = new HashSet<>();
-  private boolean helped;
+  private final Set<Integer> silentRelays = new HashSet<>();
+  private boolean hasRequestedRelays;
 
   Probe(Member target, int sequence, double sentAt, double timeout) {
     this.target = target;
@@ -24,35 +28,45 @@
     this.timeout = timeout;
   }
 
+  Member target() {
+    return target;
+  }
+
+  int sequence() {
+    return sequence;
+  }
+
   double sentAt() {
     return sentAt;
   }
 
-  /** Whether it is time to ask others; true once. */
-  boolean wantsHelp(double now) {
-    boolean wants = !helped && now >= sentAt + HELP_AFTER * timeout;
-    helped |= wants;
-    return wants;
+  /** Whether relays have to be asked now; true only once. */
+  boolean beginIndirect(double now) {
+    if (hasRequestedRelays || now < sentAt + RELAYS_AFTER * timeout) {
+      return false;
+    }
+    hasRequestedRelays = true;
+    return true;
   }
 
-  void askedHelper(int number) {
-    silent.add(number);
+  void addRelay(int number) {
+    silentRelays.add(number);
   }
 
-  /** A helper got no answer either: it, at least, hears this instance. */
-  void helperDeclined(int number) {
-    silent.remove(number);
+  /** A relay got no ack either, but this instance and the relay hear each other. */
+  void recordNack(int relay) {
+    silentRelays.remove(relay);
   }
 
-  boolean failed(double now) {
-    return now >= sentAt + FAILED_AFTER * timeout;
+  boolean hasFailed(double now) {
+    return now >= sentAt + FAILS_AFTER * timeout;
   }
 
   /**
-   * Whether the failure is likely the target's own: somebody was asked to help, and all said that
-   * they got no answer.
+   * Whether the failure is likely the target's: relays were asked, and each answered that it got no
+   * ack. A silent relay makes a fault of this instance likelier.
    */
-  boolean othersAgree() {
-    return helped && silent.isEmpty();
+  boolean isConfirmedByRelays() {
+    return hasRequestedRelays && silentRelays.isEmpty();
   }
 }
--- a/src/main/java/bitternpulley/membership/ReachabilityReport.java
+++ b/src/main/java/bitternpulley/membership/ReachabilityReport.java
@@ -2,84 +2,95 @@
 
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * Whom a member reaches only by others, as it tells in its slot, before what other subsystems have
- * it tell: a form, how many, then two bytes for each, of which the first bit says whether it hears
- * that other speak.
+ * The members that one member does not reach directly, as its payload carries them in front of the
+ * bytes of other subsystems. Encoded as a format byte, a count byte, and two bytes for each member:
+ * its number, with the highest bit set where messages of it still arrive.
  */
 public final class ReachabilityReport {
-  /** Others that are told of; with more the cut is no matter of single ways any more. */
-  static final int MOST = 8;
+  /** The most members reported; with more the fault is not one of single paths. */
+  static final int MAX_MEMBERS = 8;
 
-  /** Bytes that are left for other subsystems. */
-  public static final int PAYLOAD = MemberPayload.MAX_BYTES - 2 - 2 * MOST;
+  private static final int HEADER_BYTES = 2;
+  private static final int BYTES_PER_MEMBER = 2;
 
-  private static final byte FORM = 1;
-  private static final int SPEAKS = 0x8000;
+  /** The most bytes that other subsystems may publish. */
+  public static final int MAX_PAYLOAD_BYTES =
+      MemberPayload.MAX_BYTES - HEADER_BYTES - BYTES_PER_MEMBER * MAX_MEMBERS;
 
-  /**
-   * Members that are not reached directly, each with whether it is heard to speak: then only the
-   * way there is cut.
-   */
-  private final Map<Integer, Boolean> missed;
+  private static final byte FORMAT = 1;
+  private static final int RECEIVES_FLAG = 0x8000;
+  private static final int BYTE_MASK = 0xff;
+
+  /** By member, whether messages of it still arrive: then only the path towards it is cut. */
+  private final Map<Integer, Boolean> unreachable;
 
   private final byte[] payload;
 
-  ReachabilityReport(Map<Integer, Boolean> missed, byte[] payload) {
-    this.missed = new TreeMap<>(missed);
+  ReachabilityReport(Map<Integer, Boolean> unreachable, byte[] payload) {
+    this.unreachable = new TreeMap<>(unreachable);
     this.payload = payload.clone();
   }
 
-  /** What a slot tells; nothing where it has another form or none. */
-  static ReachabilityReport of(MemberPayload slot) {
-    byte[] bytes = slot == null ? new byte[0] : slot.bytes();
-    Map<Integer, Boolean> missed = new TreeMap<>();
-    int end = bytes.length < 2 || bytes[0] != FORM ? bytes.length + 1 : 2 + 2 * (bytes[1] & 0xff);
+  /** Decodes a payload; an empty report where it is null or of another format. */
+  static ReachabilityReport of(MemberPayload memberPayload) {
+    byte[] bytes = memberPayload == null ? new byte[0] : memberPayload.bytes();
+    if (bytes.length < HEADER_BYTES || bytes[0] != FORMAT) {
+      return empty();
+    }
+    int end = HEADER_BYTES + BYTES_PER_MEMBER * (bytes[1] & BYTE_MASK);
     if (end > bytes.length) {
-      return new ReachabilityReport(Map.of(), new byte[0]);
+      return empty();
     }
-    for (int i = 2; i < end; i += 2) {
-      int said = (bytes[i] & 0xff) << 8 | bytes[i + 1] & 0xff;
-      missed.put(said & ~SPEAKS, (said & SPEAKS) != 0);
+    Map<Integer, Boolean> unreachable = new TreeMap<>();
+    for (int at = HEADER_BYTES; at < end; at += BYTES_PER_MEMBER) {
+      int entry = (bytes[at] & BYTE_MASK) << Byte.SIZE | bytes[at + 1] & BYTE_MASK;
+      unreachable.put(entry & ~RECEIVES_FLAG, (entry & RECEIVES_FLAG) != 0);
     }
-    return new ReachabilityReport(missed, Arrays.copyOfRange(bytes, end, bytes.length));
+    return new ReachabilityReport(unreachable, Arrays.copyOfRange(bytes, end, bytes.length));
+  }
+
+  private static ReachabilityReport empty() {
+    return new ReachabilityReport(Map.of(), new byte[0]);
   }
 
-  byte[] bytes() {
-    byte[] bytes = new byte[2 + 2 * missed.size() + payload.length];
-    bytes[0] = FORM;
-    bytes[1] = (byte) missed.size();
-    int at = 2;
-    for (Map.Entry<Integer, Boolean> m : missed.entrySet()) {
-      int said = m.getKey() | (m.getValue() ? SPEAKS : 0);
-      bytes[at++] = (byte) (said >> 8);
-      bytes[at++] = (byte) said;
+  byte[] encode() {
+    int end = HEADER_BYTES + BYTES_PER_MEMBER * unreachable.size();
+    byte[] bytes = new byte[end + payload.length];
+    bytes[0] = FORMAT;
+    bytes[1] = (byte) unreachable.size();
+    int at = HEADER_BYTES;
+    for (Map.Entry<Integer, Boolean> member : unreachable.entrySet()) {
+      int entry = member.getKey() | (member.getValue() ? RECEIVES_FLAG : 0);
+      bytes[at++] = (byte) (entry >> Byte.SIZE);
+      bytes[at++] = (byte) entry;
     }
-    System.arraycopy(payload, 0, bytes, at, payload.length);
+    System.arraycopy(payload, 0, bytes, end, payload.length);
     return bytes;
   }
 
-  /** Whom it reaches only by others, or not at all though others do, by number. */
+  /** Numbers of the members that it reaches only through relays or not at all, in order. */
   public List<Integer> missed() {
-    return new ArrayList<>(missed.keySet());
+    return new ArrayList<>(unreachable.keySet());
   }
 
-  /** Whether it hears this one, whom it does not reach, speak. */
-  public boolean hearsSpeak(int number) {
-    return missed.getOrDefault(number, false);
+  /** Whether messages of a member that it does not reach still arrive. */
+  public boolean receivesFrom(int number) {
+    return unreachable.getOrDefault(number, false);
   }
 
-  /** What other subsystems have it tell. */
+  /** A copy of the bytes that other subsystems publish. */
   public byte[] payload() {
     return payload.clone();
   }
 
   @Override
   public String toString() {
-    return missed + " " + java.util.HexFormat.of().formatHex(payload);
+    return unreachable + " " + HexFormat.of().formatHex(payload);
   }
 }
--- a/src/main/java/bitternpulley/membership/Suspicion.java
+++ b/src/main/java/bitternpulley/membership/Suspicion.java
@@ -4,90 +4,100 @@
 import java.util.Set;
 
 /**
- * How long one suspect may still refute: long while one instance alone suspects it, down to the
- * least as others confirm (Lifeguard's dynamic suspicion). The time is told by whoever asks.
+ * The suspicion of one member: who accuses it, and how long it may refute. Its duration falls from
+ * the longest to the least as others confirm it (Lifeguard's dynamic suspicion time-out). Times are
+ * ms of the caller's clock.
  */
 final class Suspicion {
-  /**
-   * Times the least that a suspicion lasts which nobody confirms, and the confirmations that bring
-   * it down to the least.
-   */
-  private static final double LONGEST = 4;
+  /** Duration of a suspicion that nobody confirms, relative to the least. */
+  private static final double MAX_DURATION_FACTOR = 4;
+
+  /** Confirmations that reduce the duration to the least. */
+  private static final int MAX_CONFIRMATIONS = 3;
 
-  private static final int CONFIRMED = 3;
+  /** Failed probes that count as proof; a single one may be message loss. */
+  private static final int REQUIRED_FAILURES = 2;
 
   private final Set<Integer> accusers = new HashSet<>();
-  private final double least;
-  private final int needed;
-  private double since;
-  private boolean givenUp;
+  private final double minDuration;
+  private final int requiredConfirmations;
+  private double startedAt;
+  private boolean isDeadElsewhere;
   private int failures;
   private double lastFailure = Double.NEGATIVE_INFINITY;
-  private double failureBefore = Double.NEGATIVE_INFINITY;
+  private double previousFailure = Double.NEGATIVE_INFINITY;
 
-  /** A suspicion that lasts {@code least} ms at least, where so many others could confirm it. */
-  Suspicion(double since, double least, int others) {
-    this.since = since;
-    this.least = least;
-    this.needed = Math.max(1, Math.min(CONFIRMED, others));
+  /**
+   * A suspicion that begins now.
+   *
+   * @param minDuration least duration in ms
+   * @param possibleConfirmers number of other members that could confirm it
+   */
+  Suspicion(double startedAt, double minDuration, int possibleConfirmers) {
+    this.startedAt = startedAt;
+    this.minDuration = minDuration;
+    this.requiredConfirmations = Math.max(1, Math.min(MAX_CONFIRMATIONS, possibleConfirmers));
   }
 
-  /** Returns whether this one had not accused before; no more are kept than count. */
-  boolean confirmedBy(int accuser) {
-    return accusers.size() <= needed && accusers.add(accuser);
+  /** Records an accuser; false if it is known or no more are needed. */
+  boolean confirm(int accuser) {
+    return accusers.size() <= requiredConfirmations && accusers.add(accuser);
   }
 
   /**
-   * One that asked for itself, and hears most others, has given it up: as good as all who could
-   * confirm.
+   * Another instance, which probed the suspect itself and hears from a majority, declared it dead:
+   * this counts as all confirmations.
    */
-  void givenUp() {
-    givenUp = true;
+  void recordDeathReport() {
+    isDeadElsewhere = true;
   }
 
-  int accusers() {
+  int accuserCount() {
     return accusers.size();
   }
 
-  /** The suspect was asked once more, from this time on, in vain. */
-  void failedAgain(double asked) {
+  /** Records that a probe of this instance, sent at that time, failed. */
+  void recordProbeFailure(double sentAt) {
     failures++;
-    failureBefore = lastFailure;
-    lastFailure = asked;
+    previousFailure = lastFailure;
+    lastFailure = sentAt;
   }
 
-  /** Whether none of this instance's own probes has failed while it suspected. */
-  boolean isHearsay() {
+  /** Whether it rests on reports alone: no probe of this instance has failed yet. */
+  boolean isReportedOnly() {
     return failures == 0;
   }
 
-  /** Whether this instance's own probes of it have failed twice, as one alone may be loss. */
-  boolean failedTwice() {
-    return failures >= 2;
+  /** Whether two probes of this instance have failed. */
+  boolean hasFailedTwice() {
+    return failures >= REQUIRED_FAILURES;
   }
 
-  /** Whether they failed twice when asked after this time. */
-  boolean failedTwiceSince(double time) {
-    return failedTwice() && failureBefore >= time;
+  /** Whether two probes of this instance that were sent at or after this time have failed. */
+  boolean hasFailedTwiceSince(double time) {
+    return hasFailedTwice() && previousFailure >= time;
   }
 
-  double since() {
-    return since;
+  double startedAt() {
+    return startedAt;
   }
 
-  /** The instance did not run for so long: nobody could be heard meanwhile. */
+  /** Extends it by a time in which this instance did not run and could not receive a refutation. */
   void postpone(double ms) {
-    since += ms;
+    startedAt += ms;
   }
 
-  /** Ms for which it lasts, by those who confirmed it. */
-  double lasts() {
-    double share =
-        givenUp ? 1 : Math.min(1, Math.log(Math.max(1, accusers.size())) / Math.log(needed + 1));
-    return least * (LONGEST - (LONGEST - 1) * share);
+  /** Its duration in ms, given the confirmations so far. */
+  double duration() {
+    double confirmedShare =
+        isDeadElsewhere
+            ? 1
+            : Math.min(
+                1, Math.log(Math.max(1, accusers.size())) / Math.log(requiredConfirmations + 1));
+    return minDuration * (MAX_DURATION_FACTOR - (MAX_DURATION_FACTOR - 1) * confirmedShare);
   }
 
   double endsAt() {
-    return since + lasts();
+    return startedAt + duration();
   }
 }
--- /dev/null
+++ b/src/main/java/bitternpulley/membership/UpdateHandler.java
@@ -0,0 +1,144 @@
+package bitternpulley.membership;
+
+/**
+ * Applies the updates that messages carry. Reports of others never make a member dead: an
+ * accusation at most makes it suspect and causes a check by this instance.
+ */
+final class UpdateHandler {
+  private final LocalMember local;
+  private final MembershipSettings settings;
+  private final MembershipTable table;
+  private final LocalHealth localHealth;
+  private final MessageComposer composer;
+  private final Outbox outbox;
+  private final MemberTransitions transitions;
+  private final CheckQueue checks;
+
+  UpdateHandler(
+      LocalMember local,
+      MembershipSettings settings,
+      MembershipTable table,
+      LocalHealth localHealth,
+      MessageComposer composer,
+      Outbox outbox,
+      MemberTransitions transitions,
+      CheckQueue checks) {
+    this.local = local;
+    this.settings = settings;
+    this.table = table;
+    this.localHealth = localHealth;
+    this.composer = composer;
+    this.outbox = outbox;
+    this.transitions = transitions;
+    this.checks = checks;
+  }
+
+  /** Applies an update that {@code reporter} sent; false where it is about no possible member. */
+  boolean apply(GossipUpdate update, Member reporter, double now) {
+    if (!GossipLimits.isPlausible(update.epoch(), update.incarnation(), now)) {
+      return false;
+    }
+    if (update.number() == local.number()) {
+      applyToLocal(update);
+      return true;
+    }
+    Member member = table.find(update.number());
+    if (member == null) {
+      return false;
+    }
+    applyPayload(member, update);
+    applyState(member, update, reporter, now);
+    return true;
+  }
+
+  private void applyToLocal(GossipUpdate update) {
+    if (local.correctPayload(update)) {
+      composer.disseminatePayload(local.payloadUpdate());
+    }
+    if (local.refute(update)) {
+      localHealth.recordRefutation();
+      composer.disseminate(local.update());
+    }
+  }
+
+  private void applyPayload(Member member, GossipUpdate update) {
+    if (member.learnPayload(update)) {
+      table.onChanged(member);
+      composer.disseminatePayload(member.payloadUpdate());
+      outbox.add(
+          new MembershipAction.PayloadReceived(
+              member.number(), member.epoch(), ReachabilityReport.of(member.payload())));
+    }
+  }
+
+  private void applyState(Member member, GossipUpdate update, Member reporter, double now) {
+    if (member == reporter && update.state() == MemberState.LEFT) {
+      applyOwnLeave(member, update, now);
+    } else if (update.state() == MemberState.ALIVE) {
+      applyAlive(member, update, reporter.number(), now);
+    } else if (member.isActive()) {
+      applyAccusation(member, update, now);
+    }
+  }
+
+  private void applyOwnLeave(Member member, GossipUpdate update, double now) {
+    if (member.isActive() && update.epoch() == member.epoch()) {
+      transitions.markLeft(member, now);
+    }
+  }
+
+  private void applyAlive(Member member, GossipUpdate update, int reporter, double now) {
+    member.learnMetadata(update);
+    if (!update.isNewerThan(member.epoch(), member.incarnation())) {
+      return;
+    }
+    if (member.confirmsEpoch(update.epoch(), reporter)) {
+      transitions.renew(member, update, "reported by member " + reporter, now);
+    } else {
+      checks.request(member);
+    }
+  }
+
+  /** Handles an update by which an active member is suspect, dead or has left. */
+  private void applyAccusation(Member member, GossipUpdate update, double now) {
+    boolean isNewer = update.isNewerThan(member.epoch(), member.incarnation());
+    if (isNewer && member.isKnown()) {
+      // The accused process or incarnation is unknown here; a check makes the member report it.
+      checks.request(member);
+    } else if (isNewer) {
+      // A member that died before first contact cannot report its version itself.
+      member.adoptVersion(update);
+      table.onChanged(member);
+      accuse(member, update, now);
+    } else if (update.isSameVersion(member.epoch(), member.incarnation())) {
+      accuse(member, update, now);
+    }
+  }
+
+  private void accuse(Member member, GossipUpdate update, double now) {
+    boolean isLeaving = update.state() == MemberState.LEFT;
+    if (isLeaving) {
+      member.recordLeaveReport();
+    }
+    // Evidence of this instance's own, if recent, outweighs an accusation.
+    boolean hasRecentEvidence = member.lastEvidenceAt() >= now - settings.interval();
+    if (member.isSuspect() || isLeaving || !hasRecentEvidence) {
+      transitions.suspect(member, update.accuser(), describe(update), now);
+    }
+    if (!member.isSuspect()) {
+      return;
+    }
+    if (update.state() == MemberState.DEAD) {
+      member.suspicion().recordDeathReport();
+    }
+    if (member.suspicion().isReportedOnly()) {
+      checks.request(member);
+    }
+  }
+
+  private static String describe(GossipUpdate accusation) {
+    return accusation.accuser() < 0
+        ? "reported to leave"
+        : "reported by member " + accusation.accuser();
+  }
+}
--- a/src/main/java/bitternpulley/membership/package-info.java
+++ b/src/main/java/bitternpulley/membership/package-info.java
@@ -1,14 +1,19 @@
 /**
- * Who is here, and how sure are we: failure detection among the aggregators, after SWIM (Das,
- * Gupta, Motivala 2002) with the lessons of Lifeguard (Dadgar, Phillips, Currey 2018). Pure:
- * messages and the time in, messages and verdicts out; no I/O, no clock, no thread, chance by seed.
- * {@code docs/membership.md} weighs the ways.
+ * Failure detection among the aggregators: decides which members are alive, suspect, dead or have
+ * left, and how certain that is. It follows SWIM (Das, Gupta, Motivala 2002) with Lifeguard's
+ * extensions (Dadgar, Phillips, Currey 2018). A pure state machine: messages and the time in,
+ * messages and state changes out; no I/O, no clock, no threads, randomness from a seed. {@code
+ * docs/membership.md} compares the alternatives.
  *
- * <p>It never calls anyone dead on another's word: each asks the suspect itself, and by others,
- * before it does. It judges itself first: late, paused or cut off from most, it withholds
- * judgement. It knows nothing of queries. Invariants: a member's (epoch, incarnation) never falls;
- * work and bytes of one message are bounded, whatever it says; the table is bounded.
+ * <p>It never declares a member dead on another member's report: each instance first probes the
+ * suspect itself, directly and through relays. It considers its own health first: an instance that
+ * is slow, was paused or does not hear from a majority withholds its verdict. It does not know
+ * queries. Invariants: a member's (epoch, incarnation) never decreases; work and bytes of one
+ * message are bounded, whatever it contains; the table holds only configured members.
  *
- * <p>Start with {@link bitternpulley.membership.Membership}, the one entry; the reducer calls it.
+ * <p>Start reading at {@link bitternpulley.membership.Membership}, the only entry, which the broker
+ * calls. {@link bitternpulley.membership.Prober} sends probes, {@link
+ * bitternpulley.membership.UpdateHandler} applies gossip, {@link
+ * bitternpulley.membership.FailureDetector} decides about suspects.
  */
 package bitternpulley.membership;
--- a/src/test/java/bitternpulley/gossip/PeerCodecTest.java
+++ b/src/test/java/bitternpulley/gossip/PeerCodecTest.java
@@ -84,7 +84,7 @@
                   : new MemberPayload(
                       i + 1, new byte[random.nextInt(MemberPayload.MAX_BYTES + 1)]));
       if (i % 20 == 0) {
-        byte[] slot = new byte[ReachabilityReport.PAYLOAD];
+        byte[] slot = new byte[ReachabilityReport.MAX_PAYLOAD_BYTES];
         random.nextBytes(slot);
         m.publish(slot);
       }
--- a/src/test/java/bitternpulley/membership/MembershipTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipTest.java
@@ -286,7 +286,7 @@
               "seed " + w.seed);
           assertTrue(
               IntStream.range(0, 7)
-                  .noneMatch(i -> w.at(i).members().get(1).reachability().hearsSpeak(0)),
+                  .noneMatch(i -> w.at(i).members().get(1).reachability().receivesFrom(0)),
               "seed " + w.seed);
           assertTrue(
               IntStream.range(2, 7)
@@ -502,7 +502,7 @@
     each(
         count,
         w -> {
-          byte[] first = new byte[ReachabilityReport.PAYLOAD];
+          byte[] first = new byte[ReachabilityReport.MAX_PAYLOAD_BYTES];
           byte[] second = {1, 2, 3};
           w.loss = 0.2;
           w.at(1).publish(first);
--- a/src/test/java/bitternpulley/membership/PlainDetector.java
+++ b/src/test/java/bitternpulley/membership/PlainDetector.java
@@ -158,10 +158,7 @@
                 number,
                 target,
                 0,
-                spread.next(
-                    standings.length,
-                    null,
-                    GossipMessage.UPDATE_BYTES,
-                    GossipMessage.MAX_UPDATES))));
+                spread.take(
+                    standings.length, GossipMessage.UPDATE_BYTES, GossipMessage.MAX_UPDATES))));
   }
 }
