--- a/src/jmh/java/bitternpulley/membership/MembershipBenchmark.java
+++ b/src/jmh/java/bitternpulley/membership/MembershipBenchmark.java
@@ -1,5 +1,6 @@
 package bitternpulley.membership;
 
+import bitternpulley.membership.GossipMessage.Kind;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
@@ -16,8 +17,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What membership takes of an instance: a tick, ten of which come in an interval, and a probe of
- * another that is answered.
+ * Processor time of the membership protocol: of a tick, ten of which make an interval, and of a
+ * ping that is answered.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -26,8 +27,10 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class MembershipBenchmark {
-  private static final double NOW = 1.8e12;
+  private static final double START = 1.8e12;
+  private static final long EPOCH = (long) START;
 
+  /** Number of members. */
   @Param({"10", "1000"})
   public int members;
 
@@ -35,48 +38,53 @@
   private double now;
   private int from;
 
+  /** Creates a member that has received a message of all others. */
   @Setup
-  public void members() {
-    now = NOW;
+  public void start() {
+    now = START;
     membership =
         new Membership(
             0,
             new MemberMetadata("n0", "z0", "r", "b"),
-            (long) NOW,
+            EPOCH,
             IntStream.range(0, members).boxed().toList(),
-            MembershipSettings.USUAL,
+            MembershipSettings.DEFAULT,
             1,
             now);
-    for (int i = 1; i < members; i++) {
-      membership.heard(message(Message.Kind.SYNC, i), now);
+    for (int number = 1; number < members; number++) {
+      membership.onMessage(message(Kind.SYNC, number), now);
     }
   }
 
-  private Message message(Message.Kind kind, int sender) {
-    return new Message(
+  private GossipMessage message(Kind kind, int sender) {
+    return new GossipMessage(
         kind,
         sender,
-        (long) NOW,
+        EPOCH,
         0,
         1,
         0,
-        membership.view(),
-        List.of(new GossipUpdate(sender, (long) NOW, 0, Standing.ALIVE, -1, null)));
+        membership.viewDigest(),
+        List.of(new GossipUpdate(sender, EPOCH, 0, MemberState.ALIVE, -1, null)));
   }
 
-  /** All others are heard now and then, so that none is suspect. */
+  private int nextSender() {
+    from = from % (members - 1) + 1;
+    return from;
+  }
+
+  /** A tick, with a message of another member now and then, so that none becomes suspect. */
   @Benchmark
-  public List<Output> tick() {
+  public List<MembershipAction> tick() {
     now += 100;
-    from = from % (members - 1) + 1;
-    membership.heard(message(Message.Kind.SYNC, from), now);
+    membership.onMessage(message(Kind.SYNC, nextSender()), now);
     return membership.tick(now);
   }
 
+  /** A ping that is answered. */
   @Benchmark
-  public List<Output> probed() {
+  public List<MembershipAction> answerPing() {
     now += 1;
-    from = from % (members - 1) + 1;
-    return membership.heard(message(Message.Kind.PING, from), now);
+    return membership.onMessage(message(Kind.PING, nextSender()), now);
   }
 }
--- a/src/test/java/bitternpulley/gossip/ControlTraffic.java
+++ b/src/test/java/bitternpulley/gossip/ControlTraffic.java
@@ -1,146 +1,182 @@
 package bitternpulley.gossip;
 
+import bitternpulley.membership.GossipMessage;
 import bitternpulley.membership.HollowMembers;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * What membership costs each member, by the number of members, in virtual time: messages and bytes
- * as they go over the wire, and processor time of the state machine. {@code make
+ * Measures what membership costs each member, by the number of members, in virtual time: messages
+ * and bytes as they go over the wire, and processor time of the state machine. {@code make
  * measure-scale-control}; the last line is one JSON object.
  */
 final class ControlTraffic {
-  private static final double MS = 30_000;
+  private static final double DURATION_MS = 30_000;
 
-  /** Restarts in the time measured: 700 a day are one in 123 s, sped up by sixty. */
+  /** Restarts in that time: 700 a day are one in 123 s, sped up by sixty. */
   private static final int RESTARTS = 15;
 
-  /** A zone of six is lost. */
+  /** Zones of the fleet, one of which is lost. */
   private static final int ZONES = 6;
 
-  private static final double LOSS = 0.2;
+  private static final double LOSS_RATE = 0.2;
   private static final long SEED = 1;
 
+  /** Points below which a line has no error estimate. */
+  private static final int MIN_FIT_POINTS = 3;
+
+  /**
+   * Fleet sizes of the test in CI. Below 40 members updates are rare at rest, and bytes grow faster
+   * than they do from there.
+   */
+  static final List<Integer> TESTED_SIZES = List.of(40, 80, 160);
+
+  private static final ObjectMapper MAPPER = new ObjectMapper();
+
   private ControlTraffic() {}
 
-  /** Figures of one member a second: the mean, and the member that sent most. */
-  record Rate(double messages, double bytes, double mostBytes, int longest, double cpuMicros) {
-    ObjectNode json(ObjectMapper mapper) {
-      return mapper
+  /**
+   * The traffic of one member.
+   *
+   * @param messages messages per second, mean of all members
+   * @param bytes bytes per second, mean of all members
+   * @param maxBytes bytes per second of the member that sent most
+   * @param longestDatagram bytes of the longest datagram
+   * @param cpuMicros processor time in us per second, mean of all members
+   */
+  record Rate(
+      double messages, double bytes, double maxBytes, int longestDatagram, double cpuMicros) {
+    ObjectNode toJson() {
+      return MAPPER
           .createObjectNode()
           .put("messages_per_s", messages)
           .put("bytes_per_s", bytes)
-          .put("most_bytes_per_s", mostBytes)
-          .put("longest_datagram", longest)
+          .put("most_bytes_per_s", maxBytes)
+          .put("longest_datagram", longestDatagram)
           .put("cpu_us_per_s", cpuMicros);
     }
   }
 
-  /** What the members sent while this went on. */
-  static Rate rate(HollowMembers members, int count, double ms, Consumer<HollowMembers> meanwhile) {
-    GossipCodec codec = new GossipCodec("measure");
-    Map<Integer, long[]> sent = new HashMap<>();
-    int[] longest = new int[1];
-    members.watch(
-        m -> {
-          int length = codec.encode(m).length;
-          long[] by = sent.computeIfAbsent(m.from(), f -> new long[2]);
-          by[0]++;
-          by[1] += length;
-          longest[0] = Math.max(longest[0], length);
-        });
+  /** Counts the messages and bytes that each member sends. */
+  private static final class TrafficCounter implements Consumer<GossipMessage> {
+    private static final class Sender {
+      private long messages;
+      private long bytes;
+    }
+
+    private final GossipCodec codec = new GossipCodec("measure");
+    private final Map<Integer, Sender> senders = new HashMap<>();
+    private int longestDatagram;
+
+    @Override
+    public void accept(GossipMessage message) {
+      int length = codec.encode(message).length;
+      Sender sender = senders.computeIfAbsent(message.from(), number -> new Sender());
+      sender.messages++;
+      sender.bytes += length;
+      longestDatagram = Math.max(longestDatagram, length);
+    }
+
+    Rate rate(int members, double cpuMicros) {
+      double seconds = DURATION_MS / 1000;
+      return new Rate(
+          senders.values().stream().mapToLong(s -> s.messages).sum() / seconds / members,
+          senders.values().stream().mapToLong(s -> s.bytes).sum() / seconds / members,
+          senders.values().stream().mapToLong(s -> s.bytes).max().orElse(0) / seconds,
+          longestDatagram,
+          cpuMicros / seconds / members);
+    }
+  }
+
+  /** The traffic during a scenario, which has to last {@link #DURATION_MS}. */
+  private static Rate measure(int count, Consumer<HollowMembers> scenario) {
+    HollowMembers members = new HollowMembers(count, SEED);
+    TrafficCounter counter = new TrafficCounter();
+    members.observeMessages(counter);
     long from = System.nanoTime();
-    meanwhile.accept(members);
-    double cpu = (System.nanoTime() - from) / 1e3;
-    double seconds = ms / 1000;
-    return new Rate(
-        sent.values().stream().mapToLong(s -> s[0]).sum() / seconds / count,
-        sent.values().stream().mapToLong(s -> s[1]).sum() / seconds / count,
-        sent.values().stream().mapToLong(s -> s[1]).max().orElse(0) / seconds,
-        longest[0],
-        cpu / seconds / count);
+    scenario.accept(members);
+    return counter.rate(count, (System.nanoTime() - from) / 1e3);
   }
 
   static Rate atRest(int count) {
-    return rate(new HollowMembers(count, SEED), count, MS, m -> m.run(MS));
+    return measure(count, members -> members.run(DURATION_MS));
   }
 
-  static Rate inChurn(int count) {
-    return rate(new HollowMembers(count, SEED), count, MS, m -> m.churn(RESTARTS, MS));
+  static Rate duringRestarts(int count) {
+    return measure(count, members -> members.runWithRestarts(RESTARTS, DURATION_MS));
   }
 
-  static Rate zoneLost(int count) {
-    return rate(
-        new HollowMembers(count, SEED),
+  static Rate afterZoneLoss(int count) {
+    return measure(
         count,
-        MS,
-        m -> {
-          m.loseEach(ZONES);
-          m.run(MS);
+        members -> {
+          members.killEvery(ZONES);
+          members.run(DURATION_MS);
         });
   }
 
-  static Rate lossy(int count) {
-    return rate(
-        new HollowMembers(count, SEED),
+  static Rate duringMessageLoss(int count) {
+    return measure(
         count,
-        MS,
-        m -> {
-          m.lose(LOSS);
-          m.run(MS);
+        members -> {
+          members.setLossRate(LOSS_RATE);
+          members.run(DURATION_MS);
         });
   }
 
   /** Arguments: the numbers of members. */
   public static void main(String[] args) {
-    ObjectMapper mapper = new ObjectMapper();
-    ObjectNode out = mapper.createObjectNode().put("measure", "scale-control").put("seed", SEED);
-    Map<String, SimpleRegression> lines = new java.util.TreeMap<>();
+    ObjectNode report = MAPPER.createObjectNode().put("measure", "scale-control").put("seed", SEED);
+    Map<String, SimpleRegression> lines = new TreeMap<>();
     for (String arg : args) {
-      int count = Integer.parseInt(arg);
-      ObjectNode row = mapper.createObjectNode().put("members", count);
-      Map<String, Rate> rates = new java.util.LinkedHashMap<>();
-      rates.put("rest", atRest(count));
-      rates.put("churn", inChurn(count));
-      rates.put("zone_lost", zoneLost(count));
-      rates.put("loss_20", lossy(count));
-      rates.forEach(
-          (name, rate) -> {
-            row.set(name, rate.json(mapper));
-            lines
-                .computeIfAbsent(name + "_bytes_per_s", n -> new SimpleRegression())
-                .addData(count, rate.bytes());
-            lines
-                .computeIfAbsent(name + "_cpu_us_per_s", n -> new SimpleRegression())
-                .addData(count, rate.cpuMicros());
-          });
+      ObjectNode row = measureSize(Integer.parseInt(arg), lines);
       System.out.println(row);
-      out.withArray("sizes").add(row);
+      report.withArray("sizes").add(row);
     }
-    lines.forEach(
-        (name, line) -> {
-          if (line.getN() > 2) {
-            out.withObject("/fits")
-                .putObject(name)
-                .put("slope", line.getSlope())
-                .put("slope_error", line.getSlopeStdErr())
-                .put("at_zero", line.getIntercept())
-                .put("residual", Math.sqrt(line.getMeanSquareError()))
-                .put("points", line.getN());
-          }
-        });
-    System.out.println(out);
+    lines.forEach((name, line) -> addFit(report, name, line));
+    System.out.println(report);
     System.exit(0);
   }
 
-  /**
-   * The sizes of the test in CI: below 40 members a datagram of news is rare at rest, and bytes
-   * grow faster than they do from there.
-   */
-  static final List<Integer> SMALL = List.of(40, 80, 160);
+  private static ObjectNode measureSize(int count, Map<String, SimpleRegression> lines) {
+    Map<String, Rate> rates = new LinkedHashMap<>();
+    rates.put("rest", atRest(count));
+    rates.put("churn", duringRestarts(count));
+    rates.put("zone_lost", afterZoneLoss(count));
+    rates.put("loss_20", duringMessageLoss(count));
+    ObjectNode row = MAPPER.createObjectNode().put("members", count);
+    rates.forEach(
+        (name, rate) -> {
+          row.set(name, rate.toJson());
+          addPoint(lines, name + "_bytes_per_s", count, rate.bytes());
+          addPoint(lines, name + "_cpu_us_per_s", count, rate.cpuMicros());
+        });
+    return row;
+  }
+
+  private static void addPoint(
+      Map<String, SimpleRegression> lines, String name, int count, double value) {
+    lines.computeIfAbsent(name, key -> new SimpleRegression()).addData(count, value);
+  }
+
+  private static void addFit(ObjectNode report, String name, SimpleRegression line) {
+    if (line.getN() < MIN_FIT_POINTS) {
+      return;
+    }
+    report
+        .withObject("/fits")
+        .putObject(name)
+        .put("slope", line.getSlope())
+        .put("slope_error", line.getSlopeStdErr())
+        .put("at_zero", line.getIntercept())
+        .put("residual", Math.sqrt(line.getMeanSquareError()))
+        .put("points", line.getN());
+  }
 }
--- a/src/test/java/bitternpulley/gossip/ControlTrafficTest.java
+++ b/src/test/java/bitternpulley/gossip/ControlTrafficTest.java
@@ -6,47 +6,40 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 import org.testng.annotations.Test;
 
-/**
- * Guards against control traffic of one member that grows with the fleet: bytes and messages, by
- * seed, never time.
- */
+/** Bytes and messages of one member must not grow with the fleet; by seed, without any timing. */
 public class ControlTrafficTest {
-  /**
-   * Bytes a second that one member sends at the most, by mean and by the busiest: the size that is
-   * coming allows 3 KB.
-   */
-  private static final double MOST_BYTES = 3000;
+  /** Bytes per second of the busiest member at the largest fleet size supported. */
+  private static final double MAX_BYTES_PER_S = 3000;
 
-  /**
-   * Bytes a second that each further member may add: at 530 members less than half of the whole.
-   */
-  private static final double MOST_SLOPE = MOST_BYTES / 2 / 530;
+  private static final int LARGEST_FLEET = 530;
+
+  /** Bytes per second that each further member may add: half of the whole at the largest size. */
+  private static final double MAX_SLOPE = MAX_BYTES_PER_S / 2 / LARGEST_FLEET;
+
+  private static void assertWithinLimits(int count, ControlTraffic.Rate rate) {
+    assertTrue(rate.maxBytes() < MAX_BYTES_PER_S, count + " members: " + rate);
+    assertTrue(rate.longestDatagram() <= GossipCodec.MAX_DATAGRAM_BYTES, rate.toString());
+  }
 
   @Test
-  public void oneMembersBytesAtRestDoNotGrowWithTheFleet() {
+  public void bytesOfOneMemberAtRestDoNotGrowWithTheFleet() {
     SimpleRegression line = new SimpleRegression();
-    for (int count : ControlTraffic.SMALL) {
+    for (int count : ControlTraffic.TESTED_SIZES) {
       ControlTraffic.Rate rate = ControlTraffic.atRest(count);
-      assertTrue(rate.mostBytes() < MOST_BYTES, count + " members: " + rate);
-      assertTrue(rate.longest() <= GossipCodec.MAX_DATAGRAM_BYTES, rate.toString());
+      assertWithinLimits(count, rate);
       line.addData(count, rate.bytes());
     }
     assertTrue(
-        line.getSlope() < MOST_SLOPE,
+        line.getSlope() < MAX_SLOPE,
         "a slope of " + line.getSlope() + " bytes a second and member");
   }
 
   @Test
-  public void inTroubleOneMemberStaysUnderItsShare() {
+  public void bytesOfOneMemberStayWithinLimitsDuringFaults() {
     for (int count : List.of(10, 40)) {
-      for (ControlTraffic.Rate rate :
-          List.of(
-              ControlTraffic.inChurn(count),
-              ControlTraffic.zoneLost(count),
-              ControlTraffic.lossy(count))) {
-        assertTrue(rate.mostBytes() < MOST_BYTES, count + " members: " + rate);
-        assertTrue(rate.longest() <= GossipCodec.MAX_DATAGRAM_BYTES, rate.toString());
-      }
+      assertWithinLimits(count, ControlTraffic.duringRestarts(count));
+      assertWithinLimits(count, ControlTraffic.afterZoneLoss(count));
+      assertWithinLimits(count, ControlTraffic.duringMessageLoss(count));
     }
   }
 }
--- a/src/test/java/bitternpulley/gossip/DatagramBytesTest.java
+++ b/src/test/java/bitternpulley/gossip/DatagramBytesTest.java
@@ -68,15 +68,15 @@
   @Test
   void areEncodedAsRecordedAndReadBack() throws IOException {
     GossipCodec codec = new GossipCodec("lahore-booking");
-    List<String> seen = new ArrayList<>();
-    for (GossipMessage m : gossip()) {
-      byte[] bytes = codec.encode(m);
-      seen.add("gossip " + HexFormat.of().formatHex(bytes));
-      assertEquals(new Event.GossipReceived(m), codec.decode(bytes, bytes.length).event());
+    List<String> encoded = new ArrayList<>();
+    for (GossipMessage message : gossip()) {
+      byte[] bytes = codec.encode(message);
+      encoded.add("gossip " + HexFormat.of().formatHex(bytes));
+      assertEquals(new Event.GossipReceived(message), codec.decode(bytes, bytes.length).event());
     }
-    for (LeaseMessage m : leases()) {
-      seen.add("lease " + HexFormat.of().formatHex(codec.encode(m)));
+    for (LeaseMessage message : leases()) {
+      encoded.add("lease " + HexFormat.of().formatHex(codec.encode(message)));
     }
-    assertEquals(Files.readString(RECORDED).trim(), String.join("\n", seen));
+    assertEquals(Files.readString(RECORDED).trim(), String.join("\n", encoded));
   }
 }
--- a/src/test/java/bitternpulley/gossip/EpochFileTest.java
+++ b/src/test/java/bitternpulley/gossip/EpochFileTest.java
@@ -9,15 +9,26 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class EpochFileTest {
+  private static final String NAME = "bitternpulley-epoch";
+
   @TempDir Path folder;
 
   @Test
-  void growsWithEachStartThoughTheClockIsSetBack() throws IOException {
+  void growsWithEachStartThoughTheClockIsSetBack() {
     assertEquals(5000, EpochFile.next(folder, 5000));
     assertEquals(5001, EpochFile.next(folder, 4000));
     assertEquals(9000, EpochFile.next(folder, 9000));
-    Files.writeString(folder.resolve("bitternpulley-epoch"), "what");
-    assertEquals(9500, EpochFile.next(folder, 9500), "a file that tells nothing leaves the time");
+  }
+
+  @Test
+  void usesTheTimeWhereTheFileHoldsNoEpoch() throws IOException {
+    EpochFile.next(folder, 9000);
+    Files.writeString(folder.resolve(NAME), "what");
+    assertEquals(9500, EpochFile.next(folder, 9500));
+  }
+
+  @Test
+  void usesTheTimeWithoutAFolder() {
     assertEquals(7, EpochFile.next(null, 7));
     assertEquals(8, EpochFile.next(folder.resolve("missing"), 8));
   }
--- a/src/test/java/bitternpulley/leases/LeasesTest.java
+++ b/src/test/java/bitternpulley/leases/LeasesTest.java
@@ -6,204 +6,228 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.Random;
+import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/**
- * All together never take more than the whole, whatever befalls them; and the part of the dead is
- * not left unused.
- */
+/** All quotas together never exceed the budget, and the quota of dead members is redistributed. */
 class LeasesTest {
-  private static final double LASTS = 10_000;
-  private static final double EFFECT = 1250;
-  private static final double ROUNDING = 1e-9;
+  private static final double DURATION_MS = 10_000;
+  private static final double EFFECT_MS = 1250;
+  private static final double TOLERANCE = 1e-9;
+  private static final int SEEDS = 10;
 
   private static LeaseTerms terms(int members, int witnesses) {
-    return new LeaseTerms(members, IntStream.range(0, witnesses).boxed().toList(), LASTS, EFFECT);
+    return new LeaseTerms(
+        members, IntStream.range(0, witnesses).boxed().toList(), DURATION_MS, EFFECT_MS);
   }
 
-  private static void neverMoreThanTheWhole(LeaseWorld w) {
-    assertTrue(w.most <= 1 + ROUNDING, "seed " + w.seed + ": all together took " + w.most);
+  private static void assertBudgetNeverExceeded(SimulatedLeaseCluster cluster) {
+    assertTrue(
+        cluster.maxTotalQuota() <= 1 + TOLERANCE,
+        "seed " + cluster.seed() + ": all quotas together were " + cluster.maxTotalQuota());
   }
 
-  private static void each(
-      int members, int witnesses, java.util.function.Consumer<LeaseWorld> test) {
-    for (long seed = 1; seed <= 10; seed++) {
-      LeaseWorld w = new LeaseWorld(terms(members, witnesses), seed).run(2.5 * LASTS);
-      test.accept(w);
-      neverMoreThanTheWhole(w);
+  private static void forEachSeed(
+      int members, int witnesses, Consumer<SimulatedLeaseCluster> scenario) {
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      SimulatedLeaseCluster cluster =
+          new SimulatedLeaseCluster(terms(members, witnesses), seed).run(2.5 * DURATION_MS);
+      scenario.accept(cluster);
+      assertBudgetNeverExceeded(cluster);
     }
   }
 
-  private static void parts(LeaseWorld w, List<Integer> of, double part) {
-    of.forEach(i -> assertEquals(part, w.part(i), ROUNDING, "seed " + w.seed + ": member " + i));
+  private static void assertQuotas(
+      SimulatedLeaseCluster cluster, List<Integer> members, double quota) {
+    members.forEach(
+        member ->
+            assertEquals(
+                quota,
+                cluster.quota(member),
+                TOLERANCE,
+                "seed " + cluster.seed() + ": member " + member));
   }
 
   @Test
-  void aFleetThatStartsHasEvenPartsOnceNoEarlierLeaseCanBeOut() {
-    LeaseWorld w = new LeaseWorld(terms(5, 3), 1).run(0.95 * LASTS);
-    parts(w, List.of(0, 1, 2, 3, 4), 0);
-    parts(w.run(LASTS), List.of(0, 1, 2, 3, 4), 1.0 / 5);
-    neverMoreThanTheWhole(w);
+  void aStartingFleetHasEqualQuotasOnceEarlierLeasesMustHaveExpired() {
+    SimulatedLeaseCluster cluster =
+        new SimulatedLeaseCluster(terms(5, 3), 1).run(0.95 * DURATION_MS);
+    assertQuotas(cluster, List.of(0, 1, 2, 3, 4), 0);
+    assertQuotas(cluster.run(DURATION_MS), List.of(0, 1, 2, 3, 4), 1.0 / 5);
+    assertBudgetNeverExceeded(cluster);
   }
 
   @Test
-  void thePartOfTheDeadGoesToTheOthersAndComesBackToItsNextProcess() {
-    each(
+  void theQuotaOfADeadMemberIsRedistributedUntilItsNextProcessMayAct() {
+    forEachSeed(
         5,
         3,
-        w -> {
-          w.kill(4);
-          w.run(0.5 * LASTS);
-          parts(w, List.of(0, 1, 2, 3), 1.0 / 5);
-          parts(w.run(LASTS), List.of(0, 1, 2, 3), 1.0 / 4);
-          w.start(4);
-          w.run(0.8 * LASTS);
-          parts(w, List.of(4), 0);
-          parts(w.run(LASTS), List.of(0, 1, 2, 3, 4), 1.0 / 5);
+        cluster -> {
+          cluster.kill(4);
+          cluster.run(0.5 * DURATION_MS);
+          assertQuotas(cluster, List.of(0, 1, 2, 3), 1.0 / 5);
+          assertQuotas(cluster.run(DURATION_MS), List.of(0, 1, 2, 3), 1.0 / 4);
+          cluster.start(4);
+          cluster.run(0.8 * DURATION_MS);
+          assertQuotas(cluster, List.of(4), 0);
+          assertQuotas(cluster.run(DURATION_MS), List.of(0, 1, 2, 3, 4), 1.0 / 5);
         });
   }
 
   @Test
-  void ofTwoSidesOfACutTheSmallerGivesUpItsPartBeforeTheOtherTakesIt() {
-    each(
+  void theMinorityOfAPartitionLosesItsQuotaBeforeTheMajorityTakesIt() {
+    List<Integer> minority = List.of(0, 1, 6);
+    forEachSeed(
         7,
         5,
-        w -> {
-          w.cutOff(List.of(0, 1, 6), true);
-          parts(w.run(2 * LASTS), List.of(0, 1, 6), 0);
-          parts(w, List.of(2, 3, 4, 5), 1.0 / 4);
-          w.cutOff(List.of(0, 1, 6), false);
-          parts(w.run(2.5 * LASTS), List.of(0, 1, 2, 3, 4, 5, 6), 1.0 / 7);
+        cluster -> {
+          cluster.partition(minority);
+          assertQuotas(cluster.run(2 * DURATION_MS), minority, 0);
+          assertQuotas(cluster, List.of(2, 3, 4, 5), 1.0 / 4);
+          cluster.healPartition(minority);
+          assertQuotas(cluster.run(2.5 * DURATION_MS), List.of(0, 1, 2, 3, 4, 5, 6), 1.0 / 7);
         });
   }
 
-  /** Guards against one that hears all, and takes that for being heard. */
+  /** It receives everything, which must not count as being received. */
   @Test
-  void oneThatNobodyHearsHasNoPart() {
-    each(
+  void aMemberThatNobodyReceivesFromHasNoQuota() {
+    forEachSeed(
         5,
         3,
-        w -> {
-          IntStream.range(0, 4).forEach(i -> w.cut[4][i] = true);
-          parts(w.run(2 * LASTS), List.of(4), 0);
-          parts(w, List.of(0, 1, 2, 3), 1.0 / 4);
+        cluster -> {
+          IntStream.range(0, 4).forEach(number -> cluster.cut(4, number));
+          assertQuotas(cluster.run(2 * DURATION_MS), List.of(4), 0);
+          assertQuotas(cluster, List.of(0, 1, 2, 3), 1.0 / 4);
         });
   }
 
   @Test
-  void withoutMostWitnessesNobodyHasAPartAndWithThemAgainAllHave() {
-    each(
+  void withoutAMajorityOfWitnessesNobodyHasAQuota() {
+    forEachSeed(
         5,
         3,
-        w -> {
-          w.kill(0);
-          parts(w.run(2 * LASTS), List.of(1, 2, 3, 4), 1.0 / 4);
-          w.kill(1);
-          parts(w.run(2 * LASTS), List.of(2, 3, 4), 0);
-          w.start(0);
-          parts(w.run(3 * LASTS), List.of(0, 2, 3, 4), 1.0 / 4);
+        cluster -> {
+          cluster.kill(0);
+          assertQuotas(cluster.run(2 * DURATION_MS), List.of(1, 2, 3, 4), 1.0 / 4);
+          cluster.kill(1);
+          assertQuotas(cluster.run(2 * DURATION_MS), List.of(2, 3, 4), 0);
+          cluster.start(0);
+          assertQuotas(cluster.run(3 * DURATION_MS), List.of(0, 2, 3, 4), 1.0 / 4);
         });
   }
 
   @Test
-  void oneThatWakesHasNothingUntilItHasAskedAnew() {
-    each(
+  void aResumedMemberHasNoQuotaUntilItHasRenewedItsLeases() {
+    forEachSeed(
         5,
         3,
-        w -> {
-          w.pause(3, 30_000);
-          w.run(29_999);
-          parts(w, List.of(0, 1, 2, 4), 1.0 / 4);
-          assertEquals(0, w.part(3), ROUNDING);
-          parts(w.run(2.5 * LASTS), List.of(0, 1, 2, 3, 4), 1.0 / 5);
+        cluster -> {
+          cluster.pause(3, 30_000);
+          cluster.run(29_999);
+          assertQuotas(cluster, List.of(0, 1, 2, 4), 1.0 / 4);
+          assertEquals(0, cluster.quota(3), TOLERANCE);
+          assertQuotas(cluster.run(2.5 * DURATION_MS), List.of(0, 1, 2, 3, 4), 1.0 / 5);
         });
   }
 
-  /**
-   * Witnesses and others, killed, started anew, stopped, cut one way and both, with loss and delay:
-   * by chance, from a seed.
-   */
+  /** Kills, restarts, pauses, one-way cuts, partitions, loss and delay, chosen by seed. */
   @Property(tries = 100, seed = "20261202")
-  void whateverHappensAllTogetherTakeNoMoreThanTheWhole(
+  void quotasNeverExceedTheBudgetUnderRandomFaults(
       @ForAll long seed,
       @ForAll @IntRange(min = 1, max = 9) int members,
       @ForAll @IntRange(min = 1, max = 5) int witnesses) {
     Random random = new Random(seed);
-    LeaseWorld w = new LeaseWorld(terms(members, Math.min(witnesses, members)), seed);
-    w.run(random.nextInt(25_000));
-    for (int k = 0; k < 40; k++) {
-      int a = random.nextInt(members);
-      int b = random.nextInt(members);
-      switch (random.nextInt(7)) {
-        case 0 -> w.kill(a);
-        case 1, 2 -> {
-          if (!w.up(a) || random.nextBoolean()) {
-            w.start(a);
-          }
-        }
-        case 3 -> w.pause(a, random.nextInt(20_000));
-        case 4 -> w.cut[a][b] = !w.cut[a][b];
-        case 5 ->
-            w.cutOff(
-                random.ints(random.nextInt(members), 0, members).distinct().boxed().toList(),
-                random.nextBoolean());
-        default -> {
-          w.loss = random.nextInt(3) == 0 ? 0.4 * random.nextDouble() : 0;
-          w.mostDelay = random.nextInt(3) == 0 ? 4000 : 20;
+    SimulatedLeaseCluster cluster =
+        new SimulatedLeaseCluster(terms(members, Math.min(witnesses, members)), seed);
+    cluster.run(random.nextInt(25_000));
+    for (int fault = 0; fault < 40; fault++) {
+      causeRandomFault(cluster, random, members);
+      cluster.run(random.nextInt(random.nextInt(4) == 0 ? 15_000 : 3000));
+      assertBudgetNeverExceeded(cluster);
+    }
+  }
+
+  private static void causeRandomFault(SimulatedLeaseCluster cluster, Random random, int members) {
+    int member = random.nextInt(members);
+    int other = random.nextInt(members);
+    switch (random.nextInt(7)) {
+      case 0 -> cluster.kill(member);
+      case 1, 2 -> {
+        if (!cluster.isRunning(member) || random.nextBoolean()) {
+          cluster.start(member);
         }
       }
-      w.run(random.nextInt(random.nextInt(4) == 0 ? 15_000 : 3000));
-      neverMoreThanTheWhole(w);
+      case 3 -> cluster.pause(member, random.nextInt(20_000));
+      case 4 -> cluster.toggleCut(member, other);
+      case 5 -> partitionOrHeal(cluster, random, members);
+      default ->
+          cluster.setNetwork(
+              random.nextInt(3) == 0 ? 0.4 * random.nextDouble() : 0,
+              random.nextInt(3) == 0 ? 4000 : 20);
+    }
+  }
+
+  private static void partitionOrHeal(SimulatedLeaseCluster cluster, Random random, int members) {
+    List<Integer> side =
+        random.ints(random.nextInt(members), 0, members).distinct().boxed().toList();
+    if (random.nextBoolean()) {
+      cluster.partition(side);
+    } else {
+      cluster.healPartition(side);
     }
   }
 
-  /**
-   * A holder whose clock is slow and a witness whose clock is fast: still, the one is over before
-   * the other lets go.
-   */
+  /** The lease of a slow holder's clock ends before a fast witness's clock considers it expired. */
   @Property(tries = 50, seed = "20261202")
-  void clocksOfAnotherPaceAreBorne(@ForAll @IntRange(min = 2000, max = 600_000) int lasts) {
-    LeaseTerms terms = new LeaseTerms(5, List.of(0), lasts, EFFECT);
-    assertTrue((terms.usableTime() + terms.effectTime()) / 0.9951 <= terms.expiryWait() / 1.0049);
-    assertTrue(
-        (terms.usableTime() + terms.effectTime()) / 0.9951
-            <= terms.expiryWait(terms.duration()) / 1.0049);
+  void aLeaseEndsBeforeItExpiresOnAClockOfAnotherRate(
+      @ForAll @IntRange(min = 2000, max = 600_000) int durationMs) {
+    LeaseTerms terms = new LeaseTerms(5, List.of(0), durationMs, EFFECT_MS);
+    double slowHolderEnd = (terms.usableTime() + terms.effectTime()) / 0.9951;
+    assertTrue(slowHolderEnd <= terms.expiryWait() / 1.0049);
+    assertTrue(slowHolderEnd <= terms.expiryWait(terms.duration()) / 1.0049);
+  }
+
+  /** Member 2 of three, with a grant received at 5500 that may be used after 5000. */
+  private static Leases leasesWithDelayedGrant() {
+    Leases leases = new Leases(2, new LeaseTerms(3, List.of(0), DURATION_MS, EFFECT_MS));
+    leases.start(5, 0);
+    leases.tick(2500);
+    leases.onMessage(new LeaseMessage.LeaseGrant(0, 1, 5000, new BitSet()), 5500);
+    return leases;
+  }
+
+  @Test
+  void theDelayOfAGrantCountsFromItsReceipt() {
+    Leases leases = leasesWithDelayedGrant();
+    assertEquals(0, leases.status(10_000).leases());
+    assertEquals(1, leases.status(10_600).leases());
+    assertEquals(1, leases.status(10_600).activeMembers(), "itself at least");
   }
 
-  /**
-   * Guards against an answer long on its way, by which a newcomer would take its part while others
-   * still have it.
-   */
   @Test
-  void whoIsToWaitWaitsFromWhenItIsToldAndWhoHasEndedAsksNoMore() {
-    Leases m = new Leases(2, new LeaseTerms(3, List.of(0), LASTS, EFFECT));
-    m.start(5, 0);
-    m.tick(2500);
-    m.onMessage(new LeaseMessage.LeaseGrant(0, 1, 5000, new BitSet()), 5500);
-    assertEquals(0, m.status(10_000).leases());
-    assertEquals(1, m.status(10_600).leases());
-    assertEquals(1, m.status(10_600).activeMembers(), "itself at least");
-    m.stop();
-    assertEquals(List.of(), m.tick(20_000));
+  void aStoppedMemberRequestsNoLeases() {
+    Leases leases = leasesWithDelayedGrant();
+    leases.stop();
+    assertEquals(List.of(), leases.tick(20_000));
   }
 
   @Test
-  void whatWasNotAskedLastOrMakesNoSenseChangesNothing() {
-    LeaseTerms terms = terms(3, 3);
-    Leases m = new Leases(2, terms);
-    m.start(5, 0);
-    m.tick(0);
-    BitSet named = new BitSet();
-    named.set(0, 3);
-    assertEquals(List.of(), m.onMessage(new LeaseMessage.LeaseGrant(1, 99, 0, named), 10));
-    m.onMessage(new LeaseMessage.LeaseGrant(1, 2, Double.NaN, named), 10);
-    m.onMessage(new LeaseMessage.LeaseRequest(7, 1, 1), 10);
-    m.onMessage(new LeaseMessage.LeaseRequest(-1, 1, 1), 10);
-    assertEquals(4, m.ignoredMessages());
-    assertEquals(0, m.status(20).leases());
+  void ignoresGrantsOfEarlierRequestsAndInvalidMessages() {
+    Leases leases = new Leases(2, terms(3, 3));
+    leases.start(5, 0);
+    leases.tick(0);
+    BitSet holders = new BitSet();
+    holders.set(0, 3);
+    assertEquals(List.of(), leases.onMessage(new LeaseMessage.LeaseGrant(1, 99, 0, holders), 10));
+    leases.onMessage(new LeaseMessage.LeaseGrant(1, 2, Double.NaN, holders), 10);
+    leases.onMessage(new LeaseMessage.LeaseRequest(7, 1, 1), 10);
+    leases.onMessage(new LeaseMessage.LeaseRequest(-1, 1, 1), 10);
+    assertEquals(4, leases.ignoredMessages());
+    assertEquals(0, leases.status(20).leases());
   }
 }
--- a/src/test/java/bitternpulley/membership/CheckBudgetTest.java
+++ b/src/test/java/bitternpulley/membership/CheckBudgetTest.java
@@ -8,32 +8,21 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/**
- * What one member asks out of turn while others tell it of ever new suspects, all of which answer.
- */
+/** The probes that a member sends out of turn. */
 public class CheckBudgetTest {
   private static final int MEMBERS = 200;
   private static final long EPOCH = 1_000_000;
-  private static final double SECONDS = 20;
+  private static final double START = 1e9;
+  private static final double DURATION_S = 20;
+  private static final double INITIAL_BUDGET = 8;
 
   /**
-   * Probes of the round, one an interval of a second, and those out of turn that the budget has:
-   * eight, and one an interval.
+   * Probes of the round, one per interval of a second, and checks, which have an initial budget and
+   * one more per interval.
    */
-  private static final int MOST = (int) (SECONDS + 8 + SECONDS) + 2;
+  private static final int MAX_PROBES = (int) (DURATION_S + INITIAL_BUDGET + DURATION_S) + 2;
 
-  private static GossipMessage message(
-      Kind kind, int from, int sequence, int target, List<GossipUpdate> updates) {
-    return new GossipMessage(kind, from, EPOCH, 0, sequence, target, 0, 0, updates);
-  }
-
-  /**
-   * Guards against checks that go with the square of the members where a lossy network has somebody
-   * suspect at any time.
-   */
-  @Test
-  public void suspectsThatAnswerAreAskedWithinABudget() {
-    double now = 1e9;
+  private static Membership memberThatKnowsAll() {
     Membership member =
         new Membership(
             0,
@@ -42,35 +31,40 @@
             IntStream.range(0, MEMBERS).boxed().toList(),
             MembershipSettings.DEFAULT,
             1,
-            now);
-    for (int i = 1; i < MEMBERS; i++) {
-      member.onMessage(message(Kind.SYNC, i, 0, 0, List.of()), now);
+            START);
+    for (int number = 1; number < MEMBERS; number++) {
+      member.onMessage(GossipMessages.sync(number, EPOCH), START);
     }
-    int asked = 0;
-    int said = 0;
-    for (double end = now + 1000 * SECONDS; now < end; now += member.tickInterval()) {
-      List<MembershipAction> out = new ArrayList<>(member.tick(now));
-      int teller = 1 + said % (MEMBERS - 1);
-      int suspect = 1 + (said + MEMBERS / 2) % (MEMBERS - 1);
-      said++;
-      out.addAll(
-          member.onMessage(
-              message(
-                  Kind.SYNC,
-                  teller,
-                  0,
-                  0,
-                  List.of(new GossipUpdate(suspect, EPOCH, 0, MemberState.SUSPECT, teller, null))),
-              now));
-      for (MembershipAction o : out) {
-        if (o instanceof MembershipAction.Send s && s.message().kind() == Kind.PING) {
-          asked++;
+    return member;
+  }
+
+  /** A report by one member that another one is suspect, a different pair each time. */
+  private static GossipMessage suspicionReport(int index) {
+    int reporter = 1 + index % (MEMBERS - 1);
+    int suspect = 1 + (index + MEMBERS / 2) % (MEMBERS - 1);
+    return GossipMessages.sync(
+        reporter, EPOCH, new GossipUpdate(suspect, EPOCH, 0, MemberState.SUSPECT, reporter, null));
+  }
+
+  @Test
+  public void checksOfSuspectsThatAnswerStayWithinABudget() {
+    Membership member = memberThatKnowsAll();
+    int probes = 0;
+    int reports = 0;
+    double end = START + 1000 * DURATION_S;
+    for (double now = START; now < end; now += member.tickInterval()) {
+      List<MembershipAction> actions = new ArrayList<>(member.tick(now));
+      actions.addAll(member.onMessage(suspicionReport(reports), now));
+      reports++;
+      for (MembershipAction action : actions) {
+        if (action instanceof MembershipAction.Send send && send.message().kind() == Kind.PING) {
+          probes++;
           member.onMessage(
-              message(Kind.ACK, s.to(), s.message().sequence(), s.to(), List.of()), now + 1);
+              GossipMessages.ack(send.to(), EPOCH, send.message().sequence()), now + 1);
         }
       }
     }
-    assertTrue(asked <= MOST, asked + " probes in " + SECONDS + " s, of " + MOST);
-    assertTrue(asked >= SECONDS, "the round goes on: " + asked);
+    assertTrue(probes <= MAX_PROBES, probes + " probes in " + DURATION_S + " s, of " + MAX_PROBES);
+    assertTrue(probes >= DURATION_S, "the round goes on: " + probes);
   }
 }
--- a/src/test/java/bitternpulley/membership/DetectionTimeTable.java
+++ b/src/test/java/bitternpulley/membership/DetectionTimeTable.java
@@ -1,213 +1,242 @@
 package bitternpulley.membership;
 
 import java.util.Arrays;
+import java.util.List;
 import java.util.Locale;
 import java.util.Random;
 import java.util.stream.IntStream;
 
 /**
- * The table of docs/membership.md, from virtual time: {@code make table-membership}. The plain form
- * from the same seeds.
+ * The tables of docs/membership.md, in virtual time: {@code make table-membership}. {@link
+ * BasicSwimDetector} runs with the same seeds for comparison. Times are ms.
  */
 final class DetectionTimeTable {
-  private static final double SETTLED = 30_000;
+  private static final double SETTLING_MS = 30_000;
+  private static final double SETTLING_MS_PER_MEMBER = 2;
+  private static final double MS_PER_MINUTE = 60_000;
+  private static final double MS_PER_DAY = 86_400_000;
+  private static final double REST_S = 10;
+  private static final int MEMORY_INSTANCES = 20;
+
+  private enum Detector {
+    OWN("own"),
+    BASIC_SWIM("plain");
+
+    final String label;
+
+    Detector(String label) {
+      this.label = label;
+    }
+
+    SimulatedCluster cluster(int members, long seed) {
+      return switch (this) {
+        case OWN -> new SimulatedCluster(members, seed, MembershipSettings.DEFAULT);
+        case BASIC_SWIM ->
+            new SimulatedCluster(
+                members,
+                seed,
+                (number, epoch, instanceSeed, now) ->
+                    new BasicSwimDetector(
+                        number, members, epoch, MembershipSettings.DEFAULT, instanceSeed, now));
+      };
+    }
+  }
+
+  /** Fleet size and number of seeds of one measurement. */
+  private record Sample(int members, int seeds) {}
+
+  private static final List<Sample> DETECTION_SAMPLES =
+      List.of(new Sample(10, 1000), new Sample(100, 100), new Sample(1000, 1));
 
   private DetectionTimeTable() {}
 
   /**
-   * The whole table; or one line of it: {@code detect MEMBERS SEEDS}, {@code churn MEMBERS}, {@code
-   * deaths MEMBERS LOSS MS}.
+   * Prints all tables; or one line of them: {@code detect MEMBERS SEEDS}, {@code churn MEMBERS},
+   * {@code deaths MEMBERS LOSS MS}.
    */
   public static void main(String[] args) {
     if (args.length > 0) {
-      int members = Integer.parseInt(args[1]);
-      switch (args[0]) {
-        case "detect" -> detection(members, Integer.parseInt(args[2]), false);
-        case "churn" -> churn(members);
-        case "deaths" ->
-            falseDeaths(
-                members, Double.parseDouble(args[2]), 1, Double.parseDouble(args[3]), false);
-        default -> throw new IllegalArgumentException(args[0] + " is no line of the table");
-      }
-      System.exit(0);
+      printLine(args);
+    } else {
+      printAll();
+    }
+    System.exit(0);
+  }
+
+  private static void printLine(String[] args) {
+    int members = Integer.parseInt(args[1]);
+    switch (args[0]) {
+      case "detect" -> printDetection(new Sample(members, Integer.parseInt(args[2])), Detector.OWN);
+      case "churn" -> printChurn(members);
+      case "deaths" ->
+          printFalseDeaths(
+              new Sample(members, 1),
+              Double.parseDouble(args[2]),
+              Double.parseDouble(args[3]),
+              Detector.OWN);
+      default -> throw new IllegalArgumentException(args[0] + " is no line of the table");
     }
-    int[][] sizes = {{10, 1000}, {100, 100}, {1000, 1}};
-    for (int[] size : sizes) {
-      for (boolean plain : new boolean[] {false, true}) {
-        detection(size[0], size[1], plain);
+  }
+
+  private static void printAll() {
+    for (Sample sample : DETECTION_SAMPLES) {
+      for (Detector detector : Detector.values()) {
+        printDetection(sample, detector);
       }
     }
-    for (boolean plain : new boolean[] {false, true}) {
-      for (double loss : new double[] {0, 0.05, 0.2}) {
-        falseDeaths(10, loss, 20, 600_000, plain);
-        falseDeaths(100, loss, 2, 300_000, plain);
+    for (Detector detector : Detector.values()) {
+      for (double lossRate : new double[] {0, 0.05, 0.2}) {
+        printFalseDeaths(new Sample(10, 20), lossRate, 600_000, detector);
+        printFalseDeaths(new Sample(100, 2), lossRate, 300_000, detector);
       }
     }
-    churn(500);
-    churn(1000);
-    memory();
-    System.exit(0);
+    printChurn(500);
+    printChurn(1000);
+    printMemory();
   }
 
-  /** One in ten a minute is started anew, for a minute. */
-  private static void churn(int members) {
-    World w = world(members, 1, false);
-    w.run(SETTLED + 2.0 * members);
-    w.verdicts.clear();
-    for (int k = 0; k < members / 10; k++) {
-      int goes = 7 * k % members;
-      w.kill(goes);
-      w.plan(w.now + 2000, () -> w.start(goes));
-      w.run(600_000.0 / members);
+  private static void print(String format, Object... values) {
+    System.out.println(String.format(Locale.ROOT, format, values));
+  }
+
+  /** One in ten members restarts within a minute. */
+  private static void printChurn(int members) {
+    SimulatedCluster cluster = Detector.OWN.cluster(members, 1);
+    cluster.run(SETTLING_MS + SETTLING_MS_PER_MEMBER * members);
+    cluster.clearStateChanges();
+    int[] restarted = IntStream.range(0, members / 10).map(index -> 7 * index % members).toArray();
+    for (int number : restarted) {
+      cluster.kill(number);
+      cluster.schedule(cluster.now() + 2000, () -> cluster.start(number));
+      cluster.run(10 * MS_PER_MINUTE / members);
     }
-    double from = w.now;
-    while (!churned(w, members) && w.now < from + 300_000) {
-      w.run(2000);
+    double from = cluster.now();
+    while (!allKnowProcesses(cluster, restarted) && cluster.now() < from + 300_000) {
+      cluster.run(2000);
     }
-    double took = w.now - from;
-    System.out.println(
-        String.format(
-            Locale.ROOT,
-            "own, %d members, one in ten started anew in a minute: all known as they run after "
-                + "%.0f ms more; %d verdicts of death",
-            members,
-            took,
-            w.deaths().size()));
+    print(
+        "own, %d members, one in ten started anew in a minute: all known as they run after "
+            + "%.0f ms more; %d verdicts of death",
+        members, cluster.now() - from, cluster.deathVerdicts().size());
   }
 
-  /** Whether all hold those that were started anew for the process that runs. */
-  private static boolean churned(World w, int members) {
-    return IntStream.range(0, members)
+  /** Whether all members know the running processes of these. */
+  private static boolean allKnowProcesses(SimulatedCluster cluster, int[] numbers) {
+    return IntStream.range(0, cluster.size())
         .allMatch(
-            j -> {
-              java.util.List<MemberView> views = w.at(j).members();
-              return IntStream.range(0, members / 10)
-                  .map(k -> 7 * k % members)
-                  .allMatch(i -> views.get(i).epoch() == w.at(i).epoch());
+            observer -> {
+              List<MemberView> views = cluster.member(observer).members();
+              return IntStream.of(numbers)
+                  .allMatch(number -> views.get(number).epoch() == cluster.member(number).epoch());
             });
   }
 
-  private static void memory() {
+  private static void printMemory() {
     for (int members : new int[] {10, 1000}) {
-      Membership[] many = new Membership[20];
-      long before = used();
-      for (int k = 0; k < many.length; k++) {
-        many[k] =
-            new Membership(
-                0,
-                new MemberMetadata("n0", "z0", "r", "b"),
-                1,
-                IntStream.range(0, members).boxed().toList(),
-                MembershipSettings.DEFAULT,
-                1,
-                1e9);
-        for (int i = 1; i < members; i++) {
-          many[k].onMessage(
-              new GossipMessage(
-                  GossipMessage.Kind.SYNC,
-                  i,
-                  1_000_000,
-                  0,
-                  0,
-                  0,
-                  0,
-                  java.util.List.of(
-                      new GossipUpdate(
-                          i,
-                          1_000_000,
-                          0,
-                          MemberState.ALIVE,
-                          -1,
-                          new MemberMetadata("node-" + i, "zone", "region", "build"),
-                          new MemberPayload(1, new byte[MemberPayload.MAX_BYTES])))),
-              1e9);
-        }
-      }
-      System.out.println(
-          members
-              + " members: "
-              + (used() - before) / many.length / members
-              + " bytes a member, all heard of ("
-              + many[0].members().size()
-              + ")");
+      Membership[] instances = new Membership[MEMORY_INSTANCES];
+      long before = usedMemory();
+      Arrays.setAll(instances, index -> memberThatKnowsAll(members));
+      print(
+          "%d members: %d bytes a member, all heard of (%d)",
+          members,
+          (usedMemory() - before) / instances.length / members,
+          instances[0].members().size());
     }
   }
 
-  private static long used() {
-    System.gc();
-    return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+  private static Membership memberThatKnowsAll(int members) {
+    long epoch = 1_000_000;
+    double now = 1e9;
+    Membership membership =
+        new Membership(
+            0,
+            new MemberMetadata("n0", "z0", "r", "b"),
+            1,
+            IntStream.range(0, members).boxed().toList(),
+            MembershipSettings.DEFAULT,
+            1,
+            now);
+    for (int number = 1; number < members; number++) {
+      GossipUpdate update =
+          new GossipUpdate(
+              number,
+              epoch,
+              0,
+              MemberState.ALIVE,
+              GossipUpdate.NO_ACCUSER,
+              new MemberMetadata("node-" + number, "zone", "region", "build"),
+              new MemberPayload(1, new byte[MemberPayload.MAX_BYTES]));
+      membership.onMessage(GossipMessages.sync(number, epoch, update), now);
+    }
+    return membership;
   }
 
-  private static World world(int members, long seed, boolean plain) {
-    return plain
-        ? new World(
-            members,
-            seed,
-            (number, epoch, chance, now) ->
-                new PlainDetector(number, members, epoch, MembershipSettings.DEFAULT, chance, now))
-        : new World(members, seed, MembershipSettings.DEFAULT);
+  private static long usedMemory() {
+    System.gc();
+    return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
 
-  /** From a kill until all live members know. */
-  private static void detection(int members, int seeds, boolean plain) {
-    double[] took = new double[seeds];
+  /** The time from a kill until all live members know. */
+  private static void printDetection(Sample sample, Detector detector) {
+    int members = sample.members();
+    int seeds = sample.seeds();
+    double[] detectionMs = new double[seeds];
     double messages = 0;
-    double others = 0;
-    for (int s = 0; s < seeds; s++) {
-      World w = world(members, s + 1, plain);
-      w.run(SETTLED + 2.0 * members);
-      long before = w.sent;
-      w.run(10_000);
-      messages += (w.sent - before) / 10.0 / members / seeds;
-      int killed = new Random(s).nextInt(members);
-      w.verdicts.clear();
-      w.kill(killed);
-      took[s] = w.until(120_000, "all know", () -> w.allHold(killed, MemberState.DEAD));
-      others += w.deaths().stream().filter(v -> v.of() != killed).count();
+    double falseVerdicts = 0;
+    for (int run = 0; run < seeds; run++) {
+      SimulatedCluster cluster = detector.cluster(members, run + 1);
+      cluster.run(SETTLING_MS + SETTLING_MS_PER_MEMBER * members);
+      long before = cluster.sentMessages();
+      cluster.run(1000 * REST_S);
+      messages += (cluster.sentMessages() - before) / REST_S / members / seeds;
+      int killed = new Random(run).nextInt(members);
+      cluster.clearStateChanges();
+      cluster.kill(killed);
+      detectionMs[run] =
+          cluster.runUntil(120_000, "all know", () -> cluster.allHold(killed, MemberState.DEAD));
+      falseVerdicts +=
+          cluster.deathVerdicts().stream().filter(verdict -> verdict.member() != killed).count();
     }
-    Arrays.sort(took);
-    System.out.println(
-        String.format(
-            Locale.ROOT,
-            "%s, %d members, %d seeds: all know after median %.0f p99 %.0f worst %.0f ms;"
-                + " %.1f messages/s each; %.0f verdicts on others",
-            plain ? "plain" : "own",
-            members,
-            seeds,
-            took[seeds / 2],
-            took[(int) Math.ceil(0.99 * seeds) - 1],
-            took[seeds - 1],
-            messages,
-            others));
+    Arrays.sort(detectionMs);
+    print(
+        "%s, %d members, %d seeds: all know after median %.0f p99 %.0f worst %.0f ms;"
+            + " %.1f messages/s each; %.0f verdicts on others",
+        detector.label,
+        members,
+        seeds,
+        detectionMs[seeds / 2],
+        detectionMs[(int) Math.ceil(0.99 * seeds) - 1],
+        detectionMs[seeds - 1],
+        messages,
+        falseVerdicts);
   }
 
-  /** Nobody is killed; one in ten is paused for 1 to 5 s each minute. */
-  private static void falseDeaths(int members, double loss, int seeds, double ms, boolean plain) {
+  /** Nobody is killed; one in ten members is paused for 1 to 5 s each minute. */
+  private static void printFalseDeaths(
+      Sample sample, double lossRate, double ms, Detector detector) {
+    int members = sample.members();
     long deaths = 0;
-    for (int s = 0; s < seeds; s++) {
-      World w = world(members, s + 1, plain);
-      w.run(SETTLED);
-      w.verdicts.clear();
-      w.loss = loss;
-      Random random = new Random(s);
-      for (double t = 0; t < ms; t += 60_000) {
-        for (int i = 0; i < members / 10; i++) {
-          w.pause(random.nextInt(members), 1000 + random.nextInt(4000));
-        }
-        w.run(60_000);
+    for (int run = 0; run < sample.seeds(); run++) {
+      SimulatedCluster cluster = detector.cluster(members, run + 1);
+      cluster.run(SETTLING_MS);
+      cluster.clearStateChanges();
+      cluster.setNetwork(NetworkConditions.NORMAL.withLossRate(lossRate));
+      runWithPauses(cluster, new Random(run), ms);
+      deaths += cluster.deathVerdicts().size();
+    }
+    double days = sample.seeds() * members * ms / MS_PER_DAY;
+    print(
+        "%s, %d members, loss %.2f: %.0f verdicts of death an instance-day (%d in %.2f)",
+        detector.label, members, lossRate, deaths / days, deaths, days);
+  }
+
+  private static void runWithPauses(SimulatedCluster cluster, Random random, double ms) {
+    int members = cluster.size();
+    for (double elapsed = 0; elapsed < ms; elapsed += MS_PER_MINUTE) {
+      for (int paused = 0; paused < members / 10; paused++) {
+        cluster.pause(random.nextInt(members), 1000 + random.nextInt(4000));
       }
-      deaths += w.deaths().size();
+      cluster.run(MS_PER_MINUTE);
     }
-    double days = seeds * members * ms / 86_400_000;
-    System.out.println(
-        String.format(
-            Locale.ROOT,
-            "%s, %d members, loss %.2f: %.0f verdicts of death an instance-day (%d in %.2f)",
-            plain ? "plain" : "own",
-            members,
-            loss,
-            deaths / days,
-            deaths,
-            days));
   }
 }
--- a/src/test/java/bitternpulley/membership/HollowMembers.java
+++ b/src/test/java/bitternpulley/membership/HollowMembers.java
@@ -5,55 +5,51 @@
 import java.util.stream.IntStream;
 
 /**
- * Many members of the program's own state machine in virtual time, for what they send: whoever
- * measures sees each message.
+ * Members without a broker or network: the program's own state machines in virtual time, whose
+ * messages an observer can count. Times are ms.
  */
 public final class HollowMembers {
-  private static final double SETTLED_MS = 30_000;
-  private static final double SETTLED_MS_EACH = 2;
+  private static final double SETTLING_MS = 30_000;
+  private static final double SETTLING_MS_PER_MEMBER = 2;
+  private static final double DOWN_MS = 2000;
 
-  private final World world;
+  private final SimulatedCluster cluster;
 
-  /** So many that have found each other. */
+  /** Members that have found each other. */
   public HollowMembers(int count, long seed) {
-    world = new World(count, seed, MembershipSettings.DEFAULT);
-    world.run(SETTLED_MS + SETTLED_MS_EACH * count);
+    cluster = new SimulatedCluster(count, seed, MembershipSettings.DEFAULT);
+    cluster.run(SETTLING_MS + SETTLING_MS_PER_MEMBER * count);
   }
 
-  /** Shows each message that is sent from now on. */
-  public HollowMembers watch(Consumer<GossipMessage> watcher) {
-    world.watcher = watcher;
+  /** Passes each message that is sent from now on to the observer. */
+  public HollowMembers observeMessages(Consumer<GossipMessage> observer) {
+    cluster.observeMessages(observer);
     return this;
   }
 
-  /** Lets so many ms pass. */
+  /** Advances the time. */
   public void run(double ms) {
-    world.run(ms);
+    cluster.run(ms);
   }
 
-  /** Restarts so many, one after the other, evenly over so many ms. */
-  public void churn(int restarts, double ms) {
-    Random random = new Random(world.seed);
-    for (int i = 0; i < restarts; i++) {
-      int goes = random.nextInt(world.size());
-      world.kill(goes);
-      world.plan(world.now + 2000, () -> world.start(goes));
-      world.run(ms / restarts);
+  /** Restarts randomly chosen members one after the other, evenly over this time. */
+  public void runWithRestarts(int restarts, double ms) {
+    Random random = new Random(cluster.seed());
+    for (int restart = 0; restart < restarts; restart++) {
+      int number = random.nextInt(cluster.size());
+      cluster.kill(number);
+      cluster.schedule(cluster.now() + DOWN_MS, () -> cluster.start(number));
+      cluster.run(ms / restarts);
     }
   }
 
-  /** Kills a part of them at once: every so many-th. */
-  public void loseEach(int nth) {
-    IntStream.range(0, world.size()).filter(i -> i % nth == 0).forEach(world::kill);
+  /** Kills every n-th member at once. */
+  public void killEvery(int nth) {
+    IntStream.range(0, cluster.size()).filter(number -> number % nth == 0).forEach(cluster::kill);
   }
 
-  /** Drops so large a share of the messages from now on. */
-  public void lose(double share) {
-    world.loss = share;
-  }
-
-  /** Verdicts of death so far on members that ran. */
-  public long deaths() {
-    return world.deaths().size();
+  /** Drops this share of the messages from now on. */
+  public void setLossRate(double rate) {
+    cluster.setNetwork(NetworkConditions.NORMAL.withLossRate(rate));
   }
 }
--- /dev/null
+++ b/src/test/java/bitternpulley/membership/MembershipRestartTest.java
@@ -0,0 +1,80 @@
+package bitternpulley.membership;
+
+import static bitternpulley.membership.MembershipScenarios.assertNoDeathVerdicts;
+import static bitternpulley.membership.MembershipScenarios.forEachSeed;
+import static bitternpulley.membership.MembershipScenarios.settledCluster;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+
+/** Members that restart or leave, in virtual time by seed. */
+class MembershipRestartTest {
+  /** One in ten a minute is down for 2 or for 15 s and returns as another process. */
+  @Test
+  void followsChurnAmongAHundredMembersWithoutFalseVerdicts() {
+    SimulatedCluster cluster = settledCluster(100, 1);
+    int[] restarted = IntStream.range(0, 10).map(index -> 7 * index % 100).toArray();
+    for (int index = 0; index < restarted.length; index++) {
+      int number = restarted[index];
+      cluster.kill(number);
+      cluster.schedule(
+          cluster.now() + (index % 2 == 0 ? 2000 : 15_000), () -> cluster.start(number));
+      cluster.run(6000);
+    }
+    cluster.run(15_000);
+    cluster.runUntil(60_000, "views equal", cluster::viewsEqual);
+    assertTrue(cluster.allAlive());
+    assertNoDeathVerdicts(cluster, restarted);
+  }
+
+  @Test
+  void ignoresMessagesOfTheProcessBeforeARestart() {
+    forEachSeed(
+        5,
+        cluster -> {
+          GossipUpdate accusation =
+              new GossipUpdate(2, cluster.member(2).epoch(), 0, MemberState.DEAD, 1, null);
+          GossipMessage old = GossipMessages.ping(1, cluster.member(1).epoch(), 1, accusation);
+          cluster.kill(1);
+          cluster.run(300);
+          cluster.start(1);
+          cluster.runUntil(10_000, "restart known", cluster::viewsEqual);
+          cluster.clearStateChanges();
+          long ignored = cluster.member(0).ignoredMessages();
+          cluster.perform(0, cluster.member(0).onMessage(old, cluster.now()));
+          assertEquals(ignored + 1, cluster.member(0).ignoredMessages());
+          assertEquals(List.of(), cluster.stateChanges());
+        });
+  }
+
+  @Test
+  void rejoinsAfterARestartWithTheClockSetBack() {
+    forEachSeed(
+        5,
+        cluster -> {
+          cluster.kill(1);
+          cluster.setClockOffset(1, -3_600_000);
+          cluster.start(1);
+          cluster.runUntil(
+              15_000,
+              "its later epoch is known",
+              () -> cluster.viewsEqual() && cluster.allHold(1, MemberState.ALIVE));
+        });
+  }
+
+  @Test
+  void allKnowSoonThatAMemberLeft() {
+    forEachSeed(
+        7,
+        cluster -> {
+          cluster.perform(3, cluster.member(3).leave(cluster.now()));
+          cluster.run(20);
+          cluster.kill(3);
+          cluster.runUntil(6000, "left", () -> cluster.allHold(3, MemberState.LEFT));
+          assertNoDeathVerdicts(cluster);
+        });
+  }
+}
--- a/src/test/java/bitternpulley/membership/MembershipTraceTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipTraceTest.java
@@ -17,103 +17,120 @@
 class MembershipTraceTest {
   private static final Path RECORDED = Path.of("src/test/resources/traces/membership.txt");
 
-  private interface Script {
-    void plan(World world);
+  private interface Scenario {
+    void plan(SimulatedCluster cluster);
   }
 
-  private static String play(int count, long seed, Script script) {
-    World world = new World(count, seed, MembershipSettings.DEFAULT);
+  private static String digestOf(int count, long seed, Scenario scenario) {
+    SimulatedCluster cluster = new SimulatedCluster(count, seed, MembershipSettings.DEFAULT);
     TraceDigest digest = new TraceDigest();
-    world.watcher =
-        m ->
+    cluster.observeMessages(
+        message ->
             digest.add(
-                world.now,
-                m.kind().ordinal(),
-                m.from(),
-                m.epoch(),
-                m.incarnation(),
-                m.sequence(),
-                m.target(),
-                m.viewDigest(),
-                m.payloadDigest(),
-                m.updates().size(),
-                m.updates().stream()
+                cluster.now(),
+                message.kind().ordinal(),
+                message.from(),
+                message.epoch(),
+                message.incarnation(),
+                message.sequence(),
+                message.target(),
+                message.viewDigest(),
+                message.payloadDigest(),
+                message.updates().size(),
+                message.updates().stream()
                     .mapToLong(
-                        r ->
-                            31L * r.number()
-                                + 7L * r.epoch()
-                                + r.incarnation() * 5L
-                                + r.state().ordinal() * 3L
-                                + r.accuser())
-                    .sum());
-    script.plan(world);
-    world.run(60_000);
-    world.verdicts.forEach(
-        v -> digest.add(v.by(), v.of(), v.before().ordinal(), v.now().ordinal(), v.at()));
+                        update ->
+                            31L * update.number()
+                                + 7L * update.epoch()
+                                + update.incarnation() * 5L
+                                + update.state().ordinal() * 3L
+                                + update.accuser())
+                    .sum()));
+    scenario.plan(cluster);
+    cluster.run(60_000);
+    cluster
+        .stateChanges()
+        .forEach(
+            change ->
+                digest.add(
+                    change.observer(),
+                    change.member(),
+                    change.before().ordinal(),
+                    change.now().ordinal(),
+                    change.at()));
     return digest.end();
   }
 
   @Test
   void actsAsRecorded() throws IOException {
-    List<String> seen = new ArrayList<>();
+    List<String> digests = new ArrayList<>();
     for (long seed = 1; seed <= 3; seed++) {
-      seen.add("calm " + seed + " " + play(9, seed, w -> {}));
-      seen.add(
+      digests.add("calm " + seed + " " + digestOf(9, seed, cluster -> {}));
+      digests.add(
           "loss "
               + seed
               + " "
-              + play(
+              + digestOf(
                   9,
                   seed,
-                  w -> {
-                    w.loss = 0.15;
-                    w.repeated = 0.05;
-                    w.mostDelay = 60;
+                  cluster -> {
+                    cluster.setNetwork(
+                        NetworkConditions.NORMAL
+                            .withLossRate(0.15)
+                            .withDuplicationRate(0.05)
+                            .withMaxDelayMs(60));
                   }));
-      seen.add(
+      digests.add(
           "cuts "
               + seed
               + " "
-              + play(
+              + digestOf(
                   9,
                   seed,
-                  w -> {
+                  cluster -> {
                     for (int i = 0; i < 4; i++) {
-                      int one = i;
-                      w.plan(w.now + 8000 + 500 * i, () -> w.cut(one, 8 - one, true));
-                      w.plan(w.now + 8000 + 500 * i, () -> w.cut(8, one, true));
-                      w.plan(w.now + 35_000 + 500 * i, () -> w.cut(8, one, false));
+                      int number = i;
+                      cluster.schedule(
+                          cluster.now() + 8000 + 500 * i, () -> cluster.cut(number, 8 - number));
+                      cluster.schedule(
+                          cluster.now() + 8000 + 500 * i, () -> cluster.cut(8, number));
+                      cluster.schedule(
+                          cluster.now() + 35_000 + 500 * i, () -> cluster.heal(8, number));
                     }
                   }));
-      seen.add(
+      digests.add(
           "pauses "
               + seed
               + " "
-              + play(
+              + digestOf(
                   9,
                   seed,
-                  w -> {
-                    w.plan(w.now + 8000, () -> w.pause(2, 4000));
-                    w.plan(w.now + 20_000, () -> w.pause(3, 25_000));
-                    w.slow(4, 700);
-                    w.clockAhead(5, 250);
+                  cluster -> {
+                    cluster.schedule(cluster.now() + 8000, () -> cluster.pause(2, 4000));
+                    cluster.schedule(cluster.now() + 20_000, () -> cluster.pause(3, 25_000));
+                    cluster.delayDelivery(4, 700);
+                    cluster.setClockOffset(5, 250);
                   }));
-      seen.add(
+      digests.add(
           "restarts "
               + seed
               + " "
-              + play(
+              + digestOf(
                   9,
                   seed,
-                  w -> {
-                    w.plan(w.now + 8000, () -> w.kill(1));
-                    w.plan(w.now + 25_000, () -> w.start(1));
-                    w.plan(w.now + 30_000, () -> w.kill(6));
-                    w.plan(w.now + 30_500, () -> w.start(6));
-                    w.plan(w.now + 40_000, () -> w.perform(7, w.at(7).leave(w.now)));
-                    w.plan(w.now + 10_000, () -> w.at(3).publish(new byte[] {1, 2, 3}));
+                  cluster -> {
+                    cluster.schedule(cluster.now() + 8000, () -> cluster.kill(1));
+                    cluster.schedule(cluster.now() + 25_000, () -> cluster.start(1));
+                    cluster.schedule(cluster.now() + 30_000, () -> cluster.kill(6));
+                    cluster.schedule(cluster.now() + 30_500, () -> cluster.start(6));
+                    cluster.schedule(
+                        cluster.now() + 40_000,
+                        () -> cluster.perform(7, cluster.member(7).leave(cluster.now())));
+                    cluster.schedule(
+                        cluster.now() + 10_000,
+                        () -> cluster.member(3).publish(new byte[] {1, 2, 3}));
                   }));
     }
-    assertEquals(Files.readString(RECORDED).trim(), String.join("\n", seen));
+    assertEquals(Files.readString(RECORDED).trim(), String.join("\n", digests));
   }
 }
--- /dev/null
+++ b/src/test/java/bitternpulley/membership/SimulatedCluster.java
@@ -0,0 +1,335 @@
+package bitternpulley.membership;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.Random;
+import java.util.Set;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import java.util.stream.IntStream;
+
+/**
+ * Many instances in virtual time, with a network that by seed loses, delays, duplicates and cuts
+ * messages, in one direction or both. Times are ms.
+ */
+final class SimulatedCluster {
+  private static final double MIN_DELAY_MS = 0.5;
+  private static final double POLL_MS = 50;
+
+  /** A change of {@code member}'s state in the view of {@code observer}. */
+  record StateChange(int observer, int member, MemberState before, MemberState now, double at) {}
+
+  private record ScheduledTask(double at, long order, Runnable task) {}
+
+  /** A simulated instance: the program's own state machine, or one to compare it with. */
+  interface Instance {
+    List<MembershipAction> tick(double now);
+
+    List<MembershipAction> onMessage(GossipMessage message, double now);
+
+    MemberState stateOf(int number);
+
+    double tickInterval();
+  }
+
+  /** Creates an instance for each start of a member. */
+  interface InstanceFactory {
+    Instance create(int number, long epoch, long seed, double now);
+  }
+
+  private record MembershipInstance(Membership membership) implements Instance {
+    @Override
+    public List<MembershipAction> tick(double now) {
+      return membership.tick(now);
+    }
+
+    @Override
+    public List<MembershipAction> onMessage(GossipMessage message, double now) {
+      return membership.onMessage(message, now);
+    }
+
+    @Override
+    public MemberState stateOf(int number) {
+      return membership.stateOf(number);
+    }
+
+    @Override
+    public double tickInterval() {
+      return membership.tickInterval();
+    }
+  }
+
+  private static final class Node {
+    Instance instance;
+    boolean isRunning;
+    double pausedUntil;
+    int starts;
+    double clockOffset;
+    double deliveryDelay;
+
+    boolean isSameStart(int start) {
+      return isRunning && starts == start;
+    }
+  }
+
+  private final long seed;
+  private final InstanceFactory factory;
+  private final Random random;
+  private final List<Node> nodes = new ArrayList<>();
+  private final Set<Long> cuts = new HashSet<>();
+  private final PriorityQueue<ScheduledTask> tasks =
+      new PriorityQueue<>(
+          Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
+  private final List<StateChange> stateChanges = new ArrayList<>();
+  private NetworkConditions network = NetworkConditions.NORMAL;
+  private Consumer<GossipMessage> messageObserver = message -> {};
+  private long sentMessages;
+  private long scheduledTasks;
+  private double now = 1_000_000_000;
+
+  /** A cluster of the program's own state machine. */
+  SimulatedCluster(int size, long seed, MembershipSettings settings) {
+    this(
+        size,
+        seed,
+        (number, epoch, instanceSeed, now) ->
+            new MembershipInstance(
+                new Membership(
+                    number,
+                    new MemberMetadata("n" + number, "z" + number % 2, "r", "b"),
+                    epoch,
+                    IntStream.range(0, size).boxed().toList(),
+                    settings,
+                    instanceSeed,
+                    now)));
+  }
+
+  /** A cluster of instances that the factory creates. */
+  SimulatedCluster(int size, long seed, InstanceFactory factory) {
+    this.seed = seed;
+    this.factory = factory;
+    random = new Random(seed);
+    IntStream.range(0, size).forEach(number -> nodes.add(new Node()));
+    IntStream.range(0, size).forEach(this::start);
+  }
+
+  long seed() {
+    return seed;
+  }
+
+  double now() {
+    return now;
+  }
+
+  int size() {
+    return nodes.size();
+  }
+
+  /** The state machine of a member of a cluster of the program's own. */
+  Membership member(int number) {
+    return ((MembershipInstance) nodes.get(number).instance).membership();
+  }
+
+  long sentMessages() {
+    return sentMessages;
+  }
+
+  /** All changes of state so far, or since {@link #clearStateChanges}. */
+  List<StateChange> stateChanges() {
+    return stateChanges;
+  }
+
+  void clearStateChanges() {
+    stateChanges.clear();
+  }
+
+  /** The verdicts of death among the changes of state. */
+  List<StateChange> deathVerdicts() {
+    return stateChanges.stream().filter(change -> change.now() == MemberState.DEAD).toList();
+  }
+
+  /** Passes each message to the observer when it is sent. */
+  void observeMessages(Consumer<GossipMessage> observer) {
+    messageObserver = observer;
+  }
+
+  void setNetwork(NetworkConditions conditions) {
+    network = conditions;
+  }
+
+  /** Starts a member, or restarts it as a new process. */
+  void start(int number) {
+    Node node = nodes.get(number);
+    node.isRunning = true;
+    node.starts++;
+    int start = node.starts;
+    node.instance =
+        factory.create(
+            number,
+            (long) (now + node.clockOffset) + node.starts,
+            random.nextLong(),
+            now + node.clockOffset);
+    tick(number, start);
+  }
+
+  private void tick(int number, int start) {
+    Node node = nodes.get(number);
+    if (!node.isSameStart(start)) {
+      return;
+    }
+    if (now < node.pausedUntil) {
+      schedule(node.pausedUntil, () -> tick(number, start));
+      return;
+    }
+    perform(number, node.instance.tick(now + node.clockOffset));
+    schedule(now + node.instance.tickInterval() + random.nextDouble(), () -> tick(number, start));
+  }
+
+  /** Performs the actions that a member has returned. */
+  void perform(int number, List<MembershipAction> actions) {
+    for (MembershipAction action : actions) {
+      if (action instanceof MembershipAction.Send send) {
+        send(number, send);
+      } else if (action instanceof MembershipAction.StateChanged change) {
+        stateChanges.add(
+            new StateChange(number, change.number(), change.before(), change.now(), now));
+      }
+    }
+  }
+
+  private void send(int from, MembershipAction.Send send) {
+    sentMessages++;
+    messageObserver.accept(send.message());
+    deliver(from, send.to(), send.message());
+    if (random.nextDouble() < network.duplicationRate()) {
+      deliver(from, send.to(), send.message());
+    }
+  }
+
+  /** Passes a message to the network. */
+  void deliver(int from, int to, GossipMessage message) {
+    if (to >= nodes.size()
+        || random.nextDouble() < network.lossRate()
+        || cuts.contains(path(from, to))) {
+      return;
+    }
+    Node receiver = nodes.get(to);
+    int start = receiver.starts;
+    schedule(
+        now + MIN_DELAY_MS + network.maxDelayMs() * random.nextDouble() + receiver.deliveryDelay,
+        () -> receive(to, start, message));
+  }
+
+  private void receive(int to, int start, GossipMessage message) {
+    Node node = nodes.get(to);
+    if (!node.isSameStart(start)) {
+      return;
+    }
+    if (now < node.pausedUntil) {
+      schedule(node.pausedUntil, () -> receive(to, start, message)); // waits in the socket
+    } else {
+      perform(to, node.instance.onMessage(message, now + node.clockOffset));
+    }
+  }
+
+  void schedule(double at, Runnable task) {
+    tasks.add(new ScheduledTask(at, scheduledTasks++, task));
+  }
+
+  /** Advances the time. */
+  SimulatedCluster run(double ms) {
+    double end = now + ms;
+    while (!tasks.isEmpty() && tasks.peek().at() <= end) {
+      ScheduledTask next = tasks.poll();
+      now = Math.max(now, next.at());
+      next.task().run();
+    }
+    now = end;
+    return this;
+  }
+
+  /** Runs until the condition holds, and returns for how long; fails, with the seed, after that. */
+  double runUntil(double maxMs, String description, BooleanSupplier condition) {
+    double from = now;
+    while (!condition.getAsBoolean()) {
+      if (now > from + maxMs) {
+        throw new AssertionError("seed " + seed + ": not within " + maxMs + " ms: " + description);
+      }
+      run(POLL_MS);
+    }
+    return now - from;
+  }
+
+  void kill(int number) {
+    nodes.get(number).isRunning = false;
+  }
+
+  void pause(int number, double ms) {
+    nodes.get(number).pausedUntil = now + ms;
+  }
+
+  /** Delivers all messages to a member later by so much, as if it lacked processor time. */
+  void delayDelivery(int number, double ms) {
+    nodes.get(number).deliveryDelay = ms;
+  }
+
+  void setClockOffset(int number, double ms) {
+    nodes.get(number).clockOffset = ms;
+  }
+
+  /** Drops all messages in this direction. */
+  void cut(int from, int to) {
+    cuts.add(path(from, to));
+  }
+
+  void heal(int from, int to) {
+    cuts.remove(path(from, to));
+  }
+
+  /** Drops all messages between the members below {@code border} and the others. */
+  void partitionAt(int border) {
+    for (int low = 0; low < border; low++) {
+      for (int high = border; high < size(); high++) {
+        cut(low, high);
+        cut(high, low);
+      }
+    }
+  }
+
+  /** Ends all cuts. */
+  void healAll() {
+    cuts.clear();
+  }
+
+  private static long path(int from, int to) {
+    return (long) from << Integer.SIZE | to;
+  }
+
+  boolean isRunning(int number) {
+    return nodes.get(number).isRunning;
+  }
+
+  /** Whether each other running member holds this one to be in that state. */
+  boolean allHold(int number, MemberState state) {
+    return IntStream.range(0, size())
+        .filter(observer -> observer != number && isRunning(observer))
+        .allMatch(observer -> nodes.get(observer).instance.stateOf(number) == state);
+  }
+
+  /** Whether all members are held to be alive. */
+  boolean allAlive() {
+    return IntStream.range(0, size()).allMatch(number -> allHold(number, MemberState.ALIVE));
+  }
+
+  boolean viewsEqual() {
+    return IntStream.range(0, size())
+            .filter(this::isRunning)
+            .map(number -> member(number).viewDigest())
+            .distinct()
+            .count()
+        == 1;
+  }
+}
