--- a/src/main/java/bitternpulley/gossip/DatagramReader.java
+++ b/src/main/java/bitternpulley/gossip/DatagramReader.java
@@ -57,16 +57,4 @@
     }
     return parser.getBinaryValue();
   }
-
-  /** Reads the position of an enum constant. */
-  <T> T readConstant(T[] constants) throws IOException {
-    return constant(constants, readInt());
-  }
-
-  static <T> T constant(T[] constants, int position) throws MalformedDatagramException {
-    if (position < 0 || position >= constants.length) {
-      throw new MalformedDatagramException("unknown constant " + position);
-    }
-    return constants[position];
-  }
 }
--- a/src/main/java/bitternpulley/gossip/GossipCodec.java
+++ b/src/main/java/bitternpulley/gossip/GossipCodec.java
@@ -25,10 +25,10 @@
  * <p>A membership message is one array {@code [version, deployment, kind, from, epoch, incarnation,
  * sequence, target, viewDigest, updates, payloadDigest]}. An update is {@code [number, epoch,
  * incarnation, state, accuser]}, followed by the four texts of the member's metadata and by the
- * count and bytes of its payload, where it has these. Kinds and states are written as the position
- * of their enum constants. Lease messages have kinds of their own: {@code [version, deployment, 16,
- * from, epoch, sequence]} is a request, {@code [version, deployment, 17, from, sequence, delay in
- * ms, holders as bits]} a grant. Elements that a later version appends are not read.
+ * count and bytes of its payload, where it has these. {@link WireCodes} has the numbers of kinds
+ * and states. Lease messages have kinds of their own: {@code [version, deployment, 16, from, epoch,
+ * sequence]} is a request, {@code [version, deployment, 17, from, sequence, delay in ms, holders as
+ * bits]} a grant. Elements that a later version appends are not read.
  */
 final class GossipCodec {
   /** The longest datagram that the platform carries. */
@@ -100,7 +100,7 @@
   byte[] encode(GossipMessage message) {
     return encode(
         GOSSIP_ELEMENTS,
-        message.kind().ordinal(),
+        WireCodes.encode(message.kind()),
         message.from(),
         out -> {
           out.writeNumber(message.epoch());
@@ -148,7 +148,7 @@
     out.writeNumber(update.number());
     out.writeNumber(update.epoch());
     out.writeNumber(update.incarnation());
-    out.writeNumber(update.state().ordinal());
+    out.writeNumber(WireCodes.encode(update.state()));
     out.writeNumber(update.accuser());
     if (metadata != null) {
       out.writeString(metadata.name());
@@ -229,7 +229,7 @@
     List<GossipUpdate> updates = readUpdates(in);
     int payloadDigest = in.readInt();
     return new GossipMessage(
-        DatagramReader.constant(GossipMessage.Kind.values(), kind),
+        WireCodes.decodeKind(kind),
         from,
         epoch,
         incarnation,
@@ -253,7 +253,7 @@
     int number = in.readInt();
     long epoch = in.readLong();
     int incarnation = in.readInt();
-    MemberState state = in.readConstant(MemberState.values());
+    MemberState state = WireCodes.decodeState(in.readInt());
     int accuser = in.readInt();
     List<String> texts = new ArrayList<>();
     JsonToken token = in.next();
--- a/src/main/java/bitternpulley/gossip/GossipService.java
+++ b/src/main/java/bitternpulley/gossip/GossipService.java
@@ -66,7 +66,7 @@
     this.membership = membership;
     this.build = build;
     codec = new GossipCodec(membership.deployment());
-    addresses = config.peers().orElseThrow().all().stream().map(p -> p.address()).toList();
+    addresses = config.peers().orElseThrow().all().stream().map(peer -> peer.address()).toList();
     broker.gossipTransport(this);
   }
 
--- a/src/main/java/bitternpulley/membership/ActiveProbes.java
+++ b/src/main/java/bitternpulley/membership/ActiveProbes.java
@@ -44,7 +44,7 @@
   }
 
   boolean isProbing(Member member) {
-    return roundProbe != null && roundProbe.target() == member || isChecking(member);
+    return (roundProbe != null && roundProbe.target() == member) || isChecking(member);
   }
 
   boolean isChecking(Member member) {
--- a/src/main/java/bitternpulley/membership/GossipMessage.java
+++ b/src/main/java/bitternpulley/membership/GossipMessage.java
@@ -49,7 +49,7 @@
     this(kind, from, epoch, incarnation, sequence, target, viewDigest, 0, updates);
   }
 
-  /** The kinds of messages. Datagrams carry the position of the constant. */
+  /** The kinds of messages. */
   public enum Kind {
     /** A probe. */
     PING,
--- a/src/main/java/bitternpulley/membership/LocalMember.java
+++ b/src/main/java/bitternpulley/membership/LocalMember.java
@@ -87,7 +87,7 @@
     boolean isAccused =
         update.state() != MemberState.ALIVE
             && (isNewer || update.isSameVersion(epoch, incarnation));
-    if (isLeaving || !isNewer && !isAccused) {
+    if (isLeaving || (!isNewer && !isAccused)) {
       return false;
     }
     advancePast(update);
--- a/src/main/java/bitternpulley/membership/MemberState.java
+++ b/src/main/java/bitternpulley/membership/MemberState.java
@@ -1,9 +1,6 @@
 package bitternpulley.membership;
 
-/**
- * The state of a member in one instance's view. Datagrams carry the position of the constant, admin
- * answers its name.
- */
+/** The state of a member in one instance's view. Admin answers carry the name of the constant. */
 public enum MemberState {
   /** It answers probes, directly or through a relay. */
   ALIVE,
--- a/src/main/java/bitternpulley/membership/Membership.java
+++ b/src/main/java/bitternpulley/membership/Membership.java
@@ -249,7 +249,8 @@
   private void syncIfDifferent(GossipMessage message) {
     boolean viewsDiffer = message.viewDigest() != composer.viewDigest();
     boolean payloadsDiffer = message.payloadDigest() != composer.payloadDigest();
-    if (!viewsDiffer && !payloadsDiffer || !syncSchedule.allowsResponse(now)) {
+    boolean isDifferent = viewsDiffer || payloadsDiffer;
+    if (!isDifferent || !syncSchedule.allowsResponse(now)) {
       return;
     }
     syncSchedule.restart(now);
--- a/src/main/java/bitternpulley/membership/MembershipTable.java
+++ b/src/main/java/bitternpulley/membership/MembershipTable.java
@@ -13,7 +13,7 @@
  * grow.
  */
 final class MembershipTable {
-  /** In a fleet of at most this size, all members are heard from within a suspicion. */
+  /** In a fleet of at most this size, all members give evidence within a suspicion. */
   private static final int SMALL_FLEET = 16;
 
   /** In a larger fleet, the least number of members whose answers make a majority meaningful. */
@@ -92,7 +92,7 @@
   /**
    * Whether there was evidence of more than half of the active members since that time, this
    * instance included: of the two sides of a partition at most one can see a majority. In a large
-   * fleet not all members are probed in that time, so only those probed or heard from count.
+   * fleet not all members are probed in that time, so only those probed or with evidence count.
    */
   boolean hasMajoritySince(double time) {
     int considered = 1;
--- a/src/main/java/bitternpulley/membership/Prober.java
+++ b/src/main/java/bitternpulley/membership/Prober.java
@@ -14,8 +14,8 @@
  */
 final class Prober {
   /**
-   * Every so often a round's probe is accompanied by a ping of a member that is dead or was never
-   * heard from, by which a healed partition is detected.
+   * One in this number of round probes is accompanied by a ping of a member that is dead or without
+   * any contact yet, by which a healed partition is detected.
    */
   private static final int PROBES_PER_RECONNECT = 4;
 
@@ -109,7 +109,7 @@
   }
 
   private static boolean isWithoutContact(Member member) {
-    return member.state() == MemberState.DEAD || member.isActive() && !member.isKnown();
+    return member.state() == MemberState.DEAD || (member.isActive() && !member.isKnown());
   }
 
   /** The next member of the round; empty where there is none to probe. */
--- a/src/main/java/bitternpulley/membership/ReachabilityReport.java
+++ b/src/main/java/bitternpulley/membership/ReachabilityReport.java
@@ -49,7 +49,7 @@
     }
     Map<Integer, Boolean> unreachable = new TreeMap<>();
     for (int at = HEADER_BYTES; at < end; at += BYTES_PER_MEMBER) {
-      int entry = (bytes[at] & BYTE_MASK) << Byte.SIZE | bytes[at + 1] & BYTE_MASK;
+      int entry = ((bytes[at] & BYTE_MASK) << Byte.SIZE) | (bytes[at + 1] & BYTE_MASK);
       unreachable.put(entry & ~RECEIVES_FLAG, (entry & RECEIVES_FLAG) != 0);
     }
     return new ReachabilityReport(unreachable, Arrays.copyOfRange(bytes, end, bytes.length));
--- a/src/main/java/bitternpulley/membership/ViewDigest.java
+++ b/src/main/java/bitternpulley/membership/ViewDigest.java
@@ -56,14 +56,20 @@
     }
   }
 
+  /** Part of the protocol: all members have to compute the same digest. */
   private static int stateCode(Member member) {
-    return member.isActive() ? 0 : member.state().ordinal();
+    return switch (member.state()) {
+      case ALIVE, SUSPECT -> 0;
+      case DEAD -> 2;
+      case LEFT -> 3;
+    };
   }
 
   private static int mix(int number, long epoch, int value) {
     long bits =
-        (number * 0x9E3779B97F4A7C15L ^ epoch * 0xC2B2AE3D27D4EB4FL) + value * 0x165667B19E3779F9L;
-    bits = (bits ^ bits >>> 32) * 0xD6E8FEB86659FD93L;
-    return (int) (bits ^ bits >>> 29);
+        ((number * 0x9E3779B97F4A7C15L) ^ (epoch * 0xC2B2AE3D27D4EB4FL))
+            + value * 0x165667B19E3779F9L;
+    bits = (bits ^ (bits >>> 32)) * 0xD6E8FEB86659FD93L;
+    return (int) (bits ^ (bits >>> 29));
   }
 }
--- a/src/test/java/bitternpulley/gossip/ControlTraffic.java
+++ b/src/test/java/bitternpulley/gossip/ControlTraffic.java
@@ -87,9 +87,9 @@
     Rate rate(int members, double cpuMicros) {
       double seconds = DURATION_MS / 1000;
       return new Rate(
-          senders.values().stream().mapToLong(s -> s.messages).sum() / seconds / members,
-          senders.values().stream().mapToLong(s -> s.bytes).sum() / seconds / members,
-          senders.values().stream().mapToLong(s -> s.bytes).max().orElse(0) / seconds,
+          senders.values().stream().mapToLong(sender -> sender.messages).sum() / seconds / members,
+          senders.values().stream().mapToLong(sender -> sender.bytes).sum() / seconds / members,
+          senders.values().stream().mapToLong(sender -> sender.bytes).max().orElse(0) / seconds,
           longestDatagram,
           cpuMicros / seconds / members);
     }
--- a/src/test/java/bitternpulley/gossip/DatagramBytesTest.java
+++ b/src/test/java/bitternpulley/gossip/DatagramBytesTest.java
@@ -27,6 +27,8 @@
 
   private static List<GossipMessage> gossip() {
     List<GossipMessage> messages = new ArrayList<>();
+    List<GossipMessage.Kind> kinds = List.of(GossipMessage.Kind.values());
+    List<MemberState> states = List.of(MemberState.values());
     for (int kind = 0; kind < 5; kind++) {
       List<GossipUpdate> updates = new ArrayList<>();
       for (int state = 0; state < 4; state++) {
@@ -35,14 +37,14 @@
                 state * 300,
                 1_700_000_000_000L + state,
                 state,
-                MemberState.values()[state],
+                states.get(state),
                 state - 1,
                 state % 2 == 0 ? null : new MemberMetadata("node", "zone", "region", "build"),
                 state < 2 ? null : new MemberPayload(state, new byte[] {1, 2, (byte) 200})));
       }
       messages.add(
           new GossipMessage(
-              GossipMessage.Kind.values()[kind],
+              kinds.get(kind),
               7,
               1_700_000_000_123L,
               2,
--- a/src/test/java/bitternpulley/gossip/GossipCodecTest.java
+++ b/src/test/java/bitternpulley/gossip/GossipCodecTest.java
@@ -31,6 +31,9 @@
   private static final int MAX_NUMBER = 2047;
   private static final int MEMBERS = 40;
 
+  private static final List<MemberState> STATES = List.of(MemberState.values());
+  private static final List<GossipMessage.Kind> KINDS = List.of(GossipMessage.Kind.values());
+
   private final GossipCodec codec = new GossipCodec("test");
 
   /** A member whose number and metadata are the longest possible. */
@@ -85,7 +88,7 @@
         random.nextInt(MAX_NUMBER + 1),
         (long) now - random.nextInt(1000),
         random.nextInt(1_000_000),
-        MemberState.values()[random.nextInt(4)],
+        STATES.get(random.nextInt(4)),
         random.nextInt(MAX_NUMBER + 1),
         random.nextBoolean()
             ? null
@@ -102,7 +105,7 @@
   private static GossipMessage randomMessage(
       Random random, int from, int step, GossipUpdate update) {
     return new GossipMessage(
-        GossipMessage.Kind.values()[random.nextInt(5)],
+        KINDS.get(random.nextInt(5)),
         from,
         (long) NOW,
         step,
--- a/src/test/java/bitternpulley/membership/BasicSwimDetector.java
+++ b/src/test/java/bitternpulley/membership/BasicSwimDetector.java
@@ -153,7 +153,7 @@
     if (number == self) {
       refute(update);
     } else if (update.incarnation() > incarnations[number]
-        || update.incarnation() == incarnations[number] && update.state() == MemberState.DEAD) {
+        || (update.incarnation() == incarnations[number] && update.state() == MemberState.DEAD)) {
       changeState(number, update.state(), update.incarnation());
     }
   }
--- a/src/test/java/bitternpulley/membership/MembershipTraceTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipTraceTest.java
@@ -17,6 +17,9 @@
 class MembershipTraceTest {
   private static final Path RECORDED = Path.of("src/test/resources/traces/membership.txt");
 
+  private static final List<GossipMessage.Kind> KINDS = List.of(GossipMessage.Kind.values());
+  private static final List<MemberState> STATES = List.of(MemberState.values());
+
   private interface Scenario {
     void plan(SimulatedCluster cluster);
   }
@@ -28,7 +31,7 @@
         message ->
             digest.add(
                 cluster.now(),
-                message.kind().ordinal(),
+                KINDS.indexOf(message.kind()),
                 message.from(),
                 message.epoch(),
                 message.incarnation(),
@@ -43,7 +46,7 @@
                             31L * update.number()
                                 + 7L * update.epoch()
                                 + update.incarnation() * 5L
-                                + update.state().ordinal() * 3L
+                                + STATES.indexOf(update.state()) * 3L
                                 + update.accuser())
                     .sum()));
     scenario.plan(cluster);
@@ -55,81 +58,52 @@
                 digest.add(
                     change.observer(),
                     change.member(),
-                    change.before().ordinal(),
-                    change.now().ordinal(),
+                    STATES.indexOf(change.before()),
+                    STATES.indexOf(change.now()),
                     change.at()));
     return digest.end();
   }
 
+  private static void lose(SimulatedCluster cluster) {
+    cluster.setNetwork(
+        NetworkConditions.NORMAL.withLossRate(0.15).withDuplicationRate(0.05).withMaxDelayMs(60));
+  }
+
+  private static void cut(SimulatedCluster cluster) {
+    for (int i = 0; i < 4; i++) {
+      int number = i;
+      cluster.schedule(cluster.now() + 8000 + 500 * i, () -> cluster.cut(number, 8 - number));
+      cluster.schedule(cluster.now() + 8000 + 500 * i, () -> cluster.cut(8, number));
+      cluster.schedule(cluster.now() + 35_000 + 500 * i, () -> cluster.heal(8, number));
+    }
+  }
+
+  private static void pause(SimulatedCluster cluster) {
+    cluster.schedule(cluster.now() + 8000, () -> cluster.pause(2, 4000));
+    cluster.schedule(cluster.now() + 20_000, () -> cluster.pause(3, 25_000));
+    cluster.delayDelivery(4, 700);
+    cluster.setClockOffset(5, 250);
+  }
+
+  private static void restart(SimulatedCluster cluster) {
+    cluster.schedule(cluster.now() + 8000, () -> cluster.kill(1));
+    cluster.schedule(cluster.now() + 25_000, () -> cluster.start(1));
+    cluster.schedule(cluster.now() + 30_000, () -> cluster.kill(6));
+    cluster.schedule(cluster.now() + 30_500, () -> cluster.start(6));
+    cluster.schedule(
+        cluster.now() + 40_000, () -> cluster.perform(7, cluster.member(7).leave(cluster.now())));
+    cluster.schedule(cluster.now() + 10_000, () -> cluster.member(3).publish(new byte[] {1, 2, 3}));
+  }
+
   @Test
   void actsAsRecorded() throws IOException {
     List<String> digests = new ArrayList<>();
     for (long seed = 1; seed <= 3; seed++) {
       digests.add("calm " + seed + " " + digestOf(9, seed, cluster -> {}));
-      digests.add(
-          "loss "
-              + seed
-              + " "
-              + digestOf(
-                  9,
-                  seed,
-                  cluster -> {
-                    cluster.setNetwork(
-                        NetworkConditions.NORMAL
-                            .withLossRate(0.15)
-                            .withDuplicationRate(0.05)
-                            .withMaxDelayMs(60));
-                  }));
-      digests.add(
-          "cuts "
-              + seed
-              + " "
-              + digestOf(
-                  9,
-                  seed,
-                  cluster -> {
-                    for (int i = 0; i < 4; i++) {
-                      int number = i;
-                      cluster.schedule(
-                          cluster.now() + 8000 + 500 * i, () -> cluster.cut(number, 8 - number));
-                      cluster.schedule(
-                          cluster.now() + 8000 + 500 * i, () -> cluster.cut(8, number));
-                      cluster.schedule(
-                          cluster.now() + 35_000 + 500 * i, () -> cluster.heal(8, number));
-                    }
-                  }));
-      digests.add(
-          "pauses "
-              + seed
-              + " "
-              + digestOf(
-                  9,
-                  seed,
-                  cluster -> {
-                    cluster.schedule(cluster.now() + 8000, () -> cluster.pause(2, 4000));
-                    cluster.schedule(cluster.now() + 20_000, () -> cluster.pause(3, 25_000));
-                    cluster.delayDelivery(4, 700);
-                    cluster.setClockOffset(5, 250);
-                  }));
-      digests.add(
-          "restarts "
-              + seed
-              + " "
-              + digestOf(
-                  9,
-                  seed,
-                  cluster -> {
-                    cluster.schedule(cluster.now() + 8000, () -> cluster.kill(1));
-                    cluster.schedule(cluster.now() + 25_000, () -> cluster.start(1));
-                    cluster.schedule(cluster.now() + 30_000, () -> cluster.kill(6));
-                    cluster.schedule(cluster.now() + 30_500, () -> cluster.start(6));
-                    cluster.schedule(
-                        cluster.now() + 40_000,
-                        () -> cluster.perform(7, cluster.member(7).leave(cluster.now())));
-                    cluster.schedule(
-                        cluster.now() + 10_000,
-                        () -> cluster.member(3).publish(new byte[] {1, 2, 3}));
-                  }));
+      digests.add("loss " + seed + " " + digestOf(9, seed, MembershipTraceTest::lose));
+      digests.add("cuts " + seed + " " + digestOf(9, seed, MembershipTraceTest::cut));
+      digests.add("pauses " + seed + " " + digestOf(9, seed, MembershipTraceTest::pause));
+      digests.add("restarts " + seed + " " + digestOf(9, seed, MembershipTraceTest::restart));
     }
     assertEquals(Files.readString(RECORDED).trim(), String.join("\n", digests));
   }
--- a/src/test/java/bitternpulley/membership/SimulatedCluster.java
+++ b/src/test/java/bitternpulley/membership/SimulatedCluster.java
@@ -305,7 +305,7 @@
   }
 
   private static long path(int from, int to) {
-    return (long) from << Integer.SIZE | to;
+    return ((long) from << Integer.SIZE) | to;
   }
 
   boolean isRunning(int number) {
