--- a/Makefile
+++ b/Makefile
@@ -46,7 +46,7 @@
 # Virtual time, some minutes: the table of docs/membership.md.
 table-membership:
 	mvn -q -DskipTests test-compile dependency:build-classpath -Dmdep.outputFile=target/classpath
-	java -cp target/classes:target/test-classes:$$(cat target/classpath) bitternpulley.membership.MembershipTable
+	java -cp target/classes:target/test-classes:$$(cat target/classpath) bitternpulley.membership.DetectionTimeTable
 
 # JMH; not in CI.
 bench-contracts:
