--- a/src/main/java/bitternpulley/config/ContractsReader.java
+++ b/src/main/java/bitternpulley/config/ContractsReader.java
@@ -1,5 +1,6 @@
 package bitternpulley.config;
 
+import bitternpulley.contracts.ApiKey;
 import bitternpulley.contracts.Contract;
 import bitternpulley.contracts.ContractBook;
 import bitternpulley.contracts.TenantIdentification;
@@ -31,7 +32,7 @@
   private final BrokerScript script;
   private final Optional<Settings> settings;
   private final Map<String, Contract> contracts = new LinkedHashMap<>();
-  private final Map<String, TenantIdentification.Key> keys = new HashMap<>();
+  private final Map<String, ApiKey> keys = new HashMap<>();
   private final Map<String, String> byIndex = new HashMap<>();
   private final Map<String, String> byPlatform = new HashMap<>();
   private final Map<Integer, String> byClass = new HashMap<>();
@@ -114,11 +115,7 @@
       JsonNode key = in.get("keys").get(i);
       byte[] salt = HexFormat.of().parseHex(key.get("salt").textValue());
       byte[] hash = HexFormat.of().parseHex(key.get("sha256").textValue());
-      claim(
-          keys,
-          key.get("id").textValue(),
-          new TenantIdentification.Key(id, salt, hash),
-          at + "/keys/" + i + "/id");
+      claim(keys, key.get("id").textValue(), new ApiKey(id, salt, hash), at + "/keys/" + i + "/id");
     }
     for (int i = 0; i < in.path("indices").size(); i++) {
       String index = in.get("indices").get(i).textValue();
--- a/src/main/java/bitternpulley/contracts/Account.java
+++ b/src/main/java/bitternpulley/contracts/Account.java
@@ -1,103 +1,194 @@
 package bitternpulley.contracts;
 
 /**
- * A team's running account: what it may still use, what is out, what it was promised and refused.
- * Made when the team first asks, so that a silent contract costs its text only. Arithmetic and
+ * A team's account: what it may still use, what is pending, and what was admitted and rejected.
+ * Opened by the team's first query, so that an unused contract costs little. The account keeps
  * state; {@link AdmissionControl} decides.
  */
 final class Account {
-  final String team;
-  Contract contract;
+  /** How many queries it takes to earn the most retries that a team saves up. */
+  private static final double RETRY_BURST_FACTOR = 10;
 
-  /** Null while nothing is scarce, as then nothing is rationed. */
-  TokenBucket own;
+  /** Ms that a team's query is expected to take before one has ended. */
+  private static final double DEFAULT_DURATION_MS = 100;
 
-  TokenBucket top;
-  TokenBucket loan;
-  final RetryReservations promises = new RetryReservations();
+  private static final double DURATION_SMOOTHING = 0.1;
 
-  /** Attempts of ours beyond the first, and retries of clients, that the budgets still hold. */
-  double furtherAttempts;
+  private final String team;
+  private final RetryReservations reservations = new RetryReservations();
+  private final RetryAllowance retries = new RetryAllowance();
+  private final RetryAllowance clientRetries = new RetryAllowance();
+  private final BorrowingInterest borrowing = new BorrowingInterest();
+  private final RejectionCounts rejections = new RejectionCounts();
+  private Contract contract;
 
-  double clientRetries;
+  /** Null while capacity is unlimited. */
+  private QuotaBuckets buckets;
 
-  /** Queries and parts open now, and charges that are not settled. */
-  int held;
+  /** Pending queries and their parts. */
+  private int pending;
 
-  int unsettled;
+  private int unsettledCharges;
 
-  /** Until when it counts as one that wants to borrow. */
-  double borrowsUntil = Double.NEGATIVE_INFINITY;
+  /** Smoothed ms from admission to end; 0 before the first end. */
+  private double averageDurationMs;
 
-  boolean queued;
+  /** Standard parts charged since the account was opened. */
+  private double used;
 
-  /** When it is looked at next, whether it still wants to. */
-  double lookAt;
-
-  /** Ms that its admitted queries take to their end, smoothed; 0 while none has ended. */
-  double lasts;
-
-  /** Standard parts since the account was opened. */
-  double used;
-
-  double borrowed;
-  long admitted;
-  final long[] refused = new long[Limit.values().length];
+  private double borrowed;
+  private long admitted;
 
   Account(Contract contract) {
     this.team = contract.id();
     this.contract = contract;
-    this.furtherAttempts = AdmissionControl.BUDGET_BURST;
-    this.clientRetries = AdmissionControl.BUDGET_BURST;
   }
 
-  /** Standard parts that a share may save up. */
-  double depth(CapacityPool supply, double share) {
-    return share * supply.rate() * contract.burst() / 1000;
+  String team() {
+    return team;
+  }
+
+  Contract contract() {
+    return contract;
+  }
+
+  void applyContract(Contract replacement) {
+    contract = replacement;
+  }
+
+  RetryReservations reservations() {
+    return reservations;
+  }
+
+  BorrowingInterest borrowing() {
+    return borrowing;
+  }
+
+  /** Brings the buckets up to date while capacity is limited. */
+  void fillBuckets(CapacityPool pool, double now) {
+    if (!pool.isLimited()) {
+      return;
+    }
+    if (buckets == null) {
+      buckets = new QuotaBuckets(pool, reservations, contract);
+    }
+    buckets.fill(contract, now);
+  }
+
+  /** Whether nothing depends on the account any more. */
+  boolean isIdle(double now) {
+    return unsettledCharges == 0 && !borrowing.isActive() && reservations.reservedAmount(now) == 0;
+  }
+
+  /** Whether a query of so many parts would exceed what may be pending at once. */
+  boolean exceedsMaxPending(int parts) {
+    return pending + parts + 1 > contract.maxPending();
+  }
+
+  boolean hasClientRetryLeft() {
+    return clientRetries.isAvailable();
+  }
+
+  /** Whether the ceiling is reached; capacity is limited. */
+  boolean isAtCeiling() {
+    return buckets.isAtCeiling(contract);
+  }
+
+  /** Whether the guaranteed quota has something left; capacity is limited. */
+  boolean hasUnreservedGuarantee(double now) {
+    return buckets.hasUnreservedGuarantee(now);
+  }
+
+  /** Whether the team's part of the idle capacity has something left; capacity is limited. */
+  boolean hasLoanLeft() {
+    return buckets.loanBalance() > 0;
   }
 
   /**
-   * What counts when idle share is divided among those who want it; a team without a guarantee has
-   * a little weight.
+   * Ms until the account is likely to admit a query of a cost: by the guaranteed quota if capacity
+   * is limited, else by how long the team's queries take.
    */
-  double weight() {
-    return Math.max(contract.guaranteedQuota(), AdmissionControl.LEAST_WEIGHT);
+  double expectedWaitMs(double cost, double now) {
+    if (buckets != null) {
+      return buckets.msUntilGuaranteed(contract, cost, now);
+    }
+    return averageDurationMs == 0 ? DEFAULT_DURATION_MS : averageDurationMs;
+  }
+
+  void recordRejection(Limit limit) {
+    rejections.increment(limit);
+  }
+
+  /** Books an admitted query. */
+  void recordAdmission(UsageCharge charge, boolean isClientRetry) {
+    admitted++;
+    unsettledCharges++;
+    pending += charge.parts() + 1;
+    retries.earn(contract.retriesPerPart() * charge.parts(), maxRetries());
+    if (isClientRetry) {
+      clientRetries.spend();
+    } else {
+      clientRetries.earn(contract.clientRetries(), RetryAllowance.INITIAL);
+    }
+    addUsage(charge.basis(), charge.booked());
+    if (buckets != null) {
+      buckets.take(contract, charge.basis(), charge.booked());
+    }
+  }
+
+  private double maxRetries() {
+    return RetryAllowance.INITIAL * Math.max(1, contract.retriesPerPart() * RETRY_BURST_FACTOR);
   }
 
-  /** Brings the buckets up to date; {@code supply} is limited. */
-  void fill(CapacityPool supply, double now) {
-    if (own == null) {
-      own = new TokenBucket(supply.total(), depth(supply, contract.guaranteedQuota()));
-      top = new TokenBucket(supply.total(), depth(supply, contract.ceiling()));
-      loan = new TokenBucket(supply.loanable(), 0);
+  private void addUsage(UsageCharge.Basis basis, double amount) {
+    used += amount;
+    borrowed += basis == UsageCharge.Basis.LOAN ? amount : 0;
+  }
+
+  /** Takes one of the retries that admitted queries have earned, if there is one. */
+  boolean takeRetry() {
+    if (!retries.isAvailable()) {
+      return false;
     }
-    // What is kept for those told to come back lies on top of the burst: it is theirs already.
-    own.fill(
-        supply.total(),
-        contract.guaranteedQuota(),
-        depth(supply, contract.guaranteedQuota()) + promises.kept(now));
-    top.fill(supply.total(), contract.ceiling(), depth(supply, contract.ceiling()));
-    loan.fill(supply.loanable(), weight(), depth(supply, 1) * AdmissionControl.LOAN_DEPTH);
-  }
-
-  /** How this account stands, for operators. */
-  AccountView view(int version, CapacityPool supply, double now) {
-    if (supply.limited()) {
-      fill(supply, now);
+    retries.spend();
+    return true;
+  }
+
+  /** The query of a charge has ended, this many ms after its admission. */
+  void recordQueryEnded(UsageCharge charge, double durationMs) {
+    pending -= charge.parts() + 1;
+    averageDurationMs =
+        averageDurationMs == 0
+            ? durationMs
+            : averageDurationMs + DURATION_SMOOTHING * (durationMs - averageDurationMs);
+  }
+
+  /** Replaces what a charge has booked by what was measured. */
+  void settle(UsageCharge charge, double now) {
+    unsettledCharges--;
+    double unused = charge.booked() - charge.used();
+    addUsage(charge.basis(), -unused);
+    if (charge.basis() != UsageCharge.Basis.UNLIMITED && buckets != null) {
+      buckets.refund(contract, charge.basis(), unused, now);
     }
+  }
+
+  /** The account's state, for operators. */
+  AccountView view(int version, CapacityPool pool, double now) {
+    fillBuckets(pool, now);
     return new AccountView(
         team,
         version,
         contract,
-        own == null ? 0 : own.balance(),
-        loan == null ? 0 : loan.balance(),
-        held,
-        promises.open(),
+        buckets == null ? 0 : buckets.guaranteeBalance(),
+        buckets == null ? 0 : buckets.loanBalance(),
+        pending,
+        reservations.size(),
         used,
         borrowed,
         admitted,
-        refused.clone(),
-        furtherAttempts,
-        clientRetries);
+        rejections.copy(),
+        retries.available(),
+        clientRetries.available());
   }
 }
--- a/src/main/java/bitternpulley/contracts/AdmissionRequest.java
+++ b/src/main/java/bitternpulley/contracts/AdmissionRequest.java
@@ -1,15 +1,16 @@
 package bitternpulley.contracts;
 
 /**
- * A query that asks to be let in.
+ * A query that asks to be admitted.
  *
- * @param team whose it is, as a front recognised it; null where none did
+ * @param team the team that was identified for the query; null if none was
  * @param queryClass the class's position in the settings
- * @param parts how many it falls into
- * @param hintedWork ms of work that its parts are said to take together, 0 where nothing is said
- * @param retry whether its client marks it as another try
- * @param fingerprint tells a query that comes again from others of its team, as a hash of what is
- *     asked; 0 for none
+ * @param parts the number of parts that the query consists of
+ * @param hintedWork ms of work that the client announces for all parts together, 0 if it announces
+ *     none
+ * @param retry whether the client marks the query as a retry
+ * @param fingerprint identifies the query when its client repeats it, see {@link QueryFingerprint};
+ *     0 for none
  */
 public record AdmissionRequest(
     String team, int queryClass, int parts, double hintedWork, boolean retry, long fingerprint) {}
--- a/src/main/java/bitternpulley/contracts/CapacityEstimate.java
+++ b/src/main/java/bitternpulley/contracts/CapacityEstimate.java
@@ -1,212 +1,238 @@
 package bitternpulley.contracts;
 
-import java.util.ArrayDeque;
-
 /**
- * What this aggregator and the servers behind it can do, in standard parts a second, from what
- * answers show: nobody tells. Work counts as scarce while much of what ends is late, or most of
- * what is open is on its way to be. Until that is first seen there is no limit; then it is what was
- * delivered, falls while work stays scarce, and grows while it is used up and work is not. How far
- * it falls is bounded by the best that was delivered, so that one server's trouble cannot talk it
- * down without end; see docs/contracts.md for the ways weighed.
+ * Estimates the capacity of the aggregator and the servers behind it, in standard parts a second,
+ * from latencies alone. Capacity counts as scarce while many outcomes are late, or most pending
+ * queries are likely to be. Until this is first seen there is no limit; then the limit starts from
+ * the delivered rate, falls while capacity stays scarce, and rises while it is used up and not
+ * scarce. It never falls far below the best delivered rate, so that one faulty server cannot reduce
+ * it without end. See docs/contracts.md for the alternatives considered.
  */
 final class CapacityEstimate {
-  /** Ms between decisions, and the ends that one needs to tell by lateness. */
-  private static final double STEP = 250;
+  /** Ms between two decisions. */
+  private static final double STEP_MS = 250;
 
-  private static final int LEAST_ENDS = 10;
+  /** Outcomes in a step below which their lateness is not judged. */
+  private static final int MIN_OUTCOMES = 10;
 
-  /**
-   * Share of what ends that may be late before work counts as scarce, and below which there is room
-   * for more.
-   */
-  private static final double SCARCE = 0.15;
+  /** Capacity is scarce if a larger share of the outcomes is late. */
+  private static final double SCARCE_LATE_SHARE = 0.15;
 
-  private static final double AMPLE = 0.05;
+  /** The limit may rise if a smaller share of the outcomes is late. */
+  private static final double AMPLE_LATE_SHARE = 0.05;
 
-  /**
-   * Queries that must be open, the share of them that is old, and what is open as a share of the
-   * wanted time by what was best delivered (Little's law tells the wait), for work to be scarce at
-   * once; and the last below which there is room for more.
-   */
-  private static final int LEAST_OPEN = 10;
+  /** Share of the latency objective after which a pending query lags. */
+  private static final double LAGGING_AFTER = 0.15;
 
-  private static final double OLD_SHARE = 0.1;
+  /** Pending queries below which there is no congestion. */
+  private static final int MIN_PENDING = 10;
+
+  /** Share of lagging queries above which there may be congestion. */
+  private static final double CONGESTED_LAGGING_SHARE = 0.1;
 
   /**
-   * The same while little was delivered yet, so that the slow first answers of a start are no sign;
-   * and for how many steps.
+   * The same in the first steps, as the first answers after a start are slow without congestion.
    */
-  private static final double OLD_SHARE_FIRST = 0.5;
+  private static final double FIRST_CONGESTED_LAGGING_SHARE = 0.5;
 
+  /** The number of steps with deliveries that count as first. */
   private static final int FIRST_STEPS = 6;
-  private static final double CROWDED = 0.3;
-  private static final double ROOMY = 0.15;
-
-  /** Share of the wanted time after which an open query is old. */
-  private static final double OLD_AFTER = 0.15;
 
   /**
-   * What a step leaves while work is scarce, and adds while there is room, far from the best
-   * delivered and near it.
+   * Expected wait, as a share of the latency objective, above which there may be congestion. The
+   * wait is the pending work divided by the best delivered rate (Little's law).
    */
-  private static final double FALL = 0.9;
+  private static final double CONGESTED_WAIT = 0.3;
 
-  private static final double RISE = 1.1;
-  private static final double RISE_NEAR = 1.03;
-  private static final double NEAR = 0.9;
+  /** Expected wait, as a share of the latency objective, below which the limit may rise. */
+  private static final double AMPLE_WAIT = 0.15;
 
-  /**
-   * What a step adds until scarcity is seen a second time: the first was seen with little known,
-   * after a start.
-   */
-  private static final double RISE_FIRST = 1.5;
+  /** Factor of the limit for each step in which capacity is scarce. */
+  private static final double DECREASE = 0.9;
 
-  private static final double MOST_AT_FIRST = 2;
+  /** Factor of the limit for each step in which it rises. */
+  private static final double INCREASE = 1.1;
 
-  /** Share of the rate that must be wanted for it to rise: what nobody uses shows nothing. */
-  private static final double WANTED = 0.8;
+  /** The same near the best delivered rate. */
+  private static final double INCREASE_NEAR_BEST = 1.03;
 
-  /**
-   * Shares of the best delivered between which it stays, and what a scarce step leaves of that
-   * best.
-   */
-  private static final double LEAST_OF_BEST = 0.75;
+  /** Share of the best delivered rate from which the limit is near it. */
+  private static final double NEAR_BEST = 0.9;
+
+  /** Factor of the limit until scarcity is seen again: the first one is seen with little known. */
+  private static final double INCREASE_PROBING = 1.5;
+
+  /** Share of the limit that must be admitted for it to rise: unused capacity proves nothing. */
+  private static final double MIN_USE_TO_RISE = 0.8;
+
+  /** The lowest limit, as a share of the best delivered rate. */
+  private static final double MIN_OF_BEST = 0.75;
 
-  private static final double MOST_OF_BEST = 1.08;
-  private static final double BEST_LEFT = 0.975;
+  /** The limit's highest rise, as a share of the best delivered rate. */
+  private static final double MAX_OF_BEST = 1.08;
 
-  /** Ms over which deliveries are smoothed. */
-  private static final double SMOOTHED = 500;
+  /** The same until scarcity is seen again. */
+  private static final double MAX_OF_BEST_PROBING = 2;
 
-  /** The least rate: ten parts a second, so that there is always something to learn from. */
-  private static final double LEAST = 10;
+  /** Factor of the best delivered rate for each step in which capacity is scarce. */
+  private static final double BEST_DECAY = 0.975;
 
-  private final double wanted;
-  private final ArrayDeque<UsageCharge> young = new ArrayDeque<>();
-  private int open;
-  private int old;
-  private double openParts;
+  /** Ms over which the delivered rate is smoothed. */
+  private static final double SMOOTHING_MS = 500;
+
+  /** The lowest limit, parts a second: without answers the estimate could not recover. */
+  private static final double MIN_RATE = 10;
+
+  private final double latencyObjective;
+  private final PendingWork pending;
   private double rate = Double.POSITIVE_INFINITY;
-  private double delivered;
-  private double best;
-  private double deliveredNow;
-  private double admittedNow;
-  private int ends;
-  private int late;
-  private double stepAt = Double.NaN;
+  private double deliveredRate;
+  private double bestDeliveredRate;
   private boolean probing = true;
 
-  /** Steps in which something was delivered, up to those that count as first. */
-  private int steps;
+  /** Steps in which something was delivered, counted up to {@link #FIRST_STEPS}. */
+  private int deliveringSteps;
 
-  /** {@code wanted}: the shortest wanted time of any class, ms. */
-  CapacityEstimate(double wanted) {
-    this.wanted = wanted;
+  private double stepStart = Double.NaN;
+  private double deliveredInStep;
+  private double admittedInStep;
+  private int outcomesInStep;
+  private int lateInStep;
+
+  /** {@code latencyObjective}: the shortest of any class, ms. */
+  CapacityEstimate(double latencyObjective) {
+    this.latencyObjective = latencyObjective;
+    this.pending = new PendingWork(LAGGING_AFTER * latencyObjective);
   }
 
+  /** Standard parts a second; infinite until capacity is first scarce. */
   double rate() {
     return rate;
   }
 
-  /** Standard parts a second that were delivered of late. */
-  double delivered() {
-    return delivered;
+  /** Standard parts a second that were recently delivered. */
+  double deliveredRate() {
+    return deliveredRate;
   }
 
-  /** Whether most of what is open is on its way to be late: nothing is to be lent then. */
-  boolean crowded() {
-    double oldShare = steps < FIRST_STEPS ? OLD_SHARE_FIRST : OLD_SHARE;
-    return open >= LEAST_OPEN && old > oldShare * open && waits(CROWDED);
+  /** Whether many pending queries are likely to be late. */
+  boolean isCongested() {
+    double laggingShare =
+        deliveringSteps < FIRST_STEPS ? FIRST_CONGESTED_LAGGING_SHARE : CONGESTED_LAGGING_SHARE;
+    return pending.queries() >= MIN_PENDING
+        && pending.isMoreLaggingThan(laggingShare)
+        && isWaitLongerThan(CONGESTED_WAIT);
   }
 
-  /**
-   * Whether what is open takes longer than such a share of the wanted time at the best that was
-   * delivered.
-   */
-  private boolean waits(double share) {
-    return openParts > share * wanted / 1000 * best;
+  /** Whether the expected wait is longer than a share of the latency objective. */
+  private boolean isWaitLongerThan(double share) {
+    return pending.parts() > share * latencyObjective / 1000 * bestDeliveredRate;
   }
 
-  /** So much was delivered. */
-  void delivered(double amount) {
-    deliveredNow += amount;
+  /** An attempt delivered this many standard parts. */
+  void recordDelivered(double amount) {
+    deliveredInStep += amount;
   }
 
-  /** A query was let in. */
-  void admitted(UsageCharge charge) {
-    admittedNow += charge.booked;
-    open++;
-    openParts += charge.booked;
-    young.add(charge);
+  /** A query was admitted. */
+  void recordAdmitted(UsageCharge charge) {
+    admittedInStep += charge.booked();
+    pending.add(charge);
   }
 
-  /** A query is over. */
-  void over(UsageCharge charge, boolean inTime) {
-    open--;
-    openParts = open == 0 ? 0 : openParts - charge.booked;
-    old -= charge.old ? 1 : 0;
-    ended(inTime);
+  /** A query has ended, within its latency objective or not. */
+  void recordQueryEnded(UsageCharge charge, boolean inTime) {
+    pending.remove(charge);
+    recordOutcome(inTime);
   }
 
-  /** An attempt or a query has ended, within its time or not. */
-  void ended(boolean inTime) {
-    ends++;
-    late += inTime ? 0 : 1;
+  /** An attempt or a query has ended, in time or not. */
+  void recordOutcome(boolean inTime) {
+    outcomesInStep++;
+    if (!inTime) {
+      lateInStep++;
+    }
   }
 
-  /** Moves time on; true where the rate has changed. */
-  boolean at(double now) {
-    while (!young.isEmpty() && now >= young.peek().since + OLD_AFTER * wanted) {
-      UsageCharge charge = young.poll();
-      charge.old = !charge.over;
-      old += charge.old ? 1 : 0;
-    }
-    if (Double.isNaN(stepAt)) {
-      stepAt = now;
+  /** Ends the current step if it is due; returns whether the rate has changed. */
+  boolean advance(double now) {
+    pending.advance(now);
+    if (Double.isNaN(stepStart)) {
+      stepStart = now;
     }
-    double passed = now - stepAt;
-    // The first sign of scarcity is heeded at once: until then nothing is limited, and what is let
-    // in cannot be called back.
-    boolean first = !limited() && crowded() && passed > 0;
-    if (passed < STEP && !first) {
+    double passed = now - stepStart;
+    // The first congestion ends a step at once: nothing is limited until then, and what is admitted
+    // cannot be called back.
+    boolean isFirstCongestion = !isLimited() && isCongested() && passed > 0;
+    if (passed < STEP_MS && !isFirstCongestion) {
       return false;
     }
-    stepAt = now;
-    double perSecond = 1000 / passed;
-    // The first figure stands for itself: smoothed from nothing it would tell a start that it can
-    // do next to nothing.
-    double weight = delivered == 0 ? 1 : Math.min(1, passed / SMOOTHED);
-    delivered += weight * (deliveredNow * perSecond - delivered);
-    best = Math.max(best, delivered);
-    steps += deliveredNow > 0 && steps < FIRST_STEPS ? 1 : 0;
+    return endStep(now, passed);
+  }
+
+  private boolean endStep(double now, double passedMs) {
+    stepStart = now;
+    double perSecond = 1000 / passedMs;
+    updateDeliveredRate(deliveredInStep * perSecond, passedMs);
     double before = rate;
-    decide(admittedNow * perSecond);
-    ends = 0;
-    late = 0;
-    deliveredNow = 0;
-    admittedNow = 0;
+    updateRate(admittedInStep * perSecond);
+    outcomesInStep = 0;
+    lateInStep = 0;
+    deliveredInStep = 0;
+    admittedInStep = 0;
     return rate != before;
   }
 
-  private void decide(double admitted) {
-    double lateShare = ends < LEAST_ENDS ? 0 : (double) late / ends;
-    if (crowded() || lateShare > SCARCE) {
-      // Below what is delivered at once: what waits already has to be worked off as well.
-      probing &= rate == Double.POSITIVE_INFINITY || rate < best;
-      double fallen = limited() ? FALL * Math.min(rate, delivered) : best;
-      rate = Math.min(rate, fallen);
-      best *= BEST_LEFT;
-    } else if (limited() && lateShare < AMPLE && !waits(ROOMY) && admitted > WANTED * rate) {
-      double rise = probing ? RISE_FIRST : rate < NEAR * best ? RISE : RISE_NEAR;
-      rate = Math.max(rate, Math.min(rise * rate, (probing ? MOST_AT_FIRST : MOST_OF_BEST) * best));
+  private void updateDeliveredRate(double sample, double passedMs) {
+    // The first sample counts fully: smoothed from zero, a start would seem to have no capacity.
+    double weight = deliveredRate == 0 ? 1 : Math.min(1, passedMs / SMOOTHING_MS);
+    deliveredRate += weight * (sample - deliveredRate);
+    bestDeliveredRate = Math.max(bestDeliveredRate, deliveredRate);
+    if (deliveredInStep > 0 && deliveringSteps < FIRST_STEPS) {
+      deliveringSteps++;
+    }
+  }
+
+  private void updateRate(double admittedRate) {
+    double lateShare = outcomesInStep < MIN_OUTCOMES ? 0 : (double) lateInStep / outcomesInStep;
+    if (isCongested() || lateShare > SCARCE_LATE_SHARE) {
+      lowerRate();
+    } else if (mayRise(lateShare, admittedRate)) {
+      raiseRate();
+    }
+    // What was delivered can be delivered again; without this bound, recovering from a fall would
+    // take seconds.
+    rate = Math.max(rate, Math.max(MIN_RATE, MIN_OF_BEST * bestDeliveredRate));
+  }
+
+  private void lowerRate() {
+    probing &= !isLimited() || rate < bestDeliveredRate;
+    // Below the delivered rate, as the queued work has to be done as well.
+    double lowered = isLimited() ? DECREASE * Math.min(rate, deliveredRate) : bestDeliveredRate;
+    rate = Math.min(rate, lowered);
+    bestDeliveredRate *= BEST_DECAY;
+  }
+
+  private boolean mayRise(double lateShare, double admittedRate) {
+    return isLimited()
+        && lateShare < AMPLE_LATE_SHARE
+        && !isWaitLongerThan(AMPLE_WAIT)
+        && admittedRate > MIN_USE_TO_RISE * rate;
+  }
+
+  private void raiseRate() {
+    double highest = (probing ? MAX_OF_BEST_PROBING : MAX_OF_BEST) * bestDeliveredRate;
+    rate = Math.max(rate, Math.min(increase() * rate, highest));
+  }
+
+  private double increase() {
+    if (probing) {
+      return INCREASE_PROBING;
     }
-    // What was delivered can be delivered: guards against seconds lost on the way back up from a
-    // fall at a bad moment.
-    rate = Math.max(rate, Math.max(LEAST, LEAST_OF_BEST * best));
+    return rate < NEAR_BEST * bestDeliveredRate ? INCREASE : INCREASE_NEAR_BEST;
   }
 
-  private boolean limited() {
+  private boolean isLimited() {
     return rate != Double.POSITIVE_INFINITY;
   }
 }
--- a/src/main/java/bitternpulley/contracts/CapacityPool.java
+++ b/src/main/java/bitternpulley/contracts/CapacityPool.java
@@ -1,111 +1,117 @@
 package bitternpulley.contracts;
 
 /**
- * What this aggregator can do, as a stream: its rate by the {@link CapacityEstimate}, its running
- * total, and the running total of what may be lent, per unit of weight of those who want to borrow.
- * Time only moves it on; everything else asks.
+ * The aggregator's capacity as a flow of standard parts: its rate, as {@link CapacityEstimate}
+ * finds it, its cumulative total, and the cumulative total of what may be borrowed for each unit of
+ * the borrowers' weight. Unlimited until a rate is set.
  */
 final class CapacityPool {
   /**
-   * Ms of the rate that the pool of idle share may hold: what is lent cannot be called back, so
-   * little is saved up.
+   * Ms of the rate that may be saved up as idle capacity. Borrowed capacity cannot be called back,
+   * so little is saved.
    */
-  private static final double POOL = 250;
+  private static final double MAX_IDLE_MS = 250;
 
-  /** Times the pool that may be owed to it. */
-  private static final double DEBT = 4;
+  /** Lowest balances, as a multiple of the depth, so that borrowing resumes within a second. */
+  private static final double MAX_DEBT_DEPTHS = 4;
 
-  private double rate = Double.POSITIVE_INFINITY;
-  private double lendable = 1;
+  private double ratePerSecond = Double.POSITIVE_INFINITY;
+  private double lendableShare = 1;
   private double total;
-  private double loanable;
-  private double pool;
-  private double weights;
+  private double loanTotalPerWeight;
+  private double idleBalance;
+  private double borrowersWeight;
 
   /**
-   * What has come in and was neither used by its owners nor shared out yet; below 0 where owners
-   * used what was saved.
+   * Flow that was neither used by its owners nor distributed to borrowers; negative after owners
+   * used savings.
    */
-  private double unshared;
+  private double undistributed;
 
-  private double at = Double.NaN;
+  private double lastAdvance = Double.NaN;
 
-  /** Standard parts a second; infinite while no sign of scarcity was seen. */
-  double rate() {
-    return rate;
+  /** Standard parts a second; infinite while capacity was never scarce. */
+  double ratePerSecond() {
+    return ratePerSecond;
   }
 
+  /** Cumulative capacity since it is limited. */
   double total() {
     return total;
   }
 
-  double loanable() {
-    return loanable;
+  /** Cumulative capacity to borrow, for each unit of weight. */
+  double loanTotalPerWeight() {
+    return loanTotalPerWeight;
   }
 
-  boolean limited() {
-    return rate != Double.POSITIVE_INFINITY;
+  boolean isLimited() {
+    return ratePerSecond != Double.POSITIVE_INFINITY;
   }
 
-  void rate(double fresh) {
-    rate = fresh;
-    pool = Math.max(-depth(), Math.min(pool, depth()));
+  void setRatePerSecond(double rate) {
+    ratePerSecond = rate;
+    idleBalance = Math.max(-depth(), Math.min(idleBalance, depth()));
   }
 
-  /** The share that is not reserved to those who do not lend. */
-  void lendable(double share) {
-    lendable = share;
+  /** Sets the share that is not reserved for teams that do not lend. */
+  void setLendableShare(double share) {
+    lendableShare = share;
   }
 
-  /** The weights of those who want to borrow have changed by so much. */
-  void wanting(double change) {
-    weights = Math.max(0, weights + change);
+  /** A team of this weight now wants to borrow. */
+  void addBorrower(double weight) {
+    borrowersWeight += weight;
   }
 
+  /** A team of this weight no longer wants to borrow. */
+  void removeBorrower(double weight) {
+    borrowersWeight = Math.max(0, borrowersWeight - weight);
+  }
+
+  /** Adds the flow since the last call. */
   void advance(double now) {
-    double passed = Double.isNaN(at) ? 0 : Math.max(0, now - at) / 1000;
-    at = now;
-    if (!limited()) {
+    double seconds = Double.isNaN(lastAdvance) ? 0 : Math.max(0, now - lastAdvance) / 1000;
+    lastAdvance = now;
+    if (!isLimited()) {
       return;
     }
-    total += rate * passed;
-    double came = lendable * rate * passed;
-    pool = Math.min(depth(), pool + came);
-    unshared = Math.min(depth(), unshared + came);
-    if (weights > 0 && unshared > 0) {
-      loanable += unshared / weights;
-      unshared = 0;
+    total += ratePerSecond * seconds;
+    double lendable = lendableShare * ratePerSecond * seconds;
+    idleBalance = Math.min(depth(), idleBalance + lendable);
+    undistributed = Math.min(depth(), undistributed + lendable);
+    if (borrowersWeight > 0 && undistributed > 0) {
+      loanTotalPerWeight += undistributed / borrowersWeight;
+      undistributed = 0;
     }
   }
 
-  /**
-   * Whether something is idle, and whether so much of it that nobody need be kept to a part of it.
-   */
-  boolean idle() {
-    return pool > 0;
+  /** Whether some capacity is idle. */
+  boolean hasIdleCapacity() {
+    return idleBalance > 0;
   }
 
-  boolean plenty() {
-    return pool > depth() / 2;
+  /** Whether so much is idle that borrowers need not be held to their shares of it. */
+  boolean hasAmpleIdleCapacity() {
+    return idleBalance > depth() / 2;
   }
 
-  /** Owners use so much of their own; below 0, they turn out not to. */
-  void useOwn(double amount) {
-    unshared = bounded(unshared - amount);
+  /** A lending team uses its own quota; a negative amount corrects an earlier one. */
+  void useGuaranteed(double amount) {
+    undistributed = clamp(undistributed - amount);
     useLoan(amount);
   }
 
-  /** So much is lent. */
+  /** A team borrows; a negative amount corrects an earlier one. */
   void useLoan(double amount) {
-    pool = bounded(pool - amount);
+    idleBalance = clamp(idleBalance - amount);
   }
 
-  /** Guards against a debt that keeps all from borrowing for longer than a second. */
-  private double bounded(double amount) {
-    return Math.max(-DEBT * depth(), Math.min(depth(), amount));
+  private double clamp(double amount) {
+    return Math.max(-MAX_DEBT_DEPTHS * depth(), Math.min(depth(), amount));
   }
 
   private double depth() {
-    return limited() ? rate * POOL / 1000 : 0;
+    return isLimited() ? ratePerSecond * MAX_IDLE_MS / 1000 : 0;
   }
 }
--- a/src/main/java/bitternpulley/contracts/Limit.java
+++ b/src/main/java/bitternpulley/contracts/Limit.java
@@ -1,18 +1,18 @@
 package bitternpulley.contracts;
 
-/** What a refusal by contract has met. */
+/** The limit by which a query was rejected. */
 public enum Limit {
-  /** No contract holds for whoever asks. */
+  /** No contract applies to the request. */
   NO_CONTRACT("no contract"),
-  /** The contract does not have the class. */
+  /** The contract does not have the query's class. */
   CLASS("class"),
-  /** The team's share is used, and nothing is to be borrowed. */
-  SHARE("share"),
-  /** The ceiling, whatever others leave idle. */
+  /** The team's quota is used up, and there is nothing to borrow. */
+  QUOTA("share"),
+  /** The team's ceiling, whatever others leave idle. */
   CEILING("ceiling"),
-  /** The queries and parts that may be open at once. */
-  HOLDS("holds"),
-  /** The budget for the retries of the team's clients. */
+  /** The queries and parts that may be pending at once. */
+  MAX_PENDING("holds"),
+  /** The retries of the team's clients. */
   CLIENT_RETRIES("client_retries");
 
   private final String text;
@@ -21,7 +21,7 @@
     this.text = text;
   }
 
-  /** As it stands in answers and logs. */
+  /** The word in answers and in the contract log. */
   public String text() {
     return text;
   }
--- a/src/main/java/bitternpulley/contracts/QueryFingerprint.java
+++ b/src/main/java/bitternpulley/contracts/QueryFingerprint.java
@@ -1,20 +1,26 @@
 package bitternpulley.contracts;
 
-/** Tells a query that comes again: the same team asks the same. */
+/** Recognizes a rejected query when its client repeats it. */
 public final class QueryFingerprint {
-  private static final long BASIS = 0xcbf29ce484222325L;
-  private static final long PRIME = 0x100000001b3L;
+  private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+  private static final long FNV_PRIME = 0x100000001b3L;
+  private static final int BYTE_MASK = 0xff;
 
   private QueryFingerprint() {}
 
   /**
-   * 64 bits by FNV-1a over what is asked and a number beside it; never 0. Two that collide share
-   * one promise, no more.
+   * The 64-bit FNV-1a hash of a number and the bytes of a query; never 0, which stands for no
+   * fingerprint. Two queries of one team with the same fingerprint share one reservation and
+   * nothing else, so the hash need not be cryptographic. The standard library has only 32-bit
+   * checksums and, far slower, cryptographic digests.
+   *
+   * @param query the bytes that the client sent
+   * @param discriminator tells apart queries of the same bytes, such as those of two classes
    */
-  public static long of(byte[] asked, int beside) {
-    long hash = (BASIS ^ beside) * PRIME;
-    for (byte b : asked) {
-      hash = (hash ^ (b & 0xff)) * PRIME;
+  public static long of(byte[] query, int discriminator) {
+    long hash = (FNV_OFFSET_BASIS ^ discriminator) * FNV_PRIME;
+    for (byte next : query) {
+      hash = (hash ^ (next & BYTE_MASK)) * FNV_PRIME;
     }
     return hash == 0 ? 1 : hash;
   }
--- a/src/main/java/bitternpulley/contracts/RetryReservations.java
+++ b/src/main/java/bitternpulley/contracts/RetryReservations.java
@@ -5,92 +5,97 @@
 import java.util.Map;
 
 /**
- * Those that were told when to come back, with the place that each is kept. One promise a place,
- * and one a caller: whoever comes back early is told the rest of the same time. A place is kept for
- * {@link #GRACE} ms beyond its time, then it lapses.
+ * Capacity reserved for rejected callers that were given a Retry-After: one reservation for each
+ * caller, who is known by the query's fingerprint. A caller that returns early is given the rest of
+ * the same time. A reservation expires {@link #GRACE_MS} after its time.
  */
 final class RetryReservations {
-  /**
-   * Ms for which a place is kept beyond its time: a client's clock, way and connection take some of
-   * it.
-   */
-  static final double GRACE = 300;
+  /** Ms for which a reservation outlasts its time: for the client's timer and the network. */
+  static final double GRACE_MS = 300;
 
-  /**
-   * Ms before its time from which a caller counts as in time: the time it was told was rounded on
-   * its way.
-   */
-  private static final double EARLY = 5;
+  /** Ms before its time from which a caller is on time: the time it received was rounded. */
+  private static final double EARLY_TOLERANCE_MS = 5;
 
-  /** Promises that one team can hold; beyond, its clients are told no time. */
-  private static final int MOST = 256;
+  /** The most reservations of one team; beyond, its callers are given no time. */
+  private static final int MAX_RESERVATIONS = 256;
 
-  private static final class Promise {
-    final long print;
-    final double at;
-    final double cost;
-    boolean open = true;
+  private static final class Reservation {
+    final long fingerprint;
+    final double dueAt;
+    final double amount;
+    private boolean open = true;
 
-    Promise(long print, double at, double cost) {
-      this.print = print;
-      this.at = at;
-      this.cost = cost;
+    Reservation(long fingerprint, double dueAt, double amount) {
+      this.fingerprint = fingerprint;
+      this.dueAt = dueAt;
+      this.amount = amount;
     }
-  }
 
-  private final ArrayDeque<Promise> inOrder = new ArrayDeque<>();
-  private final Map<Long, Promise> byPrint = new HashMap<>();
-  private double kept;
+    boolean isObsolete(double now) {
+      return !open || now > dueAt + GRACE_MS;
+    }
 
-  /** Standard parts kept for those who have not come back yet. */
-  double kept(double now) {
-    while (!inOrder.isEmpty() && (!inOrder.peek().open || now > inOrder.peek().at + GRACE)) {
-      close(inOrder.poll());
+    /** Closes the reservation; returns whether it was open. */
+    boolean close() {
+      boolean wasOpen = open;
+      open = false;
+      return wasOpen;
     }
-    return kept;
   }
 
-  boolean isEmpty() {
-    return inOrder.isEmpty();
+  private final ArrayDeque<Reservation> byTime = new ArrayDeque<>();
+  private final Map<Long, Reservation> byFingerprint = new HashMap<>();
+  private double reservedAmount;
+
+  /** Standard parts reserved for callers that have not returned, once expired ones are dropped. */
+  double reservedAmount(double now) {
+    while (!byTime.isEmpty() && byTime.peek().isObsolete(now)) {
+      close(byTime.poll());
+    }
+    return reservedAmount;
   }
 
-  int open() {
-    return byPrint.size();
+  /** The number of open reservations. */
+  int size() {
+    return byFingerprint.size();
   }
 
   /**
-   * Ms until a caller's time, 0 or less where it has come, or NaN where it was promised nothing.
+   * Ms until a caller's reservation is due, 0 or less if it is, NaN if there is none. Every query
+   * asks, so no object is allocated for the answer.
    */
-  double left(long print, double now) {
-    Promise p = print == 0 ? null : byPrint.get(print);
-    return p == null ? Double.NaN : p.at - EARLY - now;
+  double remainingMs(long fingerprint, double now) {
+    Reservation reservation = fingerprint == 0 ? null : byFingerprint.get(fingerprint);
+    return reservation == null ? Double.NaN : reservation.dueAt - EARLY_TOLERANCE_MS - now;
   }
 
-  /** The caller's place is used up. */
-  void claim(long print) {
-    close(byPrint.get(print));
+  /** Closes a caller's reservation, if there is one. */
+  void release(long fingerprint) {
+    Reservation reservation = byFingerprint.get(fingerprint);
+    if (reservation != null) {
+      close(reservation);
+    }
   }
 
   /**
-   * Keeps a place from a time on, no earlier than those promised before; false where there is no
-   * room for one more.
+   * Reserves an amount for a caller without a reservation from a time on, no earlier than those
+   * before; returns false if the caller has no fingerprint or there are too many reservations.
    */
-  boolean add(long print, double at, double cost) {
-    if (byPrint.size() >= MOST || print == 0) {
+  boolean reserve(long fingerprint, double dueAt, double amount) {
+    if (byFingerprint.size() >= MAX_RESERVATIONS || fingerprint == 0) {
       return false;
     }
-    Promise p = new Promise(print, at, cost);
-    inOrder.add(p);
-    byPrint.put(print, p);
-    kept += cost;
+    Reservation reservation = new Reservation(fingerprint, dueAt, amount);
+    byTime.add(reservation);
+    byFingerprint.put(fingerprint, reservation);
+    reservedAmount += amount;
     return true;
   }
 
-  private void close(Promise p) {
-    if (p.open) {
-      p.open = false;
-      byPrint.remove(p.print, p);
-      kept = byPrint.isEmpty() ? 0 : kept - p.cost;
+  private void close(Reservation reservation) {
+    if (reservation.close()) {
+      byFingerprint.remove(reservation.fingerprint, reservation);
+      reservedAmount = byFingerprint.isEmpty() ? 0 : reservedAmount - reservation.amount;
     }
   }
 }
--- a/src/main/java/bitternpulley/contracts/TenantIdentification.java
+++ b/src/main/java/bitternpulley/contracts/TenantIdentification.java
@@ -8,82 +8,90 @@
 import java.util.Map;
 
 /**
- * Whose a request is: by the key that it shows, by the index that it asks, by its class. A key that
- * is shown and not known is never passed over for another sign, so that nobody gains by showing a
- * wrong one; no other header is looked at.
+ * Identifies the team of a request by API key, then by index, then by query class. A request with
+ * an unknown key is never identified by its index or class, so that a wrong key gains nothing; no
+ * other header is read.
  */
 public final class TenantIdentification {
-  /** Recognises nobody, as where there are no contracts. */
+  /** Identifies no team: no contracts are configured. */
   public static final TenantIdentification NONE =
       new TenantIdentification(Map.of(), Map.of(), Map.of(), true);
 
   private static final String SCHEME = "ApiKey ";
 
-  /**
-   * A key's hash: SHA-256 of the salt's bytes and the secret's. Keys are long and random, so that
-   * one pass is enough.
-   */
-  public record Key(String team, byte[] salt, byte[] sha256) {}
-
-  /** What a header shows. */
+  /** What an {@code Authorization} header holds. */
   public enum KeyStatus {
+    /** There is no header. */
     ABSENT,
+    /** A key that a contract has. */
     KNOWN,
+    /** Anything else. */
     UNKNOWN
   }
 
-  /** A shown key and, where it is known, whose it is. */
-  public record KeyOwner(KeyStatus status, String team) {}
-
-  private static final KeyOwner NOBODY = new KeyOwner(KeyStatus.ABSENT, null);
-  private static final KeyOwner STRANGER = new KeyOwner(KeyStatus.UNKNOWN, null);
-
   /**
-   * Guards against a difference in time between an id that is unknown and a secret that is wrong.
+   * The result of a key check.
+   *
+   * @param status what the header holds
+   * @param team the key's team, or null unless the key is known
    */
-  private static final Key DECOY = new Key(null, new byte[16], new byte[32]);
+  public record KeyOwner(KeyStatus status, String team) {}
+
+  private static final KeyOwner NO_KEY = new KeyOwner(KeyStatus.ABSENT, null);
+  private static final KeyOwner UNKNOWN_KEY = new KeyOwner(KeyStatus.UNKNOWN, null);
 
-  private final Map<String, Key> keys;
-  private final Map<String, String> byIndex;
-  private final Map<Integer, String> byClass;
+  private final Map<String, ApiKey> keys;
+  private final Map<String, String> teamByIndex;
+  private final Map<Integer, String> teamByClass;
   private final boolean fallback;
 
-  /** {@code fallback} tells whether a contract holds for those that nothing tells of. */
+  /**
+   * Identifies teams by the given keys, indices and classes.
+   *
+   * @param keys API keys by their id
+   * @param teamByIndex the team of each index that belongs to one
+   * @param teamByClass the team of each query class, by position, whose platform queries belong to
+   *     one
+   * @param fallback whether a default contract applies to requests that no team is identified for
+   */
   public TenantIdentification(
-      Map<String, Key> keys,
-      Map<String, String> byIndex,
-      Map<Integer, String> byClass,
+      Map<String, ApiKey> keys,
+      Map<String, String> teamByIndex,
+      Map<Integer, String> teamByClass,
       boolean fallback) {
     this.fallback = fallback;
     this.keys = new HashMap<>(keys);
-    this.byIndex = new HashMap<>(byIndex);
-    this.byClass = new HashMap<>(byClass);
+    this.teamByIndex = new HashMap<>(teamByIndex);
+    this.teamByClass = new HashMap<>(teamByClass);
   }
 
-  /** Whose key an {@code Authorization} header shows; the header may be null. */
+  /** The owner of the key in an {@code Authorization} header; the header may be null. */
   public KeyOwner byKey(String header) {
     if (header == null) {
-      return NOBODY;
+      return NO_KEY;
     }
     if (!header.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
-      return STRANGER;
+      return UNKNOWN_KEY;
     }
-    byte[] shown;
+    byte[] credentials;
     try {
-      shown = Base64.getDecoder().decode(header.substring(SCHEME.length()).trim());
+      credentials = Base64.getDecoder().decode(header.substring(SCHEME.length()).trim());
     } catch (IllegalArgumentException e) {
-      return STRANGER;
+      return UNKNOWN_KEY;
     }
-    String text = new String(shown, StandardCharsets.UTF_8);
-    int colon = text.indexOf(':');
-    Key key = colon < 0 ? null : keys.get(text.substring(0, colon));
-    Key against = key == null ? DECOY : key;
-    byte[] secret = text.substring(colon + 1).getBytes(StandardCharsets.UTF_8);
-    boolean same = MessageDigest.isEqual(hash(against.salt(), secret), against.sha256());
-    return same && key != null ? new KeyOwner(KeyStatus.KNOWN, key.team()) : STRANGER;
+    return byCredentials(new String(credentials, StandardCharsets.UTF_8));
+  }
+
+  /** Checks {@code id:secret}. */
+  private KeyOwner byCredentials(String credentials) {
+    int colon = credentials.indexOf(':');
+    ApiKey key = colon < 0 ? null : keys.get(credentials.substring(0, colon));
+    byte[] secret = credentials.substring(colon + 1).getBytes(StandardCharsets.UTF_8);
+    boolean matches = (key == null ? ApiKey.DECOY : key).matches(secret);
+    return matches && key != null ? new KeyOwner(KeyStatus.KNOWN, key.team()) : UNKNOWN_KEY;
   }
 
-  /** The hash of a secret, as it stands in the operators' script. */
+  /** The SHA-256 hash of a salt followed by a secret, as the operators' script has it. */
   public static byte[] hash(byte[] salt, byte[] secret) {
     try {
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
@@ -94,18 +102,18 @@
     }
   }
 
-  /** Whether a contract holds for those that nothing tells of. */
+  /** Whether a default contract applies to requests that no team is identified for. */
   public boolean hasFallback() {
     return fallback;
   }
 
-  /** The team that an index is for, or null. */
+  /** The team that an index belongs to, or null. */
   public String byIndex(String index) {
-    return byIndex.get(index);
+    return teamByIndex.get(index);
   }
 
-  /** The team that a class is for on the platform's front, or null. */
+  /** The team that a class's platform queries belong to, or null. */
   public String byClass(int queryClass) {
-    return byClass.get(queryClass);
+    return teamByClass.get(queryClass);
   }
 }
--- a/src/main/java/bitternpulley/contracts/TokenBucket.java
+++ b/src/main/java/bitternpulley/contracts/TokenBucket.java
@@ -1,25 +1,25 @@
 package bitternpulley.contracts;
 
 /**
- * A share of a stream, saved up to a depth. The stream is told by its running total, so that a
- * bucket that nobody uses costs nothing until it is next looked at. It may go below nothing by one
- * query: a large one waits no longer than its size is worth.
+ * A share of a flow of capacity, saved up to a depth. The flow is given by its cumulative total, so
+ * that a bucket costs nothing until it is next used. The balance may fall below zero by one query,
+ * so that a large query does not wait for a full bucket.
  */
 final class TokenBucket {
   private double balance;
-  private double seen;
+  private double lastTotal;
 
-  /** Full at the start: a restart that knows nothing must not starve a team. */
+  /** A full bucket, as a restart must not starve a team. */
   TokenBucket(double total, double depth) {
-    seen = total;
-    balance = depth;
+    this.lastTotal = total;
+    this.balance = depth;
   }
 
-  /** Takes in its share of what has come since the last look. */
+  /** Adds the bucket's share of the flow since the last call. */
   void fill(double total, double share, double depth) {
-    // The depth falls with the rate: what was saved up of a capacity that is gone is gone as well.
-    balance = Math.min(depth, balance + share * (total - seen));
-    seen = total;
+    // The depth falls with the rate: savings of capacity that is gone are gone as well.
+    balance = Math.min(depth, balance + share * (total - lastTotal));
+    lastTotal = total;
   }
 
   double balance() {
@@ -31,9 +31,10 @@
   }
 
   /**
-   * Gives back what was taken and not used, up to the depth; what was used beyond is taken as well.
+   * Corrects an earlier {@link #take}: returns what was not used, up to the depth, or takes the
+   * excess if {@code amount} is negative.
    */
-  void settle(double amount, double depth) {
+  void refund(double amount, double depth) {
     balance = amount > 0 ? Math.max(balance, Math.min(depth, balance + amount)) : balance + amount;
   }
 }
--- a/src/main/java/bitternpulley/contracts/UsageCharge.java
+++ b/src/main/java/bitternpulley/contracts/UsageCharge.java
@@ -3,72 +3,82 @@
 import bitternpulley.routing.Router;
 
 /**
- * What an admitted query has booked on its team's account, from its admission until its last
- * attempt has ended.
+ * An admitted query's charge to its team's account, from admission until the query and all its
+ * attempts have ended. It is booked by estimate and settled once by what was measured.
  */
 public final class UsageCharge implements AdmissionDecision {
-  /** On what a query was let in. */
+  /** Why a query was admitted. */
   public enum Basis {
-    GUARANTEE,
-    LOAN,
-    PROMISE,
-    UNLIMITED
-  }
-
-  final Account account;
-  final Basis basis;
-  final int version;
-  final int queryClass;
-  final int parts;
+    /** The team's guaranteed quota. */
+    GUARANTEE("GUARANTEE"),
+    /** Capacity that other teams leave idle. */
+    LOAN("LOAN"),
+    /** A reservation, made when the query was rejected before. */
+    RESERVATION("PROMISE"),
+    /** Capacity is not limited. */
+    UNLIMITED("UNLIMITED");
 
-  /** Standard parts booked by estimate, and what was seen so far. */
-  final double booked;
+    private final String text;
 
-  final double since;
-  double used;
-  int attemptsOut;
-  boolean over;
+    Basis(String text) {
+      this.text = text;
+    }
 
-  /** Open for longer than a query that will be in time. */
-  boolean old;
+    /** The word in the contract log. */
+    @Override
+    public String toString() {
+      return text;
+    }
+  }
 
-  boolean settled;
+  private final Account account;
+  private final Basis basis;
+  private final int version;
+  private final int queryClass;
+  private final int parts;
+  private final double booked;
+  private final double admittedAt;
   private final Router.ClassTerms terms;
+  private double used;
+  private int attemptsInFlight;
+  private boolean ended;
+  private boolean lagging;
+  private boolean settled;
 
   UsageCharge(
       Account account,
       Basis basis,
       int version,
-      AdmissionRequest claim,
+      AdmissionRequest request,
       double booked,
       double now,
       Router.ClassTerms terms) {
     this.account = account;
     this.basis = basis;
     this.version = version;
-    this.queryClass = claim.queryClass();
-    this.parts = claim.parts();
+    this.queryClass = request.queryClass();
+    this.parts = request.parts();
     this.booked = booked;
-    this.since = now;
+    this.admittedAt = now;
     this.terms = terms;
   }
 
-  /**
-   * What the contract that let it in says of its class: it holds to the query's end, whatever
-   * changes meanwhile.
-   */
+  /** The terms of the query's class, which hold to its end whatever contract is put in force. */
   public Router.ClassTerms terms() {
     return terms;
   }
 
+  /** The contract's id. */
   public String team() {
-    return account.team;
+    return account.team();
   }
 
+  /** The version of the contracts that the query was admitted by. */
   public int version() {
     return version;
   }
 
+  /** Why the query was admitted. */
   public Basis basis() {
     return basis;
   }
@@ -78,13 +88,65 @@
     return booked;
   }
 
-  /** Standard parts that its attempts were seen to take, so far. */
+  /** Standard parts measured so far. */
   public double used() {
     return used;
   }
 
-  /** Whether the account has been settled: nothing of it is out any more. */
+  /** Whether the account was settled: the query and all its attempts have ended. */
   public boolean settled() {
     return settled;
   }
+
+  Account account() {
+    return account;
+  }
+
+  int queryClass() {
+    return queryClass;
+  }
+
+  int parts() {
+    return parts;
+  }
+
+  double admittedAt() {
+    return admittedAt;
+  }
+
+  void recordAttemptSent() {
+    attemptsInFlight++;
+  }
+
+  /** An attempt has ended and is charged this many standard parts. */
+  void recordAttemptEnded(double cost) {
+    attemptsInFlight--;
+    used += cost;
+  }
+
+  /** The query has ended; returns false if it had before. */
+  boolean end() {
+    boolean wasPending = !ended;
+    ended = true;
+    return wasPending;
+  }
+
+  /** The query has been pending for long; returns whether it still is, and therefore lags. */
+  boolean markLaggingIfPending() {
+    lagging = !ended;
+    return lagging;
+  }
+
+  boolean isLagging() {
+    return lagging;
+  }
+
+  /** Settles the charge once nothing of it is in flight; returns whether this call did. */
+  boolean settleIfComplete() {
+    if (!ended || attemptsInFlight > 0 || settled) {
+      return false;
+    }
+    settled = true;
+    return true;
+  }
 }
--- a/src/main/java/bitternpulley/contracts/WorkMeter.java
+++ b/src/main/java/bitternpulley/contracts/WorkMeter.java
@@ -1,54 +1,68 @@
 package bitternpulley.contracts;
 
+import java.util.Arrays;
+
 /**
- * What parts cost, in standard parts: one is what the average part takes at the time. Nobody tells
- * the work of a part; an answer's time is work and queueing, and the queueing is everyone's. So a
- * part costs its time by the usual time of that moment: in a jam all times grow and costs stay, and
- * a part of nine times the usual work is charged as nine.
+ * Measures work in standard parts: one is the work of the average part at the time. Servers do not
+ * report the work of a part, and its latency includes queueing, so a part is charged its latency
+ * divided by the current average latency: under overload all latencies grow and charges stay, while
+ * a part of nine times the average work is charged nine.
  */
 final class WorkMeter {
-  /** Weight of a new answer in the usual time and in a class's cost: the last 50 or so speak. */
+  /** Weight of a new sample in a moving average: about the last 50 samples count. */
   private static final double SMOOTHING = 0.02;
 
-  /** Times the usual that one answer counts as at most, in the usual time and in its own cost. */
-  private static final double OUTLIER = 4;
+  /** A sample counts as at most this multiple of the average that it goes into. */
+  private static final double MAX_SAMPLE_RATIO = 4;
 
-  private static final double MOST = 50;
+  /** The highest charge of one part, and the highest multiple that a hint makes of an estimate. */
+  private static final double MAX_COST = 50;
 
-  private double usual;
-  private final double[] classCost;
-  private final double[] classHint;
+  private double averageLatencyMs;
+  private final double[] costByClass;
+  private final double[] hintByClass;
 
   WorkMeter(int classes) {
-    classCost = new double[classes];
-    classHint = new double[classes];
-    java.util.Arrays.fill(classCost, 1);
+    costByClass = new double[classes];
+    hintByClass = new double[classes];
+    Arrays.fill(costByClass, 1);
   }
 
-  /** Standard parts that a query is likely to take. */
-  double estimate(AdmissionRequest claim) {
-    double cost = classCost[claim.queryClass()];
-    double hint = claim.hintedWork() / claim.parts();
-    double usualHint = classHint[claim.queryClass()];
+  /** Standard parts that a query is likely to take; its hint goes into its class's average hint. */
+  double estimate(AdmissionRequest request) {
+    double cost = costByClass[request.queryClass()];
+    double hint = request.hintedWork() / request.parts();
     if (hint > 0) {
-      classHint[claim.queryClass()] =
-          usualHint == 0 ? hint : usualHint + SMOOTHING * (hint - usualHint);
-      cost *= usualHint == 0 ? 1 : Math.min(MOST, hint / usualHint);
+      cost *= hintRatio(request.queryClass(), hint);
+    }
+    return request.parts() * cost;
+  }
+
+  /** A hint in relation to the class's average before it, which the hint then goes into. */
+  private double hintRatio(int queryClass, double hint) {
+    double average = hintByClass[queryClass];
+    if (average == 0) {
+      hintByClass[queryClass] = hint;
+      return 1;
     }
-    return claim.parts() * cost;
+    hintByClass[queryClass] = average + SMOOTHING * (hint - average);
+    return Math.min(MAX_COST, hint / average);
   }
 
-  /** Standard parts that one attempt is likely to take where nothing else is known. */
-  double estimate(int queryClass) {
-    return classCost[queryClass];
+  /** Standard parts that one attempt of a class is likely to take. */
+  double estimateAttempt(int queryClass) {
+    return costByClass[queryClass];
   }
 
-  /** An answer came after so many ms: what its part cost. */
-  double answered(int queryClass, double took) {
-    usual = usual == 0 ? took : usual + SMOOTHING * (Math.min(took, OUTLIER * usual) - usual);
-    double cost = usual <= 0 ? 1 : Math.min(MOST, took / usual);
-    classCost[queryClass] +=
-        SMOOTHING * (Math.min(cost, OUTLIER * classCost[queryClass]) - classCost[queryClass]);
+  /** Records the latency of an answered attempt and returns what it costs. */
+  double recordAnswer(int queryClass, double latencyMs) {
+    averageLatencyMs = averageLatencyMs == 0 ? latencyMs : smoothed(averageLatencyMs, latencyMs);
+    double cost = averageLatencyMs <= 0 ? 1 : Math.min(MAX_COST, latencyMs / averageLatencyMs);
+    costByClass[queryClass] = smoothed(costByClass[queryClass], cost);
     return cost;
   }
+
+  private static double smoothed(double average, double sample) {
+    return average + SMOOTHING * (Math.min(sample, MAX_SAMPLE_RATIO * average) - average);
+  }
 }
--- a/src/test/java/bitternpulley/config/BrokerConfigurationTest.java
+++ b/src/test/java/bitternpulley/config/BrokerConfigurationTest.java
@@ -56,7 +56,7 @@
     assertEquals(
         example.contracts().contracts().stream().map(Contract::id).toList(),
         java.util.List.of("donor-app", "stock-desk", "partners"));
-    Contract partners = example.contracts().of("partners");
+    Contract partners = example.contracts().find("partners").orElseThrow();
     assertEquals(partners.classes().get(1).priorityWeight(), 2.0);
     assertTrue(example.tenantIdentification().hasFallback());
   }
--- a/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
+++ b/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
@@ -133,7 +133,7 @@
     assertEquals(due, w.now + 1 + again.retryAfter(), 5.1, "early: the rest of the same time");
     w.to(due + 1);
     UsageCharge kept = (UsageCharge) w.control.admit(claim, w.now);
-    assertSame(UsageCharge.Basis.PROMISE, kept.basis());
+    assertSame(UsageCharge.Basis.RESERVATION, kept.basis());
   }
 
   @Test
