--- a/src/main/java/bitternpulley/config/BrokerConfiguration.java
+++ b/src/main/java/bitternpulley/config/BrokerConfiguration.java
@@ -3,13 +3,19 @@
 import bitternpulley.contracts.ContractBook;
 import bitternpulley.contracts.TenantIdentification;
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.NullNode;
 import java.util.Optional;
 
 /**
- * What the operators' script says: the contracts (under version 1; whoever puts them in force
- * counts on), how their teams are recognised, the second front where the script sets it, whether
- * the door lists accounts, membership where it is on, the whole as the schema describes it, and
- * what the script printed.
+ * The configuration in the operators' script.
+ *
+ * @param contracts the contracts, under version 1; they are renumbered when they are put in force
+ * @param tenantIdentification how requests are attributed to the contracts' teams
+ * @param searchFront the settings of the search front, if the script has them
+ * @param listsAccounts whether the admin endpoint lists accounts
+ * @param membership membership among the aggregators, if it is on
+ * @param document everything as one JSON document, as the schema describes it
+ * @param printed what the script printed
  */
 public record BrokerConfiguration(
     ContractBook contracts,
@@ -20,7 +26,7 @@
     JsonNode document,
     String printed) {
 
-  /** No script: no contracts. */
+  /** There is no script, and there are no contracts. */
   public static final BrokerConfiguration NONE =
       new BrokerConfiguration(
           ContractBook.NONE,
@@ -28,6 +34,6 @@
           Optional.empty(),
           false,
           Optional.empty(),
-          com.fasterxml.jackson.databind.node.NullNode.getInstance(),
+          NullNode.getInstance(),
           "");
 }
--- /dev/null
+++ b/src/main/java/bitternpulley/config/BrokerScriptFunctions.java
@@ -0,0 +1,88 @@
+package bitternpulley.config;
+
+import bitternpulley.script.Host;
+import bitternpulley.script.None;
+import bitternpulley.script.Place;
+import bitternpulley.script.ScriptException;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * The functions that the operators' script may call. All but {@code terms()} add their arguments to
+ * a document, which the schema checks later.
+ */
+final class BrokerScriptFunctions implements Host {
+  private static final String CONTRACT = "contract";
+  private static final String CONTRACTS = "contracts";
+  private static final String TERMS = "terms";
+
+  /** Functions that may be called once and set the object of the same name. */
+  private static final Set<String> SECTIONS =
+      Set.of("opensearch", "accounts", "membership", "leases");
+
+  private final ObjectNode document = JsonNodeFactory.instance.objectNode();
+  private final Map<String, Place> positions = new HashMap<>();
+
+  /** What was set so far. */
+  ObjectNode document() {
+    return document;
+  }
+
+  /** Where each key was set, by JSON pointer. */
+  Map<String, Place> positions() {
+    return positions;
+  }
+
+  @Override
+  public boolean knows(String function) {
+    return function.equals(CONTRACT) || function.equals(TERMS) || SECTIONS.contains(function);
+  }
+
+  @Override
+  public Object call(String function, Map<String, Value> arguments, Place position) {
+    if (function.equals(TERMS)) {
+      return terms(arguments);
+    }
+    if (SECTIONS.contains(function)) {
+      addSection(function, arguments, position);
+    } else {
+      addContract(arguments, position);
+    }
+    return None.NONE;
+  }
+
+  /** A dict of the arguments; its keys are checked where it is used. */
+  private static Map<Object, Object> terms(Map<String, Value> arguments) {
+    Map<Object, Object> terms = new LinkedHashMap<>();
+    arguments.forEach((key, argument) -> terms.put(key, argument.value()));
+    return terms;
+  }
+
+  private void addSection(String name, Map<String, Value> arguments, Place position) {
+    if (document.has(name)) {
+      throw new ScriptException(position, name + "() is called a second time");
+    }
+    set(document.putObject(name), "/" + name, arguments, position);
+  }
+
+  private void addContract(Map<String, Value> arguments, Place position) {
+    ArrayNode contracts = document.withArray("/" + CONTRACTS);
+    String pointer = "/" + CONTRACTS + "/" + contracts.size();
+    set(contracts.addObject(), pointer, arguments, position);
+  }
+
+  private void set(
+      ObjectNode object, String pointer, Map<String, Value> arguments, Place position) {
+    positions.put(pointer, position);
+    arguments.forEach(
+        (key, argument) -> {
+          positions.put(pointer + "/" + key, argument.at());
+          object.set(key, ScriptValues.toJson(argument.value(), argument.at()));
+        });
+  }
+}
--- a/src/main/java/bitternpulley/config/ConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/ConfigurationReader.java
@@ -1,10 +1,7 @@
 package bitternpulley.config;
 
 import bitternpulley.net.HostPort;
-import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,210 +10,135 @@
 import java.util.Optional;
 
 /**
- * Reads the configuration file that LB_CONFIG names; the other variables go before what it says.
+ * Reads the configuration file that LB_CONFIG names; other environment variables take precedence
+ * over some of its keys.
  */
 public final class ConfigurationReader {
   /**
-   * Ms by which a turn of ours comes late, as alarms ring on a grid and a part of a core is shared.
-   * Guards against answers that leave in time and arrive a hair after their aim.
+   * The shortest interval in which the program may act, ms: its timers fire on a grid, and it may
+   * wait for a share of a core. Without it, answers sent just in time would arrive late.
    */
-  private static final double LEAST_TICK = 4;
+  private static final double MIN_TICK = 4;
+
+  private static final double DEFAULT_SOCKETS = 1024;
+  private static final int MIN_SOCKETS = 64;
+  private static final double DEFAULT_CALLS_PER_CONNECTION = 100;
+
+  /** Ms. */
+  private static final double DEFAULT_KEEPALIVE = 15_000;
+
+  private static final int HEXADECIMAL = 16;
 
   private ConfigurationReader() {}
 
-  /** Reads all; throws ConfigException with the faulty variable or key. */
+  /**
+   * Reads the whole configuration.
+   *
+   * @throws ConfigurationException with the faulty variable or key
+   */
   public static Configuration read(Map<String, String> environment) {
-    JsonNode in = file(environment.get("LB_CONFIG"));
-    JsonNode settings = in.path("settings");
+    ConfigurationFile file = ConfigurationFile.open(environment);
+    JsonNode settings = file.path("settings");
     if (!settings.isObject()) {
-      throw new ConfigurationException("'settings' is missing");
+      throw ConfigurationException.ofKey("settings", "'settings' is missing");
     }
     List<String> zones = zones(settings);
-    checkFleet(settings, zones.size());
-    JsonNode known = in.get("known");
-    EndpointList list =
-        known == null || known.isNull()
-            ? new EndpointList(0, true, List.of())
-            : named(
-                "known",
-                () ->
-                    EndpointList.read(
-                        known,
-                        zones,
-                        e -> {
-                          throw e;
-                        }));
-    JsonNode limits = settings.path("policyLimits");
-    double sockets = named("limits", () -> Fields.figure(in.path("limits"), "sockets", 1024));
-    double streams = named("settings", () -> Fields.figure(limits, "streamsPerConn", 100));
-    double keepalive = named("settings", () -> Fields.figure(limits, "keepalive", 15_000));
-    if (streams < 1) {
-      throw new ConfigurationException("settings: 'streamsPerConn' is below 1");
-    }
-    if (sockets < 64) {
-      throw new ConfigurationException("limits: 'sockets' is below 64");
-    }
+    SettingsValidator.validate(settings, zones.size());
+    EndpointList lastEndpoints = lastEndpoints(file.path("known"), zones);
+    int sockets = sockets(file.path("limits"));
+    int callsPerConnection =
+        (int) limit(settings.path("policyLimits"), "streamsPerConn", DEFAULT_CALLS_PER_CONNECTION);
+    double keepalive = limit(settings.path("policyLimits"), "keepalive", DEFAULT_KEEPALIVE);
     return new Configuration(
-        value(environment, in, "LB_NAME", "name"),
-        address(environment, in, "LB_LISTEN", "listen"),
-        address(environment, in, "LB_DISCOVERY", "discovery"),
-        seed(in),
-        (int) sockets,
-        list,
-        SettingsReader.read(settings).withMinimumTick(LEAST_TICK),
+        file.requiredText("LB_NAME", "name"),
+        file.requiredAddress("LB_LISTEN", "listen"),
+        file.requiredAddress("LB_DISCOVERY", "discovery"),
+        seed(file),
+        sockets,
+        lastEndpoints,
+        SettingsReader.read(settings).withMinimumTick(MIN_TICK),
         new Configuration.ConnectionSettings(
-            (int) streams,
-            keepalive,
-            named("settings", () -> Fields.figure(settings.path("costs"), "handshake", 0)) > 0),
+            callsPerConnection, keepalive, limit(settings.path("costs"), "handshake", 0) > 0),
         zones,
-        new Configuration.Operations(
-            admin(environment, in),
-            Optional.ofNullable(environment.get("TMPDIR")).filter(f -> !f.isEmpty()).map(Path::of),
-            !environment.getOrDefault("LB_PASSED_SOCKET", "").isEmpty()),
-        peers(in));
-  }
-
-  private static Optional<Configuration.Peers> peers(JsonNode in) {
-    if (in.path("peer_listen").asText("").isEmpty()) {
-      return Optional.empty();
-    }
-    List<HostPort> all = new ArrayList<>();
-    in.path("peers").forEach(p -> all.add(address("peers", p.asText(""))));
-    return Optional.of(
-        new Configuration.Peers(
-            address("peer_listen", in.path("peer_listen").asText()), List.copyOf(all)));
-  }
-
-  private static HostPort address(String key, String text) {
-    try {
-      return HostPort.parse(text);
-    } catch (IllegalArgumentException e) {
-      throw new ConfigurationException("'" + key + "': " + e.getMessage());
-    }
+        operations(file),
+        peers(file));
   }
 
   /**
-   * Reads all again, after the file was replaced. What the file says of discovery now goes before
-   * LB_DISCOVERY, which is as old as the program.
+   * Reads the configuration again after the file was replaced. The file's discovery address now
+   * takes precedence over LB_DISCOVERY, whose value is that of the program's start.
    */
   public static Configuration reread(Map<String, String> environment) {
-    Map<String, String> left = new HashMap<>(environment);
-    left.remove("LB_DISCOVERY");
-    return read(left);
+    Map<String, String> withoutDiscovery = new HashMap<>(environment);
+    withoutDiscovery.remove("LB_DISCOVERY");
+    return read(withoutDiscovery);
   }
 
-  /**
-   * Guards against an aggregator that takes its share of the fleet's budgets by a number that is
-   * not its own, or that can do nothing at all: what contradicts itself or sets a limit to zero
-   * ends the start.
-   */
-  private static void checkFleet(JsonNode settings, int zones) {
-    double instances = atLeastOne(settings, "instances", 1);
-    below(settings, "selfIndex", instances, "'instances'");
-    below(settings, "zone", Math.max(1, zones), "the number of 'failureDomains'");
-    atLeastOne(settings.path("domain"), "shards", 1);
-    double cells = atLeastOne(settings.path("domain"), "cells", 1);
-    double width = atLeastOne(settings.path("domain"), "width", 1);
-    if (width > cells) {
-      throw new ConfigurationException(
-          "settings: 'width' is " + width + ", over 'cells', which is " + cells);
-    }
-    for (String limit :
-        List.of("maxAttempts", "maxOpen", "connectTimeout", "streamsPerConn", "keepalive")) {
-      atLeastOne(settings.path("policyLimits"), limit, 1);
-    }
-    settings
-        .path("costs")
-        .fieldNames()
-        .forEachRemaining(
-            price -> named("settings", () -> Fields.figure(settings.path("costs"), price, 0)));
-  }
-
-  private static double atLeastOne(JsonNode in, String key, double absent) {
-    double value = named("settings", () -> Fields.figure(in, key, absent));
-    if (!(value >= 1)) {
-      throw new ConfigurationException("settings: '" + key + "' is below 1");
-    }
-    return value;
-  }
-
-  private static void below(JsonNode settings, String key, double bound, String of) {
-    double value = named("settings", () -> Fields.figure(settings, key, 0));
-    if (!(value < bound)) {
-      throw new ConfigurationException(
-          "settings: '" + key + "' is " + value + ", which is not below " + of + ", " + bound);
-    }
-  }
-
-  /** The names of the zones, by which discovery calls them. */
+  /** The names of the zones in the settings, by which discovery refers to them. */
   public static List<String> zones(JsonNode settings) {
     List<String> zones = new ArrayList<>();
-    settings.path("failureDomains").forEach(z -> zones.add(z.asText()));
+    settings.path("failureDomains").forEach(zone -> zones.add(zone.asText()));
     return List.copyOf(zones);
   }
 
-  private interface Part<T> {
-    T read();
-  }
-
-  private static <T> T named(String key, Part<T> part) {
-    try {
-      return part.read();
-    } catch (ConfigurationException e) {
-      throw e.getMessage().startsWith(key)
-          ? e
-          : new ConfigurationException(key + ": " + e.getMessage());
+  private static EndpointList lastEndpoints(JsonNode known, List<String> zones) {
+    if (known.isMissingNode() || known.isNull()) {
+      return new EndpointList(0, true, List.of());
     }
+    return Sections.inSection(
+        "known",
+        () ->
+            EndpointList.read(
+                known,
+                zones,
+                error -> {
+                  throw error;
+                }));
   }
 
-  private static JsonNode file(String path) {
-    if (path == null || path.isEmpty()) {
-      throw new ConfigurationException("LB_CONFIG is not set");
-    }
-    try {
-      JsonNode in = StrictJson.read(Files.readAllBytes(Path.of(path)));
-      if (in == null || !in.isObject()) {
-        throw new ConfigurationException("LB_CONFIG: " + path + " holds no JSON object");
-      }
-      return in;
-    } catch (JsonProcessingException e) {
-      throw new ConfigurationException(
-          "LB_CONFIG: " + path + " is not JSON: " + e.getOriginalMessage());
-    } catch (IOException e) {
-      throw new ConfigurationException("LB_CONFIG: cannot read " + path);
+  private static int sockets(JsonNode limits) {
+    double sockets =
+        Sections.inSection("limits", () -> Fields.nonNegative(limits, "sockets", DEFAULT_SOCKETS));
+    if (sockets < MIN_SOCKETS) {
+      throw ConfigurationException.ofKey("sockets", "limits: 'sockets' is below " + MIN_SOCKETS);
     }
+    return (int) sockets;
   }
 
-  private static String value(
-      Map<String, String> environment, JsonNode in, String variable, String key) {
-    String value = environment.getOrDefault(variable, in.path(key).asText(""));
-    if (value.isEmpty()) {
-      throw new ConfigurationException("'" + key + "' is missing, and " + variable + " is not set");
-    }
-    return value;
+  private static double limit(JsonNode section, String key, double defaultValue) {
+    return Sections.inSection("settings", () -> Fields.nonNegative(section, key, defaultValue));
   }
 
-  private static HostPort address(
-      Map<String, String> environment, JsonNode in, String variable, String key) {
+  private static long seed(ConfigurationFile file) {
     try {
-      return HostPort.parse(value(environment, in, variable, key));
-    } catch (IllegalArgumentException e) {
-      throw new ConfigurationException("'" + key + "' (" + variable + "): " + e.getMessage());
+      return Long.parseUnsignedLong(file.path("seed").asText(""), HEXADECIMAL);
+    } catch (NumberFormatException malformed) {
+      throw ConfigurationException.ofKey("seed", "'seed' is not a hexadecimal number of 64 bits");
     }
   }
 
-  /** The operators' door, which only some deployments have. */
-  private static Optional<HostPort> admin(Map<String, String> environment, JsonNode in) {
-    boolean none = environment.getOrDefault("LB_ADMIN", in.path("admin").asText("")).isEmpty();
-    return none ? Optional.empty() : Optional.of(address(environment, in, "LB_ADMIN", "admin"));
+  private static Configuration.Operations operations(ConfigurationFile file) {
+    Optional<HostPort> admin =
+        file.text("LB_ADMIN", "admin").isEmpty()
+            ? Optional.empty()
+            : Optional.of(file.requiredAddress("LB_ADMIN", "admin"));
+    String directory = file.variable("TMPDIR");
+    return new Configuration.Operations(
+        admin,
+        directory.isEmpty() ? Optional.empty() : Optional.of(Path.of(directory)),
+        !file.variable("LB_PASSED_SOCKET").isEmpty());
   }
 
-  private static long seed(JsonNode in) {
-    String seed = in.path("seed").asText("");
-    try {
-      return Long.parseUnsignedLong(seed, 16);
-    } catch (NumberFormatException e) {
-      throw new ConfigurationException("'seed' is not a hexadecimal number of 64 bits");
+  private static Optional<Configuration.Peers> peers(ConfigurationFile file) {
+    String listen = file.path("peer_listen").asText("");
+    if (listen.isEmpty()) {
+      return Optional.empty();
     }
+    List<HostPort> peers = new ArrayList<>();
+    file.path("peers")
+        .forEach(peer -> peers.add(ConfigurationFile.address("peers", peer.asText(""))));
+    return Optional.of(
+        new Configuration.Peers(
+            ConfigurationFile.address("peer_listen", listen), List.copyOf(peers)));
   }
 }
--- a/src/main/java/bitternpulley/config/EndpointList.java
+++ b/src/main/java/bitternpulley/config/EndpointList.java
@@ -1,8 +1,8 @@
 package bitternpulley.config;
 
-import static bitternpulley.config.Fields.figure;
 import static bitternpulley.config.Fields.flag;
 import static bitternpulley.config.Fields.need;
+import static bitternpulley.config.Fields.nonNegative;
 import static bitternpulley.config.Fields.number;
 import static bitternpulley.config.Fields.text;
 
@@ -13,63 +13,86 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A list of slot servers, or a change to one, in discovery's form. */
+/**
+ * The slot servers that discovery reports, or a change to them.
+ *
+ * @param revision the number of the list or change, which never decreases
+ * @param complete whether these are all servers; else it is a change
+ * @param entries the servers
+ */
 public record EndpointList(long revision, boolean complete, List<Entry> entries) {
 
-  /** A server and where this aggregator reaches it. */
+  /**
+   * A server and its address.
+   *
+   * @param endpoint the server as the routing policy sees it
+   * @param address where the server listens; may be null unless the server is live
+   */
   public record Entry(Router.Endpoint endpoint, HostPort address) {}
 
   /**
-   * Reads a list; {@code zones} are the names that the settings number. An entry that cannot be
-   * used is told to {@code faults} and, unless that throws, left out: it must not keep the others
-   * from being heard.
+   * Reads a list in discovery's format.
+   *
+   * @param list the JSON object
+   * @param zones the names of the zones, in the order of their numbers
+   * @param entryErrors receives the error of each entry that cannot be used. Unless it throws, the
+   *     entry is left out, so that it does not prevent the use of the others.
    */
   public static EndpointList read(
-      JsonNode in, List<String> zones, Consumer<ConfigurationException> faults) {
+      JsonNode list, List<String> zones, Consumer<ConfigurationException> entryErrors) {
     List<Entry> entries = new ArrayList<>();
-    JsonNode members = need(in, "members");
+    JsonNode members = need(list, "members");
     if (!members.isArray()) {
-      throw new ConfigurationException("field 'members' is not a list");
+      throw ConfigurationException.ofKey("members", "field 'members' is not a list");
     }
-    for (JsonNode m : members) {
+    for (JsonNode member : members) {
       try {
-        entries.add(entry(m, zones));
-      } catch (ConfigurationException e) {
-        faults.accept(e);
+        entries.add(entry(member, zones));
+      } catch (ConfigurationException error) {
+        entryErrors.accept(error);
       }
     }
     return new EndpointList(
-        (long) number(in, "revision"), flag(in, "complete"), List.copyOf(entries));
+        (long) number(list, "revision"), flag(list, "complete"), List.copyOf(entries));
   }
 
-  private static Entry entry(JsonNode m, List<String> zones) {
-    String id = text(m, "id");
-    Router.ServerState state =
-        switch (text(m, "phase")) {
-          case "up" -> Router.ServerState.LIVE;
-          case "draining" -> Router.ServerState.DRAINING;
-          case "removed" -> Router.ServerState.GONE;
-          default ->
-              throw new ConfigurationException("server " + id + ": 'phase' is none that is known");
-        };
-    // Only a server that is to be sent to needs an address. Guards against a drain that is not
-    // heard for want of one.
-    HostPort address = m.hasNonNull("host_port") ? address(m, id) : null;
+  private static Entry entry(JsonNode member, List<String> zones) {
+    String id = text(member, "id");
+    Router.ServerState state = state(member, id);
+    // Only a live server needs an address: a drain is valid without one.
+    HostPort address = member.hasNonNull("host_port") ? address(member, id) : null;
     if (address == null && state == Router.ServerState.LIVE) {
-      throw new ConfigurationException("server " + id + ": 'host_port' is missing");
+      throw serverError(id, "host_port", "'host_port' is missing");
     }
-    int zone = Math.max(0, zones.indexOf(m.path("locality").asText("")));
+    int zone = Math.max(0, zones.indexOf(member.path("locality").asText("")));
     return new Entry(
         new Router.Endpoint(
-            id, zone, (int) number(m, "cell", 0), state, figure(m, "up_since_ms", 0)),
+            id,
+            zone,
+            (int) number(member, "cell", 0),
+            state,
+            nonNegative(member, "up_since_ms", 0)),
         address);
   }
 
-  private static HostPort address(JsonNode m, String id) {
+  private static Router.ServerState state(JsonNode member, String id) {
+    return switch (text(member, "phase")) {
+      case "up" -> Router.ServerState.LIVE;
+      case "draining" -> Router.ServerState.DRAINING;
+      case "removed" -> Router.ServerState.GONE;
+      default -> throw serverError(id, "phase", "'phase' is none that is known");
+    };
+  }
+
+  private static HostPort address(JsonNode member, String id) {
     try {
-      return HostPort.parse(text(m, "host_port"));
-    } catch (IllegalArgumentException e) {
-      throw new ConfigurationException("server " + id + ": 'host_port': " + e.getMessage());
+      return HostPort.parse(text(member, "host_port"));
+    } catch (IllegalArgumentException malformed) {
+      throw serverError(id, "host_port", "'host_port': " + malformed.getMessage());
     }
   }
+
+  private static ConfigurationException serverError(String id, String key, String message) {
+    return ConfigurationException.ofKey(key, "server " + id + ": " + message);
+  }
 }
--- a/src/main/java/bitternpulley/config/Fields.java
+++ b/src/main/java/bitternpulley/config/Fields.java
@@ -2,54 +2,62 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Typed access to the fields of one wire object. */
+/** Typed access to the fields of a JSON object. A null field counts as missing. */
 public final class Fields {
   private Fields() {}
 
+  /** The value of a required field. */
   public static JsonNode need(JsonNode node, String key) {
-    JsonNode value = node.get(key);
-    if (value == null || value.isNull()) {
-      throw new ConfigurationException("missing field '" + key + "'");
+    if (isMissing(node, key)) {
+      throw ConfigurationException.ofKey(key, "missing field '" + key + "'");
     }
-    return value;
+    return node.get(key);
   }
 
+  /** The text of a required field. */
   public static String text(JsonNode node, String key) {
     JsonNode value = need(node, key);
     if (!value.isTextual()) {
-      throw new ConfigurationException("field '" + key + "' is not text");
+      throw ConfigurationException.ofKey(key, "field '" + key + "' is not text");
     }
     return value.textValue();
   }
 
+  /** The number of a required field. */
   public static double number(JsonNode node, String key) {
     JsonNode value = need(node, key);
     if (!value.isNumber()) {
-      throw new ConfigurationException("field '" + key + "' is not a number");
+      throw ConfigurationException.ofKey(key, "field '" + key + "' is not a number");
     }
     return value.doubleValue();
   }
 
+  /** The number of a required field, without its fraction. */
   public static long integer(JsonNode node, String key) {
     return (long) number(node, key);
   }
 
-  public static double number(JsonNode node, String key, double absent) {
-    JsonNode value = node.get(key);
-    return value == null || value.isNull() ? absent : number(node, key);
+  /** The number of a field, or a default if it is missing. */
+  public static double number(JsonNode node, String key, double defaultValue) {
+    return isMissing(node, key) ? defaultValue : number(node, key);
   }
 
+  /** Whether a field is true; false if it is missing. */
   public static boolean flag(JsonNode node, String key) {
-    JsonNode value = node.get(key);
-    return value != null && value.asBoolean(false);
+    return !isMissing(node, key) && node.get(key).asBoolean(false);
   }
 
-  /** A time or figure that cannot be below 0. */
-  public static double figure(JsonNode node, String key, double absent) {
-    double value = number(node, key, absent);
+  /** The number of a field that cannot be negative, or a default if it is missing. */
+  static double nonNegative(JsonNode node, String key, double defaultValue) {
+    double value = number(node, key, defaultValue);
     if (value < 0) {
-      throw new ConfigurationException("settings: '" + key + "' is negative");
+      throw ConfigurationException.ofKey(key, "settings: '" + key + "' is negative");
     }
     return value;
   }
+
+  private static boolean isMissing(JsonNode node, String key) {
+    JsonNode value = node.get(key);
+    return value == null || value.isNull();
+  }
 }
--- a/src/main/java/bitternpulley/config/MembershipConfiguration.java
+++ b/src/main/java/bitternpulley/config/MembershipConfiguration.java
@@ -4,8 +4,12 @@
 import java.util.Optional;
 
 /**
- * What the operators' script says of the other aggregators: membership's terms, the region of this
- * instance, what tells deployments apart, and leases where they are on.
+ * What the operators' script says of membership among the aggregators.
+ *
+ * @param terms timing and fan-out of failure detection
+ * @param region of this instance; empty if none is set
+ * @param deployment the name that separates deployments from each other; empty if none is set
+ * @param leases the leases, if they are on
  */
 public record MembershipConfiguration(
     MembershipSettings terms,
--- a/src/main/java/bitternpulley/config/MembershipReader.java
+++ b/src/main/java/bitternpulley/config/MembershipReader.java
@@ -8,51 +8,61 @@
 
 /** Reads {@code membership()} and {@code leases()} of the operators' script. */
 final class MembershipReader {
-  private static final double LEASE_S = 10;
+  private static final double DEFAULT_LEASE_SECONDS = 10;
+  private static final double MS_PER_SECOND = 1000;
+
+  /** Timeouts that one health check of a member may take. */
+  private static final int TIMEOUTS_PER_CHECK = 3;
 
   private MembershipReader() {}
 
-  /** Empty where the script has none, or has it off. */
+  /** Empty if the script does not configure membership, or has it off. */
   static Optional<MembershipConfiguration> read(BrokerScript script) {
-    JsonNode in = script.document().path("membership");
-    Optional<LeaseConfiguration> leases = leases(script);
-    if (in.isMissingNode() || !in.path("on").asBoolean(true)) {
+    Optional<LeaseConfiguration> leases = leases(script.document().path("leases"));
+    JsonNode membership = script.document().path("membership");
+    if (isOff(membership)) {
       if (leases.isPresent()) {
-        throw script.fault("/leases", "needs membership()");
+        throw script.error("/leases", "needs membership()");
       }
       return Optional.empty();
     }
-    MembershipSettings usual = MembershipSettings.DEFAULT;
-    double interval = in.path("interval_ms").asDouble(usual.interval());
-    double timeout = in.path("timeout_ms").asDouble(usual.timeout());
-    if (3 * timeout > interval) {
-      // Guards against probes of which one is still under way when the next is due: each takes up
-      // to three timeouts.
-      throw script.fault(
-          "/membership/timeout_ms", "is over a third of interval_ms, which is " + interval);
-    }
     return Optional.of(
         new MembershipConfiguration(
-            new MembershipSettings(
-                interval,
-                timeout,
-                in.path("relays").asInt(usual.relays()),
-                in.path("suspicion_intervals").asDouble(usual.suspicionIntervals()),
-                1000 * in.path("alone_after_s").asDouble(usual.withoutMajorityAfter() / 1000)),
-            in.path("region").asText(""),
-            in.path("deployment").asText(""),
+            settings(script, membership),
+            membership.path("region").asText(""),
+            membership.path("deployment").asText(""),
             leases));
   }
 
-  private static Optional<LeaseConfiguration> leases(BrokerScript script) {
-    JsonNode in = script.document().path("leases");
-    if (in.isMissingNode() || !in.path("on").asBoolean(true)) {
+  private static boolean isOff(JsonNode section) {
+    return section.isMissingNode() || !section.path("on").asBoolean(true);
+  }
+
+  private static MembershipSettings settings(BrokerScript script, JsonNode membership) {
+    MembershipSettings defaults = MembershipSettings.DEFAULT;
+    double interval = membership.path("interval_ms").asDouble(defaults.interval());
+    double timeout = membership.path("timeout_ms").asDouble(defaults.timeout());
+    if (TIMEOUTS_PER_CHECK * timeout > interval) {
+      throw script.error(
+          "/membership/timeout_ms", "is over a third of interval_ms, which is " + interval);
+    }
+    double withoutMajoritySeconds =
+        membership.path("alone_after_s").asDouble(defaults.withoutMajorityAfter() / MS_PER_SECOND);
+    return new MembershipSettings(
+        interval,
+        timeout,
+        membership.path("relays").asInt(defaults.relays()),
+        membership.path("suspicion_intervals").asDouble(defaults.suspicionIntervals()),
+        MS_PER_SECOND * withoutMajoritySeconds);
+  }
+
+  private static Optional<LeaseConfiguration> leases(JsonNode section) {
+    if (isOff(section)) {
       return Optional.empty();
     }
     List<Integer> witnesses = new ArrayList<>();
-    in.path("witnesses").forEach(w -> witnesses.add(w.asInt()));
-    return Optional.of(
-        new LeaseConfiguration(
-            1000 * in.path("lasts_s").asDouble(LEASE_S), List.copyOf(witnesses)));
+    section.path("witnesses").forEach(witness -> witnesses.add(witness.asInt()));
+    double seconds = section.path("lasts_s").asDouble(DEFAULT_LEASE_SECONDS);
+    return Optional.of(new LeaseConfiguration(MS_PER_SECOND * seconds, List.copyOf(witnesses)));
   }
 }
--- a/src/main/java/bitternpulley/config/SearchConfiguration.java
+++ b/src/main/java/bitternpulley/config/SearchConfiguration.java
@@ -5,8 +5,14 @@
 import java.util.Map;
 
 /**
- * The second front: where it listens, the port at which slot servers speak the same API, its
- * bounds, and the indices with their class and the sections they span.
+ * The configuration of the OpenSearch-style front.
+ *
+ * @param listen the address for clients
+ * @param serverPort the port at which slot servers offer the same API
+ * @param maxResultWindow the most documents that a search may span
+ * @param maxSearches the most concurrent searches
+ * @param maxPartBytes the most bytes in the answer of one server
+ * @param indices the indices by name
  */
 public record SearchConfiguration(
     HostPort listen,
@@ -16,6 +22,12 @@
     int maxPartBytes,
     Map<String, Index> indices) {
 
-  /** An index: its class by position in the settings, and the sections that hold its documents. */
+  /**
+   * An index.
+   *
+   * @param name its name
+   * @param requestClass the query class of its searches, by position in the settings
+   * @param sections the shards that hold its documents
+   */
   public record Index(String name, int requestClass, List<Integer> sections) {}
 }
--- a/src/main/java/bitternpulley/config/SettingsReader.java
+++ b/src/main/java/bitternpulley/config/SettingsReader.java
@@ -1,7 +1,7 @@
 package bitternpulley.config;
 
-import static bitternpulley.config.Fields.figure;
 import static bitternpulley.config.Fields.flag;
+import static bitternpulley.config.Fields.nonNegative;
 
 import bitternpulley.routing.Settings;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -9,125 +9,156 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads the start settings; keys it does not know are passed over. */
+/**
+ * Reads the start settings and maps their external names to those of {@link Settings}; unknown keys
+ * are ignored.
+ */
 public final class SettingsReader {
+  /** Keys that the program does not use, but whose values must be valid all the same. */
+  private static final List<String> UNUSED_RULES =
+      List.of("answerSlack", "stopSendingWithin", "mustAskIn");
+
+  private static final List<String> UNUSED_COSTS =
+      List.of("waste", "lateFail", "connection", "probe");
+  private static final List<String> UNUSED_TENANT_KEYS = List.of("quotaRps");
+
   private SettingsReader() {}
 
-  public static Settings read(JsonNode in) {
-    JsonNode classes = in.get("requestClasses");
+  /**
+   * The settings in a JSON object.
+   *
+   * @throws ConfigurationException with the faulty key
+   */
+  public static Settings read(JsonNode settings) {
+    JsonNode classes = settings.get("requestClasses");
     if (classes == null || !classes.isArray() || classes.isEmpty()) {
-      throw new ConfigurationException("settings: 'requestClasses' is missing or empty");
-    }
-    checkUnused(sub(in, "rules"), List.of("answerSlack", "stopSendingWithin", "mustAskIn"));
-    checkUnused(sub(in, "costs"), List.of("waste", "lateFail", "connection", "probe"));
-    JsonNode domain = sub(in, "domain");
-    List<Settings.QueryClass> read = new ArrayList<>();
-    for (int i = 0; i < classes.size(); i++) {
-      read.add(queryClass(classes.get(i), domain, i));
-    }
-    List<Settings.Tenant> tenants = new ArrayList<>();
-    for (JsonNode t : sub(in, "tenants")) {
-      tenants.add(new Settings.Tenant(t.path("name").asText(""), figure(t, "portion", 1)));
-      checkUnused(t, List.of("quotaRps"));
+      throw ConfigurationException.ofKey(
+          "requestClasses", "settings: 'requestClasses' is missing or empty");
     }
+    checkUnused(section(settings, "rules"), UNUSED_RULES);
+    checkUnused(section(settings, "costs"), UNUSED_COSTS);
+    JsonNode domain = section(settings, "domain");
+    List<Settings.QueryClass> queryClasses = queryClasses(classes, domain);
+    List<Settings.Tenant> tenants = tenants(section(settings, "tenants"));
     return new Settings(
-        (int) figure(in, "selfIndex", 0),
-        (int) figure(in, "instances", 1),
-        (int) figure(in, "zone", 0),
-        figure(in, "tick", 1),
-        in.path("discovery").asText("").equals("on_request"),
-        List.copyOf(read),
-        List.copyOf(tenants),
-        figure(in, "overShareWorth", 1),
-        in.path("worthBy").asText("").equals("work"),
+        (int) nonNegative(settings, "selfIndex", 0),
+        (int) nonNegative(settings, "instances", 1),
+        (int) nonNegative(settings, "zone", 0),
+        nonNegative(settings, "tick", 1),
+        settings.path("discovery").asText("").equals("on_request"),
+        queryClasses,
+        tenants,
+        nonNegative(settings, "overShareWorth", 1),
+        settings.path("worthBy").asText("").equals("work"),
         layout(domain),
-        limits(sub(in, "policyLimits")),
-        rules(sub(in, "rules")),
-        prices(sub(in, "costs")));
+        limits(section(settings, "policyLimits")),
+        rules(section(settings, "rules")),
+        costs(section(settings, "costs")));
+  }
+
+  private static void checkUnused(JsonNode section, List<String> keys) {
+    keys.forEach(key -> nonNegative(section, key, 0));
+  }
+
+  private static JsonNode section(JsonNode settings, String key) {
+    JsonNode section = settings.get(key);
+    return section == null || section.isNull() ? JsonNodeFactory.instance.objectNode() : section;
   }
 
-  /** Figures that nothing here uses are checked all the same: a negative one is a mistake. */
-  private static void checkUnused(JsonNode in, List<String> keys) {
-    keys.forEach(key -> figure(in, key, 0));
+  private static List<Settings.QueryClass> queryClasses(JsonNode classes, JsonNode domain) {
+    List<Settings.QueryClass> queryClasses = new ArrayList<>();
+    for (JsonNode queryClass : classes) {
+      queryClasses.add(queryClass(queryClass, domain, queryClasses.size()));
+    }
+    return List.copyOf(queryClasses);
   }
 
-  private static JsonNode sub(JsonNode in, String key) {
-    JsonNode value = in.get(key);
-    return value == null || value.isNull() ? JsonNodeFactory.instance.objectNode() : value;
+  private static List<Settings.Tenant> tenants(JsonNode entries) {
+    List<Settings.Tenant> tenants = new ArrayList<>();
+    for (JsonNode entry : entries) {
+      tenants.add(
+          new Settings.Tenant(entry.path("name").asText(""), nonNegative(entry, "portion", 1)));
+      checkUnused(entry, UNUSED_TENANT_KEYS);
+    }
+    return List.copyOf(tenants);
   }
 
-  private static Settings.QueryClass queryClass(JsonNode c, JsonNode domain, int i) {
-    if (!c.has("deadline")) {
-      throw new ConfigurationException("settings: 'deadline' of class " + i + " is missing");
+  private static Settings.QueryClass queryClass(
+      JsonNode queryClass, JsonNode domain, int position) {
+    if (!queryClass.has("deadline")) {
+      throw ConfigurationException.ofKey(
+          "deadline", "settings: 'deadline' of class " + position + " is missing");
     }
-    double deadline = figure(c, "deadline", 0);
+    double deadline = nonNegative(queryClass, "deadline", 0);
     return new Settings.QueryClass(
-        c.path("name").asText(""),
-        figure(c, "worth", 1),
-        figure(c, "aim", deadline),
-        figure(c, "aimStretch", 0),
+        queryClass.path("name").asText(""),
+        nonNegative(queryClass, "worth", 1),
+        nonNegative(queryClass, "aim", deadline),
+        nonNegative(queryClass, "aimStretch", 0),
         deadline,
-        figure(c, "lateWorth", 0),
-        effect(c.path("effect").asText("side_effect")),
-        figure(c, "dedupWindow", 0),
-        flag(c, "stream"),
-        at(domain, "minShare", i, 1),
-        at(domain, "wholeAt", i, 1),
-        at(domain, "classPartial", i, 1),
-        (int) at(domain, "followUp", i, 0));
+        nonNegative(queryClass, "lateWorth", 0),
+        idempotency(queryClass.path("effect").asText("side_effect")),
+        nonNegative(queryClass, "dedupWindow", 0),
+        flag(queryClass, "stream"),
+        elementOr(domain, "minShare", position, 1),
+        elementOr(domain, "wholeAt", position, 1),
+        elementOr(domain, "classPartial", position, 1),
+        (int) elementOr(domain, "followUp", position, 0));
   }
 
-  private static double at(JsonNode domain, String key, int i, double absent) {
-    JsonNode value = domain.path(key).path(i);
-    double read = value.isNumber() ? value.doubleValue() : absent;
-    if (read < 0) {
-      throw new ConfigurationException("settings: '" + key + "' is negative");
+  /** The number at a position of a list, or a default if there is none. */
+  private static double elementOr(JsonNode section, String key, int position, double defaultValue) {
+    JsonNode element = section.path(key).path(position);
+    double value = element.isNumber() ? element.doubleValue() : defaultValue;
+    if (value < 0) {
+      throw ConfigurationException.ofKey(key, "settings: '" + key + "' is negative");
     }
-    return read;
+    return value;
   }
 
-  private static Settings.Idempotency effect(String word) {
-    return switch (word) {
+  private static Settings.Idempotency idempotency(String effect) {
+    return switch (effect) {
       case "pure" -> Settings.Idempotency.IDEMPOTENT;
       case "token" -> Settings.Idempotency.KEYED;
       default -> Settings.Idempotency.NON_IDEMPOTENT;
     };
   }
 
-  private static Settings.Layout layout(JsonNode d) {
-    int cells = (int) figure(d, "cells", 1);
+  private static Settings.Layout layout(JsonNode domain) {
+    int cells = (int) nonNegative(domain, "cells", 1);
     return new Settings.Layout(
-        (int) figure(d, "shards", 1),
+        (int) nonNegative(domain, "shards", 1),
         Math.max(1, cells),
-        (int) figure(d, "width", 1),
-        Math.max(1, (int) figure(d, "bundleMax", 1)),
-        figure(d, "call", 0));
+        (int) nonNegative(domain, "width", 1),
+        Math.max(1, (int) nonNegative(domain, "bundleMax", 1)),
+        nonNegative(domain, "call", 0));
   }
 
-  private static Settings.Limits limits(JsonNode l) {
+  private static Settings.Limits limits(JsonNode limits) {
     return new Settings.Limits(
-        (int) figure(l, "maxAttempts", 1),
-        (int) figure(l, "maxOpen", Integer.MAX_VALUE),
-        flag(l, "mayCancel"),
-        flag(l, "secondCopies"),
-        flag(l, "retryAfter"),
-        figure(l, "maxRetryAfter", 0),
-        figure(l, "connectTimeout", 0));
+        (int) nonNegative(limits, "maxAttempts", 1),
+        (int) nonNegative(limits, "maxOpen", Integer.MAX_VALUE),
+        flag(limits, "mayCancel"),
+        flag(limits, "secondCopies"),
+        flag(limits, "retryAfter"),
+        nonNegative(limits, "maxRetryAfter", 0),
+        nonNegative(limits, "connectTimeout", 0));
   }
 
-  private static Settings.Rules rules(JsonNode r) {
+  private static Settings.Rules rules(JsonNode rules) {
     return new Settings.Rules(
-        figure(r, "coldFrom", 1),
-        figure(r, "cold", 0),
-        figure(r, "tipMultiple", 0),
-        figure(r, "fall", 0),
-        r.has("lookBack") || r.has("extraFloor") || r.has("extraShare"),
-        figure(r, "extraFloor", 0),
-        figure(r, "extraShare", 0),
-        figure(r, "lookBack", 0));
+        nonNegative(rules, "coldFrom", 1),
+        nonNegative(rules, "cold", 0),
+        nonNegative(rules, "tipMultiple", 0),
+        nonNegative(rules, "fall", 0),
+        rules.has("lookBack") || rules.has("extraFloor") || rules.has("extraShare"),
+        nonNegative(rules, "extraFloor", 0),
+        nonNegative(rules, "extraShare", 0),
+        nonNegative(rules, "lookBack", 0));
   }
 
-  private static Settings.Costs prices(JsonNode c) {
-    return new Settings.Costs(figure(c, "crossZone", 0), figure(c, "handshake", 0));
+  private static Settings.Costs costs(JsonNode costs) {
+    return new Settings.Costs(
+        nonNegative(costs, "crossZone", 0), nonNegative(costs, "handshake", 0));
   }
 }
--- a/src/main/java/bitternpulley/config/StrictJson.java
+++ b/src/main/java/bitternpulley/config/StrictJson.java
@@ -12,9 +12,9 @@
 import java.io.IOException;
 
 /**
- * Reads one JSON text into the library's tree by its streaming parser: a mapper, which binds
- * classes that nothing here asks for, took a fifth of a start. Guards against texts that two
- * readers would read differently: a key that comes twice, or more behind the value.
+ * Reads one JSON text into a tree. Texts that two readers could understand differently are
+ * rejected: those with a duplicate key, or with more than one value. Uses the streaming parser
+ * alone, as an {@code ObjectMapper} would slow down the start considerably.
  */
 public final class StrictJson {
   private static final JsonFactory FACTORY =
@@ -23,50 +23,57 @@
 
   private StrictJson() {}
 
-  /** The value that the bytes are; throws IOException where they are not exactly one. */
+  /** The only value of a text; throws IOException if there is none, or anything else. */
   public static JsonNode read(byte[] text) throws IOException {
-    try (JsonParser in = FACTORY.createParser(text)) {
-      if (in.nextToken() == null) {
-        throw new JsonParseException(in, "there is no value");
+    try (JsonParser parser = FACTORY.createParser(text)) {
+      if (parser.nextToken() == null) {
+        throw new JsonParseException(parser, "there is no value");
       }
-      JsonNode value = value(in);
-      if (in.nextToken() != null) {
-        throw new JsonParseException(in, "there is more behind the value");
+      JsonNode value = value(parser);
+      if (parser.nextToken() != null) {
+        throw new JsonParseException(parser, "there is more behind the value");
       }
       return value;
     }
   }
 
-  /** The parser bounds how deep this may go. */
-  private static JsonNode value(JsonParser in) throws IOException {
-    return switch (in.currentToken()) {
-      case START_OBJECT -> {
-        ObjectNode object = NODES.objectNode();
-        while (in.nextToken() != JsonToken.END_OBJECT) {
-          String key = in.currentName();
-          in.nextToken();
-          object.set(key, value(in));
-        }
-        yield object;
-      }
-      case START_ARRAY -> {
-        ArrayNode array = NODES.arrayNode();
-        while (in.nextToken() != JsonToken.END_ARRAY) {
-          array.add(value(in));
-        }
-        yield array;
-      }
-      case VALUE_STRING -> NODES.textNode(in.getText());
-      case VALUE_NUMBER_INT ->
-          in.getNumberType() == JsonParser.NumberType.INT
-              ? NODES.numberNode(in.getIntValue())
-              : in.getNumberType() == JsonParser.NumberType.LONG
-                  ? NODES.numberNode(in.getLongValue())
-                  : NODES.numberNode(in.getBigIntegerValue());
-      case VALUE_NUMBER_FLOAT -> NODES.numberNode(in.getDoubleValue());
+  /** Recursive; the parser limits the depth. */
+  private static JsonNode value(JsonParser parser) throws IOException {
+    return switch (parser.currentToken()) {
+      case START_OBJECT -> object(parser);
+      case START_ARRAY -> array(parser);
+      case VALUE_STRING -> NODES.textNode(parser.getText());
+      case VALUE_NUMBER_INT -> integer(parser);
+      case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
       case VALUE_TRUE -> NODES.booleanNode(true);
       case VALUE_FALSE -> NODES.booleanNode(false);
       default -> NODES.nullNode();
     };
   }
+
+  private static ObjectNode object(JsonParser parser) throws IOException {
+    ObjectNode object = NODES.objectNode();
+    while (parser.nextToken() != JsonToken.END_OBJECT) {
+      String key = parser.currentName();
+      parser.nextToken();
+      object.set(key, value(parser));
+    }
+    return object;
+  }
+
+  private static ArrayNode array(JsonParser parser) throws IOException {
+    ArrayNode array = NODES.arrayNode();
+    while (parser.nextToken() != JsonToken.END_ARRAY) {
+      array.add(value(parser));
+    }
+    return array;
+  }
+
+  private static JsonNode integer(JsonParser parser) throws IOException {
+    return switch (parser.getNumberType()) {
+      case INT -> NODES.numberNode(parser.getIntValue());
+      case LONG -> NODES.numberNode(parser.getLongValue());
+      default -> NODES.numberNode(parser.getBigIntegerValue());
+    };
+  }
 }
--- a/src/main/java/bitternpulley/contracts/Account.java
+++ b/src/main/java/bitternpulley/contracts/Account.java
@@ -80,7 +80,7 @@
     return unsettledCharges == 0 && !borrowing.isActive() && reservations.reservedAmount(now) == 0;
   }
 
-  /** Whether a query of so many parts would exceed what may be pending at once. */
+  /** Whether a query with this number of parts would exceed what may be pending at once. */
   boolean exceedsMaxPending(int parts) {
     return pending + parts + 1 > contract.maxPending();
   }
--- a/src/main/java/bitternpulley/contracts/TenantIdentification.java
+++ b/src/main/java/bitternpulley/contracts/TenantIdentification.java
@@ -76,7 +76,7 @@
     byte[] credentials;
     try {
       credentials = Base64.getDecoder().decode(header.substring(SCHEME.length()).trim());
-    } catch (IllegalArgumentException e) {
+    } catch (IllegalArgumentException malformed) {
       return UNKNOWN_KEY;
     }
     return byCredentials(new String(credentials, StandardCharsets.UTF_8));
@@ -97,8 +97,8 @@
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
       digest.update(salt);
       return digest.digest(secret);
-    } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every JVM has SHA-256", e);
+    } catch (NoSuchAlgorithmException missing) {
+      throw new IllegalStateException("every JVM has SHA-256", missing);
     }
   }
 
