--- a/src/main/java/bitternpulley/contracts/AdmissionControl.java
+++ b/src/main/java/bitternpulley/contracts/AdmissionControl.java
@@ -155,7 +155,7 @@
     }
     borrowers.add(account, now);
     return !capacityEstimate.isCongested()
-        && (pool.hasAmpleIdleCapacity() || pool.hasIdleCapacity() && account.hasLoanLeft());
+        && (pool.hasAmpleIdleCapacity() || (pool.hasIdleCapacity() && account.hasLoanLeft()));
   }
 
   private AdmissionDecision rejectWithRetryAfter(
--- a/src/main/java/bitternpulley/contracts/RejectionCounts.java
+++ b/src/main/java/bitternpulley/contracts/RejectionCounts.java
@@ -1,32 +1,40 @@
 package bitternpulley.contracts;
 
+import java.util.EnumMap;
+import java.util.Map;
+import java.util.stream.Stream;
+
 /** How many queries of a team were rejected by each {@link Limit}. */
 public final class RejectionCounts {
-  private final long[] byOrdinal;
-
-  RejectionCounts() {
-    this(new long[Limit.values().length]);
+  private static final class Counter {
+    private long count;
   }
 
-  private RejectionCounts(long[] byOrdinal) {
-    this.byOrdinal = byOrdinal;
+  private final Map<Limit, Counter> counters = new EnumMap<>(Limit.class);
+
+  RejectionCounts() {
+    for (Limit limit : Limit.values()) {
+      counters.put(limit, new Counter());
+    }
   }
 
   void increment(Limit limit) {
-    byOrdinal[limit.ordinal()]++;
+    counters.get(limit).count++;
   }
 
   /** The number of rejections by a limit. */
   public long of(Limit limit) {
-    return byOrdinal[limit.ordinal()];
+    return counters.get(limit).count;
   }
 
   RejectionCounts copy() {
-    return new RejectionCounts(byOrdinal.clone());
+    RejectionCounts copy = new RejectionCounts();
+    counters.forEach((limit, counter) -> copy.counters.get(limit).count = counter.count);
+    return copy;
   }
 
   /** The counts in the order of {@link Limit}'s constants. */
   long[] inOrderOfLimits() {
-    return byOrdinal.clone();
+    return Stream.of(Limit.values()).mapToLong(this::of).toArray();
   }
 }
--- a/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
+++ b/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
@@ -1,12 +1,11 @@
 package bitternpulley.contracts;
 
-import static bitternpulley.contracts.ContractWorld.book;
-import static bitternpulley.contracts.ContractWorld.contract;
+import static bitternpulley.contracts.SimulatedTeams.book;
+import static bitternpulley.contracts.SimulatedTeams.contract;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import bitternpulley.contracts.ContractWorld.Team;
 import bitternpulley.routing.Router;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -18,253 +17,226 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class AdmissionControlTest {
-  /** Three teams at about half of their shares, on servers that do 1,000 parts a second. */
-  private static ContractWorld calm(long seed) {
-    ContractWorld w = new ContractWorld(seed, 1000);
-    w.control.apply(
-        book(1, contract("appeal", 0.4), contract("stock", 0.35), contract("booking", 0.25)), 0);
-    w.team("appeal", 50, 4);
-    w.team("stock", 9, 20);
-    w.team("booking", 120, 1);
-    return w;
+  /** Parts a second. */
+  private static final double CAPACITY = 1000;
+
+  private static final double APPEAL_QUOTA = 0.4;
+  private static final double STOCK_QUOTA = 0.35;
+  private static final double BOOKING_QUOTA = 0.25;
+
+  private static ContractBook threeTeams() {
+    return book(
+        1,
+        contract("appeal", APPEAL_QUOTA),
+        contract("stock", STOCK_QUOTA),
+        contract("booking", BOOKING_QUOTA));
   }
 
-  private static double kept(Team t) {
-    return (double) t.inTime / t.asked;
+  /** Three teams that use about half of their quotas. */
+  private static SimulatedTeams halfLoaded(long seed) {
+    SimulatedTeams simulation = new SimulatedTeams(seed, CAPACITY);
+    simulation.control().apply(threeTeams(), 0);
+    simulation.addTeam("appeal", 50, 4);
+    simulation.addTeam("stock", 9, 20);
+    simulation.addTeam("booking", 120, 1);
+    return simulation;
+  }
+
+  private static void assertInTime(double minimum, SimulatedTeam team) {
+    assertTrue(
+        team.inTimeShare() >= minimum, team.id() + ": in time are only " + team.inTimeShare());
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void whoAsksTenTimesItsShareLosesOnlyItsOwn(long seed) {
-    ContractWorld w = calm(seed);
-    Team appeal = w.teams.get("appeal");
-    w.to(5000);
-    appeal.perSecond = 1000;
-    appeal.retriesAtOnce = true;
-    w.to(7000).forgetCounts();
-    w.to(17_000);
-    assertTrue(kept(w.teams.get("stock")) >= 0.95, "stock kept " + kept(w.teams.get("stock")));
+  void teamAskingForTenTimesItsQuotaDoesNotAffectOthers(long seed) {
+    SimulatedTeams simulation = halfLoaded(seed);
+    SimulatedTeam appeal = simulation.team("appeal");
+    simulation.runUntil(5000);
+    appeal.setQueriesPerSecond(1000);
+    appeal.retryAtOnce();
+    simulation.runUntil(7000).resetCounts();
+    simulation.runUntil(17_000);
+    assertInTime(0.95, simulation.team("stock"));
+    assertInTime(0.95, simulation.team("booking"));
     assertTrue(
-        kept(w.teams.get("booking")) >= 0.95, "booking kept " + kept(w.teams.get("booking")));
-    assertTrue(
-        appeal.inTime * 4 >= 0.95 * 0.4 * 1000 * 10,
-        "appeal has " + appeal.inTime * 4 + " parts of its 4000");
+        appeal.inTime() * 4 >= 0.95 * APPEAL_QUOTA * CAPACITY * 10,
+        "appeal has " + appeal.inTime() * 4 + " parts of its 4000");
   }
 
   @Test
-  void idleShareIsLentAndComesBackWithinASecond() {
-    ContractWorld w = calm(4);
-    Team appeal = w.teams.get("appeal");
-    Team stock = w.teams.get("stock");
-    stock.perSecond = 0;
-    appeal.perSecond = 600;
-    w.to(10_000).forgetCounts();
-    w.to(15_000);
-    double lent = appeal.workServed / 5;
-    assertTrue(lent > 700, "appeal works at " + lent + " parts a second, with 0.35 idle");
-    stock.perSecond = 10;
-    w.to(16_000).forgetCounts();
-    w.to(21_000);
-    assertTrue(kept(stock) >= 0.95, "stock has its share back: " + kept(stock));
+  void idleQuotaIsLentAndReturnedWithinASecond() {
+    SimulatedTeams simulation = halfLoaded(4);
+    SimulatedTeam appeal = simulation.team("appeal");
+    SimulatedTeam stock = simulation.team("stock");
+    stock.setQueriesPerSecond(0);
+    appeal.setQueriesPerSecond(600);
+    simulation.runUntil(10_000).resetCounts();
+    simulation.runUntil(15_000);
+    double lent = appeal.workServed() / 5;
+    assertTrue(lent > 700, "appeal is served " + lent + " parts a second, with 0.35 idle");
+    stock.setQueriesPerSecond(10);
+    simulation.runUntil(16_000).resetCounts();
+    simulation.runUntil(21_000);
+    assertInTime(0.95, stock);
   }
 
   @Test
-  void whenCapacityHalvesGuaranteesShrinkTogetherAndComeBack() {
-    ContractWorld w = calm(5);
-    Team appeal = w.teams.get("appeal");
-    appeal.perSecond = 300;
-    w.teams.get("stock").perSecond = 30;
-    w.teams.get("booking").perSecond = 400;
-    w.to(8000);
-    w.rate = 500;
-    w.to(13_000).forgetCounts();
-    w.to(23_000);
-    for (Map.Entry<String, Double> share :
-        Map.of("appeal", 0.4, "stock", 0.35, "booking", 0.25).entrySet()) {
-      double work = w.teams.get(share.getKey()).workServed / 10;
-      assertEquals(
-          share.getValue() * 500,
-          work,
-          0.2 * share.getValue() * 500,
-          share.getKey() + " of half the capacity");
-    }
-    w.rate = 1000;
-    w.to(33_000).forgetCounts();
-    w.to(38_000);
-    double all = w.teams.values().stream().mapToDouble(t -> t.workServed).sum() / 5;
-    assertTrue(all > 850, "back at " + all + " of 1000 parts a second");
+  void guaranteesFollowCapacityWhenItHalvesAndRecovers() {
+    SimulatedTeams simulation = halfLoaded(5);
+    simulation.team("appeal").setQueriesPerSecond(300);
+    simulation.team("stock").setQueriesPerSecond(30);
+    simulation.team("booking").setQueriesPerSecond(400);
+    simulation.runUntil(8000);
+    simulation.setPartsPerSecond(CAPACITY / 2);
+    simulation.runUntil(13_000).resetCounts();
+    simulation.runUntil(23_000);
+    Map<String, Double> quotas =
+        Map.of("appeal", APPEAL_QUOTA, "stock", STOCK_QUOTA, "booking", BOOKING_QUOTA);
+    quotas.forEach(
+        (team, quota) ->
+            assertEquals(
+                quota * CAPACITY / 2,
+                simulation.team(team).workServed() / 10,
+                0.2 * quota * CAPACITY / 2,
+                team + " of half the capacity"));
+    simulation.setPartsPerSecond(CAPACITY);
+    simulation.runUntil(33_000).resetCounts();
+    simulation.runUntil(38_000);
+    double served = simulation.teams().stream().mapToDouble(SimulatedTeam::workServed).sum() / 5;
+    assertTrue(served > 850, "recovered to " + served + " of 1000 parts a second");
   }
 
   @Test
-  void whoComesBackAtTheStatedTimeIsServed() {
-    ContractWorld w = calm(6);
-    Team appeal = w.teams.get("appeal");
-    w.teams.get("stock").perSecond = 17;
-    w.teams.get("booking").perSecond = 230;
-    appeal.perSecond = 300;
-    appeal.returnsAsTold = true;
-    w.to(5000).forgetCounts();
-    w.to(20_000);
-    assertTrue(appeal.told > 300, "told " + appeal.told);
+  void callersThatReturnAfterTheirRetryAfterAreServed() {
+    SimulatedTeams simulation = halfLoaded(6);
+    SimulatedTeam appeal = simulation.team("appeal");
+    simulation.team("stock").setQueriesPerSecond(17);
+    simulation.team("booking").setQueriesPerSecond(230);
+    appeal.setQueriesPerSecond(300);
+    appeal.honorRetryAfter();
+    simulation.runUntil(5000).resetCounts();
+    simulation.runUntil(20_000);
+    assertTrue(appeal.retryAfterReceived() > 300, "received " + appeal.retryAfterReceived());
     assertTrue(
-        appeal.returnedServed >= 0.9 * appeal.told, appeal.returnedServed + " of " + appeal.told);
+        appeal.returnsServed() >= 0.9 * appeal.retryAfterReceived(),
+        appeal.returnsServed() + " of " + appeal.retryAfterReceived());
   }
 
-  /**
-   * Guards against a promise given twice for a place, and against a place gained by asking early.
-   */
   @Test
-  void oneCallerHasOnePromise() {
-    ContractWorld w = calm(7);
-    w.teams.values().forEach(t -> t.perSecond = t.id.equals("appeal") ? 900 : 60);
-    w.to(6000);
-    AdmissionRequest claim = new AdmissionRequest("appeal", 0, 4, 0, false, -5);
-    AdmissionDecision.Rejected first = null;
-    for (int i = 0; i < 2000 && first == null; i++) {
-      w.to(w.now + 5);
-      if (w.control.admit(claim, w.now) instanceof AdmissionDecision.Rejected no
-          && no.retryAfter() > 20) {
-        first = no;
+  void aCallerKeepsItsOneReservationUntilItReturns() {
+    SimulatedTeams simulation = halfLoaded(7);
+    AdmissionControl control = simulation.control();
+    simulation
+        .teams()
+        .forEach(team -> team.setQueriesPerSecond(team.id().equals("appeal") ? 900 : 60));
+    simulation.runUntil(6000);
+    AdmissionRequest request = new AdmissionRequest("appeal", 0, 4, 0, false, -5);
+    AdmissionDecision.Rejected first = rejectionWithRetryAfter(simulation, request, 20);
+    double dueAt = simulation.now() + first.retryAfter();
+    AdmissionDecision.Rejected again =
+        (AdmissionDecision.Rejected) control.admit(request, simulation.now() + 1);
+    assertEquals(
+        dueAt, simulation.now() + 1 + again.retryAfter(), 5.1, "early: the rest of the same time");
+    simulation.runUntil(dueAt + 1);
+    UsageCharge charge = (UsageCharge) control.admit(request, simulation.now());
+    assertSame(UsageCharge.Basis.RESERVATION, charge.basis());
+  }
+
+  /** Repeats a request until it is rejected with a Retry-After above a minimum. */
+  private static AdmissionDecision.Rejected rejectionWithRetryAfter(
+      SimulatedTeams simulation, AdmissionRequest request, double minimumMs) {
+    for (int attempt = 0; attempt < 2000; attempt++) {
+      simulation.runUntil(simulation.now() + 5);
+      if (simulation.control().admit(request, simulation.now())
+              instanceof AdmissionDecision.Rejected rejected
+          && rejected.retryAfter() > minimumMs) {
+        return rejected;
       }
     }
-    double due = w.now + first.retryAfter();
-    AdmissionDecision.Rejected again =
-        (AdmissionDecision.Rejected) w.control.admit(claim, w.now + 1);
-    assertEquals(due, w.now + 1 + again.retryAfter(), 5.1, "early: the rest of the same time");
-    w.to(due + 1);
-    UsageCharge kept = (UsageCharge) w.control.admit(claim, w.now);
-    assertSame(UsageCharge.Basis.RESERVATION, kept.basis());
+    throw new AssertionError("no Retry-After above " + minimumMs);
   }
 
   @Test
-  void aQueryOfNineTimesTheWorkIsChargedSo() {
-    ContractWorld w = calm(8);
-    w.to(3000);
-    UsageCharge usual =
-        (UsageCharge) w.control.admit(new AdmissionRequest("booking", 2, 1, 0, false, 0), w.now);
-    w.control.onAttemptSent(usual);
-    w.control.onAttemptEnded(usual, Router.Outcome.OK, 15, w.now);
-    w.control.onRequestEnded(usual, true, w.now);
-    UsageCharge heavy =
-        (UsageCharge) w.control.admit(new AdmissionRequest("booking", 2, 1, 0, false, 0), w.now);
-    w.control.onAttemptSent(heavy);
-    w.control.onAttemptEnded(heavy, Router.Outcome.OK, 9 * 15, w.now);
-    w.control.onRequestEnded(heavy, true, w.now);
+  void aQueryIsChargedByItsWork() {
+    SimulatedTeams simulation = halfLoaded(8);
+    simulation.runUntil(3000);
+    UsageCharge usual = answeredAfter(15, simulation);
+    UsageCharge heavy = answeredAfter(9 * 15, simulation);
     assertEquals(9, heavy.used() / usual.used(), 1);
     assertTrue(heavy.settled());
   }
 
-  /**
-   * Guards against charges lost or booked twice while contracts change, and against an open query
-   * judged by another.
-   */
-  @Test
-  void contractsChangeMidRunAndEveryChargeIsSettledOnceByItsOwnVersion() {
-    ContractWorld w = calm(9);
-    w.teams.get("appeal").perSecond = 400;
-    w.teams.get("appeal").returnsAsTold = true;
-    w.to(5000);
-    Router.ClassTerms strict = new Router.ClassTerms(300, 900, 1, 2);
-    Contract without =
-        new Contract("booking", 0.25, 1, 500, true, true, 0.2, 1, 1000, Map.of(1, strict));
-    w.at(
-        6000,
-        () ->
-            w.control.apply(
-                book(
-                    2, contract("appeal", 0.2), contract("stock", 0.35), contract("booking", 0.25)),
-                w.now));
-    w.at(
-        6080,
-        () ->
-            w.control.apply(
-                book(3, contract("appeal", 0.2), contract("stock", 0.35), without), w.now));
-    w.at(8000, () -> w.control.apply(book(4, contract("appeal", 0.2), without), w.now));
-    w.to(12_000);
-    w.teams.values().forEach(t -> t.perSecond = 0);
-    w.to(20_000);
-    assertTrue(w.charges.stream().allMatch(UsageCharge::settled), "all are settled");
-    for (int version = 1; version <= 4; version++) {
-      int v = version;
-      assertTrue(w.charges.stream().anyMatch(c -> c.version() == v), "some under version " + v);
-    }
-    assertTrue(
-        w.charges.stream().noneMatch(c -> c.team().equals("booking") && c.version() >= 3),
-        "the class is withdrawn");
-    assertTrue(
-        w.charges.stream().noneMatch(c -> c.team().equals("stock") && c.version() == 4),
-        "the team is gone");
-    for (AccountView a : w.control.accounts(w.now)) {
-      double seen =
-          w.charges.stream()
-              .filter(c -> c.team().equals(a.team()))
-              .mapToDouble(UsageCharge::used)
-              .sum();
-      assertEquals(
-          seen, a.used(), 1e-3 * Math.max(1, seen), a.team() + " is charged what was seen");
-      assertEquals(0, a.pending());
-    }
+  /** The charge of a query of one part that took this many ms. */
+  private static UsageCharge answeredAfter(double durationMs, SimulatedTeams simulation) {
+    AdmissionControl control = simulation.control();
+    AdmissionRequest request = new AdmissionRequest("booking", 2, 1, 0, false, 0);
+    UsageCharge charge = (UsageCharge) control.admit(request, simulation.now());
+    control.onAttemptSent(charge);
+    control.onAttemptEnded(charge, Router.Outcome.OK, durationMs, simulation.now());
+    control.onRequestEnded(charge, true, simulation.now());
+    return charge;
   }
 
   @Test
-  void aRestartStarvesNobodyAndLetsNobodyOverrunForLongerThanASecond() {
-    ContractWorld w = new ContractWorld(10, 1000);
-    w.control.apply(
-        book(1, contract("appeal", 0.4), contract("stock", 0.35), contract("booking", 0.25)), 0);
-    Team appeal = w.team("appeal", 1000, 4);
-    Team stock = w.team("stock", 9, 20);
-    w.to(2000).forgetCounts();
-    w.to(7000);
-    assertTrue(kept(stock) >= 0.85, "stock kept " + kept(stock) + " from the third second on");
-    assertTrue(appeal.workServed / 5 < 1000, "no more than there is");
+  void aRestartStarvesNoTeamAndLimitsOverruns() {
+    SimulatedTeams simulation = new SimulatedTeams(10, CAPACITY);
+    simulation.control().apply(threeTeams(), 0);
+    SimulatedTeam appeal = simulation.addTeam("appeal", 1000, 4);
+    SimulatedTeam stock = simulation.addTeam("stock", 9, 20);
+    simulation.runUntil(2000).resetCounts();
+    simulation.runUntil(7000);
+    assertInTime(0.85, stock);
+    assertTrue(appeal.workServed() / 5 < CAPACITY, "no more than the capacity");
   }
 
   @Test
-  void tenThousandSilentContractsCostLittle() {
-    Map<String, Contract> many = new LinkedHashMap<>();
+  void anUnusedContractTakesAtMostAKilobyteAndNoAccount() {
+    int count = 10_000;
+    Map<String, Contract> contracts = new LinkedHashMap<>();
     Router.ClassTerms terms = new Router.ClassTerms(500, 1500, 1, 1);
     Map<Integer, Router.ClassTerms> shared = Map.of(0, terms);
-    long before = used();
-    for (int i = 0; i < 10_000; i++) {
-      many.put("t" + i, new Contract("t" + i, 0.0001, 1, 500, true, true, 0.2, 1, 100, shared));
+    long before = usedBytes();
+    for (int i = 0; i < count; i++) {
+      // Not by the builder, as the contracts share their terms.
+      contracts.put(
+          "t" + i, new Contract("t" + i, 0.0001, 1, 500, true, true, 0.2, 1, 100, shared));
     }
     AdmissionControl control = new AdmissionControl(new double[] {500}, 2000);
-    control.apply(new ContractBook(1, many, null), 0);
+    control.apply(new ContractBook(1, contracts, null), 0);
     assertTrue(
         control.admit(new AdmissionRequest("t17", 0, 1, 0, false, 1), 1) instanceof UsageCharge);
-    long each = (used() - before) / 10_000;
-    assertTrue(each <= 1024, each + " bytes a contract");
-    assertEquals(1, control.accounts(2).size(), "a silent contract has no account");
+    long bytes = (usedBytes() - before) / count;
+    assertTrue(bytes <= 1024, bytes + " bytes a contract");
+    assertEquals(1, control.accounts(2).size(), "an unused contract has no account");
   }
 
-  private static long used() {
+  private static long usedBytes() {
     System.gc();
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
 
-  /**
-   * Shares never add up to more than there is, and no team below its guarantee is refused while
-   * another borrows.
-   */
   @Property(tries = 25)
-  void guaranteesHoldWhateverIsAsked(
+  void guaranteesHoldUnderAnyLoad(
       @ForAll @IntRange(min = 1, max = 1000) int seed,
-      @ForAll @IntRange(min = 10, max = 900) int first,
-      @ForAll @IntRange(min = 10, max = 900) int second,
+      @ForAll @IntRange(min = 10, max = 900) int firstLoad,
+      @ForAll @IntRange(min = 10, max = 900) int secondLoad,
       @ForAll @IntRange(min = 1, max = 40) int parts) {
-    ContractWorld w = new ContractWorld(seed, 1000);
-    w.control.apply(book(1, contract("a", 0.3), contract("b", 0.6)), 0);
-    Team a = w.team("a", first, 1);
-    Team b = w.team("b", (double) second / parts, parts);
-    w.to(6000).forgetCounts();
-    w.to(14_000);
-    double total = (a.workServed + b.workServed) / 8;
-    assertTrue(total <= 1080, "more was done than there is: " + total);
-    double wantsA = Math.min(first, 300);
-    double wantsB = Math.min(second, 600);
-    assertTrue(a.workServed / 8 >= 0.8 * wantsA - 5, "a has " + a.workServed / 8 + " of " + wantsA);
+    SimulatedTeams simulation = new SimulatedTeams(seed, CAPACITY);
+    simulation.control().apply(book(1, contract("a", 0.3), contract("b", 0.6)), 0);
+    SimulatedTeam first = simulation.addTeam("a", firstLoad, 1);
+    SimulatedTeam second = simulation.addTeam("b", (double) secondLoad / parts, parts);
+    simulation.runUntil(6000).resetCounts();
+    simulation.runUntil(14_000);
+    double total = (first.workServed() + second.workServed()) / 8;
+    assertTrue(total <= 1080, "more than the capacity was served: " + total);
+    double firstGuarantee = Math.min(firstLoad, 300);
+    double secondGuarantee = Math.min(secondLoad, 600);
+    assertTrue(
+        first.workServed() / 8 >= 0.8 * firstGuarantee - 5,
+        "a has " + first.workServed() / 8 + " of " + firstGuarantee);
     assertTrue(
-        b.workServed / 8 >= 0.8 * wantsB - 2 * parts,
-        "b has " + b.workServed / 8 + " of " + wantsB);
+        second.workServed() / 8 >= 0.8 * secondGuarantee - 2 * parts,
+        "b has " + second.workServed() / 8 + " of " + secondGuarantee);
   }
 }
--- /dev/null
+++ b/src/test/java/bitternpulley/contracts/ContractChangeTest.java
@@ -0,0 +1,87 @@
+package bitternpulley.contracts;
+
+import static bitternpulley.contracts.SimulatedTeams.book;
+import static bitternpulley.contracts.SimulatedTeams.contract;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import bitternpulley.routing.Router;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Contracts that change while queries are pending: a quota, then the classes, then the teams. */
+class ContractChangeTest {
+  private final SimulatedTeams simulation = new SimulatedTeams(9, 1000);
+
+  @BeforeEach
+  void runWhileContractsChange() {
+    Contract appeal = contract("appeal", 0.2);
+    Contract stock = contract("stock", 0.35);
+    Contract bookingWithoutItsClass =
+        ContractBuilder.contract("booking")
+            .guaranteedQuota(0.25)
+            .clientRetries(1)
+            .maxPending(1000)
+            .queryClass(1, new Router.ClassTerms(300, 900, 1, 2))
+            .build();
+    simulation
+        .control()
+        .apply(book(1, contract("appeal", 0.4), stock, contract("booking", 0.25)), 0);
+    simulation.addTeam("appeal", 50, 4).honorRetryAfter();
+    simulation.addTeam("stock", 9, 20);
+    simulation.addTeam("booking", 120, 1);
+    simulation.team("appeal").setQueriesPerSecond(400);
+    simulation.runUntil(5000);
+    simulation.applyAt(6000, book(2, appeal, stock, contract("booking", 0.25)));
+    simulation.applyAt(6080, book(3, appeal, stock, bookingWithoutItsClass));
+    simulation.applyAt(8000, book(4, appeal, bookingWithoutItsClass));
+    simulation.runUntil(12_000);
+    simulation.teams().forEach(team -> team.setQueriesPerSecond(0));
+    simulation.runUntil(20_000);
+  }
+
+  private boolean wasAdmitted(String team, int firstVersion) {
+    return simulation.charges().stream()
+        .anyMatch(charge -> charge.team().equals(team) && charge.version() >= firstVersion);
+  }
+
+  @Test
+  void everyChargeIsSettled() {
+    assertTrue(simulation.charges().stream().allMatch(UsageCharge::settled));
+  }
+
+  @Test
+  void chargesKeepTheVersionThatAdmittedThem() {
+    for (int version = 1; version <= 4; version++) {
+      int expected = version;
+      assertTrue(
+          simulation.charges().stream().anyMatch(charge -> charge.version() == expected),
+          "some under version " + version);
+    }
+  }
+
+  @Test
+  void aWithdrawnClassIsNotAdmitted() {
+    assertTrue(wasAdmitted("booking", 2));
+    assertTrue(!wasAdmitted("booking", 3));
+  }
+
+  @Test
+  void aTeamWithoutAContractIsNotAdmitted() {
+    assertTrue(wasAdmitted("stock", 3));
+    assertTrue(!wasAdmitted("stock", 4));
+  }
+
+  @Test
+  void accountsAreChargedWhatWasMeasured() {
+    for (AccountView account : simulation.control().accounts(simulation.now())) {
+      double measured =
+          simulation.charges().stream()
+              .filter(charge -> charge.team().equals(account.team()))
+              .mapToDouble(UsageCharge::used)
+              .sum();
+      assertEquals(measured, account.used(), 1e-3 * Math.max(1, measured), account.team());
+      assertEquals(0, account.pending(), account.team());
+    }
+  }
+}
