--- /dev/null
+++ b/src/test/java/bitternpulley/config/BrokerConfigurationReaderTest.java
@@ -0,0 +1,160 @@
+package bitternpulley.config;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+import static org.testng.Assert.expectThrows;
+
+import bitternpulley.contracts.Contract;
+import bitternpulley.routing.Settings;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+public class BrokerConfigurationReaderTest {
+  private static final String VALID =
+      "contract(id = 'a', share = 0.5, classes = {'slot-search': terms()})\n";
+
+  /** The settings under deploy/, with classes named as in the example script. */
+  private static Settings site() {
+    String text;
+    try {
+      text = Files.readString(Path.of("deploy/rehearsal.json"));
+    } catch (IOException unreadable) {
+      throw new UncheckedIOException(unreadable);
+    }
+    return ConfigurationText.read(
+            text.replace("\"whole\"", "\"slot-search\"")
+                .replace("\"keyed\"", "\"slot-booking\"")
+                .replace("\"part\"", "\"stock-report\""))
+        .settings();
+  }
+
+  private static BrokerConfiguration readFile(String path) {
+    return BrokerConfigurationReader.read(Path.of(path), Optional.of(site()));
+  }
+
+  private static BrokerConfiguration read(String text) {
+    return TemporaryFile.with(
+        text, ".star", file -> BrokerConfigurationReader.read(file, Optional.of(site())));
+  }
+
+  @Test
+  public void theShippedScriptHasNoContracts() {
+    assertTrue(readFile("deploy/broker.star").contracts().isEmpty());
+  }
+
+  @Test
+  public void readsTheContractsOfTheExampleScript() {
+    BrokerConfiguration example = readFile("docs/examples/three-teams.star");
+    assertEquals(
+        example.contracts().contracts().stream().map(Contract::id).toList(),
+        List.of("donor-app", "stock-desk", "partners"));
+    Contract partners = example.contracts().find("partners").orElseThrow();
+    assertEquals(partners.classes().get(1).priorityWeight(), 2.0);
+    assertTrue(example.tenantIdentification().hasFallback());
+  }
+
+  @Test
+  public void withoutAScriptThereAreNoContracts() {
+    assertEquals(BrokerConfigurationReader.read(Map.of(), site()), BrokerConfiguration.NONE);
+    assertEquals(
+        BrokerConfigurationReader.read(Map.of("LB_BROKER", ""), site()), BrokerConfiguration.NONE);
+  }
+
+  /** A script whose contracts cannot be used, and what the message has to contain. */
+  @DataProvider
+  public Object[][] unusableContracts() {
+    return new Object[][] {
+      {VALID + VALID.replace("'a'", "'b'").replace("0.5", "0.6"), ":2:20: 'contracts.1.share'"},
+      {VALID.replace("0.5", "0"), ":1:20: 'contracts.0.share'"},
+      {VALID.replace("0.5", "'much'"), ":1:20: 'contracts.0.share'"},
+      {VALID + VALID, ":2:10: 'contracts.1.id'"},
+      {"contract(id = 'a', classes = {'slot-search': terms()})\n", ":1:1: 'contracts.0.share'"},
+      {
+        VALID.replace("terms()", "terms(give_up_ms = 99999)"),
+        "'contracts.0.classes.slot-search.give_up_ms' is past the site's"
+      },
+      {
+        VALID.replace("terms()", "terms(wanted_ms = 99999)"),
+        "'contracts.0.classes.slot-search.wanted_ms'"
+      },
+      {VALID.replace("terms()", "terms(worht = 1)"), "worht"},
+      {
+        VALID.replace("slot-search", "slot-serach"),
+        "'contracts.0.classes.slot-serach' is no class of the site"
+      },
+      {VALID.replace("share", "ceiling = 0.2, share"), ":1:20: 'contracts.0.ceiling'"}
+    };
+  }
+
+  /** The same for how the teams of contracts are identified. */
+  @DataProvider
+  public Object[][] unusableIdentification() {
+    return new Object[][] {
+      {
+        VALID.replace("share", "default = True, share")
+            + VALID.replace("'a'", "'b'").replace("share", "default = True, share"),
+        "'contracts.1.default'"
+      },
+      {
+        "opensearch(listen = None, indices = {'i': {'class': 'slot-search'}})\n"
+            + VALID.replace("share", "indices = ['i'], share")
+            + VALID.replace("'a'", "'b'").replace("share", "indices = ['i'], share"),
+        "'contracts.1.indices.0' is claimed"
+      },
+      {
+        VALID.replace("share", "indices = ['none'], share"),
+        "'contracts.0.indices.0' names no index"
+      },
+      {
+        VALID.replace("share", "keys = [{'id': 'k', 'salt': 'zz', 'sha256': ''}], share"),
+        "'contracts.0.keys"
+      }
+    };
+  }
+
+  /** The same for what is not a contract. */
+  @DataProvider
+  public Object[][] unusableSections() {
+    return new Object[][] {
+      {
+        "accounts(list = True)\naccounts(list = True)\n", ":2:1: accounts() is called a second time"
+      },
+      {"membership(interval_ms = 10)\n", ":1:12: 'membership.interval_ms'"},
+      {"membership(timeout_ms = 500)\n", "'membership.timeout_ms' is over a third of interval_ms"},
+      {"membership(relais = 3)\n", "relais"},
+      {"leases()\n", "'leases' needs membership()"},
+      {"membership()\nleases(lasts_s = 1)\n", "'leases.lasts_s'"},
+      {"membership()\nleases(witnesses = [1, 1])\n", "'leases.witnesses'"},
+      {"x = 1 +\n", ":1:8: "},
+      {"nothing()\n", ":1:1: nothing is called 'nothing'"}
+    };
+  }
+
+  @Test(dataProvider = "unusableContracts")
+  public void namesTheFaultyKeyOfAContractAndItsPosition(String text, String message) {
+    assertUnusable(text, message);
+  }
+
+  @Test(dataProvider = "unusableIdentification")
+  public void namesTheFaultyKeyOfTenantIdentification(String text, String message) {
+    assertUnusable(text, message);
+  }
+
+  @Test(dataProvider = "unusableSections")
+  public void namesWhatIsFaultyOutsideContractsAndItsPosition(String text, String message) {
+    assertUnusable(text, message);
+  }
+
+  private static void assertUnusable(String text, String message) {
+    ConfigurationException error = expectThrows(ConfigurationException.class, () -> read(text));
+    assertTrue(error.getMessage().contains(message), error.getMessage());
+    assertTrue(error.file().isPresent(), "the file is named");
+  }
+}
--- a/src/test/java/bitternpulley/config/StoredScriptTest.java
+++ b/src/test/java/bitternpulley/config/StoredScriptTest.java
@@ -11,21 +11,22 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Operators' scripts as they are in use are read to the same documents. */
+/** Operators' scripts that are in use yield the same documents as when they were recorded. */
 class StoredScriptTest {
   private static final Path FOLDER = Path.of("src/test/resources/stored");
 
   @Test
-  void areReadToTheRecordedDocuments() throws IOException {
+  void yieldTheRecordedDocuments() throws IOException {
     List<Path> scripts;
     try (Stream<Path> files = Files.list(FOLDER)) {
-      scripts = files.filter(f -> f.toString().endsWith(".star")).sorted().toList();
+      scripts = files.filter(file -> file.toString().endsWith(".star")).sorted().toList();
     }
-    List<String> seen = new ArrayList<>();
+    List<String> documents = new ArrayList<>();
     for (Path script : scripts) {
-      BrokerConfiguration read = BrokerConfigurationReader.read(script, Optional.empty());
-      seen.add(script.getFileName() + " " + read.document());
+      BrokerConfiguration configuration = BrokerConfigurationReader.read(script, Optional.empty());
+      documents.add(script.getFileName() + " " + configuration.document());
     }
-    assertEquals(Files.readString(FOLDER.resolve("scripts.txt")).trim(), String.join("\n", seen));
+    assertEquals(
+        Files.readString(FOLDER.resolve("scripts.txt")).trim(), String.join("\n", documents));
   }
 }
--- a/src/test/java/bitternpulley/config/JsonTest.java
+++ b/src/test/java/bitternpulley/config/StrictJsonTest.java
@@ -9,18 +9,19 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class JsonTest {
+public class StrictJsonTest {
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
   @Test
-  public void theTreeIsTheOneAMapperReads() throws IOException {
+  public void readsTheSameTreeAsAnObjectMapper() throws IOException {
     String text =
         "{\"a\":[1,-2.5,3000000000,true,false,null,\"\\u00e9\\n\",{}],\"b\":{\"c\":[]},\"d\":1e3}";
     assertEquals(StrictJson.read(bytes(text)), new ObjectMapper().readTree(text));
   }
 
+  /** Texts that readers could understand differently, and some too deep or too long. */
   @DataProvider
   public Object[][] faults() {
     return new Object[][] {
@@ -37,12 +38,8 @@
     };
   }
 
-  /**
-   * Guards against texts that two readers would read differently, and against those that use up the
-   * stack.
-   */
   @Test(dataProvider = "faults")
-  public void whatIsNotOneValueIsRefused(String text) {
+  public void rejectsWhatIsNotExactlyOneValue(String text) {
     expectThrows(IOException.class, () -> StrictJson.read(bytes(text)));
   }
 }
--- /dev/null
+++ b/src/test/java/bitternpulley/config/TemporaryFile.java
@@ -0,0 +1,27 @@
+package bitternpulley.config;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.function.Function;
+
+/** A file of a test. */
+final class TemporaryFile {
+  private TemporaryFile() {}
+
+  /** Writes a text to a file, reads something from it and deletes it. */
+  static <T> T with(String text, String suffix, Function<Path, T> reader) {
+    try {
+      Path file = Files.createTempFile("config", suffix);
+      try {
+        Files.writeString(file, text);
+        return reader.apply(file);
+      } finally {
+        Files.delete(file);
+      }
+    } catch (IOException unwritable) {
+      throw new UncheckedIOException(unwritable);
+    }
+  }
+}
