--- a/src/main/java/bitternpulley/contracts/AdmissionControl.java
+++ b/src/main/java/bitternpulley/contracts/AdmissionControl.java
@@ -118,7 +118,7 @@
 
   private AdmissionDecision admitByQuota(
       Account account, AdmissionRequest request, Router.ClassTerms terms, double cost, double now) {
-    if (request.retry() && !account.hasClientRetryLeft()) {
+    if (request.isRetry() && !account.hasClientRetryLeft()) {
       return rejectWithRetryAfter(account, Limit.CLIENT_RETRIES, request, cost, now);
     }
     if (!pool.isLimited()) {
@@ -176,7 +176,7 @@
       double cost,
       double now) {
     UsageCharge charge = new UsageCharge(account, basis, book.version(), request, cost, now, terms);
-    account.recordAdmission(charge, request.retry());
+    account.recordAdmission(charge, request.isRetry());
     capacityEstimate.recordAdmitted(charge);
     return charge;
   }
--- a/src/main/java/bitternpulley/contracts/AdmissionRequest.java
+++ b/src/main/java/bitternpulley/contracts/AdmissionRequest.java
@@ -8,9 +8,9 @@
  * @param parts the number of parts that the query consists of
  * @param hintedWork ms of work that the client announces for all parts together, 0 if it announces
  *     none
- * @param retry whether the client marks the query as a retry
+ * @param isRetry whether the client marks the query as a retry
  * @param fingerprint identifies the query when its client repeats it, see {@link QueryFingerprint};
  *     0 for none
  */
 public record AdmissionRequest(
-    String team, int queryClass, int parts, double hintedWork, boolean retry, long fingerprint) {}
+    String team, int queryClass, int parts, double hintedWork, boolean isRetry, long fingerprint) {}
--- /dev/null
+++ b/src/test/java/bitternpulley/contracts/TenantIdentificationTest.java
@@ -0,0 +1,58 @@
+package bitternpulley.contracts;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Base64;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+class TenantIdentificationTest {
+  private static final byte[] SALT = {1, 2, 3};
+  private final TenantIdentification identification =
+      new TenantIdentification(
+          Map.of("id", new ApiKey("team", SALT, TenantIdentification.hash(SALT, bytes("secret")))),
+          Map.of("stock", "stock-desk"),
+          Map.of(2, "app"),
+          false);
+
+  private static byte[] bytes(String text) {
+    return text.getBytes(StandardCharsets.UTF_8);
+  }
+
+  private static String header(String credentials) {
+    return "ApiKey " + Base64.getEncoder().encodeToString(bytes(credentials));
+  }
+
+  @Test
+  void identifiesTheTeamOfAKey() {
+    assertEquals(
+        new TenantIdentification.KeyOwner(TenantIdentification.KeyStatus.KNOWN, "team"),
+        identification.byKey(header("id:secret")));
+  }
+
+  @Test
+  void aWrongSecretIdOrSchemeIsUnknown() {
+    TenantIdentification.KeyOwner unknown =
+        new TenantIdentification.KeyOwner(TenantIdentification.KeyStatus.UNKNOWN, null);
+    assertEquals(unknown, identification.byKey(header("id:wrong")));
+    assertEquals(unknown, identification.byKey(header("other:secret")));
+    assertEquals(unknown, identification.byKey(header("secret")));
+    assertEquals(unknown, identification.byKey("ApiKey ***"));
+    assertEquals(unknown, identification.byKey("Basic aWQ6c2VjcmV0"));
+  }
+
+  @Test
+  void withoutAHeaderThereIsNoKey() {
+    assertEquals(TenantIdentification.KeyStatus.ABSENT, identification.byKey(null).status());
+  }
+
+  @Test
+  void identifiesTeamsByIndexAndByClass() {
+    assertEquals("stock-desk", identification.byIndex("stock"));
+    assertNull(identification.byIndex("other"));
+    assertEquals("app", identification.byClass(2));
+    assertNull(identification.byClass(0));
+  }
+}
