--- /dev/null
+++ b/src/main/java/bitternpulley/contracts/RejectionCounts.java
@@ -0,0 +1,40 @@
+package bitternpulley.contracts;
+
+import java.util.EnumMap;
+import java.util.Map;
+import java.util.stream.Stream;
+
+/** How many queries of a team were rejected by each {@link Limit}. */
+public final class RejectionCounts {
+  private static final class Counter {
+    private long count;
+  }
+
+  private final Map<Limit, Counter> counters = new EnumMap<>(Limit.class);
+
+  RejectionCounts() {
+    for (Limit limit : Limit.values()) {
+      counters.put(limit, new Counter());
+    }
+  }
+
+  void increment(Limit limit) {
+    counters.get(limit).count++;
+  }
+
+  /** The number of rejections by a limit. */
+  public long of(Limit limit) {
+    return counters.get(limit).count;
+  }
+
+  RejectionCounts copy() {
+    RejectionCounts copy = new RejectionCounts();
+    counters.forEach((limit, counter) -> copy.counters.get(limit).count = counter.count);
+    return copy;
+  }
+
+  /** The counts in the order of {@link Limit}'s constants. */
+  long[] inOrderOfLimits() {
+    return Stream.of(Limit.values()).mapToLong(this::of).toArray();
+  }
+}
