--- a/src/main/java/bitternpulley/admin/AccountsReport.java
+++ b/src/main/java/bitternpulley/admin/AccountsReport.java
@@ -4,6 +4,7 @@
 import bitternpulley.broker.ContractAccounting;
 import bitternpulley.contracts.AccountView;
 import bitternpulley.contracts.Limit;
+import bitternpulley.contracts.RejectionCounts;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.util.Comparator;
@@ -68,17 +69,16 @@
     json.writeNumberField("promised", account.reservations());
     writeFigure(json, "further_attempts_left", account.retriesLeft());
     writeFigure(json, "client_retries_left", account.clientRetriesLeft());
-    writeRejections(json, account.rejected());
+    writeRejections(json, account.rejections());
     json.writeEndObject();
   }
 
-  private static void writeRejections(JsonGenerator json, long[] rejectedByLimit)
+  private static void writeRejections(JsonGenerator json, RejectionCounts rejections)
       throws IOException {
     json.writeObjectFieldStart("refused");
-    Limit[] limits = Limit.values();
-    for (int index = 0; index < limits.length; index++) {
-      if (rejectedByLimit[index] > 0) {
-        json.writeNumberField(limits[index].text(), rejectedByLimit[index]);
+    for (Limit limit : Limit.values()) {
+      if (rejections.of(limit) > 0) {
+        json.writeNumberField(limit.text(), rejections.of(limit));
       }
     }
     json.writeEndObject();
--- a/src/main/java/bitternpulley/contracts/AccountView.java
+++ b/src/main/java/bitternpulley/contracts/AccountView.java
@@ -31,10 +31,4 @@
     long admitted,
     RejectionCounts rejections,
     double retriesLeft,
-    double clientRetriesLeft) {
-
-  /** The rejections in the order of {@link Limit}'s constants. */
-  public long[] rejected() {
-    return rejections.inOrderOfLimits();
-  }
-}
+    double clientRetriesLeft) {}
--- a/src/main/java/bitternpulley/contracts/RejectionCounts.java
+++ b/src/main/java/bitternpulley/contracts/RejectionCounts.java
@@ -2,7 +2,6 @@
 
 import java.util.EnumMap;
 import java.util.Map;
-import java.util.stream.Stream;
 
 /** How many queries of a team were rejected by each {@link Limit}. */
 public final class RejectionCounts {
@@ -32,9 +31,4 @@
     counters.forEach((limit, counter) -> copy.counters.get(limit).count = counter.count);
     return copy;
   }
-
-  /** The counts in the order of {@link Limit}'s constants. */
-  long[] inOrderOfLimits() {
-    return Stream.of(Limit.values()).mapToLong(this::of).toArray();
-  }
 }
