--- a/src/main/java/bitternpulley/health/ConcurrencyLimit.java
+++ b/src/main/java/bitternpulley/health/ConcurrencyLimit.java
@@ -1,73 +1,57 @@
 package bitternpulley.health;
 
 /**
- * How many parts one instance may have out at once: additive increase by timely answers,
- * multiplicative decrease by late ones. Guards against queues that make all answers late, whatever
- * fills them.
+ * How many parts one instance may have in flight: additive increase by timely answers,
+ * multiplicative decrease by late ones.
  */
 public final class ConcurrencyLimit {
-  /**
-   * Parts out for each known server that a new instance allows itself: one in work and one behind
-   * it.
-   */
-  private static final double PER_SERVER = 2;
+  /** Initial limit per known server: one part being processed and one queued behind it. */
+  private static final double INITIAL_PARTS_PER_SERVER = 2;
 
-  /** The least limit: as many as a small query has parts, so that one can always be sent whole. */
-  private static final double LEAST = 4;
+  /** Lower bound of the limit, in parts: a small query can always be sent completely. */
+  private static final double MINIMUM = 4;
 
-  /**
-   * Parts gained by a timely answer, and the share lost by a late one: an outlier in eight answers
-   * leaves it as it is.
-   */
-  private static final double GAIN = 0.25;
+  /** Parts that a timely answer adds to the limit. */
+  private static final double INCREASE = 0.25;
 
-  private static final double LOSS = 0.02;
+  /** Share of the limit that a late answer removes: one late answer in eight is neutral. */
+  private static final double DECREASE = 0.02;
 
-  /**
-   * Answers of usual work that a timely one takes at the most: one in work, and two before it in
-   * the queue.
-   */
-  private static final double TIMELY_WORKS = 3;
+  /** Multiple of a part's work that a timely answer takes at most: two parts queued before it. */
+  private static final double TIMELY_WORK_MULTIPLE = 3;
 
-  /**
-   * Share of its class's aim below which an answer is timely all the same: the rest is for holding
-   * and second steps.
-   */
-  private static final double TIMELY_SHARE = 0.3;
+  /** Share of the latency objective within which an answer is timely whatever its work. */
+  private static final double TIMELY_OBJECTIVE_SHARE = 0.3;
 
-  /**
-   * Share of the aim beyond which no answer is timely, however long its work: two such in a row
-   * would miss it.
-   */
-  private static final double TIMELY_MOST = 0.5;
+  /** Share of the latency objective beyond which no answer is timely whatever its work. */
+  private static final double MAX_TIMELY_OBJECTIVE_SHARE = 0.5;
 
   private double limit;
 
-  /** Starts anew, for so many servers. */
-  public void startFor(int servers) {
-    limit = Math.max(LEAST, PER_SERVER * servers);
+  /** Sets the initial limit for a number of known servers. */
+  public void reset(int servers) {
+    limit = Math.max(MINIMUM, INITIAL_PARTS_PER_SERVER * servers);
   }
 
-  /** Whether so many parts out leave no room for more. */
-  public boolean isReached(int out) {
-    return out >= limit;
+  /** Whether this number of parts in flight leaves no capacity for more. */
+  public boolean isReached(int inFlight) {
+    return inFlight >= limit;
   }
 
-  /**
-   * Ms up to which an answer in a class of this aim is timely, where a part's work is about so many
-   * ms.
-   */
-  public double timely(double aim, double work) {
-    return Math.max(TIMELY_SHARE * aim, Math.min(TIMELY_WORKS * work, TIMELY_MOST * aim));
+  /** The longest latency of a timely answer in ms, by latency objective and work, both in ms. */
+  public double timelyLatency(double latencyObjective, double work) {
+    return Math.max(
+        TIMELY_OBJECTIVE_SHARE * latencyObjective,
+        Math.min(TIMELY_WORK_MULTIPLE * work, MAX_TIMELY_OBJECTIVE_SHARE * latencyObjective));
   }
 
-  /** A timely answer, with so many others out; a limit that is not made use of does not grow. */
-  public void onTimely(int out) {
-    limit += 2 * out >= limit ? GAIN : 0;
+  /** Records a timely answer. A limit of which less than half is used does not grow. */
+  public void recordTimely(int inFlight) {
+    limit += 2 * inFlight >= limit ? INCREASE : 0;
   }
 
-  /** A late answer, for which fewer parts out would help. */
-  public void onLate() {
-    limit = Math.max(LEAST, limit * (1 - LOSS));
+  /** Records a late answer that fewer parts in flight could have avoided. */
+  public void recordLate() {
+    limit = Math.max(MINIMUM, limit * (1 - DECREASE));
   }
 }
--- /dev/null
+++ b/src/main/java/bitternpulley/health/PartPriority.java
@@ -0,0 +1,9 @@
+package bitternpulley.health;
+
+/** How urgently a part needs a server's capacity. */
+public enum PartPriority {
+  /** The query cannot be answered in time without the part. */
+  URGENT,
+  /** The part serves a late answer only, or a partial answer is possible without it. */
+  DEFERRABLE
+}
--- a/src/main/java/bitternpulley/health/ServerConcurrencyLimit.java
+++ b/src/main/java/bitternpulley/health/ServerConcurrencyLimit.java
@@ -3,94 +3,110 @@
 import java.util.ArrayDeque;
 
 /**
- * How many parts of this instance a server has room for. Guards against a queue that is full of
- * parts which nobody awaits: a server goes on with what was called off, so that counts until a part
- * sent later is answered.
+ * How many parts of this instance a server has capacity for. A server goes on processing a part
+ * whose attempt was cancelled, so a cancelled attempt occupies capacity until a part that was sent
+ * later is answered.
  */
 public final class ServerConcurrencyLimit {
-  private static final double FIRST = 32;
-  private static final double LEAST = 1;
+  private static final double INITIAL = 32;
+  private static final double MINIMUM = 1;
 
-  /**
-   * What a refusal for a full queue, and an answer that took long, leave of the room; what a timely
-   * answer adds.
-   */
-  private static final double LOSS_FULL = 0.5;
+  /** Share of the limit left by a rejection for a full queue. */
+  private static final double REJECTION_FACTOR = 0.5;
+
+  /** Share of the limit left by a late answer. */
+  private static final double LATE_FACTOR = 0.9;
 
-  private static final double LOSS_LONG = 0.9;
-  private static final double GAIN = 0.25;
+  /** Parts that a timely answer adds to the limit. */
+  private static final double INCREASE = 0.25;
 
-  /** Ms between losses: what was sent at once is refused at once. */
-  private static final double PAUSE = 50;
+  /** Ms between two decreases: parts sent together are rejected together. */
+  private static final double DECREASE_INTERVAL_MS = 50;
 
-  /** Ms after which a part called off counts no more, and the most of them that are kept. */
-  private static final double FORGET = 2000;
+  /** Ms after which a cancelled attempt no longer counts. */
+  private static final double CANCELLED_TTL_MS = 2000;
 
-  private static final int MOST_KEPT = 64;
+  private static final int MAX_CANCELLED = 64;
 
-  /** Share of the room for parts that can wait. */
-  private static final double LOW_SHARE = 0.5;
+  /** Share of the limit available to deferrable parts. */
+  private static final double DEFERRABLE_SHARE = 0.5;
 
-  private final ArrayDeque<Double> calledOff = new ArrayDeque<>();
-  private double room = FIRST;
-  private double lostAt = Double.NEGATIVE_INFINITY;
+  /** Send times of cancelled attempts, in order of cancellation. */
+  private final ArrayDeque<Double> cancelledSentAt = new ArrayDeque<>();
 
-  /** Whether one more is to be sent beside so many that are out. */
-  public boolean takes(int out, boolean canWait, double now) {
-    while (!calledOff.isEmpty() && calledOff.peek() < now - FORGET) {
-      calledOff.poll();
+  private double limit = INITIAL;
+  private double decreasedAt = Double.NEGATIVE_INFINITY;
+
+  /** Whether one more part may be sent in addition to those in flight. */
+  public boolean hasCapacity(int inFlight, PartPriority priority, double now) {
+    while (!cancelledSentAt.isEmpty() && cancelledSentAt.peek() < now - CANCELLED_TTL_MS) {
+      cancelledSentAt.poll();
     }
-    // Guards against a server left idle till the last part called off is forgotten, as nothing
-    // later can clear it.
-    return out == 0 && !canWait
-        || out + calledOff.size() < (canWait ? LOW_SHARE * (room - 1) : room);
+    // With nothing in flight no later answer can clear the cancelled attempts, so an urgent part
+    // is sent all the same.
+    return (inFlight == 0 && priority == PartPriority.URGENT)
+        || inFlight + cancelledSentAt.size() < limitFor(priority);
+  }
+
+  private double limitFor(PartPriority priority) {
+    return priority == PartPriority.DEFERRABLE ? DEFERRABLE_SHARE * (limit - 1) : limit;
   }
 
   /**
-   * When there may be room next, where there is none now: at any moment while parts are out there,
-   * as each answer makes some; else once what was called off is forgotten, or never.
+   * When there may be capacity next: at any moment while parts are in flight, since each answer
+   * frees some; otherwise once the oldest cancelled attempt expires, or never (infinity).
    */
-  public double opensAt(int out, boolean canWait, double now) {
-    if (out > 0 || takes(out, canWait, now)) {
+  public double nextCapacityAt(int inFlight, PartPriority priority, double now) {
+    if (inFlight > 0 || hasCapacity(inFlight, priority, now)) {
       return now;
     }
-    return LOW_SHARE * (room - 1) > 0 ? calledOff.peek() + FORGET : Double.POSITIVE_INFINITY;
+    return DEFERRABLE_SHARE * (limit - 1) > 0
+        ? cancelledSentAt.peek() + CANCELLED_TTL_MS
+        : Double.POSITIVE_INFINITY;
   }
 
-  /** Turned away since the queue is full, with so many others out. */
-  public void full(int out, double now) {
-    lose(Math.min(room, out + calledOff.size()) * LOSS_FULL, now);
+  /** Records a rejection for a full queue. */
+  public void recordRejection(int inFlight, double now) {
+    decreaseTo(Math.min(limit, inFlight + cancelledSentAt.size()) * REJECTION_FACTOR, now);
   }
 
-  /** Answered, in good time or not. */
-  public void answered(double sent, boolean timely, int out, double now) {
-    // First in, first out: what was called off before this one was sent has had its turn.
-    calledOff.removeIf(t -> t <= sent);
-    if (!timely) {
-      lose(room * LOSS_LONG, now);
-    } else if (2 * (out + calledOff.size() + 1) >= room) {
-      room += GAIN;
+  /** Records a timely answer to a part sent at {@code sentAt}. */
+  public void recordTimelyAnswer(double sentAt, int inFlight) {
+    clearCancelledUntil(sentAt);
+    if (2 * (inFlight + cancelledSentAt.size() + 1) >= limit) {
+      limit += INCREASE;
     }
   }
 
-  /** Called off or timed out: the server may work on it all the same. */
-  public void left(double sent) {
-    calledOff.add(sent);
-    if (calledOff.size() > MOST_KEPT) {
-      calledOff.poll();
+  /** Records a late answer to a part sent at {@code sentAt}. */
+  public void recordLateAnswer(double sentAt, double now) {
+    clearCancelledUntil(sentAt);
+    decreaseTo(limit * LATE_FACTOR, now);
+  }
+
+  /** A server's queue is first in, first out: parts sent before an answered one are finished. */
+  private void clearCancelledUntil(double sentAt) {
+    cancelledSentAt.removeIf(time -> time <= sentAt);
+  }
+
+  /** Records an attempt sent at {@code sentAt} as cancelled or timed out. */
+  public void recordCancelled(double sentAt) {
+    cancelledSentAt.add(sentAt);
+    if (cancelledSentAt.size() > MAX_CANCELLED) {
+      cancelledSentAt.poll();
     }
   }
 
-  private void lose(double left, double now) {
-    if (now >= lostAt + PAUSE) {
-      lostAt = now;
-      room = Math.max(LEAST, left);
+  private void decreaseTo(double newLimit, double now) {
+    if (now >= decreasedAt + DECREASE_INTERVAL_MS) {
+      decreasedAt = now;
+      limit = Math.max(MINIMUM, newLimit);
     }
   }
 
-  /** A new process has nothing of the old one's queue. */
-  public void forget() {
-    calledOff.clear();
-    room = FIRST;
+  /** Returns to the initial limit: a new process has nothing of the previous one's queue. */
+  public void reset() {
+    cancelledSentAt.clear();
+    limit = INITIAL;
   }
 }
--- /dev/null
+++ b/src/main/java/bitternpulley/health/SlowStartBudget.java
@@ -0,0 +1,145 @@
+package bitternpulley.health;
+
+import bitternpulley.routing.Router;
+import bitternpulley.routing.Settings;
+
+/**
+ * What one instance may send to a server that has just started. All instances together send no more
+ * work in any overload window than the server is certain to complete. Each instance has an even
+ * share of that work; where a share is less than one part, the parts that the server can complete
+ * are assigned one at a time to the instances in the order of their numbers, as turns. This needs
+ * no coordination: the turns follow from the settings and from the server's start time, which every
+ * instance receives. Times are in ms, work is in ms of one core.
+ */
+public final class SlowStartBudget {
+  /** Share of the budget available to deferrable parts. */
+  private static final double DEFERRABLE_SHARE = 0.7;
+
+  /** Steps per overload window in which the next permitted time is searched. */
+  private static final int SEARCH_STEPS_PER_WINDOW = 4;
+
+  private final Settings settings;
+  private final Router.QuotaShare quota;
+  private final CoreEstimate cores;
+  private final SlidingWindowSum sentWork;
+  private double startedAt = Double.NEGATIVE_INFINITY;
+
+  /** A budget with an even quota and a server of one core. */
+  public SlowStartBudget(Settings settings) {
+    this(settings, Router.QuotaShare.EVEN, new CoreEstimate());
+  }
+
+  /**
+   * A budget with a given quota.
+   *
+   * @param quota this instance's quota of what all instances may send together
+   * @param cores the estimate of a server's cores, shared by the budgets of all servers
+   */
+  public SlowStartBudget(Settings settings, Router.QuotaShare quota, CoreEstimate cores) {
+    this.settings = settings;
+    this.quota = quota;
+    this.cores = cores;
+    sentWork = new SlidingWindowSum(settings.rules().overloadWindow());
+  }
+
+  /** Records a start of the server; an earlier start than the one known is ignored. */
+  public void recordStart(double time) {
+    startedAt = Math.max(startedAt, time);
+  }
+
+  /** The share of its capacity that the server is certain to have, from 0 to 1. */
+  public double warmupFraction(double now) {
+    Settings.Rules rules = settings.rules();
+    double age = Math.max(0, now - startedAt);
+    return age >= rules.warmupTime()
+        ? 1
+        : rules.warmupStartFraction()
+            + (1 - rules.warmupStartFraction()) * age / rules.warmupTime();
+  }
+
+  /** Records a part of this much work as sent to the server. */
+  public void recordSent(double now, double work) {
+    sentWork.add(now, work);
+  }
+
+  /**
+   * Whether a part may be sent to the server now.
+   *
+   * @param work the part's work in ms of one core
+   * @param processShare this process's share of the instance's limits, from 0 to 1
+   */
+  public boolean allows(double work, PartPriority priority, double processShare, double now) {
+    return allows(work, priority, processShare, now, sentWork.sum(now), quota.at(now));
+  }
+
+  private boolean allows(
+      double work,
+      PartPriority priority,
+      double processShare,
+      double time,
+      double alreadySent,
+      double quotaShare) {
+    Settings.Rules rules = settings.rules();
+    double warmup = warmupFraction(time);
+    if (warmup >= 1 || rules.overloadMultiple() <= 0) {
+      return true;
+    }
+    if (quotaShare <= 0) {
+      return false;
+    }
+    double rate = processShare * rules.overloadMultiple() * cores.minimumCapacity();
+    double ownBudget = quotaShare * rate * warmup * rules.overloadWindow() / settings.instances();
+    if (alreadySent + work
+        <= ownBudget * (priority == PartPriority.DEFERRABLE ? DEFERRABLE_SHARE : 1)) {
+      return true;
+    }
+    // Turns are assigned by configured number, so those of absent instances stay unused. An
+    // instance with at least an even quota exceeds nothing by taking its own turns.
+    return quotaShare >= 1
+        && alreadySent == 0
+        && work > ownBudget
+        && hasTurn(time - startedAt, rate / work);
+  }
+
+  /**
+   * Whether one of this instance's turns came within the last window. Turn k comes when the server
+   * is certain to have completed k parts since its start, and belongs to the instance whose number
+   * is k modulo the number of instances. No window therefore has more turns than the server
+   * completes parts in it.
+   */
+  private boolean hasTurn(double age, double partsPerMs) {
+    long latestTurn = (long) Math.floor(completedParts(age, partsPerMs));
+    long ownTurn =
+        latestTurn - Math.floorMod(latestTurn - settings.self(), (long) settings.instances());
+    double windowStart = age - settings.rules().overloadWindow();
+    return ownTurn >= 0 && (windowStart < 0 || ownTurn > completedParts(windowStart, partsPerMs));
+  }
+
+  /**
+   * Parts that a server of this age is certain to have completed, given its rate when warm: the
+   * integral of its warm-up fraction.
+   */
+  private double completedParts(double age, double partsPerMs) {
+    Settings.Rules rules = settings.rules();
+    return partsPerMs
+        * (rules.warmupStartFraction() * age
+            + (1 - rules.warmupStartFraction()) * age * age / (2 * rules.warmupTime()));
+  }
+
+  /**
+   * When a part may next be sent, if nothing else is sent to the server before.
+   *
+   * @return a time from {@code now} on, or infinity where no time up to {@code until} is permitted
+   */
+  public double nextAllowedAt(
+      double work, PartPriority priority, double processShare, double now, double until) {
+    double step = settings.rules().overloadWindow() / SEARCH_STEPS_PER_WINDOW;
+    double quotaShare = quota.at(now);
+    for (double time = now; time <= until; time += step) {
+      if (allows(work, priority, processShare, time, sentWork.sumAt(time), quotaShare)) {
+        return time;
+      }
+    }
+    return Double.POSITIVE_INFINITY;
+  }
+}
--- a/src/main/java/bitternpulley/health/StallDetector.java
+++ b/src/main/java/bitternpulley/health/StallDetector.java
@@ -3,56 +3,53 @@
 import java.util.Collection;
 
 /**
- * Tells when nothing comes from any server. Guards against a moment in which all stand still, or
- * the way to them does: each would be taken for silent, its parts called off and sent elsewhere,
- * and the backlog doubled just as it begins to move.
+ * Detects that no server answers at all, as when the network or the whole fleet pauses. During such
+ * a stall no single server counts as unresponsive: cancelling and resending every part would double
+ * the backlog just as it begins to drain.
  */
 public final class StallDetector {
-  /** A server as far as parts out there tell of a stall. */
+  /** What the detector reads of a server. */
   public interface Awaited {
-    /** When the oldest part out there was sent; infinity where none is. */
-    double waitsSince();
+    /** When the oldest part in flight at the server was sent; infinity where none is. */
+    double oldestSentAt();
   }
 
-  /**
-   * Usual latencies without an answer from any server that make a stall, and the servers that must
-   * be waited for.
-   */
-  private static final double LEAST = 3;
+  /** Multiple of the baseline latency without any answer that makes a stall. */
+  private static final double LATENCY_MULTIPLE = 3;
 
-  private static final int LEAST_SERVERS = 4;
+  /** Servers that must be waited for in a stall. */
+  private static final int MINIMUM_SERVERS = 4;
 
-  private double heardAt = Double.NEGATIVE_INFINITY;
-  private double endedAt = Double.NEGATIVE_INFINITY;
+  private double lastAnswerAt = Double.NEGATIVE_INFINITY;
+  private double stallEndedAt = Double.NEGATIVE_INFINITY;
 
-  /** An answer has come; {@code servers} are as they were before it. */
-  public void heard(double now, double usual, Collection<? extends Awaited> servers) {
-    if (lasts(now, usual, servers)) {
-      endedAt = now;
+  /** Records an answer; {@code servers} are in their state before it. */
+  public void recordAnswer(
+      double now, double baselineLatency, Collection<? extends Awaited> servers) {
+    if (isStalled(now, baselineLatency, servers)) {
+      stallEndedAt = now;
     }
-    heardAt = now;
+    lastAnswerAt = now;
   }
 
-  /** Whether nothing comes, though most servers that have parts are waited for. */
-  public boolean lasts(double now, double usual, Collection<? extends Awaited> servers) {
-    if (now - heardAt <= LEAST * usual) {
+  /** Whether no answer arrives although most servers with parts in flight are overdue. */
+  public boolean isStalled(
+      double now, double baselineLatency, Collection<? extends Awaited> servers) {
+    if (now - lastAnswerAt <= LATENCY_MULTIPLE * baselineLatency) {
       return false;
     }
     int busy = 0;
-    int waitedFor = 0;
-    for (Awaited s : servers) {
-      double since = s.waitsSince();
-      busy += since < Double.POSITIVE_INFINITY ? 1 : 0;
-      waitedFor += now - since > LEAST * usual ? 1 : 0;
+    int overdue = 0;
+    for (Awaited server : servers) {
+      double sentAt = server.oldestSentAt();
+      busy += sentAt < Double.POSITIVE_INFINITY ? 1 : 0;
+      overdue += now - sentAt > LATENCY_MULTIPLE * baselineLatency ? 1 : 0;
     }
-    return waitedFor >= LEAST_SERVERS && 2 * waitedFor > busy;
+    return overdue >= MINIMUM_SERVERS && 2 * overdue > busy;
   }
 
-  /**
-   * From when on a wait that began at this time speaks against a server: not before a stall was
-   * over.
-   */
-  public double counted(double since) {
-    return Math.max(since, endedAt);
+  /** The time from which a wait that began at {@code since} counts: not before a stall ended. */
+  public double stallAdjustedTime(double since) {
+    return Math.max(since, stallEndedAt);
   }
 }
--- /dev/null
+++ b/src/main/java/bitternpulley/health/TenantQuotas.java
@@ -0,0 +1,39 @@
+package bitternpulley.health;
+
+import bitternpulley.routing.Settings;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Compares what each tenant requests of this instance with the tenant's quota. */
+public final class TenantQuotas {
+  /** Ms over which shares are measured: some tens of queries even at a few per second. */
+  private static final double WINDOW_MS = 5000;
+
+  /** Factor by which random variation may exceed a quota. */
+  private static final double TOLERANCE = 1.25;
+
+  private final List<Settings.Tenant> tenants;
+  private final SlidingWindowSum requestedParts = new SlidingWindowSum(WINDOW_MS);
+  private final List<SlidingWindowSum> requestedPartsByTenant = new ArrayList<>();
+
+  /** Quotas of these tenants, who are referred to by their position. */
+  public TenantQuotas(List<Settings.Tenant> tenants) {
+    this.tenants = tenants;
+    tenants.forEach(tenant -> requestedPartsByTenant.add(new SlidingWindowSum(WINDOW_MS)));
+  }
+
+  /** Records a query of so many parts. */
+  public void recordRequest(int tenant, int parts, double now) {
+    requestedParts.add(now, parts);
+    if (tenant < requestedPartsByTenant.size()) {
+      requestedPartsByTenant.get(tenant).add(now, parts);
+    }
+  }
+
+  /** Whether a tenant requests more than its quota. */
+  public boolean isOverQuota(int tenant, double now) {
+    return tenant < requestedPartsByTenant.size()
+        && requestedPartsByTenant.get(tenant).sum(now)
+            > TOLERANCE * tenants.get(tenant).quota() * requestedParts.sum(now);
+  }
+}
--- a/src/main/java/bitternpulley/health/WorkEstimate.java
+++ b/src/main/java/bitternpulley/health/WorkEstimate.java
@@ -1,57 +1,69 @@
 package bitternpulley.health;
 
 /**
- * What a part's work is, where no work is told: never less than it, as load stretches all that is
- * seen of it. Guards against a cold server's budget that shrinks as the others fill up, just when
- * it is needed.
+ * Estimate of a part's work where none is given. Load stretches every observed latency, so the
+ * estimate is the least of several: the slow-start budget, counted in parts, must not shrink while
+ * the fleet is loaded.
  */
 public final class WorkEstimate {
-  /** Times a quick answer that a part's work counts as, and how fast the figure falls and rises. */
-  private static final double QUICK_ROOM = 2;
+  /** Multiple of a quick answer's latency that a part's work counts as. */
+  private static final double QUICK_MULTIPLE = 2;
 
+  /** Weight of an answer quicker than the quick latency. */
   private static final double QUICK_FALL = 0.1;
+
+  /** Weight of an answer slower than the quick latency. */
   private static final double QUICK_RISE = 0.01;
 
-  /**
-   * Answers to lone parts that the mean is taken of, and the most that one of them counts as, by
-   * the figure so far.
-   */
-  private static final int ALONE_SPAN = 20;
+  /** Answers to sole requests over which their mean is taken. */
+  private static final int SOLE_REQUEST_SPAN = 20;
 
-  private static final double ALONE_MOST = 3;
+  /** Multiple of the mean that one answer to a sole request counts as, at most. */
+  private static final double MAX_SOLE_REQUEST_MULTIPLE = 3;
 
-  /**
-   * How fast the least mean rises, by answer, some hundred of which come in a second: slower than
-   * any jam lasts.
-   */
-  private static final double LEAST_RISE = 0.0002;
+  /** Relative rise of the least mean per answer: slower than any overload lasts. */
+  private static final double LEAST_MEAN_RISE = 0.0002;
+
+  /** About the latency that one answer in ten stays below, in ms. */
+  private double quickLatency = Double.POSITIVE_INFINITY;
 
-  /** About the time that one answer in ten stays below. */
-  private double quick = Double.POSITIVE_INFINITY;
+  private double soleRequestMean;
+  private double leastSoleRequestMean = Double.POSITIVE_INFINITY;
+  private int soleRequests;
 
-  private double mean;
-  private double least = Double.POSITIVE_INFINITY;
-  private int count;
+  /** Records the latency of an answer in ms. */
+  public void recordAnswer(double latency) {
+    if (quickLatency == Double.POSITIVE_INFINITY) {
+      quickLatency = latency;
+    } else if (latency < quickLatency) {
+      quickLatency = quickLatency + QUICK_FALL * (latency - quickLatency);
+    } else {
+      quickLatency = quickLatency + QUICK_RISE * Math.min(latency - quickLatency, quickLatency);
+    }
+  }
 
   /**
-   * An answer; {@code alone} where none of ours was before it at a server that is sound and warm.
+   * Records the latency in ms of an answer to a sole request: none of this instance's was before
+   * it, at a warm server that is no outlier.
    */
-  public void answered(double took, boolean alone) {
-    quick =
-        took < quick
-            ? quick == Double.POSITIVE_INFINITY ? took : quick + QUICK_FALL * (took - quick)
-            : quick + QUICK_RISE * Math.min(took - quick, quick);
-    if (alone) {
-      double counted = count == 0 ? took : Math.min(took, ALONE_MOST * mean);
-      count = Math.min(count + 1, ALONE_SPAN);
-      mean += (counted - mean) / count;
-      // A jam stretches lone parts too: others' wait before them. What the calmest moment showed is
-      // nearest to the work.
-      least = count < ALONE_SPAN ? least : Math.min(mean, least * (1 + LEAST_RISE));
+  public void recordSoleRequestAnswer(double latency) {
+    recordAnswer(latency);
+    double counted =
+        soleRequests == 0
+            ? latency
+            : Math.min(latency, MAX_SOLE_REQUEST_MULTIPLE * soleRequestMean);
+    soleRequests = Math.min(soleRequests + 1, SOLE_REQUEST_SPAN);
+    soleRequestMean += (counted - soleRequestMean) / soleRequests;
+    // Overload stretches sole requests as well, since other instances' parts are queued before
+    // them. The least loaded period is nearest to the true work.
+    if (soleRequests >= SOLE_REQUEST_SPAN) {
+      leastSoleRequestMean =
+          Math.min(soleRequestMean, leastSoleRequestMean * (1 + LEAST_MEAN_RISE));
     }
   }
 
-  public double work(double usual) {
-    return Math.min(usual, Math.min(quick * QUICK_ROOM, least));
+  /** The estimated work of a part in ms, at most the baseline latency. */
+  public double estimate(double baselineLatency) {
+    return Math.min(baselineLatency, Math.min(quickLatency * QUICK_MULTIPLE, leastSoleRequestMean));
   }
 }
--- a/src/main/java/bitternpulley/health/ZoneLatency.java
+++ b/src/main/java/bitternpulley/health/ZoneLatency.java
@@ -1,82 +1,93 @@
 package bitternpulley.health;
 
 /**
- * What is known of the way to the servers of one zone: what parts take there, how many are late,
- * how many new connections fail.
+ * What is known of the network path to the servers of one zone: the latency of parts, the share
+ * that is late, the share of new connections that fail.
  */
 public final class ZoneLatency {
-  /** Weight of a new latency, and of a part that was late or in time. */
+  /** Weight of a new latency. */
   private static final double SMOOTHING = 0.05;
 
-  private static final double LOSS = 0.1;
+  /** Weight of a part that was late or in time. */
+  private static final double LATE_SMOOTHING = 0.1;
 
-  /** So many times the figure so far is the most that one answer counts as in it. */
-  private static final double OUTLIER = 4;
+  /** Multiple of the smoothed latency that one answer counts as, at most. */
+  private static final double MAX_LATENCY_MULTIPLE = 4;
 
-  /**
-   * Share of lost parts, and of fresh connections that may come too late, that counts at the most.
-   */
-  private static final double LOST_MOST = 0.8;
+  /** Largest share of late parts that counts. */
+  private static final double MAX_LATE_SHARE = 0.8;
 
-  private static final double FRESH_LOSS_MOST = 0.25;
+  /** Share of failed new connections up to which new connections are opened. */
+  private static final double MAX_CONNECTION_FAILURE_SHARE = 0.25;
 
-  /** Weight of one fresh connection, and what each part sent forgets of those before. */
-  private static final double FRESH_SMOOTHING = 0.15;
+  /** Weight of one new connection. */
+  private static final double CONNECTION_SMOOTHING = 0.15;
 
-  private static final double FRESH_FORGET = 0.02;
+  /** Share of the connection failures that each part sent forgets. */
+  private static final double CONNECTION_DECAY = 0.02;
 
   private double latency;
-  private boolean heard;
-  private double lost;
-  private double freshLoss;
+  private boolean isMeasured;
+  private double lateShare;
+  private double connectionFailureShare;
 
-  /** One of which nothing is known but a guess at its latency, ms. */
-  public ZoneLatency(double latency) {
-    this.latency = latency;
+  /** A zone of which nothing is known but an assumed latency in ms. */
+  public ZoneLatency(double assumedLatency) {
+    this.latency = assumedLatency;
   }
 
+  /** The smoothed latency in ms, or the assumed one before the first answer. */
   public double latency() {
     return latency;
   }
 
-  /** The latency where it stands on an answer, else infinity. */
-  public double heardLatency() {
-    return heard ? latency : Double.POSITIVE_INFINITY;
+  /** The smoothed latency in ms, or infinity before the first answer. */
+  public double measuredLatency() {
+    return isMeasured ? latency : Double.POSITIVE_INFINITY;
   }
 
-  /**
-   * A part took so many ms. A single outlier hardly moves the figure: it is the server's or the
-   * query's own.
-   */
-  public void took(double ms) {
-    latency += SMOOTHING * (Math.min(ms, OUTLIER * latency) - latency);
-    heard = true;
+  /** Records the latency of a part in ms; a single outlier hardly changes the smoothed one. */
+  public void recordLatency(double measured) {
+    latency += SMOOTHING * (Math.min(measured, MAX_LATENCY_MULTIPLE * latency) - latency);
+    isMeasured = true;
+  }
+
+  /** Records a part as soon as it is late, before its attempt ends. */
+  public void recordLate() {
+    lateShare += LATE_SMOOTHING * (1 - lateShare);
+  }
+
+  /** Records an answer that was not late. */
+  public void recordInTime() {
+    lateShare *= 1 - LATE_SMOOTHING;
   }
 
-  /** A part is late, which speaks against its way at once, not only when it is given up. */
-  public void late() {
-    lost += LOSS * (1 - lost);
+  /** The share of parts that arrive in time, at least a fifth. */
+  public double inTimeShare() {
+    return 1 - Math.min(lateShare, MAX_LATE_SHARE);
   }
 
-  /** A part was answered that had not been late. */
-  public void inTime() {
-    lost *= 1 - LOSS;
+  /** Records a new connection that was established. */
+  public void recordConnectionEstablished() {
+    recordConnection(0);
   }
 
-  /** The share of parts that arrive, at least a fifth. */
-  public double arrives() {
-    return 1 - Math.min(lost, LOST_MOST);
+  /** Records a new connection that could not be established in time. */
+  public void recordConnectionFailed() {
+    recordConnection(1);
   }
 
-  /** A fresh connection came up, or did not in time. */
-  public void fresh(boolean failed) {
-    freshLoss += FRESH_SMOOTHING * ((failed ? 1 : 0) - freshLoss);
+  private void recordConnection(double failure) {
+    connectionFailureShare += CONNECTION_SMOOTHING * (failure - connectionFailureShare);
   }
 
-  /** A part is to go over this way: whether fresh connections are to be trusted there. */
-  public boolean trustsFresh() {
-    boolean trusts = freshLoss <= FRESH_LOSS_MOST;
-    freshLoss *= 1 - FRESH_FORGET;
-    return trusts;
+  /**
+   * Whether a part may be sent over a new connection. Each call counts as a part sent and lets the
+   * record of failed connections decay.
+   */
+  public boolean admitNewConnection() {
+    boolean isReliable = connectionFailureShare <= MAX_CONNECTION_FAILURE_SHARE;
+    connectionFailureShare *= 1 - CONNECTION_DECAY;
+    return isReliable;
   }
 }
--- a/src/main/java/bitternpulley/health/package-info.java
+++ b/src/main/java/bitternpulley/health/package-info.java
@@ -1,10 +1,12 @@
 /**
- * What is known of slot servers: how many parts of ours one has room for, what a part's work is,
- * what was counted over a window. Small classes, each with a state of its own and time passed in;
- * no I/O, no decision about a query.
+ * What one instance has measured of slot servers and of its own load: how many parts a server has
+ * capacity for, how much work a part is, how a server warms up, whether everything stalls.
  *
- * <p>Called by the decision module ({@code policy}), which says who is asked. Start with {@link
- * bitternpulley.health.ServerConcurrencyLimit}. The rest of what {@code policy} knows of servers
- * moves here with the recovery work.
+ * <p>Each class holds one estimate and its transitions; the time is passed in. Nothing here does
+ * I/O, knows of a query's state or chooses a server. Times are milliseconds of the caller's clock,
+ * work is milliseconds of one core.
+ *
+ * <p>Called by {@code policy} only. Start with {@link bitternpulley.health.ServerConcurrencyLimit}
+ * and {@link bitternpulley.health.SlowStartBudget}.
  */
 package bitternpulley.health;
--- a/src/main/java/bitternpulley/policy/RoutingPolicy.java
+++ b/src/main/java/bitternpulley/policy/RoutingPolicy.java
@@ -4,11 +4,12 @@
 // origin.
 package bitternpulley.policy;
 
+import bitternpulley.health.ClientRetryDetector;
 import bitternpulley.health.ConcurrencyLimit;
-import bitternpulley.health.FirstTries;
+import bitternpulley.health.PartPriority;
+import bitternpulley.health.SlidingWindowSum;
 import bitternpulley.health.StallDetector;
-import bitternpulley.health.TenantShares;
-import bitternpulley.health.WindowCount;
+import bitternpulley.health.TenantQuotas;
 import bitternpulley.health.WorkEstimate;
 import bitternpulley.health.ZoneLatency;
 import bitternpulley.policy.State.Attempt;
@@ -185,10 +186,10 @@
   private final Set<QueryState> held = new LinkedHashSet<>();
   private final Set<QueryState> dirty = new LinkedHashSet<>();
   private final List<ArrivalRecord[]> records = new ArrayList<>();
-  private final WindowCount taken;
-  private final WindowCount extras;
-  private final TenantShares tenants;
-  private final List<FirstTries> firstTries = new ArrayList<>();
+  private final SlidingWindowSum taken;
+  private final SlidingWindowSum extras;
+  private final TenantQuotas tenants;
+  private final List<ClientRetryDetector> firstTries = new ArrayList<>();
   private final List<ZoneLatency> ways = new ArrayList<>();
   private final double firstLatency;
 
@@ -231,10 +232,10 @@
         FIRST_LATENCY
             * settings.classes().stream().mapToDouble(c -> c.latencyObjective()).min().orElse(1);
     usual = firstLatency;
-    settings.classes().forEach(c -> firstTries.add(new FirstTries()));
-    tenants = new TenantShares(settings.tenants());
-    taken = new WindowCount(rules.retryBudgetWindow() - settings.tick());
-    extras = new WindowCount(rules.retryBudgetWindow() + settings.tick());
+    settings.classes().forEach(c -> firstTries.add(new ClientRetryDetector()));
+    tenants = new TenantQuotas(settings.tenants());
+    taken = new SlidingWindowSum(rules.retryBudgetWindow() - settings.tick());
+    extras = new SlidingWindowSum(rules.retryBudgetWindow() + settings.tick());
     if (settings.endpointsOnRequest()) {
       out.watchEndpoints();
     }
@@ -255,7 +256,7 @@
     watchGap = kind == ListKind.REMEMBERED ? watchGap : WATCH_GAP;
     entries.forEach(this::note);
     if (kind == ListKind.REMEMBERED) {
-      limit.startFor(fleet.servers().size());
+      limit.reset(fleet.servers().size());
     }
     if (kind != ListKind.CHANGES) {
       Set<String> named = entries.stream().map(Endpoint::server).collect(Collectors.toSet());
@@ -285,7 +286,7 @@
       // A new process under an old id has nothing of the old one's latency or failures, and is
       // cold.
       s.startedAt = m.startedAt();
-      s.cold.startedAt(m.startedAt());
+      s.cold.recordStart(m.startedAt());
       s.forget();
     }
   }
@@ -316,14 +317,15 @@
   public void onQuery(Query query, double now, Actions out) {
     at(now, out);
     taken.add(now, 1);
-    tenants.asked(query.tenant(), query.parts(), now);
+    tenants.recordRequest(query.tenant(), query.parts(), now);
     int c = query.queryClass();
     Settings.QueryClass kind = query.terms().applyTo(settings.classes().get(c));
     double aim =
         Math.min(
             kind.latencyObjective() + kind.objectiveStretch() * query.estimatedWork(),
             kind.deadline());
-    if (!query.terms().clientSetTimeout() && firstTries.get(c).isLater(query.timeLeft())) {
+    if (!query.terms().clientSetTimeout()
+        && firstTries.get(c).recordAndClassify(query.timeLeft())) {
       // The client's clock has run since its first try, and this one has what is left of the
       // deadline.
       aim -= kind.deadline() - query.timeLeft();
@@ -413,21 +415,22 @@
   private double worthPerWork(QueryState q) {
     double worth =
         q.kind.priorityWeight()
-            * (tenants.isOver(q.query.tenant(), now) ? settings.overQuotaWeight() : 1);
+            * (tenants.isOverQuota(q.query.tenant(), now) ? settings.overQuotaWeight() : 1);
     return settings.weightByWork() ? worth : worth / q.parts.size();
   }
 
   private boolean isTimely(Attempt a, double took) {
-    return took <= limit.timely(a.part.query.kind.latencyObjective(), work(a.part));
+    return took <= limit.timelyLatency(a.part.query.kind.latencyObjective(), work(a.part));
   }
 
   private void steerLimit(Attempt a, double took) {
     if (isTimely(a, took)) {
-      limit.onTimely(partsOut);
-    } else if (a.server.latency <= SLOW_ALONE * usual && stall.counted(a.sent) <= a.sent) {
+      limit.recordTimely(partsOut);
+    } else if (a.server.latency <= SLOW_ALONE * usual
+        && stall.stallAdjustedTime(a.sent) <= a.sent) {
       // A server that is slower than the rest by far, or a stall, is not what fewer parts out would
       // help.
-      limit.onLate();
+      limit.recordLate();
     }
   }
 
@@ -722,17 +725,17 @@
       // Guards against connections that die silently while idle and swallow what is sent next,
       // unless new
       // ones are what fails: then the open ones are kept.
-      a.fresh = way(s.zone).trustsFresh() && settings.costs().handshake() <= 0;
+      a.fresh = way(s.zone).admitNewConnection() && settings.costs().handshake() <= 0;
       if (a.fresh) {
         out.closeIdleConnections(s.id);
       }
     }
     s.owed = false;
-    a.alone = s.out.isEmpty() && s.cold.warmth(now) >= 1 && !s.slow;
+    a.alone = s.out.isEmpty() && s.cold.warmupFraction(now) >= 1 && !s.slow;
     s.out.add(a);
     s.joined(now);
     partsOut++;
-    s.cold.sent(now, work(p));
+    s.cold.recordSent(now, work(p));
     double end = p.query.kind.latePriorityWeight() > 0 ? p.query.endBy : p.query.aimAt;
     out.send(p.part.id(), s.id, Math.max(1, end - now + settings.tick()));
   }
@@ -748,12 +751,12 @@
       boolean barred =
           s.down && now < s.trialAt
               || now < p.barredUntil(s, FULL_FOR * usual)
-              || forSend && s.slow && !s.room.takes(s.out.size(), canWait(p.query), now);
+              || forSend && s.slow && !s.room.hasCapacity(s.out.size(), priority(p.query), now);
       if (s.state != ServerState.LIVE
           || barred
           || now < s.fullUntil
           || p.openAt(s)
-          || !s.cold.allows(work(p), canWait(p.query), share, now)) {
+          || !s.cold.allows(work(p), priority(p.query), share, now)) {
         continue;
       }
       // Guards against a server let back in that is passed by for good, since a cold one looks
@@ -761,7 +764,7 @@
       boolean trial = forSend && (s.owed || suspect(s) && now >= s.trialAt);
       int rank = p.tried(s) || suspect(s) && !trial ? 1 : 0;
       double far = s.zone == settings.zone() ? 0 : ZONE_BAND * settings.costs().crossZone();
-      double arrives = way(s.zone).arrives();
+      double arrives = way(s.zone).inTimeShare();
       // By call where calls are shared: one that is forming takes a part in, and costs no more by
       // itself.
       Settings.Layout layout = settings.layout();
@@ -792,11 +795,11 @@
       at =
           Math.max(
               s.down ? Math.max(at, s.trialAt) : at,
-              s.slow ? s.room.opensAt(s.out.size(), canWait(p.query), now) : now);
+              s.slow ? s.room.nextCapacityAt(s.out.size(), priority(p.query), now) : now);
       at =
           s.state != ServerState.LIVE || at >= first
               ? first
-              : s.cold.opensAt(work(p), canWait(p.query), share, at, until);
+              : s.cold.nextAllowedAt(work(p), priority(p.query), share, at, until);
       first = Math.min(first, at);
     }
     return first;
@@ -806,11 +809,11 @@
    * A part that only serves a late answer, or one that may be given though all that is unsent stays
    * so.
    */
-  private boolean canWait(QueryState q) {
+  private PartPriority priority(QueryState q) {
     boolean early = now < q.stepStart + LATE_FACTOR * usual;
     boolean spared =
         q.kind.allowsPartialAnswer() && (early || q.due() >= q.kind.minimumShare() - ROUNDING);
-    return now >= q.aimAt || spared;
+    return now >= q.aimAt || spared ? PartPriority.DEFERRABLE : PartPriority.URGENT;
   }
 
   private ZoneLatency way(int zone) {
@@ -862,7 +865,7 @@
     if (!a.late && now >= a.sent + LATE_FACTOR * usual) {
       a.late = true;
       partsOut--;
-      way(a.server.zone).late();
+      way(a.server.zone).recordLate();
     }
   }
 
@@ -953,25 +956,37 @@
     boolean noWay =
         e.outcome() == Outcome.UNREACHABLE && took > settings.limits().connectTimeout() / 2;
     if (a.fresh || noWay && !suspect(s)) {
-      way(s.zone).fresh(noWay);
+      if (noWay) {
+        way(s.zone).recordConnectionFailed();
+      } else {
+        way(s.zone).recordConnectionEstablished();
+      }
     }
     if (e.outcome() == Outcome.OK || !isTimely(a, took)) {
       steerLimit(a, took);
     }
     switch (e.outcome()) {
       case OK -> {
-        stall.heard(now, usual, fleet.servers());
-        s.room.answered(a.sent, isTimely(a, took), s.out.size(), now);
+        stall.recordAnswer(now, usual, fleet.servers());
+        if (isTimely(a, took)) {
+          s.room.recordTimelyAnswer(a.sent, s.out.size());
+        } else {
+          s.room.recordLateAnswer(a.sent, now);
+        }
         smooth(s, took);
-        estimate.answered(took, a.alone);
+        if (a.alone) {
+          estimate.recordSoleRequestAnswer(took);
+        } else {
+          estimate.recordAnswer(took);
+        }
         learnCores(a);
         if (!a.late) {
-          way(s.zone).inTime();
+          way(s.zone).recordInTime();
         }
         s.failures *= 1 - FAILURE_SMOOTHING;
         // Back from refusals: whatever the list says, the process is young.
         if (s.down) {
-          s.cold.startedAt(now);
+          s.cold.recordStart(now);
         }
         s.down = false;
         s.streak = 0;
@@ -979,7 +994,7 @@
         s.lastHeard = now;
       }
       case CANCELLED, TIMEOUT -> {
-        s.room.left(a.sent);
+        s.room.recordCancelled(a.sent);
         if (took > expected(s)) {
           smooth(s, took);
         }
@@ -992,7 +1007,7 @@
         // It is sound all the same: a longer pause would leave it idle while the others fill up in
         // turn.
         s.fullUntil = now + FULL_FOR * usual;
-        s.room.full(s.out.size(), now);
+        s.room.recordRejection(s.out.size(), now);
       }
       case UNREACHABLE, RESET -> {
         boolean broken = e.outcome() == Outcome.RESET;
@@ -1013,9 +1028,9 @@
     Server s = a.server;
     double work = work(a.part);
     boolean tells =
-        work >= CORES_TOLD_BY * settings.tick() && s.cold.warmth(a.sent) >= 1 && !s.slow;
+        work >= CORES_TOLD_BY * settings.tick() && s.cold.warmupFraction(a.sent) >= 1 && !s.slow;
     if (a.sent < s.lastHeard && tells) {
-      fleet.cores.answered(now - s.lastHeard, work);
+      fleet.cores.recordAnswerGap(now - s.lastHeard, work);
     }
   }
 
@@ -1023,8 +1038,8 @@
     ZoneLatency way = way(s.zone);
     s.latency = s.latency == 0 ? way.latency() : s.latency;
     s.latency += SMOOTHING * (took - s.latency);
-    way.took(took);
-    usual = ways.stream().mapToDouble(ZoneLatency::heardLatency).min().orElse(usual);
+    way.recordLatency(took);
+    usual = ways.stream().mapToDouble(ZoneLatency::measuredLatency).min().orElse(usual);
     s.slow = s.latency > (s.slow ? SLOW_STILL : SLOW_ALONE) * usual;
   }
 
@@ -1059,8 +1074,8 @@
   private boolean silent(Server s) {
     double waits = oldestAge(s);
     return s.lastHeard <= now - waits
-        && now - stall.counted(now - waits) > silenceAfter(s)
-        && !stall.lasts(now, usual, fleet.servers());
+        && now - stall.stallAdjustedTime(now - waits) > silenceAfter(s)
+        && !stall.isStalled(now, usual, fleet.servers());
   }
 
   private double silenceAfter(Server s) {
@@ -1078,7 +1093,7 @@
 
   /** Smoothed latency, at least the silence that the oldest part out has met. */
   private double latency(Server s) {
-    double latency = way(s.zone).latency() / s.cold.warmth(now);
+    double latency = way(s.zone).latency() / s.cold.warmupFraction(now);
     if (s.latency > 0) {
       double unheard = s.out.size() > 0 ? 0 : now - Math.max(s.lastHeard, 0);
       latency += (s.latency - latency) * Math.pow(0.5, unheard / FORGET_HALF);
@@ -1090,12 +1105,12 @@
 
   /** Age of the oldest part that waits at a server; 0 where none does. */
   private double oldestAge(Server s) {
-    return Math.max(0, now - s.waitsSince());
+    return Math.max(0, now - s.oldestSentAt());
   }
 
   /** The work of a part: as hinted, else by what answers take. */
   private double work(PartState p) {
-    return p.part.estimatedWork() > 0 ? p.part.estimatedWork() : estimate.work(usual);
+    return p.part.estimatedWork() > 0 ? p.part.estimatedWork() : estimate.estimate(usual);
   }
 
   // --- Alarms and ends ---------------------------------------------------------------------------
--- a/src/main/java/bitternpulley/policy/State.java
+++ b/src/main/java/bitternpulley/policy/State.java
@@ -1,8 +1,8 @@
 package bitternpulley.policy;
 
-import bitternpulley.health.ColdBudget;
 import bitternpulley.health.CoreEstimate;
 import bitternpulley.health.ServerConcurrencyLimit;
+import bitternpulley.health.SlowStartBudget;
 import bitternpulley.health.StallDetector;
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
@@ -44,12 +44,12 @@
     double trialGap;
     private double callAt = Double.NEGATIVE_INFINITY;
     private int callParts;
-    ColdBudget cold;
+    SlowStartBudget cold;
     final ServerConcurrencyLimit room = new ServerConcurrencyLimit();
     final Set<Attempt> out = new LinkedHashSet<>();
 
     @Override
-    public double waitsSince() {
+    public double oldestSentAt() {
       return out.isEmpty() ? Double.POSITIVE_INFINITY : out.iterator().next().sent;
     }
 
@@ -72,7 +72,7 @@
       down = false;
       slow = false;
       fullUntil = Double.NEGATIVE_INFINITY;
-      room.forget();
+      room.reset();
     }
   }
 
@@ -105,7 +105,7 @@
             Server s = new Server();
             s.id = id;
             s.zone = m.zone();
-            s.cold = new ColdBudget(settings, now -> portion.at(now), cores);
+            s.cold = new SlowStartBudget(settings, now -> portion.at(now), cores);
             cells.get(Math.floorMod(m.cell(), cells.size())).add(s);
             return s;
           });
--- a/src/test/java/bitternpulley/health/ServerConcurrencyLimitTest.java
+++ b/src/test/java/bitternpulley/health/ServerConcurrencyLimitTest.java
@@ -6,44 +6,48 @@
 
 import org.junit.jupiter.api.Test;
 
+/** The limit of parts in flight at one server. */
 class ServerConcurrencyLimitTest {
-  private final ServerConcurrencyLimit room = new ServerConcurrencyLimit();
+  private final ServerConcurrencyLimit limit = new ServerConcurrencyLimit();
 
-  private int taken(boolean canWait, double now) {
-    int out = 0;
-    while (room.takes(out, canWait, now)) {
-      out++;
+  /** Parts that an idle server is sent at once. */
+  private int capacity(PartPriority priority, double now) {
+    int inFlight = 0;
+    while (limit.hasCapacity(inFlight, priority, now)) {
+      inFlight++;
     }
-    return out;
+    return inFlight;
   }
 
   @Test
-  void aFullQueueHalvesItAndAnswersInTimeWidenItAgain() {
-    room.full(10, 100);
-    room.full(10, 101);
-    assertEquals(5, taken(false, 200), "what is refused at once counts once");
-    assertEquals(2, taken(true, 200), "parts that can wait leave room for the others");
+  void rejectionHalvesTheLimitAndTimelyAnswersRaiseItAgain() {
+    limit.recordRejection(10, 100);
+    limit.recordRejection(10, 101);
+    assertEquals(5, capacity(PartPriority.URGENT, 200), "simultaneous rejections count once");
+    assertEquals(
+        2,
+        capacity(PartPriority.DEFERRABLE, 200),
+        "deferrable parts leave capacity for the others");
     for (int i = 0; i < 8; i++) {
-      room.answered(300, true, 4, 400);
+      limit.recordTimelyAnswer(300, 4);
     }
-    assertEquals(7, taken(false, 400));
-    room.forget();
-    assertEquals(32, taken(false, 400));
+    assertEquals(7, capacity(PartPriority.URGENT, 400));
+    limit.reset();
+    assertEquals(32, capacity(PartPriority.URGENT, 400));
   }
 
-  /** Guards against a queue that fills unseen with parts which nobody awaits. */
   @Test
-  void whatWasCalledOffTakesRoomUntilALaterPartIsAnswered() {
-    room.full(4, 100);
-    room.left(150);
-    room.left(160);
-    assertFalse(room.takes(1, false, 200));
-    assertFalse(room.takes(0, true, 200));
+  void cancelledAttemptsOccupyCapacityUntilALaterPartIsAnswered() {
+    limit.recordRejection(4, 100);
+    limit.recordCancelled(150);
+    limit.recordCancelled(160);
+    assertFalse(limit.hasCapacity(1, PartPriority.URGENT, 200));
+    assertFalse(limit.hasCapacity(0, PartPriority.DEFERRABLE, 200));
     assertTrue(
-        room.takes(0, false, 200),
-        "a server that has none is not left idle till they are forgotten");
-    room.answered(155, true, 0, 300);
-    assertEquals(2, taken(false, 300));
-    assertTrue(taken(false, 3000) > 2, "nor for good");
+        limit.hasCapacity(0, PartPriority.URGENT, 200),
+        "an idle server is not left idle until the cancelled attempts expire");
+    limit.recordTimelyAnswer(155, 0);
+    assertEquals(2, capacity(PartPriority.URGENT, 300));
+    assertTrue(capacity(PartPriority.URGENT, 3000) > 2, "cancelled attempts expire");
   }
 }
--- a/src/test/java/bitternpulley/health/WorkEstimateTest.java
+++ b/src/test/java/bitternpulley/health/WorkEstimateTest.java
@@ -5,60 +5,58 @@
 
 import org.junit.jupiter.api.Test;
 
+/** The estimate of work where none is given. */
 class WorkEstimateTest {
-  /**
-   * Guards against a budget that shrinks with load: what waits behind other parts tells nothing of
-   * its work.
-   */
   @Test
-  void loadDoesNotStretchIt() {
+  void loadDoesNotRaiseTheEstimate() {
     WorkEstimate estimate = new WorkEstimate();
-    assertEquals(50, estimate.work(50), "nothing was heard yet");
+    assertEquals(50, estimate.estimate(50), "no answer yet");
     for (int i = 0; i < 200; i++) {
-      estimate.answered(60, false);
-      estimate.answered(18, i % 4 == 0);
+      estimate.recordAnswer(60);
+      if (i % 4 == 0) {
+        estimate.recordSoleRequestAnswer(18);
+      } else {
+        estimate.recordAnswer(18);
+      }
     }
-    assertEquals(18, estimate.work(55), 0.5);
-    estimate.answered(5000, true);
-    assertEquals(18, estimate.work(55), 0.5, "one part that took long by itself hardly counts");
-    assertEquals(15, estimate.work(15), "never more than the usual");
+    assertEquals(18, estimate.estimate(55), 0.5);
+    estimate.recordSoleRequestAnswer(5000);
+    assertEquals(18, estimate.estimate(55), 0.5, "a single slow answer hardly counts");
+    assertEquals(15, estimate.estimate(15), "never more than the baseline");
   }
 
   /**
-   * Guards against a jam that keeps itself up: it stretches what lone parts take, by that cold
-   * servers were given half of what they can do, and the jam grew. Its way out is stated: a jam of
-   * 1,000 lone answers, ten seconds, moves it by a quarter.
+   * An overload of 1,000 sole answers, about ten seconds, raises the estimate by less than a
+   * quarter; a change that lasts is adopted.
    */
   @Test
-  void aJamIsNotLearned() {
+  void overloadHardlyRaisesTheEstimate() {
     WorkEstimate estimate = new WorkEstimate();
     for (int i = 0; i < 100; i++) {
-      estimate.answered(14, true);
+      estimate.recordSoleRequestAnswer(14);
     }
     for (int i = 0; i < 1000; i++) {
-      estimate.answered(60, true);
+      estimate.recordSoleRequestAnswer(60);
     }
-    assertTrue(estimate.work(80) < 14 * 1.25, "a jam changed the work: " + estimate.work(80));
+    assertTrue(
+        estimate.estimate(80) < 14 * 1.25,
+        "overload changed the estimate: " + estimate.estimate(80));
     for (int i = 0; i < 10_000; i++) {
-      estimate.answered(60, true);
+      estimate.recordSoleRequestAnswer(60);
     }
-    assertEquals(60, estimate.work(80), 1, "what lasts is what clients ask for now");
+    assertEquals(60, estimate.estimate(80), 1, "a lasting change is adopted");
   }
 
-  /**
-   * Guards against a budget for parts that are far too small, when the first few answers were quick
-   * by chance.
-   */
   @Test
-  void aFewQuickAnswersAreNotBelieved() {
+  void aFewQuickAnswersDoNotLowerTheEstimate() {
     WorkEstimate estimate = new WorkEstimate();
     for (int i = 0; i < 10; i++) {
-      estimate.answered(i < 2 ? 4 : 20, true);
+      estimate.recordSoleRequestAnswer(i < 2 ? 4 : 20);
     }
-    assertTrue(estimate.work(50) >= 8, "work " + estimate.work(50));
+    assertTrue(estimate.estimate(50) >= 8, "work " + estimate.estimate(50));
     for (int i = 0; i < 60; i++) {
-      estimate.answered(i % 4 == 0 ? 5 : 25, true);
+      estimate.recordSoleRequestAnswer(i % 4 == 0 ? 5 : 25);
     }
-    assertTrue(estimate.work(50) >= 8, "work " + estimate.work(50));
+    assertTrue(estimate.estimate(50) >= 8, "work " + estimate.estimate(50));
   }
 }
