--- a/src/main/java/bitternpulley/health/TenantQuotas.java
+++ b/src/main/java/bitternpulley/health/TenantQuotas.java
@@ -22,7 +22,7 @@
     tenants.forEach(tenant -> requestedPartsByTenant.add(new SlidingWindowSum(WINDOW_MS)));
   }
 
-  /** Records a query of so many parts. */
+  /** Records a query and the number of its parts. */
   public void recordRequest(int tenant, int parts, double now) {
     requestedParts.add(now, parts);
     if (tenant < requestedPartsByTenant.size()) {
--- a/src/main/java/bitternpulley/policy/InFlightLimiter.java
+++ b/src/main/java/bitternpulley/policy/InFlightLimiter.java
@@ -49,15 +49,15 @@
     inFlight -= attempt.isLate() ? 0 : 1;
   }
 
-  /** Whether an attempt that took so many ms is timely for its class. */
+  /** Whether an attempt that took {@code elapsed} ms is timely for its class. */
   boolean isTimely(AttemptState attempt, double elapsed) {
     double latencyObjective = attempt.query().queryClass().latencyObjective();
     return elapsed <= limit.timelyLatency(latencyObjective, latencies.workOf(attempt.part()));
   }
 
   /**
-   * Adjusts the limit to an attempt that took so many ms. Lateness caused by a slow outlier or by a
-   * stall does not count, since fewer parts in flight would not help.
+   * Adjusts the limit to an attempt that took {@code elapsed} ms. Lateness caused by a slow outlier
+   * or by a stall does not count, since fewer parts in flight would not help.
    */
   void adjust(AttemptState attempt, double elapsed) {
     if (isTimely(attempt, elapsed)) {
--- a/src/main/java/bitternpulley/policy/OutlierDetector.java
+++ b/src/main/java/bitternpulley/policy/OutlierDetector.java
@@ -81,7 +81,7 @@
     }
   }
 
-  /** Records an attempt that was cancelled or timed out after so many ms. */
+  /** Records an attempt that was cancelled or timed out after {@code elapsed} ms. */
   void recordUnanswered(AttemptState attempt, double elapsed, double now) {
     TrackedServer server = attempt.server();
     if (elapsed <= unresponsiveAfter(server)) {
--- a/src/main/java/bitternpulley/policy/PartState.java
+++ b/src/main/java/bitternpulley/policy/PartState.java
@@ -91,7 +91,7 @@
     availableAt = time;
   }
 
-  /** Starts the next attempt, which is expected to take so many ms. */
+  /** Starts the next attempt, given its expected latency in ms. */
   AttemptState startAttempt(TrackedServer server, double now, double expectedLatency) {
     AttemptState attempt = new AttemptState(this, server, attempts.size(), now);
     attempts.add(attempt);
@@ -131,11 +131,11 @@
 
   /** The latest attempt in flight; there must be one. */
   AttemptState lastInFlight() {
-    int i = attempts.size() - 1;
-    while (!attempts.get(i).isInFlight()) {
-      i--;
+    int number = attempts.size() - 1;
+    while (!attempts.get(number).isInFlight()) {
+      number--;
     }
-    return attempts.get(i);
+    return attempts.get(number);
   }
 
   /** Whether an attempt was ever sent to this server. */
--- a/src/main/java/bitternpulley/policy/QueryCompletion.java
+++ b/src/main/java/bitternpulley/policy/QueryCompletion.java
@@ -88,7 +88,7 @@
   }
 
   private void endStep(QueryState query, boolean isComplete, Router.Actions out) {
-    if (!query.hasFurtherStep()) {
+    if (!query.hasSecondStepAhead()) {
       end(query, out);
       return;
     }
--- a/src/main/java/bitternpulley/policy/QueryState.java
+++ b/src/main/java/bitternpulley/policy/QueryState.java
@@ -141,7 +141,7 @@
   }
 
   /** Whether a second step follows the current one. */
-  boolean hasFurtherStep() {
+  boolean hasSecondStepAhead() {
     return isFirstStep && queryClass.secondStepParts() > 0;
   }
 
--- a/src/main/java/bitternpulley/policy/RetryPolicy.java
+++ b/src/main/java/bitternpulley/policy/RetryPolicy.java
@@ -28,7 +28,7 @@
   }
 
   private boolean mayAttemptAgain(PartState part, double now) {
-    return !mayCrashFurtherServer(part.query())
+    return !mayCrashAnotherServer(part.query())
         && !isUnattainable(part, now)
         && part.attemptCount() < settings.limits().maxAttempts()
         && now + latencies.baseline() <= part.query().answerDeadline();
@@ -39,7 +39,7 @@
    * query with a connection reset and no answer, one part at a time is sent again; if its
    * connection is reset as well, the query is the common cause.
    */
-  private static boolean mayCrashFurtherServer(QueryState query) {
+  private static boolean mayCrashAnotherServer(QueryState query) {
     return query.hasConnectionReset() && query.arrivedWeight() <= 0 && hasAttemptInFlight(query);
   }
 
--- a/src/main/java/bitternpulley/policy/WaitTimePolicy.java
+++ b/src/main/java/bitternpulley/policy/WaitTimePolicy.java
@@ -67,7 +67,7 @@
 
   /** Begins the current step of a query and sets its base wait T*. */
   void startStep(QueryState query, double now) {
-    double reserved = query.hasFurtherStep() ? SECOND_STEP_MULTIPLE * latencies.baseline() : 0;
+    double reserved = query.hasSecondStepAhead() ? SECOND_STEP_MULTIPLE * latencies.baseline() : 0;
     query.startStep(now, Math.max(query.objectiveDeadline() - reserved, now));
     query.waitUntil(query.stepStartedAt() + baseWait(query, now));
   }
--- a/src/main/java/bitternpulley/routing/Router.java
+++ b/src/main/java/bitternpulley/routing/Router.java
@@ -4,21 +4,30 @@
 import java.util.OptionalDouble;
 
 /**
- * The decisions of one front node: events in, {@link Actions} out. Every event carries the clock in
- * milliseconds; events that came together are closed by {@link #completeBatch}. An implementation
- * keeps no state outside itself.
+ * The decisions of one aggregator instance: events in, {@link Actions} out. Every event carries the
+ * time in ms of the caller's clock, which never decreases. Events that arrive together are a batch,
+ * which {@link #completeBatch} ends. An implementation keeps no state outside itself, so the same
+ * events give the same actions.
  */
 public interface Router {
 
   /** How an attempt ended, and whether that proves that the part never ran. */
   enum Outcome {
+    /** The server answered the part. */
     OK(false),
+    /** The server reported that the part failed. */
     ERROR(false),
+    /** The server's queue was full. */
     REJECTED(true),
+    /** No outcome arrived within the timeout of the attempt. */
     TIMEOUT(false),
+    /** No connection could be established. */
     UNREACHABLE(true),
+    /** The connection ended before the answer. */
     RESET(false),
+    /** The attempt was cancelled. */
     CANCELLED(false),
+    /** The attempt never left this instance. */
     NOT_SENT(true);
 
     private final boolean neverRan;
@@ -34,46 +43,67 @@
   }
 
   /**
-   * Which other process of the same instance runs at the same time, with which this one shares all
-   * limits.
+   * The other process of the same instance that runs during a hot restart. Both share the listening
+   * socket and all limits.
    */
   enum HotRestartRole {
+    /** No other process runs. */
     NONE,
+    /** The other process is the older one, which leaves. */
     PREDECESSOR,
+    /** The other process is the newer one, which takes over. */
     SUCCESSOR
   }
 
-  /** What discovery says of a server. */
+  /** The state of a server in the endpoint list. */
   enum ServerState {
+    /** It accepts parts. */
     LIVE,
+    /** It finishes the parts it has and accepts no more. */
     DRAINING,
+    /** It is not in service. */
     GONE
   }
 
-  /** How a list of servers is to be read. */
+  /** How an endpoint list is to be applied. */
   enum ListKind {
+    /** It holds only the servers that changed. */
     CHANGES,
+    /** It holds all servers. */
     COMPLETE,
+    /** It holds all servers as a previous process stored them. */
     REMEMBERED,
+    /** It could not be read, and is empty. */
     FAILED
   }
 
-  /** One server of a list; {@code startedAt} 0 means long ago. */
+  /**
+   * One server of an endpoint list.
+   *
+   * @param server its id
+   * @param cell the cell whose shards it holds
+   * @param startedAt when its process started; 0 means long ago
+   */
   record Endpoint(String server, int zone, int cell, ServerState state, double startedAt) {}
 
   /**
-   * How late the instance itself was with a query: ms for which its bytes may have lain unread, and
-   * by which the instance's turns came late of late, which its answer may meet as well.
+   * By how much this instance itself delayed a query.
+   *
+   * @param unreadFor ms for which its bytes may have been unread
+   * @param loopLag recent delay in ms of the event loop, which the answer may meet as well
    */
   record Lateness(double unreadFor, double loopLag) {
+    /** No delay. */
     public static final Lateness NONE = new Lateness(0, 0);
 
-    /** Share of a client's time that is kept for turns which come late, however late they came. */
+    /** Largest share of a client's timeout that is reserved for the delay of the event loop. */
     private static final double MAX_LOOP_LAG_SHARE = 0.125;
 
     /**
-     * Of the ms that a client said it would wait, those until its answer has to leave; {@code lead}
-     * of them at least are for its way.
+     * Ms until the answer has to leave.
+     *
+     * @param clientTimeout ms for which the client waits from when it sent the query
+     * @param minimumLead ms reserved at least for the answer's way to the client
      */
     public double timeLeft(double clientTimeout, double minimumLead) {
       return clientTimeout
@@ -82,7 +112,18 @@
     }
   }
 
-  /** A query taken; its parts follow under the same number. */
+  /**
+   * A query received; its parts follow with the same number.
+   *
+   * @param id identifies it in actions and client events
+   * @param number identifies it in its parts
+   * @param queryClass index of its class in the settings
+   * @param parts how many parts its first step has
+   * @param estimatedWork the work of all its parts in ms, or 0 where unknown
+   * @param retry whether the client marked it as a retry
+   * @param timeLeft ms for which the client waits
+   * @param tenant index of its tenant in the settings
+   */
   record Query(
       long id,
       long number,
@@ -95,13 +136,13 @@
       Terms terms,
       Lateness lateness) {
 
-    /** A query on its class's own terms. */
+    /** A query on the terms of its class, without delay. */
     public Query(
         long id,
         long number,
         int queryClass,
         int parts,
-        double work,
+        double estimatedWork,
         boolean retry,
         double timeLeft,
         int tenant) {
@@ -110,7 +151,7 @@
           number,
           queryClass,
           parts,
-          work,
+          estimatedWork,
           retry,
           timeLeft,
           tenant,
@@ -120,23 +161,28 @@
   }
 
   /**
-   * What is asked for beside the class: nothing but the whole, or a time of its own that tells of
-   * no retry, by the client; and what its team's contract says of the class, or null.
+   * Requirements of a query in addition to those of its class.
+   *
+   * @param completeOnly whether the client accepts no partial answer
+   * @param clientSetTimeout whether the client chose its timeout, which then does not show whether
+   *     the query is a retry
+   * @param contract the class as the tenant's contract modifies it, or null
    */
   record Terms(boolean completeOnly, boolean clientSetTimeout, ClassTerms contract) {
+    /** Those of the class only. */
     public static final Terms CLASS_DEFAULT = new Terms(false, false);
 
     /** Terms without a contract. */
-    public Terms(boolean wholeOnly, boolean ownTime) {
-      this(wholeOnly, ownTime, null);
+    public Terms(boolean completeOnly, boolean clientSetTimeout) {
+      this(completeOnly, clientSetTimeout, null);
     }
 
-    /** The same under a contract. */
+    /** The same terms under a contract. */
     public Terms underContract(ClassTerms contractTerms) {
       return new Terms(completeOnly, clientSetTimeout, contractTerms);
     }
 
-    /** The class as these terms have it. */
+    /** The class as these terms modify it. */
     public Settings.QueryClass applyTo(Settings.QueryClass configured) {
       Settings.QueryClass queryClass =
           contract == null ? configured : configured.underContract(contract);
@@ -145,99 +191,120 @@
   }
 
   /**
-   * What a contract says of a class: times in ms, the least share of the weight, the worth; never
-   * laxer than the site's.
+   * A contract's terms for a class, at least as strict as those of the site.
+   *
+   * @param latencyObjective in ms
+   * @param deadline in ms
+   * @param minimumShare least share of the weight of a partial answer
+   * @param priorityWeight importance relative to other classes
    */
   record ClassTerms(
       double latencyObjective, double deadline, double minimumShare, double priorityWeight) {}
 
-  /** A part of a query's current step. */
+  /**
+   * A part of a query's current step.
+   *
+   * @param id identifies it in actions and outcomes
+   * @param number that of its query
+   * @param weight its share of the complete answer
+   * @param estimatedWork its work in ms, or 0 where unknown
+   */
   record Part(long id, long number, int shard, double weight, double estimatedWork) {}
 
-  /** The one end of an attempt, {@code elapsed} ms after it was sent. */
+  /**
+   * The end of an attempt, of which there is exactly one.
+   *
+   * @param part id of the part
+   * @param attempt number among the attempts of the part, from 0
+   * @param elapsed ms since it was sent
+   */
   record AttemptEnded(long part, int attempt, String server, Outcome outcome, double elapsed) {}
 
-  /** What a router may do; carried out in the order of the calls. */
+  /** What a router may do; the caller carries it out in the order of the calls. */
   interface Actions {
-    /** Starts the next attempt of a part; no outcome within {@code timeout} ends it. */
+    /** Starts the next attempt of a part; without an outcome it ends after {@code timeout} ms. */
     void send(long part, String server, double timeout);
 
-    /** Ceases to wait for an attempt. */
+    /** Cancels an attempt that is in flight. */
     void cancel(long part, int attempt);
 
     /**
-     * Answers a query from the parts that are in: its final answer, or the end of its first step.
+     * Answers a query from the parts that have arrived: its final answer, or that of its first step
+     * where the class has a second one.
      */
     void answer(long query, boolean complete);
 
-    /** Refuses a query: trying again is harmless, best after {@code pause}. */
+    /** Rejects a query: a retry is harmless, best after {@code retryAfter} ms. */
     void reject(long query, double retryAfter);
 
-    /** Fails a query: nothing is promised. */
+    /** Fails a query, of which parts may have run. */
     void fail(long query);
 
-    /** Asks for {@link #onAlarm} at a time. */
+    /** Requests {@link #onAlarm} at a time. */
     void scheduleAlarm(double time, String token);
 
-    /** Asks discovery for changes from now on. */
+    /** Requests changes of the endpoint list from discovery. */
     void watchEndpoints();
 
-    /** Closes the idle connections to a server, so that the next part goes over a fresh one. */
+    /** Closes the idle connections to a server, so that the next part opens a new one. */
     void closeIdleConnections(String server);
 
-    /** Adds a line to the report. */
+    /** Adds a line to the log. */
     void log(String text);
   }
 
-  /** The list of servers, or a change to it, or the news that asking for it failed. */
+  /** The endpoint list or a change to it arrived, or a request for it failed. */
   void onServersChanged(ListKind kind, List<Endpoint> entries, double now, Actions out);
 
-  /** An operator has let a server back in: nobody knows what it went through meanwhile. */
+  /** An operator readmitted a server, which may have restarted in the meantime. */
   default void onServerReadmitted(Endpoint server, double now, Actions out) {
     onServersChanged(ListKind.CHANGES, List.of(server), now, out);
   }
 
-  /** Another process of this instance runs beside this one from now on, or none does any more. */
+  /** Another process of this instance runs from now on, or no longer does. */
   default void onHotRestart(HotRestartRole role) {}
 
-  /**
-   * This instance's part of what all may do together at a time, in parts of an even one by the
-   * number configured: more than 1 where fewer may act, 0 where this one may not.
-   */
+  /** This instance's quota of what all instances may do together. */
   interface QuotaShare {
-    /** As configured. */
+    /** An even quota by the number of instances configured. */
     QuotaShare EVEN = now -> 1;
 
+    /**
+     * The quota at a time, as a multiple of an even one: more than 1 where fewer instances may act,
+     * 0 where this one may not.
+     */
     double at(double now);
   }
 
-  /** This instance's part goes by so from now on; {@link QuotaShare#EVEN} at first. */
+  /** Sets this instance's quota, which is {@link QuotaShare#EVEN} at first. */
   default void useQuota(QuotaShare share) {}
 
   /**
-   * Whether a query is turned away unseen, since so many queries and parts that are not in are held
-   * already: the pause its client is advised, or empty where there is room. As in the simulator,
-   * what is held goes beyond the limit by one query at most.
+   * Whether a query is rejected unread, since too many queries and parts are pending. The limit is
+   * exceeded by at most one query.
+   *
+   * @param pending queries that are not finished, plus their parts that have not arrived
+   * @return the delay in ms advised to the client, or empty where there is capacity
    */
   default OptionalDouble rejectionDelay(int pending) {
     return OptionalDouble.empty();
   }
 
-  /** A query arrives. */
+  /** A query arrived. */
   void onQuery(Query query, double now, Actions out);
 
-  /** A part of a query arrives, right after it or after the answer to its first step. */
+  /** A part of a query arrived, right after it or after the answer to its first step. */
   void onPart(Part part, double now, Actions out);
 
-  /** An attempt has ended. */
+  /** An attempt ended. */
   void onAttemptEnded(AttemptEnded ended, double now, Actions out);
 
-  /** The client has left, or waits no longer. */
+  /** The client disconnected or its timeout has passed. */
   void onClientDisconnected(long query, double now, Actions out);
 
   /** An alarm is due. */
   void onAlarm(String token, double now, Actions out);
 
-  /** All that happened at this time has been told. */
+  /** All events of a batch have been delivered. */
   void completeBatch(double now, Actions out);
 }
