--- a/src/main/java/bitternpulley/routing/Settings.java
+++ b/src/main/java/bitternpulley/routing/Settings.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The settings of an instance, which its site states at its start. Optional figures that are absent
- * are 0 and switch off what they govern.
+ * The settings of an instance, which its site states at its start. An optional figure that is
+ * absent switches off what it governs.
  *
  * @param self number of this instance, from 0
  * @param instances how many instances the site has
@@ -12,7 +12,7 @@
  * @param tick resolution of the caller's clock and alarms in ms
  * @param endpointsOnRequest whether the endpoint list is sent on request only
  * @param overQuotaWeight factor on the priority weight of tenants above their quota
- * @param weightByWork whether the priority weight of a query is per unit of work
+ * @param weightByWork whether the payoff of a query grows with its work, not by query
  */
 public record Settings(
     int self,
@@ -76,7 +76,7 @@
    * @param deadline when the client stops waiting
    * @param latePriorityWeight payoff of a complete answer after the objective, as a share
    * @param idempotencyWindow ms within which an idempotency key is valid
-   * @param stream whether answers are streamed
+   * @param stream as the settings state it; nothing depends on it
    * @param minimumShare least weight of a partial answer
    * @param completeShare least weight of a complete answer to the first step
    * @param partialPriorityWeight payoff of a partial answer, as a share at full weight
--- a/src/test/java/bitternpulley/policy/SourceLimitsTest.java
+++ b/src/test/java/bitternpulley/policy/SourceLimitsTest.java
@@ -1,32 +1,75 @@
 package bitternpulley.policy;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Locale;
+import java.util.regex.Pattern;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Limits on the text of the routing policy. */
+/** Limits on the source files of the routing policy. */
 class SourceLimitsTest {
-  private static final Path POLICY =
-      Path.of("src/main/java/bitternpulley/policy/RoutingPolicy.java");
+  private static final Path PACKAGE = Path.of("src/main/java/bitternpulley/policy");
+  private static final Path DEPLOYMENT = Path.of("deploy/balancer.toml");
+  private static final int MAX_LINES = 400;
+  private static final int MAX_COLUMNS = 100;
+  private static final Pattern POLICY_LINE =
+      Pattern.compile("^policy = \\[(.*)]$", Pattern.MULTILINE);
+  private static final Pattern QUOTED = Pattern.compile("\"([^\"]*)\"");
+
+  private static List<Path> sources() throws IOException {
+    try (Stream<Path> files = Files.walk(PACKAGE)) {
+      List<Path> sources = files.filter(Files::isRegularFile).sorted().toList();
+      assertFalse(sources.isEmpty(), "no files in " + PACKAGE);
+      return sources;
+    }
+  }
+
+  @Test
+  void everyFileIsShort() throws IOException {
+    for (Path source : sources()) {
+      int lines = Files.readAllLines(source).size();
+      assertTrue(lines <= MAX_LINES, source + " has " + lines + " lines");
+    }
+  }
+
+  @Test
+  void everyLineIsShort() throws IOException {
+    for (Path source : sources()) {
+      for (String line : Files.readAllLines(source)) {
+        assertTrue(line.length() <= MAX_COLUMNS, "too long in " + source + ": " + line);
+      }
+    }
+  }
 
   @Test
-  void policyStaysReadable() throws IOException {
-    List<String> lines = Files.readAllLines(POLICY);
-    long count = lines.stream().filter(l -> !l.isBlank()).count();
-    assertTrue(count <= 1100, "Policy has " + count + " lines");
-    lines.forEach(l -> assertTrue(l.length() <= 110, "too long: " + l));
+  void noFileMentionsTheSimulatorOrJackson() throws IOException {
+    for (Path source : sources()) {
+      String text = Files.readString(source).toLowerCase(Locale.ROOT);
+      assertFalse(text.contains("simulator"), source + " mentions the simulator");
+      assertFalse(text.contains("jackson"), source + " mentions Jackson");
+    }
   }
 
   @Test
-  void policyKnowsNothingOfTheAdapter() throws IOException {
-    String text = Files.readString(POLICY);
-    assertTrue(!text.contains("simulator") && !text.contains("jackson"));
-    assertTrue(
-        Files.readString(Path.of("deploy/balancer.toml"))
-            .contains("policy = [\"src/main/java/bitternpulley/policy/RoutingPolicy.java\""));
+  void theDeploymentListsExactlyThePackage() throws IOException {
+    List<String> lists =
+        POLICY_LINE
+            .matcher(Files.readString(DEPLOYMENT))
+            .results()
+            .map(match -> match.group(1))
+            .toList();
+    assertEquals(1, lists.size(), "policy lines in " + DEPLOYMENT);
+    List<String> listed =
+        QUOTED.matcher(lists.get(0)).results().map(match -> match.group(1)).sorted().toList();
+    List<String> existing =
+        sources().stream().map(source -> source.toString().replace('\\', '/')).sorted().toList();
+    assertEquals(existing, listed);
   }
 }
