--- a/src/main/java/bitternpulley/admin/OverridesFile.java
+++ b/src/main/java/bitternpulley/admin/OverridesFile.java
@@ -166,7 +166,7 @@
       unreadableLogged = true;
       LOG.log(
           Level.WARNING,
-          "the file of operators' orders cannot be used, what stood before stays: " + reason);
+          "Cannot read operator overrides, the previous ones stay in force: " + reason);
     }
     return current;
   }
--- a/src/main/java/bitternpulley/aggregator/ActiveBrokerConfiguration.java
+++ b/src/main/java/bitternpulley/aggregator/ActiveBrokerConfiguration.java
@@ -53,9 +53,9 @@
     broker.submit(new Event.ContractsActivated(next.contracts().withVersion(version)));
     LOG.log(
         Level.INFO,
-        "contracts of version "
+        "Contracts activated: version "
             + version
-            + " are in force: "
+            + ", contracts: "
             + next.contracts().contracts().size());
   }
 }
--- a/src/main/java/bitternpulley/aggregator/Aggregator.java
+++ b/src/main/java/bitternpulley/aggregator/Aggregator.java
@@ -92,9 +92,8 @@
     if (!ProcessSignal.HUP.onReceive(() -> aggregator.reload.start(ReloadObserver.NONE))) {
       LOG.log(
           Level.WARNING,
-          "SIGHUP is ignored, as whoever started this program (nohup, a service manager) had it"
-              + " ignored, and the JVM leaves it so: reload by signal is off; call 'reload' at the"
-              + " operators' admin endpoint instead");
+          "SIGHUP is ignored because the parent process had it ignored; call 'reload' at the admin"
+              + " endpoint instead");
     }
   }
 
--- a/src/main/java/bitternpulley/aggregator/GracefulShutdown.java
+++ b/src/main/java/bitternpulley/aggregator/GracefulShutdown.java
@@ -72,7 +72,7 @@
     if (!state.startDraining()) {
       return;
     }
-    LOG.log(Level.INFO, "draining");
+    LOG.log(Level.INFO, "Draining: graceful shutdown started");
     fronts.drain();
     membership.leave();
     if (context.site().operations().passedSocket()) {
--- a/src/main/java/bitternpulley/gossip/GossipService.java
+++ b/src/main/java/bitternpulley/gossip/GossipService.java
@@ -97,9 +97,12 @@
               GossipCodec.MAX_DATAGRAM_BYTES,
               this::onDatagram);
     } catch (IOException failure) {
-      logOnce(
-          BIND_FAILURE_KEY,
-          "Membership waits for its address, which another process holds: " + failure.getMessage());
+      if (firstLogOf(BIND_FAILURE_KEY)) {
+        LOG.log(
+            Level.WARNING,
+            "Membership waits for its address, which another process holds: "
+                + failure.getMessage());
+      }
       var unused = loop.after(BIND_RETRY_MS, this::start);
       return;
     }
@@ -179,20 +182,20 @@
 
   private void ignore(InetSocketAddress from, String defect) {
     ignoredDatagrams++;
-    logOnce(
-        from.toString(),
-        "Ignoring datagrams from "
-            + from
-            + ": "
-            + defect
-            + " ("
-            + ignoredDatagrams
-            + " datagrams ignored so far)");
+    if (firstLogOf(from.toString())) {
+      LOG.log(
+          Level.WARNING,
+          "Ignoring datagrams from "
+              + from
+              + ": "
+              + defect
+              + ", ignored so far: "
+              + ignoredDatagrams);
+    }
   }
 
-  private void logOnce(String key, String text) {
-    if (loggedKeys.size() < MAX_LOGGED_KEYS && loggedKeys.add(key)) {
-      LOG.log(Level.WARNING, text);
-    }
+  /** Whether nothing was logged under this key; a peer that goes on must not fill the log. */
+  private boolean firstLogOf(String key) {
+    return loggedKeys.size() < MAX_LOGGED_KEYS && loggedKeys.add(key);
   }
 }
--- a/src/test/java/bitternpulley/process/ContractsProcessTest.java
+++ b/src/test/java/bitternpulley/process/ContractsProcessTest.java
@@ -108,7 +108,7 @@
     String refused = d.order("reload");
     assertTrue(refused.startsWith("400") && refused.contains("'contracts.1.share'"), refused);
     assertEquals(d.ask("slot-search", "still", 0, 1, 2).status(), 200);
-    assertTrue(d.output.stream().anyMatch(l -> l.contains("contracts of version 2 are in force")));
+    assertTrue(d.output.stream().anyMatch(l -> l.contains("Contracts activated: version 2, ")));
   }
 
   /** A query that is open when its contract changes keeps its one final answer. */
--- a/src/test/java/bitternpulley/process/OperatorsProcessTest.java
+++ b/src/test/java/bitternpulley/process/OperatorsProcessTest.java
@@ -92,7 +92,8 @@
     d.process.destroyForcibly().waitFor();
     d.startAndAwaitReady();
     Deployment.await(
-        "it is logged", () -> d.output.stream().anyMatch(l -> l.contains("orders cannot be used")));
+        "it is logged",
+        () -> d.output.stream().anyMatch(l -> l.contains("Cannot read operator overrides")));
     d.servers.get(1).drainingSince = 0;
     d.mustOrder("cordon s2");
     assertEquals(Files.readString(d.folder().resolve("bitternpulley-orders")), "cordoned s2\n");
@@ -204,7 +205,9 @@
       assertEquals(status("after", 0, 3), 200);
       assertEquals(d.servers.get(1).heads.size(), 0);
       assertEquals(d.servers.get(4).heads.size(), before);
-      assertTrue(d.output.stream().anyMatch(l -> l.contains("draining")), "the log goes on");
+      assertTrue(
+          d.output.stream().anyMatch(l -> l.contains("Draining: graceful shutdown started")),
+          "the log goes on");
     }
   }
 
