--- a/src/main/java/bitternpulley/platform/RecentNames.java
+++ b/src/main/java/bitternpulley/platform/BoundedRecentSet.java
@@ -4,11 +4,11 @@
 import java.util.Set;
 
 /** The newest of the names that were noted, up to a bound; the oldest is forgotten first. */
-final class RecentNames {
+final class BoundedRecentSet {
   private final int most;
   private final Set<String> names = new LinkedHashSet<>();
 
-  RecentNames(int most) {
+  BoundedRecentSet(int most) {
     this.most = most;
   }
 
--- a/src/main/java/bitternpulley/platform/Discovery.java
+++ b/src/main/java/bitternpulley/platform/Discovery.java
@@ -119,9 +119,9 @@
     }
   }
 
-  private final class Watch implements Connection.Owner, HttpParser.Sink, JsonTexts.Sink {
+  private final class Watch implements Connection.Owner, HttpParser.Sink, JsonObjectStream.Sink {
     private final HttpParser parser = new HttpParser(true, Long.MAX_VALUE, this);
-    private final JsonTexts texts = new JsonTexts(this);
+    private final JsonObjectStream texts = new JsonObjectStream(this);
     private Connection connection;
     private boolean answered;
     private boolean spoke;
--- a/src/main/java/bitternpulley/platform/JsonTexts.java
+++ b/src/main/java/bitternpulley/platform/JsonObjectStream.java
@@ -9,7 +9,7 @@
  * may be indented over several lines, and come in any pieces. Between objects there is white space
  * only, whose line ends are told as well.
  */
-final class JsonTexts {
+final class JsonObjectStream {
   private static final int MOST = 1 << 20;
 
   /** What is found. */
@@ -26,7 +26,7 @@
   private boolean inString;
   private boolean escaped;
 
-  JsonTexts(Sink sink) {
+  JsonObjectStream(Sink sink) {
     this.sink = sink;
   }
 
--- a/src/main/java/bitternpulley/platform/Rehearsal.java
+++ b/src/main/java/bitternpulley/platform/Rehearsal.java
@@ -221,8 +221,8 @@
 
   private void end(Effect.StartAttempt attempt) {
     attempts++;
-    String id = Frames.partId(attempt);
-    Frames.call(List.of(Frames.callLine(attempt, id)));
+    String id = SlotFrames.partId(attempt);
+    SlotFrames.call(List.of(SlotFrames.callLine(attempt, id)));
     if (attempts % SILENT == 0) {
       return;
     }
@@ -234,7 +234,7 @@
         .read(
             frame,
             f -> {
-              Frames.Answer answer = Frames.answer(f.rest());
+              SlotFrames.Answer answer = SlotFrames.answer(f.rest());
               broker.submit(new Event.AttemptEnded(attempt.id(), answer.outcome(), answer.value()));
             });
   }
@@ -246,7 +246,7 @@
 
   @Override
   public void cancel(Effect.CancelAttempt attempt) {
-    Frames.giveUp(String.valueOf(attempt.id().part()));
+    SlotFrames.giveUp(String.valueOf(attempt.id().part()));
     broker.submit(new Event.AttemptCancelled(attempt.id()));
   }
 
--- a/src/main/java/bitternpulley/platform/SlotConnection.java
+++ b/src/main/java/bitternpulley/platform/SlotConnection.java
@@ -72,10 +72,10 @@
    * Guards against a late answer to an attempt given up that is taken for one to the next: both
    * bear the part's id, so the next goes over another connection. Bounded by forgetting the oldest.
    */
-  private final RecentNames givenUp = new RecentNames(MOST_GIVEN_UP);
+  private final BoundedRecentSet givenUp = new BoundedRecentSet(MOST_GIVEN_UP);
 
   /** Parts answered of late, by which a second copy of an answer is known for one. */
-  private final RecentNames answered = new RecentNames(MOST_ANSWERED);
+  private final BoundedRecentSet answered = new BoundedRecentSet(MOST_ANSWERED);
 
   private final Connection connection;
   private boolean up;
@@ -170,8 +170,8 @@
   void call(List<Effect.StartAttempt> attempts) {
     Call call = new Call();
     for (Effect.StartAttempt a : attempts) {
-      String id = Frames.partId(a);
-      PartCall part = new PartCall(call, a, id, Frames.callLine(a, id));
+      String id = SlotFrames.partId(a);
+      PartCall part = new PartCall(call, a, id, SlotFrames.callLine(a, id));
       call.parts.put(a.id(), part);
       parts.put(a.id(), part);
       byId.put(id, a.id());
@@ -184,7 +184,7 @@
 
   private void write(Call call) {
     call.heard = heard;
-    call.frame = Frames.call(call.parts.values().stream().map(PartCall::line).toList());
+    call.frame = SlotFrames.call(call.parts.values().stream().map(PartCall::line).toList());
     connection.write(call.frame, () -> call.written = true);
   }
 
@@ -240,7 +240,7 @@
     // this word, which is
     // under way for a while.
     connection.write(
-        Frames.giveUp(part.id()),
+        SlotFrames.giveUp(part.id()),
         () ->
             loop.after(
                 way,
@@ -344,7 +344,7 @@
     frames++;
     switch (frame.letter()) {
       case '5' -> {
-        Frames.Answer answer = Frames.answer(frame.rest());
+        SlotFrames.Answer answer = SlotFrames.answer(frame.rest());
         AttemptId attempt = byId.get(answer.id());
         if (attempt != null) {
           remove(attempt);
@@ -390,7 +390,7 @@
         remaining.size() == 1 ? remaining.get(0) : named.size() == 1 ? named.get(0) : null;
     if (remaining.isEmpty() && !ended.isEmpty()) {
       Event.AttemptEnded last = ended.remove(ended.size() - 1);
-      boolean cut = last.outcome() == Outcome.OK && !Frames.stands((PartValue) last.value());
+      boolean cut = last.outcome() == Outcome.OK && !SlotFrames.stands((PartValue) last.value());
       ended.add(cut ? new Event.AttemptEnded(last.attempt(), Outcome.ERROR, null) : last);
     }
     for (AttemptId a : remaining) {
--- a/src/main/java/bitternpulley/platform/Frames.java
+++ b/src/main/java/bitternpulley/platform/SlotFrames.java
@@ -11,11 +11,11 @@
 import java.util.regex.Pattern;
 
 /** What stands in the frames to and from slot servers: each encoded and decoded here, once. */
-final class Frames {
+final class SlotFrames {
   /** The protocol's form of a value. */
   private static final Pattern WHOLE = Pattern.compile("[0-9a-f]{16}");
 
-  private Frames() {}
+  private SlotFrames() {}
 
   /** One answer: the part's id, how the attempt ended, and the value where it was served. */
   record Answer(String id, Outcome outcome, PartValue value) {}
--- a/src/main/java/bitternpulley/platform/SlotServers.java
+++ b/src/main/java/bitternpulley/platform/SlotServers.java
@@ -161,11 +161,11 @@
   public void startCall(List<Effect.StartAttempt> attempts) {
     String server = attempts.get(0).server();
     HostPort at = addresses.get(server);
-    boolean fits = attempts.size() == 1 || Frames.fitOneCall(attempts);
+    boolean fits = attempts.size() == 1 || SlotFrames.fitOneCall(attempts);
     SlotConnection link =
         at == null || !fits
             ? null
-            : link(server, at, attempts.stream().map(Frames::partId).toList());
+            : link(server, at, attempts.stream().map(SlotFrames::partId).toList());
     if (link != null) {
       attempts.forEach(a -> out.put(a.id(), link));
       link.call(attempts);
