--- a/src/main/java/bitternpulley/platform/BoundedRecentSet.java
+++ b/src/main/java/bitternpulley/platform/BoundedRecentSet.java
@@ -3,18 +3,19 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The newest of the names that were noted, up to a bound; the oldest is forgotten first. */
+/** The most recently added names, up to a bound; the oldest is dropped first. */
 final class BoundedRecentSet {
-  private final int most;
+  private final int capacity;
   private final Set<String> names = new LinkedHashSet<>();
 
-  BoundedRecentSet(int most) {
-    this.most = most;
+  BoundedRecentSet(int capacity) {
+    this.capacity = capacity;
   }
 
+  /** Adds a name. One that is present keeps its age. */
   void add(String name) {
     names.add(name);
-    if (names.size() > most) {
+    if (names.size() > capacity) {
       names.remove(names.iterator().next());
     }
   }
@@ -23,7 +24,7 @@
     return names.contains(name);
   }
 
-  /** Forgets a name; false where it was not known. */
+  /** Removes a name; returns false where it was not present. */
   boolean remove(String name) {
     return names.remove(name);
   }
--- a/src/main/java/bitternpulley/platform/JsonObjectStream.java
+++ b/src/main/java/bitternpulley/platform/JsonObjectStream.java
@@ -5,19 +5,20 @@
 import java.nio.ByteBuffer;
 
 /**
- * Cuts a stream of bytes into the JSON objects that it holds, wherever their lines end: an object
- * may be indented over several lines, and come in any pieces. Between objects there is white space
- * only, whose line ends are told as well.
+ * Splits a stream of bytes into the JSON objects that it holds. Line ends do not matter: an object
+ * may span several lines and arrive in pieces of any size. Between objects only white space is
+ * allowed, whose line ends are reported as signs of life.
  */
 final class JsonObjectStream {
-  private static final int MOST = 1 << 20;
+  private static final int MAX_OBJECT_BYTES = 1 << 20;
 
-  /** What is found. */
+  /** Receives what the stream holds, in order. */
   interface Sink {
+    /** A complete object, in the bytes received. */
     void object(byte[] text);
 
-    /** A line end between objects: the stream is alive. */
-    void blank();
+    /** A line end between objects: the sender is alive. */
+    void blankLine();
   }
 
   private final Sink sink;
@@ -30,48 +31,49 @@
     this.sink = sink;
   }
 
-  void read(ByteBuffer piece) {
-    while (piece.hasRemaining()) {
-      byte b = piece.get();
+  /** Reads further bytes; throws HttpException where the stream holds anything but objects. */
+  void read(ByteBuffer bytes) {
+    while (bytes.hasRemaining()) {
+      byte next = bytes.get();
       if (depth == 0) {
-        between(b);
+        readBetweenObjects(next);
       } else {
-        within(b);
+        readWithinObject(next);
       }
     }
   }
 
-  private void between(byte b) {
-    if (b == '{') {
+  private void readBetweenObjects(byte next) {
+    if (next == '{') {
       depth = 1;
-      text.write(b);
-    } else if (b == '\n') {
-      sink.blank();
-    } else if (b != ' ' && b != '\t' && b != '\r') {
-      throw new HttpException(502, "something other than an object");
+      text.write(next);
+    } else if (next == '\n') {
+      sink.blankLine();
+    } else if (next != ' ' && next != '\t' && next != '\r') {
+      throw new HttpException(502, "the stream holds something other than an object");
     }
   }
 
   /**
-   * Brackets of lists need no count: they close where the objects round them do, or the text is
-   * none that can be read.
+   * Only braces are counted: in valid JSON the brackets of a list are closed before those of the
+   * object around it, and the parser rejects all other texts.
    */
-  private void within(byte b) {
-    if (text.size() >= MOST) {
-      throw new HttpException(502, "a list holds at most " + MOST + " bytes");
+  private void readWithinObject(byte next) {
+    if (text.size() >= MAX_OBJECT_BYTES) {
+      throw new HttpException(502, "an object has more than " + MAX_OBJECT_BYTES + " bytes");
     }
-    text.write(b);
+    text.write(next);
     if (inString) {
-      inString = escaped || b != '"';
-      escaped = !escaped && b == '\\';
-    } else if (b == '"') {
+      inString = escaped || next != '"';
+      escaped = !escaped && next == '\\';
+    } else if (next == '"') {
       inString = true;
-    } else if (b == '{') {
+    } else if (next == '{') {
       depth++;
-    } else if (b == '}' && --depth == 0) {
-      byte[] whole = text.toByteArray();
+    } else if (next == '}' && --depth == 0) {
+      byte[] object = text.toByteArray();
       text = new ByteArrayOutputStream();
-      sink.object(whole);
+      sink.object(object);
     }
   }
 }
--- a/src/main/java/bitternpulley/platform/Preparation.java
+++ b/src/main/java/bitternpulley/platform/Preparation.java
@@ -12,85 +12,85 @@
 import java.util.function.Consumer;
 
 /**
- * Opens a connection to each listed server while there is time, one after the other. Guards against
- * a first query that has to open one to every server of a large fleet at once: on a part of a core
- * that takes longer than the servers' work does. Bounded by the list: a server stands here once,
- * and leaves when its connection was asked for or it takes no new work.
+ * Pre-warms connections: opens one to each listed server at a steady pace, so that a first query
+ * need not open one to every server of a large fleet at once. It keeps the servers of the list that
+ * are still to be connected, each once.
  */
 public final class Preparation {
-  /**
-   * Ms between turns; each opens one connection, so that no server meets a restarted fleet all at
-   * once.
-   */
-  private static final double PACE = 10;
+  /** Ms between turns, so that restarted instances do not connect to a server all at once. */
+  private static final double TURN_INTERVAL_MS = 10;
 
   /**
-   * Ms within which all are opened, with more than one in a turn where servers are many: well below
-   * the time after which those opened first are closed as idle.
+   * Within which time all connections are opened, in ms, with several in a turn where servers are
+   * many: well before the first of them is closed as idle.
    */
-  private static final double WITHIN = 4000;
+  private static final double MAX_DURATION_MS = 4000;
 
-  /**
-   * Ms over which chance spreads the beginning, so that aggregators told at the same time don't act
-   * in step.
-   */
-  private static final double SPREAD = 200;
+  /** The start is delayed by up to this time at random, in ms, so that instances spread. */
+  private static final double MAX_START_DELAY_MS = 200;
 
   private final EventLoop loop;
   private final Random random;
-  private final Consumer<String> open;
+  private final Consumer<String> openConnection;
   private final Set<String> waiting = new LinkedHashSet<>();
-  private int inTurn = 1;
-  private boolean begun;
+  private int serversPerTurn = 1;
+  private boolean enabled;
   private boolean running;
 
-  /** {@code open} opens a connection where there is none. */
-  public Preparation(EventLoop loop, long seed, Consumer<String> open) {
+  /**
+   * Creates a pre-warmer that is not enabled.
+   *
+   * @param loop runs all of it
+   * @param seed of its random choices
+   * @param openConnection opens a connection to a server that has none
+   */
+  public Preparation(EventLoop loop, long seed, Consumer<String> openConnection) {
     this.loop = loop;
     this.random = new Random(seed);
-    this.open = open;
+    this.openConnection = openConnection;
   }
 
-  /** From now on connections are opened. */
+  /** Enables it: from now on connections are opened. */
   public void begin() {
-    begun = true;
+    enabled = true;
     run();
   }
 
-  /** Takes in what a list says: servers that take work are to be reached, the others no more. */
+  /** Adds the live servers of an endpoint list, and removes those that accept no new parts. */
   public void told(EndpointList list) {
-    List<String> fresh = new ArrayList<>();
-    for (EndpointList.Entry e : list.entries()) {
-      if (e.endpoint().state() == Router.ServerState.LIVE) {
-        fresh.add(e.endpoint().server());
+    List<String> liveServers = new ArrayList<>();
+    for (EndpointList.Entry entry : list.entries()) {
+      if (entry.endpoint().state() == Router.ServerState.LIVE) {
+        liveServers.add(entry.endpoint().server());
       } else {
-        waiting.remove(e.endpoint().server());
+        waiting.remove(entry.endpoint().server());
       }
     }
-    Collections.shuffle(fresh, random);
-    waiting.addAll(fresh);
-    inTurn = Math.max(inTurn, (int) Math.ceil(waiting.size() * PACE / WITHIN));
+    Collections.shuffle(liveServers, random);
+    waiting.addAll(liveServers);
+    int neededPerTurn = (int) Math.ceil(waiting.size() * TURN_INTERVAL_MS / MAX_DURATION_MS);
+    serversPerTurn = Math.max(serversPerTurn, neededPerTurn);
     run();
   }
 
   private void run() {
-    if (begun && !running && !waiting.isEmpty()) {
+    if (enabled && !running && !waiting.isEmpty()) {
       running = true;
-      loop.after(SPREAD * random.nextDouble(), this::next);
+      var unused = loop.after(MAX_START_DELAY_MS * random.nextDouble(), this::runTurn);
     }
   }
 
-  private void next() {
+  private void runTurn() {
     if (waiting.isEmpty()) {
       running = false;
-      inTurn = 1;
+      serversPerTurn = 1;
       return;
     }
-    for (int i = 0; i < inTurn && !waiting.isEmpty(); i++) {
+    for (int opened = 0; opened < serversPerTurn && !waiting.isEmpty(); opened++) {
       String server = waiting.iterator().next();
       waiting.remove(server);
-      open.accept(server);
+      openConnection.accept(server);
     }
-    loop.after(PACE, this::next);
+    var unused = loop.after(TURN_INTERVAL_MS, this::runTurn);
   }
 }
--- a/src/test/java/bitternpulley/platform/PreparationTest.java
+++ b/src/test/java/bitternpulley/platform/ConnectionPrewarmerTest.java
@@ -6,6 +6,7 @@
 import bitternpulley.config.EndpointList;
 import bitternpulley.net.EventLoop;
 import bitternpulley.routing.Router;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -16,83 +17,79 @@
 import org.testng.annotations.Test;
 
 /** Connections opened ahead of the first parts, one after the other. */
-public class PreparationTest {
+public class ConnectionPrewarmerTest {
   private static final int PATIENCE_S = 30;
 
   private EventLoop loop;
   private BlockingQueue<String> opened;
-  private Preparation preparation;
+  private Preparation prewarmer;
 
-  private static EndpointList.Entry entry(int n, Router.ServerState state) {
-    return new EndpointList.Entry(new Router.Endpoint("s" + n, 0, n, state, 0), null);
+  private static EndpointList.Entry entry(int number, Router.ServerState state) {
+    return new EndpointList.Entry(new Router.Endpoint("s" + number, 0, number, state, 0), null);
   }
 
   private static EndpointList list(Stream<EndpointList.Entry> entries) {
     return new EndpointList(1, true, entries.toList());
   }
 
+  private static EndpointList liveServers(int count) {
+    return list(IntStream.range(0, count).mapToObj(i -> entry(i, Router.ServerState.LIVE)));
+  }
+
   @BeforeMethod
-  public void prepare() {
+  public void create() {
     loop = new EventLoop();
     opened = new LinkedBlockingQueue<>();
-    preparation = new Preparation(loop, 7, opened::add);
+    prewarmer = new Preparation(loop, 7, opened::add);
   }
 
   private String next() throws InterruptedException {
     return opened.poll(PATIENCE_S, TimeUnit.SECONDS);
   }
 
-  /** Guards against a restarted fleet that meets each server all at once, and in the same order. */
+  /** Restarted instances must not connect to each server all at once, nor in the same order. */
   @Test
-  public void eachServerIsReachedOnceAndNotInTheListsOrder() throws InterruptedException {
+  public void connectsToEachServerOnceAtAPaceInRandomOrder() throws InterruptedException {
     loop.execute(
         () -> {
-          preparation.told(
-              list(IntStream.range(0, 12).mapToObj(i -> entry(i, Router.ServerState.LIVE))));
-          preparation.begin();
+          prewarmer.told(liveServers(12));
+          prewarmer.begin();
         });
     long before = System.nanoTime();
-    List<String> order =
-        List.of(
-            next(), next(), next(), next(), next(), next(), next(), next(), next(), next(), next(),
-            next());
+    List<String> order = new ArrayList<>();
+    for (int i = 0; i < 12; i++) {
+      order.add(next());
+    }
     assertTrue(System.nanoTime() - before >= 100_000_000, "a pace is kept");
     List<String> listed = IntStream.range(0, 12).mapToObj(i -> "s" + i).toList();
     assertEquals(order.stream().sorted().toList(), listed.stream().sorted().toList());
     assertTrue(!order.equals(listed), order.toString());
   }
 
-  /** Guards against connections to servers that take nothing new, and before the program serves. */
   @Test
-  public void oneThatDrainsMeanwhileIsLeftOut() throws InterruptedException {
+  public void connectsOnlyWhenEnabledAndNotToDrainingServers() throws InterruptedException {
     loop.execute(
         () -> {
-          preparation.told(
-              list(
-                  Stream.of(entry(0, Router.ServerState.LIVE), entry(1, Router.ServerState.LIVE))));
-          preparation.told(
+          prewarmer.told(liveServers(2));
+          prewarmer.told(
               list(
                   Stream.of(
                       entry(0, Router.ServerState.DRAINING), entry(2, Router.ServerState.LIVE))));
           assertTrue(opened.isEmpty());
-          preparation.begin();
+          prewarmer.begin();
         });
     assertEquals(Stream.of(next(), next()).sorted().toList(), List.of("s1", "s2"));
-    loop.execute(() -> preparation.told(list(Stream.of(entry(3, Router.ServerState.LIVE)))));
-    assertEquals(next(), "s3", "what joins later is reached as well");
+    loop.execute(() -> prewarmer.told(list(Stream.of(entry(3, Router.ServerState.LIVE)))));
+    assertEquals(next(), "s3", "a server that joins later is connected as well");
   }
 
-  /**
-   * Guards against connections that are closed as idle before the last of very many servers is
-   * reached.
-   */
+  /** The first connections must not be closed as idle before the last is opened. */
   @Test
-  public void veryManyServersAreReachedWithinSeconds() throws InterruptedException {
+  public void connectsToThousandsOfServersWithinTheIdleTimeout() throws InterruptedException {
     loop.execute(
         () -> {
-          preparation.told(
-              list(IntStream.range(0, 3500).mapToObj(i -> entry(i, Router.ServerState.LIVE))));
-          preparation.begin();
+          prewarmer.told(liveServers(3500));
+          prewarmer.begin();
         });
     next();
     long before = System.nanoTime();
