--- /dev/null
+++ b/src/main/java/bitternpulley/platform/FrameType.java
@@ -0,0 +1,39 @@
+package bitternpulley.platform;
+
+/** The types of frame in the protocol with slot servers, each with its letter on the wire. */
+enum FrameType {
+  /** Parts to answer, as one call. */
+  CALL('1'),
+  /** Cancels one part. */
+  CANCEL('2'),
+  /** A health check, or the answer to one. */
+  HEALTH_CHECK('3'),
+  /** A request for a load report, or the report. */
+  LOAD_REQUEST('4'),
+  /** The result of one part. */
+  RESULT('5'),
+  /** The slot server could not use the last frame and closes the connection. */
+  PROTOCOL_ERROR('X');
+
+  private static final FrameType[] VALUES = values();
+
+  private final char letter;
+
+  FrameType(char letter) {
+    this.letter = letter;
+  }
+
+  char letter() {
+    return letter;
+  }
+
+  /** The type with this letter; null where there is none. */
+  static FrameType ofLetter(char letter) {
+    for (FrameType type : VALUES) {
+      if (type.letter == letter) {
+        return type;
+      }
+    }
+    return null;
+  }
+}
--- a/src/main/java/bitternpulley/platform/QueryFront.java
+++ b/src/main/java/bitternpulley/platform/QueryFront.java
@@ -4,7 +4,6 @@
 import bitternpulley.broker.Dialect;
 import bitternpulley.broker.Effect;
 import bitternpulley.broker.Event;
-import bitternpulley.broker.Payload;
 import bitternpulley.broker.Request;
 import bitternpulley.contracts.QueryFingerprint;
 import bitternpulley.contracts.TenantIdentification;
@@ -12,11 +11,6 @@
 import bitternpulley.net.HttpServer;
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonGenerator;
-import java.io.ByteArrayOutputStream;
-import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
 import java.util.Locale;
@@ -25,80 +19,105 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** The platform's client side: queries in, final answers out, and the probe for readiness. */
+/**
+ * The client side of the platform's protocol: receives queries, delivers final answers, and answers
+ * the health and readiness checks.
+ */
 public final class QueryFront implements HttpServer.Handler {
-  private static final JsonFactory JSON = new JsonFactory();
+  private static final String OWN_PATHS = "/-/";
+  private static final String HEALTH_PATH = "/-/healthy";
+  private static final String READINESS_PATH = "/-/ready";
+
+  private static final double MS_PER_SECOND = 1000;
 
   private final Settings settings;
   private final Broker broker;
   private final Dialect servers;
-  private final BooleanSupplier ready;
-  private final Supplier<TenantIdentification> recognition;
+  private final BooleanSupplier isReady;
+  private final Supplier<TenantIdentification> tenantIdentification;
 
   /** The ids of the requests without a final answer. */
-  private final Set<String> open = new HashSet<>();
+  private final Set<String> pendingIds = new HashSet<>();
 
-  /** {@code recognition} tells whose a query is, as the contracts in force have it. */
+  /**
+   * Creates a front.
+   *
+   * @param settings the routing settings, which name the query classes
+   * @param broker receives the requests
+   * @param servers sends the requests' attempts
+   * @param isReady whether the readiness check succeeds
+   * @param tenantIdentification gives the identification of the contracts in force
+   */
   public QueryFront(
       Settings settings,
       Broker broker,
       Dialect servers,
-      BooleanSupplier ready,
-      Supplier<TenantIdentification> recognition) {
-    this.recognition = recognition;
+      BooleanSupplier isReady,
+      Supplier<TenantIdentification> tenantIdentification) {
     this.settings = settings;
     this.broker = broker;
     this.servers = servers;
-    this.ready = ready;
+    this.isReady = isReady;
+    this.tenantIdentification = tenantIdentification;
   }
 
   @Override
   public void handle(HttpServer.Request request, HttpServer.Exchange exchange) {
     String path = request.head().target().split("\\?", 2)[0];
-    if (path.startsWith("/-/")) {
-      boolean good = path.equals("/-/healthy") || path.equals("/-/ready") && ready.getAsBoolean();
-      exchange.reply(plain(good ? 200 : path.equals("/-/ready") ? 503 : 404, good ? "ok" : "no"));
+    if (path.startsWith(OWN_PATHS)) {
+      exchange.reply(checkResponse(path));
       return;
     }
     try {
-      PlatformQuery query = PlatformQuery.read(request, settings, exchange);
-      if (!open.add(query.id())) {
-        // Guards against two queries whose parts bear the same names: the slot servers would take
-        // one for the other.
-        throw new HttpException(409, "Request-Id is that of an open request");
-      }
-      long id = broker.nextId();
-      exchange.onGone(
-          () -> {
-            open.remove(query.id());
-            broker.submit(new Event.ClientDisconnected(id));
-          });
-      broker.submit(
-          new Event.RequestReceived(
-              new Request(
-                  id,
-                  servers,
-                  query.requestClass(),
-                  query.timeLeft(),
-                  query.retry(),
-                  Router.Terms.CLASS_DEFAULT,
-                  query.slices(),
-                  query,
-                  recognition.get().byClass(query.requestClass()),
-                  print(request.body(), query.requestClass()),
-                  new Router.Lateness(request.unread(), request.worstTurn()))));
-    } catch (HttpException e) {
-      exchange.reply(unusable(e.status(), e.getMessage()));
+      submit(request, exchange);
+    } catch (HttpException failure) {
+      exchange.reply(unusable(failure.status(), failure.getMessage()));
+    }
+  }
+
+  private HttpServer.Response checkResponse(String path) {
+    return switch (path) {
+      case HEALTH_PATH -> plain(200, "ok");
+      case READINESS_PATH -> isReady.getAsBoolean() ? plain(200, "ok") : plain(503, "no");
+      default -> plain(404, "no");
+    };
+  }
+
+  private void submit(HttpServer.Request request, HttpServer.Exchange exchange) {
+    PlatformQuery query = QueryCodec.decode(request, settings, exchange);
+    if (!pendingIds.add(query.id())) {
+      // The ids of parts derive from that of the request, so two parts would share one id.
+      throw new HttpException(409, "Request-Id is that of an open request");
     }
+    long id = broker.nextId();
+    exchange.onGone(
+        () -> {
+          pendingIds.remove(query.id());
+          broker.submit(new Event.ClientDisconnected(id));
+        });
+    broker.submit(
+        new Event.RequestReceived(
+            new Request(
+                id,
+                servers,
+                query.queryClass(),
+                query.timeLeft(),
+                query.retry(),
+                Router.Terms.CLASS_DEFAULT,
+                query.parts(),
+                query,
+                tenantIdentification.get().byClass(query.queryClass()),
+                fingerprint(request.body(), query.queryClass()),
+                new Router.Lateness(request.unread(), request.worstTurn()))));
   }
 
   /**
-   * What a try has in common with the one before it: class and body; 0 where nobody asks for it.
+   * What a retry has in common with the request before it: class and body; 0 if nobody needs it.
    */
-  private long print(byte[] body, int requestClass) {
-    return recognition.get() == TenantIdentification.NONE
+  private long fingerprint(byte[] body, int queryClass) {
+    return tenantIdentification.get() == TenantIdentification.NONE
         ? 0
-        : QueryFingerprint.of(body, requestClass);
+        : QueryFingerprint.of(body, queryClass);
   }
 
   @Override
@@ -116,54 +135,42 @@
   /** Delivers a final answer. */
   public void reply(Effect.Reply reply) {
     PlatformQuery query = (PlatformQuery) reply.request().payload();
-    open.remove(query.id());
+    pendingIds.remove(query.id());
     query.exchange().reply(response(reply));
   }
 
   private static HttpServer.Response response(Effect.Reply reply) {
-    if (reply.answer() instanceof Effect.Answer.Answered a) {
+    if (reply.answer() instanceof Effect.Answer.Answered answered) {
       return new HttpServer.Response(
-          200, Map.of("Content-Type", "application/json"), body(reply.request(), a));
+          200,
+          Map.of("Content-Type", "application/json"),
+          QueryCodec.encodeAnswer(reply.request(), answered));
     }
-    if (reply.answer() instanceof Effect.Answer.Rejected r) {
-      HttpServer.Response refusal =
-          plain(
-              429,
-              r.contract() == null
-                  ? "refused: asking again is harmless"
-                  : "refused by contract "
-                      + r.contract().team()
-                      + ", version "
-                      + r.contract().version()
-                      + ": "
-                      + r.contract().limit().text());
-      return r.retryAfter() <= 0
-          ? refusal
-          : new HttpServer.Response(
-              refusal.status(),
-              Map.of("Retry-After", String.format(Locale.ROOT, "%.3f", r.retryAfter() / 1000)),
-              refusal.body());
+    if (reply.answer() instanceof Effect.Answer.Rejected rejected) {
+      return rejection(rejected);
     }
     return plain(500, "failed");
   }
 
-  private static byte[] body(Request request, Effect.Answer.Answered answer) {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    try (JsonGenerator out = JSON.createGenerator(bytes)) {
-      out.writeStartObject();
-      out.writeBooleanField("entire", answer.complete());
-      out.writeArrayFieldStart("items");
-      for (Map.Entry<Integer, Payload> in : answer.values().entrySet()) {
-        out.writeStartObject();
-        out.writeNumberField("slice", request.parts().get(in.getKey()).shard());
-        out.writeStringField("body", ((PartValue) in.getValue()).text());
-        out.writeEndObject();
-      }
-      out.writeEndArray();
-      out.writeEndObject();
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
+  private static HttpServer.Response rejection(Effect.Answer.Rejected rejected) {
+    HttpServer.Response response = plain(429, rejectionText(rejected));
+    if (rejected.retryAfter() <= 0) {
+      return response;
+    }
+    String seconds = String.format(Locale.ROOT, "%.3f", rejected.retryAfter() / MS_PER_SECOND);
+    return new HttpServer.Response(
+        response.status(), Map.of("Retry-After", seconds), response.body());
+  }
+
+  private static String rejectionText(Effect.Answer.Rejected rejected) {
+    if (rejected.contract() == null) {
+      return "refused: asking again is harmless";
     }
-    return bytes.toByteArray();
+    return "refused by contract "
+        + rejected.contract().team()
+        + ", version "
+        + rejected.contract().version()
+        + ": "
+        + rejected.contract().limit().text();
   }
 }
--- a/src/main/java/bitternpulley/platform/Rehearsal.java
+++ b/src/main/java/bitternpulley/platform/Rehearsal.java
@@ -20,87 +20,82 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.PriorityQueue;
-import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
 /**
- * Plays made-up queries through decoding, core, module and encoding before the program says that it
- * is ready. Guards against a start in which the first seconds' queries wait for classes to load and
- * code to be compiled, on a part of a core. All of it has a core, a clock and servers of its own,
- * which are thrown away: nothing goes over a socket, and nothing is learned from it.
+ * Warms up the JVM before the program is ready: runs synthetic queries through decoding, core,
+ * routing policy and encoding, so that the first real queries do not wait for classes to load and
+ * code to be compiled. It has its own core, clock and servers, which are discarded: nothing goes
+ * over a socket, and nothing is learned from it.
  */
 public final class Rehearsal implements Dialect {
-  /** Queries played, and the ms after which no more are begun, however many were played. */
-  private static final int QUERIES = 150;
-
-  private static final double MOST_TIME = 600;
+  private static final System.Logger LOG = System.getLogger(Rehearsal.class.getName());
 
-  /**
-   * Queries played where very many aggregators share the traffic: each has little of it, and is
-   * missed until it is ready.
-   */
-  private static final int QUERIES_OF_MANY = 20;
+  /** Queries run before the program is ready. */
+  private static final int STARTUP_QUERIES = 150;
 
   /**
-   * The same beside what is served, one at a time with so many ms between: such an aggregator is
-   * idle most of the time.
+   * The same where very many aggregators share the traffic: each has little of it, and should be
+   * ready soon.
    */
-  private static final int QUERIES_BESIDE = 200;
-
-  private static final double PAUSE_BESIDE = 20;
+  private static final int STARTUP_QUERIES_IN_LARGE_FLEET = 20;
 
-  /** Each so many-th query is as long as clients can send one. */
-  private static final int WIDE = 10;
+  /** How long after the start no more queries are begun, in ms. */
+  private static final double MAX_STARTUP_MS = 600;
 
-  /** Queries played before others on the loop get their turn. */
-  private static final int AT_ONCE = 5;
+  /** Queries run in all, when the warm-up continues in the background. */
+  private static final int TOTAL_QUERIES = 200;
 
-  /** Ms of the made-up clock between queries. */
-  private static final double STEP = 20;
+  /** Ms between queries in the background. */
+  private static final double BACKGROUND_INTERVAL_MS = 20;
 
-  private static final int MOST_PARTS = 8;
+  /** Queries run in one turn of the loop. */
+  private static final int QUERIES_PER_TURN = 5;
 
-  /** The settings give room for three of the longest queries, each counted with its parts. */
-  private static final int LONGEST_HELD = 3;
+  /** Ms of the virtual clock between queries. */
+  private static final double VIRTUAL_INTERVAL_MS = 20;
 
-  /** Bytes that one part takes in a body, at the most, and that the rest of it takes. */
-  private static final int PART_BYTES = 64;
+  private static final double NANOS_PER_MS = 1e6;
 
-  private static final int REST_BYTES = 64;
+  /** An attempt with a number that this divides fails, is rejected, or has no answer. */
+  private static final int FAIL_EVERY = 13;
 
-  /** Each so many-th attempt fails at once, is refused, or gets no answer. */
-  private static final int FAILS = 13;
+  private static final int REJECT_EVERY = 19;
+  private static final int IGNORE_EVERY = 17;
 
-  private static final int FULL = 19;
-  private static final int SILENT = 17;
+  private static final String VALUE = "5be2a07c19f04d63";
 
-  private record Alarm(double at, Runnable task) {}
+  private record Alarm(double time, Runnable task) {}
 
-  private static final System.Logger LOG = System.getLogger(Rehearsal.class.getName());
-
-  private final Settings settings;
-  private final int mostBody;
+  private final SyntheticQueries queries;
+  private final int maxBodyBytes;
   private final EventLoop loop;
   private final Broker broker;
   private final QueryFront front;
   private final PriorityQueue<Alarm> alarms =
-      new PriorityQueue<>(Comparator.comparingDouble(Alarm::at));
-  private final List<Effect.StartAttempt> out = new ArrayList<>();
+      new PriorityQueue<>(Comparator.comparingDouble(Alarm::time));
+  private final List<Effect.StartAttempt> unanswered = new ArrayList<>();
+
+  /** The virtual time in ms. */
   private double time = 1;
 
-  /**
-   * Whether what is played takes time from clients that are served: long queries are left out then.
-   */
-  private boolean beside;
+  /** Whether clients are served meanwhile, from which large queries would take time. */
+  private boolean inBackground;
 
   private int played;
   private int attempts;
   private int answered;
 
-  /** Made-up queries under these settings, with bodies of so many bytes at the most. */
-  public Rehearsal(Settings settings, int mostBody, EventLoop loop) {
-    this.settings = settings;
-    this.mostBody = mostBody;
+  /**
+   * Creates a warm-up.
+   *
+   * @param settings the routing settings of this instance
+   * @param maxBodyBytes the most bytes of a query's body
+   * @param loop runs all of it
+   */
+  public Rehearsal(Settings settings, int maxBodyBytes, EventLoop loop) {
+    this.queries = new SyntheticQueries(settings, maxBodyBytes);
+    this.maxBodyBytes = maxBodyBytes;
     this.loop = loop;
     broker =
         new Broker(
@@ -118,135 +113,108 @@
   }
 
   /**
-   * Plays a few queries at a time, fewer where there are {@code many} aggregators; {@code done}
-   * runs once all are played or the time is up.
+   * Runs queries, a few in each turn of the loop.
+   *
+   * @param many whether very many aggregators share the traffic, so that a short warm-up has to do
+   * @param done runs when all were run or the time is up
    */
   public void play(boolean many, Runnable done) {
-    long end = System.nanoTime() + (long) (MOST_TIME * 1e6);
-    playSome(many ? QUERIES_OF_MANY : QUERIES, end, done);
+    long endNanos = System.nanoTime() + (long) (MAX_STARTUP_MS * NANOS_PER_MS);
+    runTurn(many ? STARTUP_QUERIES_IN_LARGE_FLEET : STARTUP_QUERIES, endNanos, done);
   }
 
-  private void playSome(int most, long end, Runnable done) {
-    boolean plays = true;
-    for (int i = 0; i < AT_ONCE && plays; i++) {
-      plays = playedOne();
+  private void runTurn(int queryCount, long endNanos, Runnable done) {
+    boolean succeeded = true;
+    for (int run = 0; run < QUERIES_PER_TURN && succeeded; run++) {
+      succeeded = tryOne();
     }
-    if (plays && played < most && System.nanoTime() < end) {
-      // Guards against a watch that is not heard until all is played: what is executed in a turn
-      // belongs to that turn.
-      loop.after(0, () -> playSome(most, end, done));
+    if (succeeded && played < queryCount && System.nanoTime() < endNanos) {
+      // An alarm, since a task executed now would still run in this turn, before discovery is read.
+      var unused = loop.after(0, () -> runTurn(queryCount, endNanos, done));
     } else {
       done.run();
     }
   }
 
-  /** Plays on in small turns while the program serves, until its code is compiled. */
+  /** Continues in the background until the JVM has compiled the code, one query in a turn. */
   public void goOn() {
-    beside = true;
-    if (played < QUERIES_BESIDE && playedOne()) {
-      loop.after(PAUSE_BESIDE, this::goOn);
+    inBackground = true;
+    if (played < TOTAL_QUERIES && tryOne()) {
+      var unused = loop.after(BACKGROUND_INTERVAL_MS, this::goOn);
     }
   }
 
-  /** Queries answered so far, of {@link #played}. */
+  /** The number of queries answered. */
   int answered() {
     return answered;
   }
 
+  /** The number of queries run. */
   int played() {
     return played;
   }
 
   /**
-   * Guards against an aggregator that never becomes ready, or a turn that ends early, by a fault of
-   * what is made up.
+   * Runs one query; returns false after a failure. A supervised boundary: a defect of the warm-up
+   * must not keep the program from becoming ready.
    */
-  private boolean playedOne() {
+  private boolean tryOne() {
     try {
       playOne();
       return true;
-    } catch (RuntimeException e) {
-      LOG.log(Level.WARNING, "the rehearsal ends early, at query " + played, e);
+    } catch (RuntimeException failure) {
+      LOG.log(Level.WARNING, "The JVM warm-up ends early, at query " + played, failure);
       return false;
     }
   }
 
-  /** One query, and the ends of the attempts that it set off. */
+  /** Runs one query and the ends of the attempts that it started. */
   void playOne() {
-    HttpParser parser = new HttpParser(false, mostBody, new Sink());
-    parser.read(ByteBuffer.wrap(query(played++).getBytes(StandardCharsets.US_ASCII)));
-    time += STEP;
-    while (!alarms.isEmpty() && alarms.peek().at() <= time) {
+    int number = played++;
+    String text = inBackground ? queries.ofCommonSize(number) : queries.ofAnySize(number);
+    HttpParser parser = new HttpParser(false, maxBodyBytes, new Client());
+    parser.read(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
+    time += VIRTUAL_INTERVAL_MS;
+    while (!alarms.isEmpty() && alarms.peek().time() <= time) {
       alarms.poll().task().run();
     }
-    List<Effect.StartAttempt> sent = List.copyOf(out);
-    out.clear();
-    sent.forEach(this::end);
+    List<Effect.StartAttempt> started = List.copyOf(unanswered);
+    unanswered.clear();
+    started.forEach(this::answer);
   }
 
-  private String query(int n) {
-    Settings.QueryClass kind = settings.classes().get(n % settings.classes().size());
-    int shards = settings.layout().shards();
-    int parts = n % WIDE == WIDE - 1 && !beside ? widest() : Math.min(1 + n % MOST_PARTS, shards);
-    String slices =
-        IntStream.range(0, parts)
-            .mapToObj(i -> "{\"slice\":" + (n + i) % shards + ",\"mass\":" + 1.0 / parts + "}")
-            .collect(Collectors.joining(","));
-    String body = "{\"slices\":[" + slices + "],\"filter\":\"c41e77d0\"}";
-    return "POST /"
-        + kind.name()
-        + " HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: r"
-        + n
-        + "\r\nCookie: obj="
-        + n
-        + "\r\nRequest-Timeout: "
-        + kind.deadline() / 1000
-        + "\r\nIdempotency-Key: k"
-        + n
-        + "\r\nContent-Length: "
-        + body.length()
-        + "\r\n\r\n"
-        + body;
+  /** Answers an attempt as a slot server would, through the encoding and decoding of frames. */
+  private void answer(Effect.StartAttempt attempt) {
+    attempts++;
+    String partId = SlotFrames.partId(attempt);
+    SlotFrames.call(List.of(SlotFrames.callSection(attempt, partId)));
+    if (attempts % IGNORE_EVERY == 0) {
+      return;
+    }
+    ByteBuffer frame = SlotFrames.result(partId, statusOf(attempts), VALUE);
+    new FrameCodec().read(frame, f -> submitResult(attempt, f));
   }
 
-  /**
-   * Parts of the longest query that clients can send: each section once, held three times, in a
-   * body that is taken.
-   */
-  int widest() {
-    long held = settings.limits().maxPending() / LONGEST_HELD - 1;
-    long fits = (mostBody - REST_BYTES) / PART_BYTES;
-    return (int) Math.max(1, Math.min(settings.layout().shards(), Math.min(held, fits)));
+  private static ResultStatus statusOf(int attemptNumber) {
+    if (attemptNumber % FAIL_EVERY == 0) {
+      return ResultStatus.ERROR;
+    }
+    return attemptNumber % REJECT_EVERY == 0 ? ResultStatus.REJECTED : ResultStatus.SERVED;
   }
 
-  private void end(Effect.StartAttempt attempt) {
-    attempts++;
-    String id = SlotFrames.partId(attempt);
-    SlotFrames.call(List.of(SlotFrames.callLine(attempt, id)));
-    if (attempts % SILENT == 0) {
-      return;
-    }
-    String end = attempts % FAILS == 0 ? "E" : attempts % FULL == 0 ? "B" : "S";
-    ByteBuffer frame =
-        FrameCodec.encode(
-            '5', (id + " " + end + " 0 -\n5be2a07c19f04d63").getBytes(StandardCharsets.US_ASCII));
-    new FrameCodec()
-        .read(
-            frame,
-            f -> {
-              SlotFrames.Answer answer = SlotFrames.answer(f.rest());
-              broker.submit(new Event.AttemptEnded(attempt.id(), answer.outcome(), answer.value()));
-            });
+  private void submitResult(Effect.StartAttempt attempt, FrameCodec.Frame frame) {
+    SlotFrames.Result result = SlotFrames.decodeResult(attempt.server(), frame.rest());
+    broker.submit(new Event.AttemptEnded(attempt.id(), result.outcome(), result.value()));
   }
 
   @Override
   public void start(Effect.StartAttempt attempt) {
-    out.add(attempt);
+    unanswered.add(attempt);
   }
 
   @Override
   public void cancel(Effect.CancelAttempt attempt) {
-    SlotFrames.giveUp(String.valueOf(attempt.id().part()));
+    SlotFrames.cancel(String.valueOf(attempt.id().part()));
     broker.submit(new Event.AttemptCancelled(attempt.id()));
   }
 
@@ -257,7 +225,7 @@
 
   @Override
   public void cancelUnsentTo(String server) {
-    // Its servers never drain.
+    // The synthetic servers never drain.
   }
 
   @Override
@@ -270,25 +238,25 @@
     // There are no connections.
   }
 
-  /** Hands each query on as the listener would. */
-  private final class Sink implements HttpParser.Sink, HttpServer.Exchange {
-    private HttpHead head;
-    private byte[] body = new byte[0];
+  /** Hands one parsed query to the front, as a listener would, and counts its answer. */
+  private final class Client implements HttpParser.Sink, HttpServer.Exchange {
+    private HttpHead requestHead;
+    private byte[] requestBody = new byte[0];
 
     @Override
     public void head(HttpHead head) {
-      this.head = head;
+      requestHead = head;
     }
 
     @Override
     public void body(ByteBuffer piece) {
-      body = new byte[piece.remaining()];
-      piece.get(body);
+      requestBody = new byte[piece.remaining()];
+      piece.get(requestBody);
     }
 
     @Override
     public void end() {
-      front.handle(new HttpServer.Request(head, body), this);
+      front.handle(new HttpServer.Request(requestHead, requestBody), this);
     }
 
     @Override
@@ -298,7 +266,7 @@
 
     @Override
     public void onGone(Runnable gone) {
-      // Its clients stay.
+      // The synthetic clients never disconnect.
     }
   }
 }
--- a/src/main/java/bitternpulley/platform/SlotConnection.java
+++ b/src/main/java/bitternpulley/platform/SlotConnection.java
@@ -6,439 +6,381 @@
 import bitternpulley.broker.Event;
 import bitternpulley.net.Connection;
 import bitternpulley.net.EventLoop;
-import bitternpulley.net.FrameCodec;
 import bitternpulley.net.HostPort;
 import bitternpulley.routing.Router.Outcome;
 import java.lang.System.Logger.Level;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 
 /**
- * One connection to a slot server: the calls that are out on it, each of one part or more, and what
- * the server sends back. Its owner is told of each attempt's end exactly once.
+ * One connection to a slot server: connects, sends calls and cancellations, and ends. It reports
+ * the end of each attempt to its owner exactly once.
  */
 final class SlotConnection implements Connection.Owner {
   private static final System.Logger LOG = System.getLogger(SlotConnection.class.getName());
 
-  /** Parts given up, and parts answered, that a connection remembers by name. */
-  private static final int MOST_GIVEN_UP = 256;
+  /** How long a frame may take to arrive completely once it has begun, in ms. */
+  private static final double FRAME_TIMEOUT_MS = 300;
 
-  private static final int MOST_ANSWERED = 32;
+  /** The longest delay of a cancellation, as a share of the connect timeout. */
+  private static final double MAX_CANCEL_DELAY_SHARE = 0.1;
 
-  /** Ms that a frame may take to come in whole once it has begun. */
-  private static final double FRAME_TIME = 300;
+  /** What is refused answers within this share of the connect timeout. */
+  private static final double REFUSAL_SHARE = 0.5;
 
   /**
-   * Share of the time to connect that the word of a part given up is allowed at most for its way.
+   * The clock and the time limits of connections.
+   *
+   * @param clock the time in ms
+   * @param connectTimeout how long a connection may take to come up, in ms
+   * @param idleTimeout how long a connection may be idle, in ms
    */
-  private static final double WORD_SHARE = 0.1;
-
-  /**
-   * The time that connections go by, and the most that one may take to come up or to lie idle, ms.
-   */
-  record Times(Clock clock, double connectTimeout, double idleAfter) {}
-
-  /** Parts that went, or wait to go, in one frame. */
-  private static final class Call {
-    final Map<AttemptId, PartCall> parts = new LinkedHashMap<>();
-    ByteBuffer frame;
-    boolean written;
-
-    /** Count of what had been read on the connection when the frame was handed over for writing. */
-    long heard;
-  }
-
-  /** One part of a call. */
-  private record PartCall(Call call, Effect.StartAttempt start, String id, byte[] line) {}
+  record Timing(Clock clock, double connectTimeout, double idleTimeout) {}
 
   private final EventLoop loop;
-  private final Times times;
+  private final Timing timing;
   private final SlotConnectionOwner owner;
   private final String server;
-  private final HostPort at;
-  private final FrameCodec codec = new FrameCodec();
-  private final Map<AttemptId, PartCall> parts = new LinkedHashMap<>();
-  private final Map<String, AttemptId> byId = new HashMap<>();
-  private final Set<Call> calls = new LinkedHashSet<>();
+  private final HostPort address;
+  private final PartsInFlight inFlight = new PartsInFlight();
+  private final SlotFrameReader reader;
+  private final Connection connection;
+  private final double openedAt;
 
-  /**
-   * Guards against a late answer to an attempt given up that is taken for one to the next: both
-   * bear the part's id, so the next goes over another connection. Bounded by forgetting the oldest.
-   */
-  private final BoundedRecentSet givenUp = new BoundedRecentSet(MOST_GIVEN_UP);
+  /** Whether it has come up. */
+  private boolean connected;
 
-  /** Parts answered of late, by which a second copy of an answer is known for one. */
-  private final BoundedRecentSet answered = new BoundedRecentSet(MOST_ANSWERED);
+  /** Whether it takes no further calls. */
+  private boolean retired;
 
-  private final Connection connection;
-  private boolean up;
-  private boolean over;
-  private int frames;
-  private long heard;
-  private boolean left;
-  private boolean released;
-  private final double opened;
+  /** Whether nothing more is read from it. */
+  private boolean ended;
+
+  private boolean descriptorReleased;
+
+  /** How often it was read. */
+  private long reads;
 
-  /** Ms that a word is allowed for its way to the server. */
-  private double way;
+  /** How long a cancellation is given to reach the server, in ms. */
+  private double cancelDelay;
 
   private double idleSince;
 
-  /** Begins to connect; throws UncheckedIOException where not even a socket can be had. */
+  /**
+   * Starts to connect.
+   *
+   * @throws java.io.UncheckedIOException where no socket can be opened
+   */
   SlotConnection(
-      EventLoop loop, Times times, SlotConnectionOwner owner, String server, HostPort at) {
+      EventLoop loop, Timing timing, SlotConnectionOwner owner, String server, HostPort address) {
     this.loop = loop;
-    this.times = times;
+    this.timing = timing;
     this.owner = owner;
     this.server = server;
-    this.at = at;
-    opened = times.clock().now();
-    idleSince = opened;
-    connection = Connection.open(loop, at, times.connectTimeout(), this, this::connected);
-  }
-
-  private void connected() {
-    up = true;
-    // No quicker than there and back, and often slower by far: with the work of both ends.
-    way = Math.min(times.clock().now() - opened, WORD_SHARE * times.connectTimeout());
-    List.copyOf(calls).forEach(this::send);
-  }
-
-  /** Guards against a repeat that goes after its window is over, having waited for a connection. */
-  private void send(Call call) {
-    double now = times.clock().now();
-    List<AttemptId> tooLate =
-        call.parts.entrySet().stream()
-            .filter(p -> now > p.getValue().start().sendBy())
-            .map(Map.Entry::getKey)
-            .toList();
-    tooLate.forEach(this::remove);
-    tellUnsent(tooLate);
-    if (!call.parts.isEmpty()) {
-      write(call);
-    }
+    this.address = address;
+    reader = new SlotFrameReader(server, inFlight, this::remove);
+    openedAt = timing.clock().now();
+    idleSince = openedAt;
+    connection = Connection.open(loop, address, timing.connectTimeout(), this, this::onConnected);
+  }
+
+  private void onConnected() {
+    connected = true;
+    // Connecting takes a round trip and some work on both sides: a cancellation is faster.
+    cancelDelay =
+        Math.min(timing.clock().now() - openedAt, MAX_CANCEL_DELAY_SHARE * timing.connectTimeout());
+    inFlight.calls().forEach(this::send);
   }
 
   String server() {
     return server;
   }
 
-  boolean isUp() {
-    return up;
+  boolean isConnected() {
+    return connected;
   }
 
   boolean isIdle() {
-    return parts.isEmpty();
+    return inFlight.isEmpty();
   }
 
+  /** When its last part ended, in ms. */
   double idleSince() {
     return idleSince;
   }
 
-  /** Parts out. */
-  int parts() {
-    return parts.size();
+  boolean isIdleTooLong() {
+    return isIdle() && timing.clock().now() - idleSince > timing.idleTimeout();
   }
 
-  /** Calls with parts out. */
-  int calls() {
-    return calls.size();
+  /** The number of parts in flight. */
+  int partCount() {
+    return inFlight.size();
   }
 
-  boolean idleTooLong() {
-    return isIdle() && times.clock().now() - idleSince > times.idleAfter();
+  /** The number of calls with parts in flight. */
+  int callCount() {
+    return inFlight.callCount();
   }
 
-  /**
-   * Whether a call of these parts may go over it. Guards against one answer taken for another: a
-   * part's name is used once.
-   */
-  boolean suits(HostPort to, List<String> names) {
-    return at.equals(to)
-        && !connection.isClosed()
-        && names.stream().noneMatch(n -> givenUp.contains(n) || byId.containsKey(n));
+  /** Whether it leads to this address and may carry parts with these ids. */
+  boolean accepts(HostPort serverAddress, List<String> partIds) {
+    return address.equals(serverAddress) && !connection.isClosed() && inFlight.areUnused(partIds);
   }
 
   /** Sends these attempts as one call, once the connection is up. */
   void call(List<Effect.StartAttempt> attempts) {
-    Call call = new Call();
-    for (Effect.StartAttempt a : attempts) {
-      String id = SlotFrames.partId(a);
-      PartCall part = new PartCall(call, a, id, SlotFrames.callLine(a, id));
-      call.parts.put(a.id(), part);
-      parts.put(a.id(), part);
-      byId.put(id, a.id());
-    }
-    calls.add(call);
-    if (up) {
+    SlotCall call = inFlight.add(attempts);
+    if (connected) {
       send(call);
     }
   }
 
-  private void write(Call call) {
-    call.heard = heard;
-    call.frame = SlotFrames.call(call.parts.values().stream().map(PartCall::line).toList());
-    connection.write(call.frame, () -> call.written = true);
+  /** Writes a call without the attempts that waited for the connection for too long. */
+  private void send(SlotCall call) {
+    List<AttemptId> expired = call.expiredAt(timing.clock().now());
+    expired.forEach(this::remove);
+    reportNotSent(expired);
+    if (!call.isEmpty()) {
+      write(call);
+    }
+  }
+
+  private void write(SlotCall call) {
+    connection.write(call.encode(reads), call::markWritten);
   }
 
   /**
-   * Takes the attempt out of what waits to be written; false where a byte of its call may have
-   * gone.
+   * Takes an attempt out of its call before that is written; returns false where a byte of the call
+   * may have been sent.
    */
-  private boolean takeOut(AttemptId attempt) {
-    Call call = parts.get(attempt).call();
-    if (up && !connection.takeBack(call.frame)) {
+  private boolean removeUnsent(AttemptId attempt) {
+    SlotCall call = inFlight.get(attempt).call();
+    if (connected && !connection.takeBack(call.frame())) {
       return false;
     }
     remove(attempt);
-    if (up && !call.parts.isEmpty()) {
+    if (connected && !call.isEmpty()) {
       write(call);
     }
     return true;
   }
 
-  /** Ends the attempt if not a byte of it has gone; now none will. */
-  void takeBack(AttemptId attempt) {
-    if (takeOut(attempt)) {
-      tellUnsent(List.of(attempt));
+  /** Ends an attempt as not sent, unless a byte of it may have been sent. */
+  void cancelUnsent(AttemptId attempt) {
+    if (removeUnsent(attempt)) {
+      reportNotSent(List.of(attempt));
     }
   }
 
   /**
-   * Gives an attempt up; {@link Event.AttemptCancelled} is told once the server has had time to
-   * hear of it.
+   * Cancels an attempt and reports {@link Event.AttemptCancelled} once the cancellation has had the
+   * time to reach the server.
    */
-  void abandon(AttemptId attempt) {
-    PartCall part = parts.get(attempt);
-    if (takeOut(attempt)) {
-      owner.tell(new Event.AttemptCancelled(attempt));
+  void cancel(AttemptId attempt) {
+    SlotCall.Part part = inFlight.get(attempt);
+    if (removeUnsent(attempt)) {
+      owner.onEvent(new Event.AttemptCancelled(attempt));
       return;
     }
-    givenUp.add(part.id());
-    if (part.call().heard == heard) {
-      // Guards against a connection that died without a word: nothing came over it since, so
-      // nothing new goes there.
-      leave();
+    inFlight.noteCancelled(part.id());
+    if (part.call().readsBeforeWrite() == reads) {
+      // Nothing was received since the call was written, so the connection may have died silently.
+      retire();
     }
-    // Guards against a machine that takes nothing more: its connection ends, and what is out on it
-    // with that.
-    loop.after(
-        times.connectTimeout(),
+    closeUnlessEnded(attempt);
+    connection.write(
+        SlotFrames.cancel(part.id()),
         () -> {
-          if (parts.containsKey(attempt)) {
-            close();
-          }
+          var unused = loop.after(cancelDelay, () -> reportCancelled(attempt));
         });
-    // Guards against two attempts out at once: the next must not reach a server nearby ahead of
-    // this word, which is
-    // under way for a while.
-    connection.write(
-        SlotFrames.giveUp(part.id()),
-        () ->
-            loop.after(
-                way,
-                () -> {
-                  if (parts.containsKey(attempt)) {
-                    remove(attempt);
-                    owner.tell(new Event.AttemptCancelled(attempt));
-                  }
-                }));
+  }
+
+  /** A server that reads no more never sees the cancellation, so its connection has to end. */
+  private void closeUnlessEnded(AttemptId attempt) {
+    var unused =
+        loop.after(
+            timing.connectTimeout(),
+            () -> {
+              if (inFlight.contains(attempt)) {
+                close();
+              }
+            });
   }
 
   /**
-   * Ends a connection that is not up yet, and what waits for it: nothing of that has gone, and none
-   * will.
+   * Runs only when the cancellation has had time to arrive: the next attempt may go to a nearer
+   * server, where it must not overtake the cancellation and run concurrently.
    */
-  void withdraw() {
-    List<AttemptId> waiting = List.copyOf(parts.keySet());
-    waiting.forEach(this::remove);
+  private void reportCancelled(AttemptId attempt) {
+    if (inFlight.contains(attempt)) {
+      remove(attempt);
+      owner.onEvent(new Event.AttemptCancelled(attempt));
+    }
+  }
+
+  /** Closes a connection that is not up yet; the attempts that wait for it end as not sent. */
+  void cancelAllUnsent() {
+    List<AttemptId> attempts = inFlight.attempts();
+    attempts.forEach(this::remove);
     close();
-    waiting.forEach(a -> owner.tell(new Event.AttemptEnded(a, Outcome.NOT_SENT, null)));
+    attempts.forEach(a -> owner.onEvent(new Event.AttemptEnded(a, Outcome.NOT_SENT, null)));
   }
 
   /**
-   * Told in a turn of their own, with no write between: whoever hears of one end may give up
-   * another.
+   * Reports in a later turn of the loop, since the owner may respond to one end by cancelling
+   * another attempt, with no write between.
    */
-  private void tellUnsent(List<AttemptId> these) {
-    if (these.isEmpty()) {
+  private void reportNotSent(List<AttemptId> attempts) {
+    if (attempts.isEmpty()) {
       return;
     }
     loop.execute(
-        () -> these.forEach(a -> owner.tell(new Event.AttemptEnded(a, Outcome.NOT_SENT, null))));
+        () ->
+            attempts.forEach(
+                a -> owner.onEvent(new Event.AttemptEnded(a, Outcome.NOT_SENT, null))));
   }
 
   private void remove(AttemptId attempt) {
-    PartCall part = parts.remove(attempt);
-    part.call().parts.remove(attempt);
-    if (part.call().parts.isEmpty()) {
-      calls.remove(part.call());
-    }
-    byId.remove(part.id(), attempt);
-    owner.removed(attempt);
-    idleSince = times.clock().now();
-    if (left && isIdle()) {
+    inFlight.remove(attempt);
+    owner.onAttemptRemoved(attempt);
+    idleSince = timing.clock().now();
+    if (retired && isIdle()) {
       loop.execute(connection::close);
     }
   }
 
+  /** Closes the connection; what is in flight ends when that is reported back. */
   void close() {
-    leave();
+    retire();
     connection.close();
-    release();
+    releaseDescriptor();
   }
 
   /**
-   * Its descriptor is free from the close on. Guards against a server that counts as down since the
-   * end of the connection that made room for one to it was not told yet.
+   * A closed connection frees its descriptor at once. If that counted only when the close is
+   * reported back, a server could seem unreachable for want of a descriptor.
    */
-  private void release() {
-    if (!released) {
-      released = true;
-      owner.released();
+  private void releaseDescriptor() {
+    if (!descriptorReleased) {
+      descriptorReleased = true;
+      owner.onDescriptorReleased();
     }
   }
 
-  /** Nothing new goes over this connection. */
-  private void leave() {
-    left = true;
-    owner.left(this);
+  private void retire() {
+    retired = true;
+    owner.onRetired(this);
   }
 
-  /**
-   * What is read is dealt with as a whole: whether an answer stands depends on what is behind it.
-   */
+  /** Whether a result is valid depends on what follows it, so all that was read counts together. */
   @Override
   public void received(ByteBuffer bytes) {
-    if (over) {
+    if (ended) {
       return;
     }
-    heard++;
-    ByteBuffer all = bytes.duplicate();
-    List<Event.AttemptEnded> ended = new ArrayList<>();
-    String fault = null;
+    reads++;
+    ByteBuffer received = bytes.duplicate();
+    List<Event.AttemptEnded> endedAttempts = new ArrayList<>();
     try {
-      codec.read(bytes, frame -> frame(frame, ended));
-    } catch (IllegalArgumentException e) {
-      fault = e.getMessage();
-    }
-    if (fault == null && isIdle() && !codec.idle()) {
-      fault = "more than was asked for";
-    }
-    if (fault != null) {
-      spoilt(fault, StandardCharsets.ISO_8859_1.decode(all).toString(), ended);
-    } else if (!codec.idle()) {
-      awaitRest(frames);
-    }
-    ended.forEach(owner::tell);
-  }
-
-  private void frame(FrameCodec.Frame frame, List<Event.AttemptEnded> ended) {
-    frames++;
-    switch (frame.letter()) {
-      case '5' -> {
-        SlotFrames.Answer answer = SlotFrames.answer(frame.rest());
-        AttemptId attempt = byId.get(answer.id());
-        if (attempt != null) {
-          remove(attempt);
-          answered.add(answer.id());
-          ended.add(new Event.AttemptEnded(attempt, answer.outcome(), answer.value()));
-        } else if (!givenUp.remove(answer.id()) && !answered.contains(answer.id())) {
-          throw new IllegalArgumentException("an answer to what was not asked");
-        }
+      reader.read(bytes, endedAttempts);
+      if (reader.isWithinFrame()) {
+        awaitRestOfFrame(reader.framesRead());
       }
-      case '3', '4' -> {}
-      case 'X' ->
-          throw new IllegalArgumentException(
-              "a refusal of a frame: " + new String(frame.rest(), StandardCharsets.ISO_8859_1));
-      default -> throw new IllegalArgumentException("a frame '" + frame.letter() + "'");
+    } catch (ProtocolException failure) {
+      failOn(failure, StandardCharsets.ISO_8859_1.decode(received).toString(), endedAttempts);
     }
+    endedAttempts.forEach(owner::onEvent);
   }
 
-  /** Guards against an answer that begins and never ends, whatever its length says. */
-  private void awaitRest(int before) {
-    loop.after(
-        FRAME_TIME,
-        () -> {
-          if (!over && frames == before && !codec.idle()) {
-            List<Event.AttemptEnded> ended = new ArrayList<>();
-            spoilt("a frame that does not end", "", ended);
-            ended.forEach(owner::tell);
-          }
-        });
+  private void awaitRestOfFrame(int framesBefore) {
+    var unused =
+        loop.after(
+            FRAME_TIMEOUT_MS,
+            () -> {
+              if (!ended && reader.framesRead() == framesBefore && reader.isWithinFrame()) {
+                failOnIncompleteFrame();
+              }
+            });
+  }
+
+  private void failOnIncompleteFrame() {
+    List<Event.AttemptEnded> endedAttempts = new ArrayList<>();
+    ProtocolException violation =
+        new ProtocolException(
+            server, "frame", "it is incomplete " + FRAME_TIMEOUT_MS + " ms after its first byte");
+    failOn(violation, "", endedAttempts);
+    endedAttempts.forEach(owner::onEvent);
   }
 
   /**
-   * Ends the connection, which is of no further use. Guards against a spoilt answer that costs more
-   * than its own attempt: that one has failed, where it can be told; the others out here are taken
-   * back, which speaks against no server; and an answer that came whole before, with nothing else
-   * asked, stands.
+   * Closes the connection after a violation of the protocol, and adds the ends of the attempts in
+   * flight: one that the violation can be attributed to has failed, the others are cancelled, which
+   * does not count against the server. Where none is in flight, the result before the violation may
+   * have been cut short.
    */
-  private void spoilt(String fault, String text, List<Event.AttemptEnded> ended) {
-    LOG.log(Level.WARNING, server + " sent " + fault);
-    List<AttemptId> remaining = List.copyOf(parts.keySet());
-    List<AttemptId> named =
-        remaining.stream().filter(a -> text.contains(parts.get(a).id() + " ")).toList();
-    AttemptId culprit =
-        remaining.size() == 1 ? remaining.get(0) : named.size() == 1 ? named.get(0) : null;
-    if (remaining.isEmpty() && !ended.isEmpty()) {
-      Event.AttemptEnded last = ended.remove(ended.size() - 1);
-      boolean cut = last.outcome() == Outcome.OK && !SlotFrames.stands((PartValue) last.value());
-      ended.add(cut ? new Event.AttemptEnded(last.attempt(), Outcome.ERROR, null) : last);
+  private void failOn(
+      ProtocolException violation, String received, List<Event.AttemptEnded> endedAttempts) {
+    LOG.log(
+        Level.WARNING,
+        "Protocol violation by " + violation.getMessage() + "; closing connection to " + address);
+    List<AttemptId> remaining = inFlight.attempts();
+    if (remaining.isEmpty() && !endedAttempts.isEmpty()) {
+      failIfCutShort(endedAttempts);
     }
-    for (AttemptId a : remaining) {
-      remove(a);
-      ended.add(
-          new Event.AttemptEnded(a, a.equals(culprit) ? Outcome.ERROR : Outcome.CANCELLED, null));
+    AttemptId failed = inFlight.attributeTo(received);
+    for (AttemptId attempt : remaining) {
+      remove(attempt);
+      Outcome outcome = attempt.equals(failed) ? Outcome.ERROR : Outcome.CANCELLED;
+      endedAttempts.add(new Event.AttemptEnded(attempt, outcome, null));
     }
-    over = true;
+    ended = true;
     close();
   }
 
+  private static void failIfCutShort(List<Event.AttemptEnded> endedAttempts) {
+    int lastIndex = endedAttempts.size() - 1;
+    Event.AttemptEnded last = endedAttempts.get(lastIndex);
+    if (last.outcome() == Outcome.OK && !SlotFrames.isCompleteValue((PartValue) last.value())) {
+      endedAttempts.set(lastIndex, new Event.AttemptEnded(last.attempt(), Outcome.ERROR, null));
+    }
+  }
+
   @Override
   public void closed() {
-    release();
-    over = true;
-    leave();
-    if (!up && wasRefused() && handedOver()) {
+    releaseDescriptor();
+    ended = true;
+    retire();
+    if (!connected && wasRefused() && reassignCalls()) {
       return;
     }
-    Map<AttemptId, PartCall> remaining = new LinkedHashMap<>(parts);
-    // All of them first: whoever hears of one end may give up another that was out here, and the
-    // rest must be told as well.
-    remaining.keySet().forEach(this::remove);
-    // Whether the last byte had gone decides if the part may have run.
-    remaining.forEach(
-        (attempt, part) ->
-            owner.tell(
-                new Event.AttemptEnded(
-                    attempt, part.call().written ? Outcome.RESET : Outcome.UNREACHABLE, null)));
+    // All are removed before the first is reported: the owner may respond to one end by cancelling
+    // another attempt that was in flight here.
+    List<SlotCall.Part> remaining = inFlight.parts();
+    remaining.forEach(part -> remove(part.attempt().id()));
+    for (SlotCall.Part part : remaining) {
+      Outcome outcome = part.call().isWritten() ? Outcome.RESET : Outcome.UNREACHABLE;
+      owner.onEvent(new Event.AttemptEnded(part.attempt().id(), outcome, null));
+    }
   }
 
   /**
-   * A process that does not run, or holds no more connections, says so at once; what takes longer
-   * is the way or the handshake.
+   * A process that does not run, or accepts no more connections, refuses at once; a longer wait
+   * comes from the network or the handshake.
    */
   private boolean wasRefused() {
-    return times.clock().now() - opened < times.connectTimeout() / 2;
+    return timing.clock().now() - openedAt < REFUSAL_SHARE * timing.connectTimeout();
   }
 
-  private boolean handedOver() {
-    List<List<Effect.StartAttempt>> waiting =
-        calls.stream().map(c -> c.parts.values().stream().map(PartCall::start).toList()).toList();
-    if (waiting.isEmpty() || !owner.takeOver(this, waiting)) {
+  private boolean reassignCalls() {
+    List<List<Effect.StartAttempt>> calls =
+        inFlight.calls().stream().map(SlotCall::attempts).toList();
+    if (calls.isEmpty() || !owner.reassign(this, calls)) {
       return false;
     }
-    parts.clear();
-    byId.clear();
-    calls.clear();
+    inFlight.clear();
     return true;
   }
 }
--- a/src/main/java/bitternpulley/platform/SlotConnectionOwner.java
+++ b/src/main/java/bitternpulley/platform/SlotConnectionOwner.java
@@ -5,24 +5,25 @@
 import bitternpulley.broker.Event;
 import java.util.List;
 
-/** What the owner of a connection is told. */
+/** What a connection to a slot server reports to its owner. */
 interface SlotConnectionOwner {
-  /** An event for the core. */
-  void tell(Event event);
+  /** An attempt has ended or was cancelled. */
+  void onEvent(Event event);
 
-  /** Nothing of this attempt is out any more. */
-  void removed(AttemptId attempt);
+  /** The connection carries this attempt no more. */
+  void onAttemptRemoved(AttemptId attempt);
 
-  /** Nothing new is to go over this connection; may be told more than once. */
-  void left(SlotConnection connection);
+  /** The connection takes no further calls; may be reported more than once. */
+  void onRetired(SlotConnection connection);
 
-  /** Its descriptor is free; told once. */
-  void released();
+  /** The connection's descriptor is free; reported once. */
+  void onDescriptorReleased();
 
   /**
    * The server refused this connection at once. Calls that wait for it may go over another that is
-   * up: then the server runs and holds no more connections, and this is true; none of the attempts
-   * ends by that.
+   * up: then the server runs and accepts no more connections.
+   *
+   * @return whether another connection took them, so that none of the attempts ends by the refusal
    */
-  boolean takeOver(SlotConnection refused, List<List<Effect.StartAttempt>> calls);
+  boolean reassign(SlotConnection refused, List<List<Effect.StartAttempt>> calls);
 }
--- /dev/null
+++ b/src/test/java/bitternpulley/platform/WarmupQueriesTest.java
@@ -0,0 +1,120 @@
+package bitternpulley.platform;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import bitternpulley.config.ConfigurationReader;
+import bitternpulley.net.EventLoop;
+import bitternpulley.routing.Settings;
+import java.util.Map;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.testng.annotations.Test;
+
+/** The synthetic queries that warm up the JVM at the start. */
+public class WarmupQueriesTest {
+  private static final int MAX_BODY_BYTES = 64 * 1024;
+
+  private static Settings settings() {
+    return ConfigurationReader.read(Map.of("LB_CONFIG", "deploy/rehearsal.json")).settings();
+  }
+
+  private static Rehearsal warmup(EventLoop loop) {
+    return new Rehearsal(settings(), MAX_BODY_BYTES, loop);
+  }
+
+  @Test
+  public void mostQueriesAreAnswered() {
+    Rehearsal warmup = warmup(new EventLoop());
+    for (int i = 0; i < 100; i++) {
+      warmup.playOne();
+    }
+    assertEquals(warmup.played(), 100);
+    assertTrue(warmup.answered() > 50, "answered " + warmup.answered());
+  }
+
+  @Test
+  public void isShortInALargeFleet() throws InterruptedException {
+    EventLoop loop = new EventLoop();
+    Rehearsal warmup = warmup(loop);
+    CountDownLatch done = new CountDownLatch(1);
+    loop.execute(() -> warmup.play(true, done::countDown));
+    assertTrue(done.await(30, TimeUnit.SECONDS));
+    assertTrue(warmup.played() <= 20, warmup.played() + " played");
+  }
+
+  @Test
+  public void continuesInTheBackgroundAndEnds() throws InterruptedException {
+    EventLoop loop = new EventLoop();
+    Rehearsal warmup = warmup(loop);
+    loop.execute(warmup::goOn);
+    CountDownLatch done = new CountDownLatch(1);
+    loop.execute(() -> awaitEnd(loop, warmup, done));
+    assertTrue(done.await(60, TimeUnit.SECONDS));
+    assertEquals(warmup.played(), 200);
+  }
+
+  private static void awaitEnd(EventLoop loop, Rehearsal warmup, CountDownLatch done) {
+    if (warmup.played() >= 200) {
+      done.countDown();
+    } else {
+      var unused = loop.after(20, () -> awaitEnd(loop, warmup, done));
+    }
+  }
+
+  private static Settings settingsWith(int shards, int maxPending) {
+    Settings settings = settings();
+    Settings.Limits limits = settings.limits();
+    return new Settings(
+        settings.self(),
+        settings.instances(),
+        settings.zone(),
+        settings.tick(),
+        settings.endpointsOnRequest(),
+        settings.classes(),
+        settings.tenants(),
+        settings.overQuotaWeight(),
+        settings.weightByWork(),
+        new Settings.Layout(shards, shards, 2, 1),
+        new Settings.Limits(
+            limits.maxAttempts(),
+            maxPending,
+            limits.cancellationAllowed(),
+            limits.hedgingAllowed(),
+            limits.retryAfterAllowed(),
+            limits.maxRetryAfter(),
+            limits.connectTimeout()),
+        settings.rules(),
+        settings.costs());
+  }
+
+  private static int maxParts(int shards, int maxPending, int maxBodyBytes) {
+    return new SyntheticQueries(settingsWith(shards, maxPending), maxBodyBytes).maxParts();
+  }
+
+  @Test
+  public void largestQueryFollowsFromTheSettings() {
+    assertEquals(maxParts(3500, 393, MAX_BODY_BYTES), 130);
+    assertEquals(maxParts(24, 200, MAX_BODY_BYTES), 24);
+    assertEquals(maxParts(3500, Integer.MAX_VALUE, 4096), 63);
+  }
+
+  @Test
+  public void queriesAreAnsweredWhereShardsAreMany() {
+    Rehearsal warmup = new Rehearsal(settingsWith(3500, 393), MAX_BODY_BYTES, new EventLoop());
+    for (int i = 0; i < 30; i++) {
+      warmup.playOne();
+    }
+    assertTrue(warmup.answered() > 15, "answered " + warmup.answered());
+  }
+
+  @Test
+  public void endsWhenItsQueriesAreInvalid() throws InterruptedException {
+    EventLoop loop = new EventLoop();
+    Rehearsal broken = new Rehearsal(settingsWith(24, 200), 16, loop);
+    CountDownLatch done = new CountDownLatch(1);
+    loop.execute(() -> broken.play(true, done::countDown));
+    assertTrue(done.await(30, TimeUnit.SECONDS));
+    loop.execute(broken::goOn);
+  }
+}
