--- a/src/main/java/bitternpulley/platform/Rehearsal.java
+++ b/src/main/java/bitternpulley/platform/Rehearsal.java
@@ -82,9 +82,9 @@
   /** Whether clients are served meanwhile, from which large queries would take time. */
   private boolean inBackground;
 
-  private int played;
+  private int queriesRun;
   private int attempts;
-  private int answered;
+  private int queriesAnswered;
 
   /**
    * Creates a warm-up.
@@ -126,9 +126,9 @@
   private void runTurn(int queryCount, long endNanos, Runnable done) {
     boolean succeeded = true;
     for (int run = 0; run < QUERIES_PER_TURN && succeeded; run++) {
-      succeeded = tryOne();
+      succeeded = tryRunOne();
     }
-    if (succeeded && played < queryCount && System.nanoTime() < endNanos) {
+    if (succeeded && queriesRun < queryCount && System.nanoTime() < endNanos) {
       // An alarm, since a task executed now would still run in this turn, before discovery is read.
       var unused = loop.after(0, () -> runTurn(queryCount, endNanos, done));
     } else {
@@ -139,38 +139,38 @@
   /** Continues in the background until the JVM has compiled the code, one query in a turn. */
   public void goOn() {
     inBackground = true;
-    if (played < TOTAL_QUERIES && tryOne()) {
+    if (queriesRun < TOTAL_QUERIES && tryRunOne()) {
       var unused = loop.after(BACKGROUND_INTERVAL_MS, this::goOn);
     }
   }
 
   /** The number of queries answered. */
-  int answered() {
-    return answered;
+  int queriesAnswered() {
+    return queriesAnswered;
   }
 
   /** The number of queries run. */
-  int played() {
-    return played;
+  int queriesRun() {
+    return queriesRun;
   }
 
   /**
    * Runs one query; returns false after a failure. A supervised boundary: a defect of the warm-up
    * must not keep the program from becoming ready.
    */
-  private boolean tryOne() {
+  private boolean tryRunOne() {
     try {
-      playOne();
+      runOne();
       return true;
     } catch (RuntimeException failure) {
-      LOG.log(Level.WARNING, "The JVM warm-up ends early, at query " + played, failure);
+      LOG.log(Level.WARNING, "The JVM warm-up ends early, at query " + queriesRun, failure);
       return false;
     }
   }
 
   /** Runs one query and the ends of the attempts that it started. */
-  void playOne() {
-    int number = played++;
+  void runOne() {
+    int number = queriesRun++;
     String text = inBackground ? queries.ofCommonSize(number) : queries.ofAnySize(number);
     HttpParser parser = new HttpParser(false, maxBodyBytes, new Client());
     parser.read(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
@@ -261,7 +261,7 @@
 
     @Override
     public void reply(HttpServer.Response response) {
-      answered += response.status() == 200 ? 1 : 0;
+      queriesAnswered += response.status() == 200 ? 1 : 0;
     }
 
     @Override
--- a/src/test/java/bitternpulley/platform/DiscoveryTest.java
+++ b/src/test/java/bitternpulley/platform/DiscoveryTest.java
@@ -21,24 +21,24 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The watch, whose other side the test plays step by step: each step waits for the one before. */
+/** The watches, whose other side the test plays step by step. */
 public class DiscoveryTest {
   private static final int PATIENCE_MS = 30_000;
 
-  /** What a silent watch has missed counts as told so many ms after it fell silent. */
-  private static final long TOLD_AFTER = 6000;
+  /** What an unresponsive watch missed counts as received this long after its last line. */
+  private static final long RECEIVED_AFTER_MS = 6000;
 
-  private final BlockingQueue<EndpointList> told = new LinkedBlockingQueue<>();
+  private final BlockingQueue<EndpointList> received = new LinkedBlockingQueue<>();
   private EventLoop loop;
   private Discovery discovery;
   private ServerSocket agent;
 
   @BeforeMethod
   public void begin() throws IOException {
-    told.clear();
+    received.clear();
     loop = new EventLoop();
     agent = listen();
-    discovery = new Discovery(loop, at(agent), List.of("a"), 41, told::add);
+    discovery = new Discovery(loop, addressOf(agent), List.of("a"), 41, received::add);
     loop.execute(discovery::start);
   }
 
@@ -48,26 +48,29 @@
   }
 
   private static ServerSocket listen() throws IOException {
-    ServerSocket at = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-    at.setSoTimeout(PATIENCE_MS);
-    return at;
+    ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    listener.setSoTimeout(PATIENCE_MS);
+    return listener;
   }
 
-  private static HostPort at(ServerSocket of) {
-    return new HostPort("127.0.0.1", of.getLocalPort());
+  private static HostPort addressOf(ServerSocket listener) {
+    return new HostPort("127.0.0.1", listener.getLocalPort());
   }
 
-  /** The next watch, asked for from this revision, and answered so far. */
-  private static Socket watch(ServerSocket of, int from) throws IOException {
-    Socket watch = unanswered(of, from);
+  /** Accepts the next watch, checks that it resumes from this revision, and sends the head. */
+  private static Socket watch(ServerSocket listener, int revision) throws IOException {
+    Socket watch = unanswered(listener, revision);
     watch
         .getOutputStream()
-        .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
+        .write(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                .getBytes(StandardCharsets.US_ASCII));
     return watch;
   }
 
-  private static Socket unanswered(ServerSocket of, int from) throws IOException {
-    Socket watch = of.accept();
+  /** Accepts the next watch and checks that it resumes from this revision. */
+  private static Socket unanswered(ServerSocket listener, int revision) throws IOException {
+    Socket watch = listener.accept();
     watch.setSoTimeout(PATIENCE_MS);
     ByteArrayOutputStream head = new ByteArrayOutputStream();
     while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
@@ -75,15 +78,18 @@
     }
     assertTrue(
         head.toString(StandardCharsets.US_ASCII)
-            .startsWith("GET /api/targets?watch=1&from=" + from + " "),
-        head.toString());
+            .startsWith("GET /api/targets?watch=1&from=" + revision + " "),
+        head.toString(StandardCharsets.US_ASCII));
     return watch;
   }
 
-  private static void chunk(Socket to, String text) throws IOException {
-    to.getOutputStream()
-        .write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes());
-    to.getOutputStream().flush();
+  private static void sendChunk(Socket watch, String text) throws IOException {
+    watch
+        .getOutputStream()
+        .write(
+            (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
+                .getBytes(StandardCharsets.US_ASCII));
+    watch.getOutputStream().flush();
   }
 
   private static String list(int revision, String phase) {
@@ -96,14 +102,13 @@
   }
 
   private long next() throws InterruptedException {
-    EndpointList list = told.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
-    assertTrue(list != null, "nothing was told");
+    EndpointList list = received.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+    assertTrue(list != null, "no list was received");
     return list.revision();
   }
 
-  /** Guards against lists that are heard only if each stands on one line of its own. */
   @Test
-  public void aListMayBeIndentedAndComeByteByByte() throws Exception {
+  public void readsAnIndentedListThatArrivesByteByByte() throws Exception {
     try (Socket watch = watch(agent, 41)) {
       String text =
           list(42, "draining").replace(",", ",\r\n  ").replace("[", "[\n    ")
@@ -111,21 +116,18 @@
               + list(43, "up")
               + "\n";
       for (int i = 0; i < text.length(); i++) {
-        chunk(watch, text.substring(i, i + 1));
+        sendChunk(watch, text.substring(i, i + 1));
       }
       assertEquals(next(), 42);
       assertEquals(next(), 43);
     }
   }
 
-  /**
-   * Guards against two lists of which only the first is heard, and a value with brackets and quotes
-   * that ends one early.
-   */
+  /** A string may hold brackets and quotes, which end no object. */
   @Test
-  public void severalListsInOneReadAreAllHeard() throws Exception {
+  public void readsAllListsOfOneChunk() throws Exception {
     try (Socket watch = watch(agent, 41)) {
-      chunk(
+      sendChunk(
           watch,
           list(42, "up").replace("s{1}", "s}\\\"]{1")
               + list(43, "draining")
@@ -138,48 +140,42 @@
   }
 
   @Test
-  public void anOlderRevisionIsNotTold() throws Exception {
+  public void ignoresAnOlderRevision() throws Exception {
     try (Socket watch = watch(agent, 41)) {
-      chunk(watch, list(45, "up") + "\n" + list(44, "draining") + "\n" + list(46, "up") + "\n");
+      sendChunk(watch, list(45, "up") + "\n" + list(44, "draining") + "\n" + list(46, "up") + "\n");
       assertEquals(next(), 45);
       assertEquals(next(), 46);
     }
   }
 
-  /**
-   * Guards against a watch that is reset and taken up late: a drain is told as soon as discovery
-   * can be asked.
-   */
+  /** A drain has to be received as soon as discovery can be reached. */
   @Test
-  public void aWatchThatIsResetOrEndsIsTakenUpAtOnceFromWhereItWas() throws Exception {
-    int from = 41;
+  public void resumesAtOnceFromTheLastRevisionAfterAResetOrAnEnd() throws Exception {
+    int revision = 41;
     for (boolean reset : new boolean[] {true, false, true, false}) {
-      try (Socket watch = watch(agent, from)) {
-        chunk(watch, list(++from, "up") + "\n");
-        assertEquals(next(), from);
+      try (Socket watch = watch(agent, revision)) {
+        sendChunk(watch, list(++revision, "up") + "\n");
+        assertEquals(next(), revision);
         if (reset) {
           watch.setSoLinger(true, 0);
         } else {
-          watch.getOutputStream().write("0\r\n\r\n".getBytes());
+          watch.getOutputStream().write("0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         }
       }
     }
-    watch(agent, from).close();
+    watch(agent, revision).close();
   }
 
-  /**
-   * Guards against waits that a failed past has made long: after a watch that worked they are short
-   * again.
-   */
+  /** After earlier failures the backoff is long. */
   @Test
-  public void waitsBeginAnewAfterAWatchThatWorked() throws Exception {
+  public void resetsTheBackoffAfterAWatchThatWasAlive() throws Exception {
     for (int i = 0; i < 6; i++) {
       unanswered(agent, 41).close();
     }
     try (Socket watch = watch(agent, 41)) {
-      // An empty line is a sign that it works; no list has come.
-      chunk(watch, "\n");
-      chunk(watch, list(42, "up") + "\n");
+      // An empty line is a sign of life before the first list.
+      sendChunk(watch, "\n");
+      sendChunk(watch, list(42, "up") + "\n");
       assertEquals(next(), 42);
     }
     long ended = System.nanoTime();
@@ -189,52 +185,52 @@
         "the first wait is at most 50 ms, the longest 250");
   }
 
-  private interface Ways {
+  private interface Misbehaviour {
     void on(Socket watch) throws IOException;
   }
 
-  /** A fresh watch must be open, and could tell all, before what this one missed counts as told. */
-  private void fallsSilent(Ways ways) throws Exception {
+  /** Checks that another watch delivers before what this one missed counts as received. */
+  private void assertReplacedInTime(Misbehaviour misbehaviour) throws Exception {
     try (Socket silent = watch(agent, 41)) {
-      chunk(silent, list(42, "up") + "\n");
+      sendChunk(silent, list(42, "up") + "\n");
       assertEquals(next(), 42);
       long since = System.nanoTime();
-      ways.on(silent);
+      misbehaviour.on(silent);
       try (Socket fresh = watch(agent, 42)) {
-        chunk(fresh, list(43, "draining") + "\n");
+        sendChunk(fresh, list(43, "draining") + "\n");
         assertEquals(next(), 43);
         long ms = (System.nanoTime() - since) / 1_000_000;
-        assertTrue(ms < TOLD_AFTER, "after " + ms + " ms");
+        assertTrue(ms < RECEIVED_AFTER_MS, "after " + ms + " ms");
       }
     }
   }
 
   @Test
-  public void aSilentWatchIsReplacedBeforeWhatItMissedCountsAsTold() throws Exception {
-    fallsSilent(watch -> {});
+  public void replacesAnUnresponsiveWatchInTime() throws Exception {
+    assertReplacedInTime(watch -> {});
   }
 
   @Test
-  public void oneThatFallsSilentInTheMiddleOfAListIsReplacedInTime() throws Exception {
-    fallsSilent(watch -> chunk(watch, list(43, "draining").substring(0, 50)));
+  public void replacesAWatchThatStopsWithinAListInTime() throws Exception {
+    assertReplacedInTime(watch -> sendChunk(watch, list(43, "draining").substring(0, 50)));
   }
 
-  /** Guards against bytes that are taken for a sign of life though no whole line ever comes. */
+  /** Bytes without a complete list are no sign of life. */
   @Test
-  public void oneThatTricklesAndNeverEndsALineIsReplacedInTime() throws Exception {
-    fallsSilent(
+  public void replacesAWatchThatTricklesAnEndlessListInTime() throws Exception {
+    assertReplacedInTime(
         watch -> {
           Thread trickle =
               new Thread(
                   () -> {
                     try {
-                      chunk(watch, "{\"revision\":");
+                      sendChunk(watch, "{\"revision\":");
                       while (!watch.isClosed()) {
-                        chunk(watch, " ");
+                        sendChunk(watch, " ");
                         TimeUnit.MILLISECONDS.sleep(100);
                       }
-                    } catch (IOException | InterruptedException e) {
-                      // it has been replaced
+                    } catch (IOException | InterruptedException replaced) {
+                      // The watch has been closed.
                     }
                   });
           trickle.setDaemon(true);
@@ -242,61 +238,55 @@
         });
   }
 
-  /**
-   * Guards against watches that come up and say nothing, each of which takes the time in which the
-   * next could speak.
-   */
+  /** Such a watch must not take the time in which the next one could deliver. */
   @Test
-  public void freshOnesThatAreAnsweredAndSayNothingAreReplacedInTime() throws Exception {
+  public void replacesAWatchThatIsAnsweredAndThenSilentInTime() throws Exception {
     try (Socket silent = watch(agent, 41)) {
-      chunk(silent, list(42, "up") + "\n");
+      sendChunk(silent, list(42, "up") + "\n");
       assertEquals(next(), 42);
       long since = System.nanoTime();
       try (Socket mute = watch(agent, 42);
           Socket fresh = watch(agent, 42)) {
-        chunk(fresh, list(43, "draining") + "\n");
+        sendChunk(fresh, list(43, "draining") + "\n");
         assertEquals(next(), 43);
         long ms = (System.nanoTime() - since) / 1_000_000;
-        assertTrue(ms < TOLD_AFTER, "after " + ms + " ms");
-        assertEquals(mute.getInputStream().read(), -1, "it has been given up");
+        assertTrue(ms < RECEIVED_AFTER_MS, "after " + ms + " ms");
+        assertEquals(mute.getInputStream().read(), -1, "it has been closed");
       }
     }
   }
 
-  /**
-   * Guards against a list that is told late: one that fell silent is heard on until the fresh one
-   * speaks.
-   */
+  /** It may deliver after all, before the next one does. */
   @SuppressWarnings("try") // the connection itself is under test
   @Test
-  public void whatTheSilentOneSaysAfterAllIsHeard() throws Exception {
+  public void readsAnUnresponsiveWatchUntilTheNextIsAlive() throws Exception {
     try (Socket silent = watch(agent, 41)) {
-      chunk(silent, list(42, "up") + "\n");
+      sendChunk(silent, list(42, "up") + "\n");
       assertEquals(next(), 42);
       try (Socket mute = unanswered(agent, 42)) {
-        chunk(silent, list(43, "draining") + "\n");
+        sendChunk(silent, list(43, "draining") + "\n");
         assertEquals(next(), 43);
       }
     }
   }
 
   @Test
-  public void afterAMoveToADeadAddressTheOldWatchIsHeardAndTheNewOneIsTriedOn() throws Exception {
+  public void readsTheOldWatchAndRetriesTheNewAddressWhereItRefuses() throws Exception {
     HostPort moved = new HostPort("127.0.0.1", Ports.free(List.of("127.0.0.1")));
     try (Socket old = watch(agent, 41)) {
-      chunk(old, list(42, "up") + "\n");
+      sendChunk(old, list(42, "up") + "\n");
       assertEquals(next(), 42);
       loop.execute(() -> discovery.moveTo(moved));
-      chunk(old, list(43, "draining") + "\n");
+      sendChunk(old, list(43, "draining") + "\n");
       assertEquals(next(), 43);
       try (ServerSocket there =
-          new ServerSocket(moved.port(), 50, InetAddress.getByName("127.0.0.1"))) {
+          new ServerSocket(moved.port(), 50, InetAddress.getLoopbackAddress())) {
         there.setSoTimeout(PATIENCE_MS);
         try (Socket fresh = watch(there, 43)) {
-          chunk(fresh, list(44, "up") + "\n");
+          sendChunk(fresh, list(44, "up") + "\n");
           assertEquals(next(), 44);
           old.setSoTimeout(PATIENCE_MS);
-          assertEquals(old.getInputStream().read(), -1, "only now is it given up");
+          assertEquals(old.getInputStream().read(), -1, "only now is it closed");
         }
       }
     }
@@ -304,30 +294,30 @@
 
   @SuppressWarnings("try") // the connection itself is under test
   @Test
-  public void afterAMoveToASilentAddressTheNewOneIsTriedOn() throws Exception {
+  public void readsTheOldWatchAndRetriesTheNewAddressWhereItIsSilent() throws Exception {
     try (Socket old = watch(agent, 41);
         ServerSocket silent = listen()) {
-      chunk(old, list(42, "up") + "\n");
+      sendChunk(old, list(42, "up") + "\n");
       assertEquals(next(), 42);
-      loop.execute(() -> discovery.moveTo(at(silent)));
+      loop.execute(() -> discovery.moveTo(addressOf(silent)));
       try (Socket first = unanswered(silent, 42);
           Socket second = unanswered(silent, 42)) {
-        chunk(old, list(43, "draining") + "\n");
-        assertEquals(next(), 43, "the old one is heard on");
+        sendChunk(old, list(43, "draining") + "\n");
+        assertEquals(next(), 43, "the old one is still read");
       }
     }
   }
 
   @Test
-  public void whatCannotBeUsedEndsItsWatchAndNothingElse() throws Exception {
+  public void invalidMessageEndsItsWatchAndNothingElse() throws Exception {
     for (String bad : List.of("]", "{\"revision\":42}", "{]}", "x".repeat(10))) {
       try (Socket watch = watch(agent, 41)) {
-        chunk(watch, bad + "\n");
+        sendChunk(watch, bad + "\n");
         assertEquals(watch.getInputStream().read(), -1, bad);
       }
     }
     try (Socket watch = watch(agent, 41)) {
-      chunk(watch, list(42, "up"));
+      sendChunk(watch, list(42, "up"));
       assertEquals(next(), 42);
     }
   }
--- /dev/null
+++ b/src/test/java/bitternpulley/platform/SlotConnectionEndTest.java
@@ -0,0 +1,80 @@
+package bitternpulley.platform;
+
+import static org.testng.Assert.assertEquals;
+
+import bitternpulley.broker.AttemptId;
+import bitternpulley.broker.Event;
+import bitternpulley.routing.Router;
+import java.net.Socket;
+import java.util.List;
+import org.testng.annotations.Test;
+
+/** How attempts end with their connection. */
+public class SlotConnectionEndTest extends SlotServersHarness {
+
+  @Test
+  public void partsInFlightOnARetiredConnectionEndWithIt() throws Exception {
+    start(0, 0);
+    start(1, 0);
+    try (Socket first = server.accept()) {
+      assertEquals(readFrame(first), call(0));
+      assertEquals(readFrame(first), call(1));
+      cancel(0);
+      assertEquals(readFrame(first), cancellation(0));
+      awaitEvents(1);
+    }
+    awaitEvents(2);
+    assertEquals(
+        events,
+        List.of(
+            new Event.AttemptCancelled(new AttemptId(0, 0)),
+            new Event.AttemptEnded(new AttemptId(1, 0), Router.Outcome.RESET, null)));
+  }
+
+  /** The end of one attempt may lead to the cancellation of another on the same connection. */
+  @Test
+  public void eachPartOnARefusedConnectionEndsThoughOneIsCancelledMeanwhile() throws Exception {
+    server.close();
+    servers =
+        new SlotServersBuilder(
+                loop,
+                event -> {
+                  events.add(event);
+                  if (event instanceof Event.AttemptEnded ended && ended.attempt().part() == 0) {
+                    cancelNow(1);
+                  }
+                })
+            .build();
+    loop.execute(
+        () -> {
+          servers.address("s", address());
+          for (int part = 0; part < 3; part++) {
+            servers.start(attempt(part, 0));
+          }
+        });
+    assertEquals(outcomes(3), List.of("0 UNREACHABLE", "1 UNREACHABLE", "2 UNREACHABLE"));
+  }
+
+  /** The parts may have run, and the incomplete result does not count. */
+  @Test
+  public void resetWithinAResultResetsEachPartOnce() throws Exception {
+    start(0, 0);
+    start(1, 0);
+    try (Socket socket = server.accept()) {
+      assertEquals(readFrame(socket), call(0));
+      assertEquals(readFrame(socket), call(1));
+      socket.getOutputStream().write(result(0, VALUE), 0, 9);
+      socket.setSoLinger(true, 0);
+    }
+    assertEquals(outcomes(2), List.of("0 RESET", "1 RESET"));
+  }
+
+  @Test
+  public void eachPartOfACallIsResetWhenItsConnectionEnds() throws Exception {
+    startCall(0, 1, 2);
+    try (Socket first = server.accept()) {
+      assertEquals(readFrame(first), call(0, 1, 2));
+    }
+    assertEquals(outcomes(3), List.of("0 RESET", "1 RESET", "2 RESET"));
+  }
+}
--- /dev/null
+++ b/src/test/java/bitternpulley/platform/SlotResultsTest.java
@@ -0,0 +1,125 @@
+package bitternpulley.platform;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import bitternpulley.broker.AttemptId;
+import bitternpulley.broker.Event;
+import bitternpulley.net.FrameCodec;
+import java.io.IOException;
+import java.net.Socket;
+import java.nio.ByteBuffer;
+import java.util.List;
+import org.testng.annotations.Test;
+
+/** Results of parts and calls, and what a violation of the protocol costs. */
+public class SlotResultsTest extends SlotServersHarness {
+
+  private static void write(Socket socket, byte[] first, byte[] second) throws IOException {
+    byte[] both = ByteBuffer.allocate(first.length + second.length).put(first).put(second).array();
+    socket.getOutputStream().write(both);
+  }
+
+  /** One unusable result must not count against the server for all that was in flight. */
+  @Test
+  public void unusableResultFailsItsOwnPartAndCancelsTheOthers() throws Exception {
+    start(0, 0);
+    start(1, 0);
+    start(2, 0);
+    try (Socket socket = server.accept()) {
+      for (int part = 0; part < 3; part++) {
+        assertEquals(readFrame(socket), call(part));
+      }
+      byte[] unusable = FrameCodec.encode('5', ascii("q.1 ? 7 -\n" + VALUE)).array();
+      write(socket, result(2, VALUE), unusable);
+      assertEquals(outcomes(3), List.of("0 CANCELLED", "1 ERROR", "2 OK"));
+      assertEquals(socket.getInputStream().read(), -1, "the connection is of no further use");
+    }
+  }
+
+  /** A value cut short by its length leaves bytes that look like garbage after a valid result. */
+  @Test
+  public void garbageAfterAResultFailsItOnlyIfItsValueIsCutShort() throws Exception {
+    for (int part = 0; part < 2; part++) {
+      start(part, 0);
+      try (Socket socket = server.accept()) {
+        assertEquals(readFrame(socket), call(part));
+        write(socket, result(part, part == 0 ? VALUE : "000000000"), ascii("0000bad"));
+        outcomes(part + 1);
+        assertEquals(socket.getInputStream().read(), -1);
+      }
+    }
+    assertEquals(outcomes(2), List.of("0 OK", "1 ERROR"));
+  }
+
+  @Test
+  public void duplicateResultIsIgnored() throws Exception {
+    start(0, 0);
+    try (Socket socket = server.accept()) {
+      assertEquals(readFrame(socket), call(0));
+      answer(socket, 0);
+      assertEquals(outcomes(1), List.of("0 OK"));
+      start(1, 0);
+      assertEquals(readFrame(socket), call(1), "over the same connection");
+      answer(socket, 0);
+      socket.getOutputStream().write(result(1, "00000000000000bb"));
+      assertEquals(outcomes(2), List.of("0 OK", "1 OK"));
+    }
+  }
+
+  @Test
+  public void resultThatStaysIncompleteFailsItsPart() throws Exception {
+    start(0, 0);
+    try (Socket socket = server.accept()) {
+      assertEquals(readFrame(socket), call(0));
+      socket.getOutputStream().write(result(0, VALUE), 0, 9);
+      assertEquals(outcomes(1), List.of("0 ERROR"));
+      assertEquals(socket.getInputStream().read(), -1);
+    }
+  }
+
+  @Test
+  public void frameRejectedByTheServerFailsItsPart() throws Exception {
+    start(0, 0);
+    try (Socket socket = server.accept()) {
+      assertEquals(readFrame(socket), call(0));
+      socket.getOutputStream().write(FrameCodec.encode('X', ascii("what is this")).array());
+      assertEquals(outcomes(1), List.of("0 ERROR"));
+      assertEquals(socket.getInputStream().read(), -1);
+    }
+  }
+
+  /** Servers are charged by the call, not by the part. */
+  @Test
+  public void partsOfACallShareAFrameAndEndOneByOne() throws Exception {
+    startCall(0, 2, 5);
+    startCall(1, 3);
+    try (Socket first = server.accept()) {
+      assertEquals(readFrame(first), call(0, 2, 5));
+      assertEquals(readFrame(first), call(1, 3));
+      answer(first, 2);
+      answer(first, 3);
+      assertEquals(outcomes(2), List.of("2 OK", "3 OK"));
+      cancel(5);
+      assertEquals(readFrame(first), cancellation(5), "one part of a call is cancelled by itself");
+      answer(first, 0);
+      awaitEvents(4);
+      assertTrue(events.contains(new Event.AttemptCancelled(new AttemptId(5, 0))));
+      assertTrue(
+          events.stream()
+              .anyMatch(e -> e instanceof Event.AttemptEnded ended && ended.attempt().part() == 0));
+    }
+  }
+
+  @Test
+  public void callOfMorePartsThanAConnectionCarriesIsSentPartByPart() throws Exception {
+    use(builder().partsPerConnection(2).build());
+    startCall(0, 1, 2);
+    try (Socket first = server.accept();
+        Socket second = server.accept()) {
+      assertEquals(readFrame(first), call(0));
+      assertEquals(readFrame(first), call(1));
+      assertEquals(readFrame(second), call(2));
+    }
+  }
+}
--- a/src/test/java/bitternpulley/platform/WarmupQueriesTest.java
+++ b/src/test/java/bitternpulley/platform/WarmupQueriesTest.java
@@ -27,10 +27,10 @@
   public void mostQueriesAreAnswered() {
     Rehearsal warmup = warmup(new EventLoop());
     for (int i = 0; i < 100; i++) {
-      warmup.playOne();
+      warmup.runOne();
     }
-    assertEquals(warmup.played(), 100);
-    assertTrue(warmup.answered() > 50, "answered " + warmup.answered());
+    assertEquals(warmup.queriesRun(), 100);
+    assertTrue(warmup.queriesAnswered() > 50, "answered " + warmup.queriesAnswered());
   }
 
   @Test
@@ -40,7 +40,7 @@
     CountDownLatch done = new CountDownLatch(1);
     loop.execute(() -> warmup.play(true, done::countDown));
     assertTrue(done.await(30, TimeUnit.SECONDS));
-    assertTrue(warmup.played() <= 20, warmup.played() + " played");
+    assertTrue(warmup.queriesRun() <= 20, warmup.queriesRun() + " queries run");
   }
 
   @Test
@@ -51,11 +51,11 @@
     CountDownLatch done = new CountDownLatch(1);
     loop.execute(() -> awaitEnd(loop, warmup, done));
     assertTrue(done.await(60, TimeUnit.SECONDS));
-    assertEquals(warmup.played(), 200);
+    assertEquals(warmup.queriesRun(), 200);
   }
 
   private static void awaitEnd(EventLoop loop, Rehearsal warmup, CountDownLatch done) {
-    if (warmup.played() >= 200) {
+    if (warmup.queriesRun() >= 200) {
       done.countDown();
     } else {
       var unused = loop.after(20, () -> awaitEnd(loop, warmup, done));
@@ -103,9 +103,9 @@
   public void queriesAreAnsweredWhereShardsAreMany() {
     Rehearsal warmup = new Rehearsal(settingsWith(3500, 393), MAX_BODY_BYTES, new EventLoop());
     for (int i = 0; i < 30; i++) {
-      warmup.playOne();
+      warmup.runOne();
     }
-    assertTrue(warmup.answered() > 15, "answered " + warmup.answered());
+    assertTrue(warmup.queriesAnswered() > 15, "answered " + warmup.queriesAnswered());
   }
 
   @Test
