--- a/src/main/java/bitternpulley/platform/Discovery.java
+++ b/src/main/java/bitternpulley/platform/Discovery.java
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void onEndpointList(EndpointList list) {
+    public void onEndpointList(DiscoveryWatch watch, EndpointList list) {
       if (list.revision() < revision) {
         // An agent may lag behind the one before it, and list servers that have been removed.
         LOG.log(
@@ -134,7 +134,7 @@
             "Ignored endpoint list revision "
                 + list.revision()
                 + " of discovery at "
-                + agent
+                + watch.agent()
                 + ", which is older than revision "
                 + revision);
         return;
@@ -152,11 +152,13 @@
     }
 
     @Override
-    public void onInvalidMessage(RuntimeException defect) {
+    public void onInvalidMessage(DiscoveryWatch watch, RuntimeException defect) {
       invalidMessages++;
       LOG.log(
           Level.WARNING,
-          "Closing a watch of discovery after an invalid message, number "
+          "Closing a watch of discovery at "
+              + watch.agent()
+              + " after an invalid message, number "
               + invalidMessages
               + " so far: "
               + defect.getMessage());
@@ -164,7 +166,8 @@
 
     @Override
     public void onUnresponsive(DiscoveryWatch watch) {
-      LOG.log(Level.INFO, "Discovery at " + agent + " is unresponsive; opening another watch");
+      LOG.log(
+          Level.INFO, "Discovery at " + watch.agent() + " is unresponsive; opening another watch");
       replace();
     }
 
--- a/src/main/java/bitternpulley/platform/DiscoveryWatch.java
+++ b/src/main/java/bitternpulley/platform/DiscoveryWatch.java
@@ -50,13 +50,13 @@
     long revision();
 
     /** A list was received. */
-    void onEndpointList(EndpointList list);
+    void onEndpointList(DiscoveryWatch watch, EndpointList list);
 
     /** A list or an empty line was received. */
     void onAlive(DiscoveryWatch watch);
 
     /** What the agent sent cannot be used; the watch closes. */
-    void onInvalidMessage(RuntimeException defect);
+    void onInvalidMessage(DiscoveryWatch watch, RuntimeException defect);
 
     /** A watch that was alive has received nothing for too long. */
     void onUnresponsive(DiscoveryWatch watch);
@@ -113,6 +113,11 @@
     }
   }
 
+  /** The address of the agent it leads to. */
+  HostPort agent() {
+    return agent;
+  }
+
   /** Whether it has received a list or an empty line. */
   boolean hasBeenAlive() {
     return hasBeenAlive;
@@ -161,7 +166,7 @@
     try {
       parser.read(bytes);
     } catch (HttpException | ConfigurationException | UncheckedIOException failure) {
-      listener.onInvalidMessage(failure);
+      listener.onInvalidMessage(this, failure);
       connection.close();
     }
   }
@@ -195,7 +200,8 @@
                       + agent
                       + ": "
                       + defect.getMessage());
-      listener.onEndpointList(EndpointList.read(StrictJson.read(text), zones, invalidEntries));
+      listener.onEndpointList(
+          this, EndpointList.read(StrictJson.read(text), zones, invalidEntries));
       markAlive();
     } catch (IOException failure) {
       throw new UncheckedIOException(failure);
--- a/src/main/java/bitternpulley/platform/SlotServers.java
+++ b/src/main/java/bitternpulley/platform/SlotServers.java
@@ -137,6 +137,7 @@
     }
   }
 
+  /** The connection for these attempts as one call; null where there is none. */
   private SlotConnection connectionFor(List<Effect.StartAttempt> attempts) {
     String server = attempts.get(0).server();
     HostPort address = pool.address(server);
