--- a/src/main/java/bitternpulley/admin/AccountsReport.java
+++ b/src/main/java/bitternpulley/admin/AccountsReport.java
@@ -38,13 +38,13 @@
 
   private static String report(Broker broker, Predicate<AccountView> selection) {
     ContractAccounting accounting = broker.contractAccounting();
-    List<AccountView> accounts = accounting.views(broker.now());
+    List<AccountView> accounts = accounting.accounts(broker.now());
     List<AccountView> reported =
         accounts.stream().filter(selection).sorted(BY_USAGE).limit(MAX_ACCOUNTS).toList();
     return JsonLine.of(
         json -> {
           writeFigure(json, "capacity_per_s", accounting.capacity());
-          writeFigure(json, "delivered_per_s", accounting.delivered());
+          writeFigure(json, "delivered_per_s", accounting.deliveredRate());
           json.writeNumberField("accounts_used", accounts.size());
           json.writeArrayFieldStart("accounts");
           for (AccountView account : reported) {
--- a/src/main/java/bitternpulley/admin/AdminEndpoint.java
+++ b/src/main/java/bitternpulley/admin/AdminEndpoint.java
@@ -80,10 +80,11 @@
   private void execute(AdminCommand command, List<String> arguments, Caller caller) {
     switch (command) {
       case HEALTH -> caller.answer().accept(health());
-      case CORDON -> submit(new OperatorOverrides.Override(arguments.get(0), true), caller);
-      case UNCORDON -> submit(new OperatorOverrides.Override(arguments.get(0), false), caller);
-      case QUIESCE -> submit(new OperatorOverrides.Override(null, true), caller);
-      case RESUME -> submit(new OperatorOverrides.Override(null, false), caller);
+      case CORDON -> submit(new OperatorOverrides.OperatorCommand(arguments.get(0), true), caller);
+      case UNCORDON ->
+          submit(new OperatorOverrides.OperatorCommand(arguments.get(0), false), caller);
+      case QUIESCE -> submit(new OperatorOverrides.OperatorCommand(null, true), caller);
+      case RESUME -> submit(new OperatorOverrides.OperatorCommand(null, false), caller);
       case RELOAD -> reload(caller);
       case ACCOUNTS -> caller.answer().accept(accounts(arguments));
       case MEMBERS -> caller.answer().accept(members());
@@ -142,7 +143,7 @@
   }
 
   /** The broker checks the override, and then has it persisted or rejected. */
-  private void submit(OperatorOverrides.Override override, Caller caller) {
+  private void submit(OperatorOverrides.OperatorCommand override, Caller caller) {
     broker.submit(new Event.OperatorCommandReceived(override, caller));
   }
 
@@ -150,7 +151,7 @@
   public void persist(Effect.PersistOverride command) {
     Caller caller = (Caller) command.caller();
     overridesFile.change(
-        command.override(),
+        command.command(),
         new OverridesFile.ChangeObserver() {
           @Override
           public void stored(OperatorOverrides overrides) {
--- a/src/main/java/bitternpulley/admin/MembersReport.java
+++ b/src/main/java/bitternpulley/admin/MembersReport.java
@@ -52,9 +52,9 @@
     json.writeNumberField("epoch", member.epoch());
     json.writeStringField("state", member.state().name().toLowerCase(Locale.ROOT));
     json.writeStringField("zone", member.metadata() == null ? null : member.metadata().zone());
-    json.writeNumberField("since_ms", Math.round(member.since()));
-    writeAge(json, "heard_ms", member.heardFrom());
-    json.writeBooleanField("by_others", member.byOthers());
+    json.writeNumberField("since_ms", Math.round(member.sinceStateChange()));
+    writeAge(json, "heard_ms", member.sinceLastEvidence());
+    json.writeBooleanField("by_others", member.reachedIndirectly());
     json.writeStringField("build", member.metadata() == null ? null : member.metadata().build());
     writeReachability(json, member.reachability());
     json.writeEndObject();
@@ -72,7 +72,7 @@
   private static void writeReachability(JsonGenerator json, ReachabilityReport report)
       throws IOException {
     json.writeArrayFieldStart("misses");
-    for (int missed : report.missed()) {
+    for (int missed : report.unreachable()) {
       json.writeNumber(missed);
     }
     json.writeEndArray();
--- a/src/main/java/bitternpulley/admin/OverridesFile.java
+++ b/src/main/java/bitternpulley/admin/OverridesFile.java
@@ -87,11 +87,11 @@
   }
 
   /** Adds an override to the file. */
-  void change(OperatorOverrides.Override override, ChangeObserver observer) {
+  void change(OperatorOverrides.OperatorCommand override, ChangeObserver observer) {
     executor.execute(() -> storeOrKeep(override, observer));
   }
 
-  private void storeOrKeep(OperatorOverrides.Override override, ChangeObserver observer) {
+  private void storeOrKeep(OperatorOverrides.OperatorCommand override, ChangeObserver observer) {
     try {
       store(override);
     } catch (IOException | RuntimeException exception) {
@@ -108,7 +108,7 @@
     observer.stored(current);
   }
 
-  private void store(OperatorOverrides.Override override) throws IOException {
+  private void store(OperatorOverrides.OperatorCommand override) throws IOException {
     if (file.isEmpty()) {
       current = current.with(override);
     } else {
@@ -118,7 +118,8 @@
 
   /** The lock keeps two processes that read, change and replace the file from losing a change. */
   @SuppressWarnings("try") // the lock is held, not used
-  private void storeLocked(Path path, OperatorOverrides.Override override) throws IOException {
+  private void storeLocked(Path path, OperatorOverrides.OperatorCommand override)
+      throws IOException {
     try (FileChannel channel =
             FileChannel.open(
                 path.resolveSibling(LOCK_NAME),
--- a/src/main/java/bitternpulley/aggregator/Aggregator.java
+++ b/src/main/java/bitternpulley/aggregator/Aggregator.java
@@ -6,8 +6,8 @@
 import bitternpulley.admin.ServiceControl;
 import bitternpulley.config.Configuration;
 import bitternpulley.net.HostPort;
+import bitternpulley.platform.ConnectionPrewarmer;
 import bitternpulley.platform.Discovery;
-import bitternpulley.platform.Preparation;
 import java.lang.System.Logger.Level;
 import java.util.Optional;
 
@@ -35,8 +35,8 @@
         configuration.search().map(settings -> SearchService.create(context, settings));
     Fronts fronts = new Fronts(context.loop(), queries.front(), context.site().listen(), search);
 
-    Preparation prewarmer =
-        new Preparation(context.loop(), context.site().seed(), queries.servers()::prepare);
+    ConnectionPrewarmer prewarmer =
+        new ConnectionPrewarmer(context.loop(), context.site().seed(), queries.servers()::prewarm);
     endpointLists =
         new EndpointListDistributor(context.broker(), state, queries.servers(), search, prewarmer);
     discovery = discovery(context, endpointLists);
@@ -60,7 +60,7 @@
   }
 
   private static AdminEndpoint admin(ServiceContext context, ServiceControl service) {
-    OverridesFile overrides = new OverridesFile(context.site().operations().folder());
+    OverridesFile overrides = new OverridesFile(context.site().operations().stateDirectory());
     return new AdminEndpoint(context.loop(), context.broker(), overrides, service);
   }
 
--- a/src/main/java/bitternpulley/aggregator/EndpointListDistributor.java
+++ b/src/main/java/bitternpulley/aggregator/EndpointListDistributor.java
@@ -4,7 +4,7 @@
 import bitternpulley.broker.Event;
 import bitternpulley.config.EndpointList;
 import bitternpulley.net.HostPort;
-import bitternpulley.platform.Preparation;
+import bitternpulley.platform.ConnectionPrewarmer;
 import bitternpulley.platform.SlotServers;
 import bitternpulley.routing.Router;
 import java.util.Optional;
@@ -17,7 +17,7 @@
   private final ServiceState state;
   private final SlotServers slotServers;
   private final Optional<SearchService> search;
-  private final Preparation connectionPrewarmer;
+  private final ConnectionPrewarmer connectionPrewarmer;
   private boolean discoveryAnswered;
 
   EndpointListDistributor(
@@ -25,7 +25,7 @@
       ServiceState state,
       SlotServers slotServers,
       Optional<SearchService> search,
-      Preparation connectionPrewarmer) {
+      ConnectionPrewarmer connectionPrewarmer) {
     this.broker = broker;
     this.state = state;
     this.slotServers = slotServers;
@@ -56,7 +56,7 @@
     list.entries().stream()
         .filter(entry -> entry.endpoint().state() == Router.ServerState.GONE)
         .forEach(entry -> removeServer(entry.endpoint().server()));
-    connectionPrewarmer.told(list);
+    connectionPrewarmer.onEndpointList(list);
     if (namesLiveServer(list)) {
       state.recordLiveServer();
     }
@@ -74,7 +74,7 @@
   }
 
   private void setAddress(String server, HostPort address) {
-    slotServers.address(server, address);
+    slotServers.setAddress(server, address);
     search.ifPresent(service -> service.servers().address(server, address));
   }
 
@@ -86,7 +86,7 @@
   private void removeServersMissingFrom(EndpointList list) {
     Set<String> servers =
         list.entries().stream().map(entry -> entry.endpoint().server()).collect(Collectors.toSet());
-    slotServers.keepOnly(servers);
+    slotServers.retainOnly(servers);
     search.ifPresent(service -> service.servers().keepOnly(servers));
   }
 }
--- a/src/main/java/bitternpulley/aggregator/MembershipSubsystem.java
+++ b/src/main/java/bitternpulley/aggregator/MembershipSubsystem.java
@@ -33,7 +33,7 @@
   /** Has shared quotas go by leases from before the first query, where the script asks for it. */
   void startLeases() {
     if (gossip.isPresent()) {
-      gossip.get().open();
+      gossip.get().startLeases();
     }
   }
 
--- a/src/main/java/bitternpulley/aggregator/QueryService.java
+++ b/src/main/java/bitternpulley/aggregator/QueryService.java
@@ -29,7 +29,7 @@
             servers,
             state::isReadyForClients,
             context.brokerConfiguration()::tenantIdentification);
-    servers.answersTo(queries::reply);
+    servers.deliverAnswersTo(queries::reply);
     return new QueryService(servers, context.newFront(queries));
   }
 }
--- a/src/main/java/bitternpulley/aggregator/StartSequence.java
+++ b/src/main/java/bitternpulley/aggregator/StartSequence.java
@@ -1,8 +1,8 @@
 package bitternpulley.aggregator;
 
 import bitternpulley.config.Configuration;
-import bitternpulley.platform.Preparation;
-import bitternpulley.platform.Rehearsal;
+import bitternpulley.platform.ConnectionPrewarmer;
+import bitternpulley.platform.WarmupQueries;
 import java.lang.System.Logger.Level;
 
 /**
@@ -45,7 +45,7 @@
   private final Fronts fronts;
   private final EndpointListDistributor endpointLists;
   private final HotRestart hotRestart;
-  private final Preparation connectionPrewarmer;
+  private final ConnectionPrewarmer connectionPrewarmer;
   private final boolean sparesConnections;
   private final ListenTiming listenTiming;
 
@@ -55,7 +55,7 @@
       Fronts fronts,
       EndpointListDistributor endpointLists,
       HotRestart hotRestart,
-      Preparation connectionPrewarmer) {
+      ConnectionPrewarmer connectionPrewarmer) {
     this.context = context;
     this.state = state;
     this.fronts = fronts;
@@ -75,9 +75,9 @@
       afterDiscovery(deadline, fronts::acceptConnections);
     }
     // The warm-up runs while discovery's answer is awaited, so that it delays readiness least.
-    Rehearsal warmupQueries =
-        new Rehearsal(context.site().settings(), ServiceContext.MAX_BODY_BYTES, context.loop());
-    warmupQueries.play(
+    WarmupQueries warmupQueries =
+        new WarmupQueries(context.site().settings(), ServiceContext.MAX_BODY_BYTES, context.loop());
+    warmupQueries.run(
         sparesConnections,
         () -> afterDiscovery(deadline, () -> becomeReady(warmupQueries, onReady)));
   }
@@ -95,7 +95,7 @@
     }
   }
 
-  private void becomeReady(Rehearsal warmupQueries, Runnable onReady) {
+  private void becomeReady(WarmupQueries warmupQueries, Runnable onReady) {
     if (state.isDraining()) {
       return;
     }
@@ -109,8 +109,8 @@
             + (sparesConnections ? ", with connection pre-warming" : ""));
     onReady.run();
     if (sparesConnections) {
-      connectionPrewarmer.begin();
-      warmupQueries.goOn();
+      connectionPrewarmer.enable();
+      warmupQueries.continueInBackground();
     }
   }
 
--- a/src/main/java/bitternpulley/broker/AttemptHandler.java
+++ b/src/main/java/bitternpulley/broker/AttemptHandler.java
@@ -77,7 +77,7 @@
    */
   void timedOut(Event.AttemptTimedOut event) {
     PendingPart next = null;
-    for (long id = event.firstPart(); id < event.firstPart() + event.parts(); id++) {
+    for (long id = event.firstPart(); id < event.firstPart() + event.partCount(); id++) {
       PendingPart part = pending.part(id);
       if (part == null) {
         continue;
--- a/src/main/java/bitternpulley/broker/ContractAccounting.java
+++ b/src/main/java/bitternpulley/broker/ContractAccounting.java
@@ -98,13 +98,13 @@
   }
 
   private void reportIfSettled(UsageCharge charge) {
-    if (charge.settled()) {
+    if (charge.isSettled()) {
       context.emit(new Effect.ChargeSettled(charge));
     }
   }
 
   /** The accounts that were used, at a time in ms. */
-  public List<AccountView> views(double now) {
+  public List<AccountView> accounts(double now) {
     return control == null ? List.of() : control.accounts(now);
   }
 
@@ -117,7 +117,7 @@
   }
 
   /** The rate delivered recently, in standard parts per second. */
-  public double delivered() {
+  public double deliveredRate() {
     return control == null ? 0 : control.deliveredRate();
   }
 }
--- a/src/main/java/bitternpulley/broker/ContractLog.java
+++ b/src/main/java/bitternpulley/broker/ContractLog.java
@@ -13,8 +13,8 @@
 
   static String admissionDecided(Effect.AdmissionDecided effect) {
     return effect.decision() instanceof AdmissionDecision.Rejected rejected
-        ? rejected(effect.request(), rejected)
-        : admitted(effect.request(), (UsageCharge) effect.decision());
+        ? rejected(effect.requestId(), rejected)
+        : admitted(effect.requestId(), (UsageCharge) effect.decision());
   }
 
   private static String rejected(long request, AdmissionDecision.Rejected decision) {
--- a/src/main/java/bitternpulley/broker/Effect.java
+++ b/src/main/java/bitternpulley/broker/Effect.java
@@ -99,7 +99,8 @@
   }
 
   /** Store an operator override, then answer its caller. */
-  record PersistOverride(OperatorOverrides.Override override, Payload caller) implements Effect {
+  record PersistOverride(OperatorOverrides.OperatorCommand command, Payload caller)
+      implements Effect {
     @Override
     public void dispatch(EffectHandler handler) {
       handler.onPersistOverride(this);
@@ -115,7 +116,7 @@
   }
 
   /** Send clients away, or serve them again. */
-  record Quiesce(boolean on) implements Effect {
+  record Quiesce(boolean enabled) implements Effect {
     @Override
     public void dispatch(EffectHandler handler) {
       handler.onQuiesce(this);
@@ -123,7 +124,7 @@
   }
 
   /** Record what the contracts in force decided on a request, given by its id. */
-  record AdmissionDecided(long request, AdmissionDecision decision) implements Effect {
+  record AdmissionDecided(long requestId, AdmissionDecision decision) implements Effect {
     @Override
     public void dispatch(EffectHandler handler) {
       handler.onAdmissionDecided(this);
--- a/src/main/java/bitternpulley/broker/EffectPerformer.java
+++ b/src/main/java/bitternpulley/broker/EffectPerformer.java
@@ -91,7 +91,7 @@
 
   @Override
   public void onQuiesce(Effect.Quiesce effect) {
-    operatorCommands.quiesce(effect.on());
+    operatorCommands.quiesce(effect.enabled());
   }
 
   @Override
--- a/src/main/java/bitternpulley/broker/Event.java
+++ b/src/main/java/bitternpulley/broker/Event.java
@@ -28,7 +28,7 @@
   }
 
   /** The client of a request, given by the request's id, disconnected. */
-  record ClientDisconnected(long request) implements Event {
+  record ClientDisconnected(long requestId) implements Event {
     @Override
     public void dispatch(EventHandler handler) {
       handler.onClientDisconnected(this);
@@ -71,7 +71,7 @@
   }
 
   /** The deadline of a request passed that the routing policy may have failed to finish. */
-  record RequestDeadlineExpired(long request) implements Event {
+  record RequestDeadlineExpired(long requestId) implements Event {
     @Override
     public void dispatch(EventHandler handler) {
       handler.onRequestDeadlineExpired(this);
@@ -91,9 +91,9 @@
    *
    * @param attempt the attempt that the alarm was set for
    * @param firstPart the id of the request's first part; the others follow
-   * @param parts the number of its parts
+   * @param partCount the number of its parts
    */
-  record AttemptTimedOut(AttemptId attempt, long firstPart, int parts) implements Event {
+  record AttemptTimedOut(AttemptId attempt, long firstPart, int partCount) implements Event {
     @Override
     public void dispatch(EventHandler handler) {
       handler.onAttemptTimedOut(this);
@@ -106,7 +106,7 @@
   }
 
   /** An operator sent a command; {@code caller} identifies the connection for the answer. */
-  record OperatorCommandReceived(OperatorOverrides.Override override, Payload caller)
+  record OperatorCommandReceived(OperatorOverrides.OperatorCommand command, Payload caller)
       implements Event {
     @Override
     public void dispatch(EventHandler handler) {
--- a/src/main/java/bitternpulley/broker/EventDispatcher.java
+++ b/src/main/java/bitternpulley/broker/EventDispatcher.java
@@ -34,12 +34,12 @@
 
   @Override
   public void onClientDisconnected(Event.ClientDisconnected event) {
-    requests.clientDisconnected(event.request());
+    requests.clientDisconnected(event.requestId());
   }
 
   @Override
   public void onRequestDeadlineExpired(Event.RequestDeadlineExpired event) {
-    requests.abort(event.request());
+    requests.abort(event.requestId());
   }
 
   @Override
@@ -74,7 +74,7 @@
 
   @Override
   public void onOperatorCommandReceived(Event.OperatorCommandReceived event) {
-    operatorCommands.received(event.override(), event.caller());
+    operatorCommands.received(event.command(), event.caller());
   }
 
   @Override
--- a/src/main/java/bitternpulley/broker/OperatorCommandHandler.java
+++ b/src/main/java/bitternpulley/broker/OperatorCommandHandler.java
@@ -21,7 +21,7 @@
   }
 
   /** Has a command stored, or rejects it where it names an unknown server. */
-  void received(OperatorOverrides.Override override, Payload caller) {
+  void received(OperatorOverrides.OperatorCommand override, Payload caller) {
     String server = override.server();
     context.emit(
         server == null || directory.isKnown(server)
--- a/src/main/java/bitternpulley/broker/OperatorOverrides.java
+++ b/src/main/java/bitternpulley/broker/OperatorOverrides.java
@@ -19,7 +19,7 @@
   }
 
   /** Returns these overrides with a further one applied; applying it twice changes nothing. */
-  public OperatorOverrides with(Override override) {
+  public OperatorOverrides with(OperatorCommand override) {
     if (override.server() == null) {
       return new OperatorOverrides(cordoned, override.enabled());
     }
@@ -38,5 +38,5 @@
    * @param server the id of the server; null for this instance
    * @param enabled true to cordon or quiesce, false to readmit or resume
    */
-  public record Override(String server, boolean enabled) {}
+  public record OperatorCommand(String server, boolean enabled) {}
 }
--- a/src/main/java/bitternpulley/config/Configuration.java
+++ b/src/main/java/bitternpulley/config/Configuration.java
@@ -84,10 +84,11 @@
    * What operators need.
    *
    * @param admin the address of the admin endpoint, if there is one
-   * @param folder the folder that outlives the process, if there is one
+   * @param stateDirectory the folder that outlives the process, if there is one
    * @param passedSocket whether the listening socket is passed as file descriptor 0
    */
-  public record Operations(Optional<HostPort> admin, Optional<Path> folder, boolean passedSocket) {}
+  public record Operations(
+      Optional<HostPort> admin, Optional<Path> stateDirectory, boolean passedSocket) {}
 
   /**
    * Settings of the connections to slot servers.
--- a/src/main/java/bitternpulley/contracts/UsageCharge.java
+++ b/src/main/java/bitternpulley/contracts/UsageCharge.java
@@ -43,7 +43,7 @@
   private int attemptsInFlight;
   private boolean ended;
   private boolean lagging;
-  private boolean settled;
+  private boolean isSettled;
 
   UsageCharge(
       Account account,
@@ -94,8 +94,8 @@
   }
 
   /** Whether the account was settled: the query and all its attempts have ended. */
-  public boolean settled() {
-    return settled;
+  public boolean isSettled() {
+    return isSettled;
   }
 
   Account account() {
@@ -143,10 +143,10 @@
 
   /** Settles the charge once nothing of it is in flight; returns whether this call did. */
   boolean settleIfComplete() {
-    if (!ended || attemptsInFlight > 0 || settled) {
+    if (!ended || attemptsInFlight > 0 || isSettled) {
       return false;
     }
-    settled = true;
+    isSettled = true;
     return true;
   }
 }
--- a/src/main/java/bitternpulley/gossip/GossipService.java
+++ b/src/main/java/bitternpulley/gossip/GossipService.java
@@ -74,7 +74,7 @@
    * Puts leases in force before the first query, where the operators' script configures them: until
    * the instance holds leases it has no quota.
    */
-  public void open() {
+  public void startLeases() {
     membership
         .leases()
         .ifPresent(
@@ -110,7 +110,7 @@
   }
 
   private void startMembership() {
-    long epoch = EpochFile.next(config.operations().folder().orElse(null), broker.now());
+    long epoch = EpochFile.next(config.operations().stateDirectory().orElse(null), broker.now());
     int self = config.settings().self();
     Membership core =
         new Membership(
--- a/src/main/java/bitternpulley/membership/MemberView.java
+++ b/src/main/java/bitternpulley/membership/MemberView.java
@@ -7,9 +7,9 @@
  * @param epoch start of its process, 0 where no process of it is known
  * @param state its state
  * @param metadata its metadata, or null where that is unknown
- * @param since ms since its state changed
- * @param heardFrom ms since the last evidence that it runs, infinite where there was none
- * @param byOthers whether its last answer came through a relay
+ * @param sinceStateChange ms since its state changed
+ * @param sinceLastEvidence ms since the last evidence that it runs, infinite where there was none
+ * @param reachedIndirectly whether its last answer came through a relay
  * @param reachability which members it reports as unreachable, and its payload
  */
 public record MemberView(
@@ -17,9 +17,9 @@
     long epoch,
     MemberState state,
     MemberMetadata metadata,
-    double since,
-    double heardFrom,
-    boolean byOthers,
+    double sinceStateChange,
+    double sinceLastEvidence,
+    boolean reachedIndirectly,
     ReachabilityReport reachability) {
   static MemberView of(Member member, double now) {
     return new MemberView(
--- a/src/main/java/bitternpulley/membership/ReachabilityReport.java
+++ b/src/main/java/bitternpulley/membership/ReachabilityReport.java
@@ -75,7 +75,7 @@
   }
 
   /** Numbers of the members that it reaches only through relays or not at all, in order. */
-  public List<Integer> missed() {
+  public List<Integer> unreachable() {
     return new ArrayList<>(unreachable.keySet());
   }
 
--- a/src/main/java/bitternpulley/platform/Preparation.java
+++ b/src/main/java/bitternpulley/platform/ConnectionPrewarmer.java
@@ -16,7 +16,7 @@
  * need not open one to every server of a large fleet at once. It keeps the servers of the list that
  * are still to be connected, each once.
  */
-public final class Preparation {
+public final class ConnectionPrewarmer {
   /** Ms between turns, so that restarted instances do not connect to a server all at once. */
   private static final double TURN_INTERVAL_MS = 10;
 
@@ -44,20 +44,20 @@
    * @param seed of its random choices
    * @param openConnection opens a connection to a server that has none
    */
-  public Preparation(EventLoop loop, long seed, Consumer<String> openConnection) {
+  public ConnectionPrewarmer(EventLoop loop, long seed, Consumer<String> openConnection) {
     this.loop = loop;
     this.random = new Random(seed);
     this.openConnection = openConnection;
   }
 
   /** Enables it: from now on connections are opened. */
-  public void begin() {
+  public void enable() {
     enabled = true;
     run();
   }
 
   /** Adds the live servers of an endpoint list, and removes those that accept no new parts. */
-  public void told(EndpointList list) {
+  public void onEndpointList(EndpointList list) {
     List<String> liveServers = new ArrayList<>();
     for (EndpointList.Entry entry : list.entries()) {
       if (entry.endpoint().state() == Router.ServerState.LIVE) {
--- a/src/main/java/bitternpulley/platform/SlotServers.java
+++ b/src/main/java/bitternpulley/platform/SlotServers.java
@@ -86,12 +86,12 @@
   }
 
   /** Sets the receiver of final answers. */
-  public void answersTo(Consumer<Effect.Reply> receiver) {
+  public void deliverAnswersTo(Consumer<Effect.Reply> receiver) {
     this.answers = receiver;
   }
 
   /** Sets the address of a server. */
-  public void address(String server, HostPort address) {
+  public void setAddress(String server, HostPort address) {
     pool.setAddress(server, address);
   }
 
@@ -101,7 +101,7 @@
   }
 
   /** Removes all servers but these. */
-  public void keepOnly(Set<String> servers) {
+  public void retainOnly(Set<String> servers) {
     pool.retainOnly(servers);
   }
 
@@ -109,7 +109,7 @@
    * Opens a connection to a server that has none, ahead of the first part for it, unless the limit
    * is reached. Whether it comes up is not reported: the first part finds out.
    */
-  public void prepare(String server) {
+  public void prewarm(String server) {
     pool.openFirst(server);
   }
 
--- a/src/main/java/bitternpulley/platform/Rehearsal.java
+++ b/src/main/java/bitternpulley/platform/WarmupQueries.java
@@ -28,8 +28,8 @@
  * code to be compiled. It has its own core, clock and servers, which are discarded: nothing goes
  * over a socket, and nothing is learned from it.
  */
-public final class Rehearsal implements Dialect {
-  private static final System.Logger LOG = System.getLogger(Rehearsal.class.getName());
+public final class WarmupQueries implements Dialect {
+  private static final System.Logger LOG = System.getLogger(WarmupQueries.class.getName());
 
   /** Queries run before the program is ready. */
   private static final int STARTUP_QUERIES = 150;
@@ -93,7 +93,7 @@
    * @param maxBodyBytes the most bytes of a query's body
    * @param loop runs all of it
    */
-  public Rehearsal(Settings settings, int maxBodyBytes, EventLoop loop) {
+  public WarmupQueries(Settings settings, int maxBodyBytes, EventLoop loop) {
     this.queries = new SyntheticQueries(settings, maxBodyBytes);
     this.maxBodyBytes = maxBodyBytes;
     this.loop = loop;
@@ -118,7 +118,7 @@
    * @param many whether very many aggregators share the traffic, so that a short warm-up has to do
    * @param done runs when all were run or the time is up
    */
-  public void play(boolean many, Runnable done) {
+  public void run(boolean many, Runnable done) {
     long endNanos = System.nanoTime() + (long) (MAX_STARTUP_MS * NANOS_PER_MS);
     runTurn(many ? STARTUP_QUERIES_IN_LARGE_FLEET : STARTUP_QUERIES, endNanos, done);
   }
@@ -137,10 +137,10 @@
   }
 
   /** Continues in the background until the JVM has compiled the code, one query in a turn. */
-  public void goOn() {
+  public void continueInBackground() {
     inBackground = true;
     if (queriesRun < TOTAL_QUERIES && tryRunOne()) {
-      var unused = loop.after(BACKGROUND_INTERVAL_MS, this::goOn);
+      var unused = loop.after(BACKGROUND_INTERVAL_MS, this::continueInBackground);
     }
   }
 
--- a/src/main/java/bitternpulley/platform/package-info.java
+++ b/src/main/java/bitternpulley/platform/package-info.java
@@ -11,8 +11,8 @@
  * <p>{@link bitternpulley.platform.QueryFront} serves clients, with {@code QueryCodec}. {@link
  * bitternpulley.platform.SlotServers} talks to slot servers, with {@code SlotConnectionPool},
  * {@code SlotConnection} and {@code SlotFrames}. {@link bitternpulley.platform.Discovery} watches
- * the endpoint list. {@link bitternpulley.platform.Rehearsal} warms up the JVM and {@link
- * bitternpulley.platform.Preparation} the connections. All of it runs on the event loop and is
- * assembled by the aggregator. Start with {@link bitternpulley.platform.QueryFront}.
+ * the endpoint list. {@link bitternpulley.platform.WarmupQueries} warms up the JVM and {@link
+ * bitternpulley.platform.ConnectionPrewarmer} the connections. All of it runs on the event loop and
+ * is assembled by the aggregator. Start with {@link bitternpulley.platform.QueryFront}.
  */
 package bitternpulley.platform;
--- a/src/test/java/bitternpulley/admin/OverridesFileTest.java
+++ b/src/test/java/bitternpulley/admin/OverridesFileTest.java
@@ -33,7 +33,7 @@
     OverridesFile file = new OverridesFile(Optional.of(folder));
     file.read();
     CompletableFuture<OperatorOverrides> stored = new CompletableFuture<>();
-    file.change(new OperatorOverrides.Override("s0", true), new StoredOverrides(stored));
+    file.change(new OperatorOverrides.OperatorCommand("s0", true), new StoredOverrides(stored));
     assertEquals(Set.of("s0", "s1", "s12"), stored.get().cordoned());
     assertEquals(
         "cordoned s0\n" + Files.readString(STORED), Files.readString(folder.resolve(NAME)));
--- a/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
+++ b/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
@@ -164,7 +164,7 @@
     UsageCharge usual = answeredAfter(15, simulation);
     UsageCharge heavy = answeredAfter(9 * 15, simulation);
     assertEquals(9, heavy.used() / usual.used(), 1);
-    assertTrue(heavy.settled());
+    assertTrue(heavy.isSettled());
   }
 
   /** The charge of a query of one part that took this many ms. */
--- a/src/test/java/bitternpulley/contracts/ContractChangeTest.java
+++ b/src/test/java/bitternpulley/contracts/ContractChangeTest.java
@@ -47,7 +47,7 @@
 
   @Test
   void everyChargeIsSettled() {
-    assertTrue(simulation.charges().stream().allMatch(UsageCharge::settled));
+    assertTrue(simulation.charges().stream().allMatch(UsageCharge::isSettled));
   }
 
   @Test
--- a/src/test/java/bitternpulley/membership/MembershipPartitionTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipPartitionTest.java
@@ -139,14 +139,15 @@
               seedOf(cluster));
           assertTrue(
               IntStream.range(2, 7)
-                  .allMatch(member -> reachability(cluster, 0, member).missed().isEmpty()));
+                  .allMatch(member -> reachability(cluster, 0, member).unreachable().isEmpty()));
           cluster.heal(0, 1);
           cluster.runUntil(
               60_000,
               "healed",
               () ->
                   IntStream.range(0, 7)
-                      .allMatch(member -> reachability(cluster, 0, member).missed().isEmpty()));
+                      .allMatch(
+                          member -> reachability(cluster, 0, member).unreachable().isEmpty()));
         });
   }
 
@@ -154,8 +155,8 @@
     return IntStream.range(0, cluster.size())
         .allMatch(
             observer ->
-                reachability(cluster, observer, 0).missed().equals(List.of(1))
-                    && reachability(cluster, observer, 1).missed().equals(List.of(0)));
+                reachability(cluster, observer, 0).unreachable().equals(List.of(1))
+                    && reachability(cluster, observer, 1).unreachable().equals(List.of(0)));
   }
 
   private static ReachabilityReport reachability(
@@ -173,7 +174,7 @@
         cluster.run(1000);
         reported +=
             IntStream.range(0, 10)
-                .map(member -> reachability(cluster, 0, member).missed().size())
+                .map(member -> reachability(cluster, 0, member).unreachable().size())
                 .sum();
       }
     }
--- a/src/test/java/bitternpulley/platform/ConnectionPrewarmerTest.java
+++ b/src/test/java/bitternpulley/platform/ConnectionPrewarmerTest.java
@@ -22,7 +22,7 @@
 
   private EventLoop loop;
   private BlockingQueue<String> opened;
-  private Preparation prewarmer;
+  private ConnectionPrewarmer prewarmer;
 
   private static EndpointList.Entry entry(int number, Router.ServerState state) {
     return new EndpointList.Entry(new Router.Endpoint("s" + number, 0, number, state, 0), null);
@@ -40,7 +40,7 @@
   public void create() {
     loop = new EventLoop();
     opened = new LinkedBlockingQueue<>();
-    prewarmer = new Preparation(loop, 7, opened::add);
+    prewarmer = new ConnectionPrewarmer(loop, 7, opened::add);
   }
 
   private String next() throws InterruptedException {
@@ -52,8 +52,8 @@
   public void connectsToEachServerOnceAtAPaceInRandomOrder() throws InterruptedException {
     loop.execute(
         () -> {
-          prewarmer.told(liveServers(12));
-          prewarmer.begin();
+          prewarmer.onEndpointList(liveServers(12));
+          prewarmer.enable();
         });
     long before = System.nanoTime();
     List<String> order = new ArrayList<>();
@@ -70,16 +70,17 @@
   public void connectsOnlyWhenEnabledAndNotToDrainingServers() throws InterruptedException {
     loop.execute(
         () -> {
-          prewarmer.told(liveServers(2));
-          prewarmer.told(
+          prewarmer.onEndpointList(liveServers(2));
+          prewarmer.onEndpointList(
               list(
                   Stream.of(
                       entry(0, Router.ServerState.DRAINING), entry(2, Router.ServerState.LIVE))));
           assertTrue(opened.isEmpty());
-          prewarmer.begin();
+          prewarmer.enable();
         });
     assertEquals(Stream.of(next(), next()).sorted().toList(), List.of("s1", "s2"));
-    loop.execute(() -> prewarmer.told(list(Stream.of(entry(3, Router.ServerState.LIVE)))));
+    loop.execute(
+        () -> prewarmer.onEndpointList(list(Stream.of(entry(3, Router.ServerState.LIVE)))));
     assertEquals(next(), "s3", "a server that joins later is connected as well");
   }
 
@@ -88,8 +89,8 @@
   public void connectsToThousandsOfServersWithinTheIdleTimeout() throws InterruptedException {
     loop.execute(
         () -> {
-          prewarmer.told(liveServers(3500));
-          prewarmer.begin();
+          prewarmer.onEndpointList(liveServers(3500));
+          prewarmer.enable();
         });
     next();
     long before = System.nanoTime();
--- a/src/test/java/bitternpulley/platform/SlotCancellationTest.java
+++ b/src/test/java/bitternpulley/platform/SlotCancellationTest.java
@@ -27,7 +27,7 @@
     servers = builder().clock(() -> now[0]).build();
     loop.execute(
         () -> {
-          servers.address("s", address());
+          servers.setAddress("s", address());
           servers.start(new Effect.StartAttempt(new AttemptId(0, 1), request, 0, "s", 2000, 0));
           now[0] = 1; // before it can come up
           servers.start(attempt(1, 0));
@@ -69,7 +69,7 @@
     servers = builder().clock(() -> now[0]).build();
     loop.execute(
         () -> {
-          servers.address("s", address());
+          servers.setAddress("s", address());
           servers.start(attempt(0, 0));
           now[0] = 80; // the time that the connection takes to come up
         });
@@ -126,7 +126,7 @@
     try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       busy.setSoTimeout(PATIENCE_MS);
       List<Socket> before = fillBacklog(busy);
-      loop.execute(() -> servers.address("s", new HostPort("127.0.0.1", busy.getLocalPort())));
+      loop.execute(() -> servers.setAddress("s", new HostPort("127.0.0.1", busy.getLocalPort())));
       start(0, 0);
       start(1, 0);
       cancel(0);
--- a/src/test/java/bitternpulley/platform/SlotConnectionEndTest.java
+++ b/src/test/java/bitternpulley/platform/SlotConnectionEndTest.java
@@ -47,7 +47,7 @@
             .build();
     loop.execute(
         () -> {
-          servers.address("s", address());
+          servers.setAddress("s", address());
           for (int part = 0; part < 3; part++) {
             servers.start(attempt(part, 0));
           }
--- a/src/test/java/bitternpulley/platform/SlotConnectionPoolTest.java
+++ b/src/test/java/bitternpulley/platform/SlotConnectionPoolTest.java
@@ -78,7 +78,7 @@
     use(builder().maxConnections(1).buildWithDefaultCallsPerConnection());
     InetAddress otherAddress = InetAddress.getByAddress(new byte[] {127, 0, 0, 2});
     try (ServerSocket other = new ServerSocket(0, 5, otherAddress)) {
-      loop.execute(() -> servers.address("t", new HostPort("127.0.0.2", other.getLocalPort())));
+      loop.execute(() -> servers.setAddress("t", new HostPort("127.0.0.2", other.getLocalPort())));
       start(0, 0);
       try (Socket first = server.accept()) {
         assertEquals(readFrame(first), call(0));
@@ -98,16 +98,16 @@
 
   @Test
   public void sendsTheFirstPartOverAPrewarmedConnection() throws Exception {
-    loop.execute(() -> servers.prepare("s"));
+    loop.execute(() -> servers.prewarm("s"));
     try (Socket socket = server.accept()) {
-      loop.execute(() -> servers.prepare("s"));
+      loop.execute(() -> servers.prewarm("s"));
       start(0, 0);
       assertEquals(readFrame(socket), call(0));
       server.setSoTimeout(1);
       assertThrows(SocketTimeoutException.class, () -> server.accept());
     }
     outcomes(1);
-    loop.execute(() -> servers.prepare("unknown"));
+    loop.execute(() -> servers.prewarm("unknown"));
     assertEquals(outcomes(1), List.of("0 RESET"));
   }
 
--- a/src/test/java/bitternpulley/platform/SlotServersHarness.java
+++ b/src/test/java/bitternpulley/platform/SlotServersHarness.java
@@ -74,7 +74,7 @@
   }
 
   void setAddress() {
-    loop.execute(() -> servers.address("s", address()));
+    loop.execute(() -> servers.setAddress("s", address()));
   }
 
   /** Uses other slot servers, which know the address of the server. */
--- a/src/test/java/bitternpulley/platform/WarmupQueriesTest.java
+++ b/src/test/java/bitternpulley/platform/WarmupQueriesTest.java
@@ -19,13 +19,13 @@
     return ConfigurationReader.read(Map.of("LB_CONFIG", "deploy/rehearsal.json")).settings();
   }
 
-  private static Rehearsal warmup(EventLoop loop) {
-    return new Rehearsal(settings(), MAX_BODY_BYTES, loop);
+  private static WarmupQueries warmup(EventLoop loop) {
+    return new WarmupQueries(settings(), MAX_BODY_BYTES, loop);
   }
 
   @Test
   public void mostQueriesAreAnswered() {
-    Rehearsal warmup = warmup(new EventLoop());
+    WarmupQueries warmup = warmup(new EventLoop());
     for (int i = 0; i < 100; i++) {
       warmup.runOne();
     }
@@ -36,9 +36,9 @@
   @Test
   public void isShortInALargeFleet() throws InterruptedException {
     EventLoop loop = new EventLoop();
-    Rehearsal warmup = warmup(loop);
+    WarmupQueries warmup = warmup(loop);
     CountDownLatch done = new CountDownLatch(1);
-    loop.execute(() -> warmup.play(true, done::countDown));
+    loop.execute(() -> warmup.run(true, done::countDown));
     assertTrue(done.await(30, TimeUnit.SECONDS));
     assertTrue(warmup.queriesRun() <= 20, warmup.queriesRun() + " queries run");
   }
@@ -46,15 +46,15 @@
   @Test
   public void continuesInTheBackgroundAndEnds() throws InterruptedException {
     EventLoop loop = new EventLoop();
-    Rehearsal warmup = warmup(loop);
-    loop.execute(warmup::goOn);
+    WarmupQueries warmup = warmup(loop);
+    loop.execute(warmup::continueInBackground);
     CountDownLatch done = new CountDownLatch(1);
     loop.execute(() -> awaitEnd(loop, warmup, done));
     assertTrue(done.await(60, TimeUnit.SECONDS));
     assertEquals(warmup.queriesRun(), 200);
   }
 
-  private static void awaitEnd(EventLoop loop, Rehearsal warmup, CountDownLatch done) {
+  private static void awaitEnd(EventLoop loop, WarmupQueries warmup, CountDownLatch done) {
     if (warmup.queriesRun() >= 200) {
       done.countDown();
     } else {
@@ -101,7 +101,8 @@
 
   @Test
   public void queriesAreAnsweredWhereShardsAreMany() {
-    Rehearsal warmup = new Rehearsal(settingsWith(3500, 393), MAX_BODY_BYTES, new EventLoop());
+    WarmupQueries warmup =
+        new WarmupQueries(settingsWith(3500, 393), MAX_BODY_BYTES, new EventLoop());
     for (int i = 0; i < 30; i++) {
       warmup.runOne();
     }
@@ -111,10 +112,10 @@
   @Test
   public void endsWhenItsQueriesAreInvalid() throws InterruptedException {
     EventLoop loop = new EventLoop();
-    Rehearsal broken = new Rehearsal(settingsWith(24, 200), 16, loop);
+    WarmupQueries broken = new WarmupQueries(settingsWith(24, 200), 16, loop);
     CountDownLatch done = new CountDownLatch(1);
-    loop.execute(() -> broken.play(true, done::countDown));
+    loop.execute(() -> broken.run(true, done::countDown));
     assertTrue(done.await(30, TimeUnit.SECONDS));
-    loop.execute(broken::goOn);
+    loop.execute(broken::continueInBackground);
   }
 }
--- a/src/test/java/bitternpulley/trace/EffectLines.java
+++ b/src/test/java/bitternpulley/trace/EffectLines.java
@@ -44,13 +44,13 @@
     } else if (effect instanceof Effect.CloseIdleConnections e) {
       digest.add(now, instance, "close", e.server());
     } else if (effect instanceof Effect.PersistOverride e) {
-      digest.add(now, instance, "keep", e.override().server(), e.override().enabled());
+      digest.add(now, instance, "keep", e.command().server(), e.command().enabled());
     } else if (effect instanceof Effect.RejectCommand e) {
       digest.add(now, instance, "no-such-server");
     } else if (effect instanceof Effect.Quiesce e) {
-      digest.add(now, instance, "quiesce", e.on());
+      digest.add(now, instance, "quiesce", e.enabled());
     } else if (effect instanceof Effect.AdmissionDecided e) {
-      digest.add(now, instance, "judged", e.request(), verdict(e.decision()));
+      digest.add(now, instance, "judged", e.requestId(), verdict(e.decision()));
     } else if (effect instanceof Effect.ChargeSettled e) {
       digest.add(
           now, instance, "settled", e.charge().team(), e.charge().booked(), e.charge().used());
@@ -201,10 +201,10 @@
 
   private static String wake(Event event) {
     if (event instanceof Event.AttemptTimedOut o) {
-      return "overdue " + id(o.attempt()) + " " + o.firstPart() + " " + o.parts();
+      return "overdue " + id(o.attempt()) + " " + o.firstPart() + " " + o.partCount();
     }
     if (event instanceof Event.RequestDeadlineExpired t) {
-      return "expired " + t.request();
+      return "expired " + t.requestId();
     }
     return "alarm";
   }
--- a/src/test/java/bitternpulley/trace/TraceWorld.java
+++ b/src/test/java/bitternpulley/trace/TraceWorld.java
@@ -112,7 +112,7 @@
   void order(int instance, String server, boolean on) {
     submit(
         instance,
-        new Event.OperatorCommandReceived(new OperatorOverrides.Override(server, on), null));
+        new Event.OperatorCommandReceived(new OperatorOverrides.OperatorCommand(server, on), null));
   }
 
   void contracts(ContractBook book) {
@@ -233,7 +233,7 @@
     } else if (effect instanceof Effect.WakeAt e) {
       at(e.time(), () -> submit(instance, e.event()));
     } else if (effect instanceof Effect.PersistOverride e) {
-      keep(e.override());
+      keep(e.command());
     } else if (effect instanceof Effect.SendGossip e) {
       post(e.to(), new Event.GossipReceived(e.message()));
     } else if (effect instanceof Effect.SendLeaseMessage e) {
@@ -243,7 +243,7 @@
 
   private OperatorOverrides kept = OperatorOverrides.NONE;
 
-  private void keep(OperatorOverrides.Override order) {
+  private void keep(OperatorOverrides.OperatorCommand order) {
     kept = kept.with(order);
     OperatorOverrides standing = kept;
     at(now + 5, () -> everywhere(new Event.OverridesChanged(standing)));
