--- a/src/test/java/bitternpulley/trace/EffectLines.java
+++ b/src/test/java/bitternpulley/trace/EffectLines.java
@@ -2,209 +2,249 @@
 
 import bitternpulley.broker.AttemptId;
 import bitternpulley.broker.Effect;
+import bitternpulley.broker.EffectHandler;
 import bitternpulley.broker.Event;
 import bitternpulley.contracts.AdmissionDecision;
 import bitternpulley.contracts.UsageCharge;
 import bitternpulley.leases.LeaseMessage;
 import bitternpulley.membership.GossipMessage;
 import bitternpulley.membership.GossipUpdate;
-import bitternpulley.routing.Router;
+import bitternpulley.membership.MemberMetadata;
+import bitternpulley.membership.MemberPayload;
+import java.util.Arrays;
+import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Writes effects to a digest in words that are independent of the names in the code. */
-final class EffectLines {
-  private EffectLines() {}
-
-  static void add(TraceDigest digest, int instance, double now, Effect effect) {
-    if (effect instanceof Effect.StartCall e) {
-      digest.add(now, instance, "together", e.attempts().size());
-      e.attempts().forEach(s -> add(digest, instance, now, s));
-    } else if (effect instanceof Effect.StartAttempt e) {
-      digest.add(
-          now,
-          instance,
-          "start",
-          id(e.id()),
-          e.request().id(),
-          e.partIndex(),
-          e.server(),
-          e.timeout(),
-          e.sendBy());
-    } else if (effect instanceof Effect.CancelAttempt e) {
-      digest.add(now, instance, "cancel", id(e.id()), e.request().id(), e.server());
-    } else if (effect instanceof Effect.CancelUnsent e) {
-      digest.add(now, instance, "unsend", id(e.id()), e.request().id());
-    } else if (effect instanceof Effect.CancelUnsentTo e) {
-      digest.add(now, instance, "unsend-all", e.server());
-    } else if (effect instanceof Effect.Reply e) {
-      reply(digest, instance, now, e);
-    } else if (effect instanceof Effect.WakeAt e) {
-      digest.add(now, instance, "wake", e.time(), wake(e.event()));
-    } else if (effect instanceof Effect.CloseIdleConnections e) {
-      digest.add(now, instance, "close", e.server());
-    } else if (effect instanceof Effect.PersistOverride e) {
-      digest.add(now, instance, "keep", e.command().server(), e.command().enabled());
-    } else if (effect instanceof Effect.RejectCommand e) {
-      digest.add(now, instance, "no-such-server");
-    } else if (effect instanceof Effect.Quiesce e) {
-      digest.add(now, instance, "quiesce", e.enabled());
-    } else if (effect instanceof Effect.AdmissionDecided e) {
-      digest.add(now, instance, "judged", e.requestId(), verdict(e.decision()));
-    } else if (effect instanceof Effect.ChargeSettled e) {
-      digest.add(
-          now, instance, "settled", e.charge().team(), e.charge().booked(), e.charge().used());
-    } else if (effect instanceof Effect.SendGossip e) {
-      digest.add(now, instance, "gossip", e.to(), gossip(e.message()));
-    } else if (effect instanceof Effect.SendLeaseMessage e) {
-      digest.add(now, instance, "lease", e.to(), lease(e.message()));
-    } else if (effect instanceof Effect.Log) {
-      digest.add(now, instance, "log");
-    } else {
-      throw new AssertionError("no line for " + effect);
-    }
+/** Writes the effects of one instance at one time to a digest, in words that no rename touches. */
+final class EffectLines implements EffectHandler {
+  private static final String ABSENT = "-";
+
+  private final TraceDigest digest;
+  private final int instance;
+  private final double now;
+
+  EffectLines(TraceDigest digest, int instance, double now) {
+    this.digest = digest;
+    this.instance = instance;
+    this.now = now;
   }
 
-  /** A membership message by its numbers. */
-  static String gossip(GossipMessage m) {
-    StringBuilder line =
-        new StringBuilder(
-            m.kind().ordinal()
-                + "/"
-                + m.from()
-                + "/"
-                + m.epoch()
-                + "/"
-                + m.incarnation()
-                + "/"
-                + m.sequence()
-                + "/"
-                + m.target()
-                + "/"
-                + m.viewDigest()
-                + "/"
-                + m.payloadDigest());
-    for (GossipUpdate r : m.updates()) {
-      line.append(" [")
-          .append(r.number())
-          .append('/')
-          .append(r.epoch())
-          .append('/')
-          .append(r.incarnation())
-          .append('/')
-          .append(r.state().ordinal())
-          .append('/')
-          .append(r.accuser())
-          .append('/')
-          .append(
-              r.metadata() == null
-                  ? "-"
-                  : r.metadata().name()
-                      + r.metadata().zone()
-                      + r.metadata().region()
-                      + r.metadata().build())
-          .append('/')
-          .append(
-              r.payload() == null
-                  ? "-"
-                  : r.payload().count() + ":" + java.util.Arrays.hashCode(r.payload().bytes()))
-          .append(']');
-    }
-    return line.toString();
+  private void line(Object... words) {
+    Object[] line = new Object[words.length + 2];
+    line[0] = now;
+    line[1] = instance;
+    System.arraycopy(words, 0, line, 2, words.length);
+    digest.add(line);
   }
 
-  private static String lease(LeaseMessage message) {
-    if (message instanceof LeaseMessage.LeaseRequest a) {
-      return "request " + a.from() + " " + a.epoch() + " " + a.sequence();
-    }
-    LeaseMessage.LeaseGrant g = (LeaseMessage.LeaseGrant) message;
-    return "grant "
-        + g.from()
-        + " "
-        + g.sequence()
-        + " "
-        + Double.toHexString(g.delay())
-        + " "
-        + g.holders();
-  }
-
-  private static String verdict(AdmissionDecision verdict) {
-    if (verdict instanceof AdmissionDecision.Rejected no) {
-      return "refused "
-          + no.team()
-          + " "
-          + no.version()
-          + " "
-          + no.limit().ordinal()
-          + " "
-          + Double.toHexString(no.retryAfter());
-    }
-    UsageCharge c = (UsageCharge) verdict;
-    return "admitted "
-        + c.team()
-        + " "
-        + c.version()
-        + " "
-        + c.basis().ordinal()
-        + " "
-        + Double.toHexString(c.booked());
-  }
-
-  private static void reply(TraceDigest digest, int instance, double now, Effect.Reply e) {
-    long request = e.request().id();
-    if (e.answer() instanceof Effect.Answer.Answered a) {
-      digest.add(
-          now,
-          instance,
+  @Override
+  public void onStartAttempt(Effect.StartAttempt effect) {
+    line(
+        "start",
+        id(effect.id()),
+        effect.request().id(),
+        effect.partIndex(),
+        effect.server(),
+        effect.timeout(),
+        effect.sendBy());
+  }
+
+  @Override
+  public void onStartCall(Effect.StartCall effect) {
+    line("together", effect.attempts().size());
+    effect.attempts().forEach(this::onStartAttempt);
+  }
+
+  @Override
+  public void onCancelAttempt(Effect.CancelAttempt effect) {
+    line("cancel", id(effect.id()), effect.request().id(), effect.server());
+  }
+
+  @Override
+  public void onCancelUnsent(Effect.CancelUnsent effect) {
+    line("unsend", id(effect.id()), effect.request().id());
+  }
+
+  @Override
+  public void onCancelUnsentTo(Effect.CancelUnsentTo effect) {
+    line("unsend-all", effect.server());
+  }
+
+  @Override
+  public void onReply(Effect.Reply effect) {
+    long request = effect.request().id();
+    Effect.Answer answer = effect.answer();
+    if (answer instanceof Effect.Answer.Answered answered) {
+      line(
           "answered",
           request,
-          a.complete(),
-          new TreeMap<>(a.values()).keySet(),
-          missing(a.missing()));
-    } else if (e.answer() instanceof Effect.Answer.Rejected r) {
-      digest.add(
-          now,
-          instance,
+          answered.complete(),
+          new TreeMap<>(answered.values()).keySet(),
+          missing(answered.missing()));
+    } else if (answer instanceof Effect.Answer.Rejected rejected) {
+      line(
           "refused",
           request,
-          r.retryAfter(),
-          ending(r.ending()),
-          r.contract() == null ? "-" : verdict(r.contract()));
-    } else if (e.answer() instanceof Effect.Answer.Failed f) {
-      digest.add(now, instance, "failed", request, ending(f.ending()));
+          rejected.retryAfter(),
+          ending(rejected.ending()),
+          rejected.contract() == null ? ABSENT : decision(rejected.contract()));
+    } else if (answer instanceof Effect.Answer.Failed failed) {
+      line("failed", request, ending(failed.ending()));
     } else {
-      digest.add(now, instance, "faulty", request);
+      line("faulty", request);
+    }
+  }
+
+  @Override
+  public void onWakeAt(Effect.WakeAt effect) {
+    line("wake", effect.time(), wake(effect.event()));
+  }
+
+  @Override
+  public void onCloseIdleConnections(Effect.CloseIdleConnections effect) {
+    line("close", effect.server());
+  }
+
+  @Override
+  public void onPersistOverride(Effect.PersistOverride effect) {
+    line("keep", effect.command().server(), effect.command().enabled());
+  }
+
+  @Override
+  public void onRejectCommand(Effect.RejectCommand effect) {
+    line("no-such-server");
+  }
+
+  @Override
+  public void onQuiesce(Effect.Quiesce effect) {
+    line("quiesce", effect.enabled());
+  }
+
+  @Override
+  public void onAdmissionDecided(Effect.AdmissionDecided effect) {
+    line("judged", effect.requestId(), decision(effect.decision()));
+  }
+
+  @Override
+  public void onChargeSettled(Effect.ChargeSettled effect) {
+    UsageCharge charge = effect.charge();
+    line("settled", charge.team(), charge.booked(), charge.used());
+  }
+
+  @Override
+  public void onSendGossip(Effect.SendGossip effect) {
+    line("gossip", effect.to(), gossip(effect.message()));
+  }
+
+  @Override
+  public void onSendLeaseMessage(Effect.SendLeaseMessage effect) {
+    line("lease", effect.to(), lease(effect.message()));
+  }
+
+  @Override
+  public void onLog(Effect.Log effect) {
+    line("log");
+  }
+
+  private static String gossip(GossipMessage message) {
+    String line =
+        joined(
+            position(message.kind()),
+            message.from(),
+            message.epoch(),
+            message.incarnation(),
+            message.sequence(),
+            message.target(),
+            message.viewDigest(),
+            message.payloadDigest());
+    StringBuilder updates = new StringBuilder(line);
+    message.updates().forEach(update -> updates.append(" [").append(gossip(update)).append(']'));
+    return updates.toString();
+  }
+
+  private static String gossip(GossipUpdate update) {
+    return joined(
+        update.number(),
+        update.epoch(),
+        update.incarnation(),
+        position(update.state()),
+        update.accuser(),
+        metadata(update.metadata()),
+        payload(update.payload()));
+  }
+
+  private static String metadata(MemberMetadata metadata) {
+    return metadata == null
+        ? ABSENT
+        : metadata.name() + metadata.zone() + metadata.region() + metadata.build();
+  }
+
+  private static String payload(MemberPayload payload) {
+    return payload == null ? ABSENT : payload.count() + ":" + Arrays.hashCode(payload.bytes());
+  }
+
+  private static String lease(LeaseMessage message) {
+    if (message instanceof LeaseMessage.LeaseRequest request) {
+      return "request " + request.from() + " " + request.epoch() + " " + request.sequence();
+    }
+    LeaseMessage.LeaseGrant grant = (LeaseMessage.LeaseGrant) message;
+    return String.join(
+        " ",
+        "grant",
+        String.valueOf(grant.from()),
+        String.valueOf(grant.sequence()),
+        Double.toHexString(grant.delay()),
+        grant.holders().toString());
+  }
+
+  private static String decision(AdmissionDecision decision) {
+    if (decision instanceof AdmissionDecision.Rejected rejected) {
+      return String.join(
+          " ",
+          "refused",
+          rejected.team(),
+          String.valueOf(rejected.version()),
+          String.valueOf(position(rejected.limit())),
+          Double.toHexString(rejected.retryAfter()));
     }
+    UsageCharge charge = (UsageCharge) decision;
+    return String.join(
+        " ",
+        "admitted",
+        charge.team(),
+        String.valueOf(charge.version()),
+        String.valueOf(position(charge.basis())),
+        Double.toHexString(charge.booked()));
   }
 
-  private static String ending(Effect.Answer.Ending e) {
-    return e.late() + " " + e.mayHaveRun() + " " + missing(e.missing());
+  private static String ending(Effect.Answer.Ending ending) {
+    return ending.late() + " " + ending.mayHaveRun() + " " + missing(ending.missing());
   }
 
   private static String missing(Map<Integer, Effect.Answer.MissingPart> missing) {
     StringBuilder line = new StringBuilder();
     new TreeMap<>(missing)
         .forEach(
-            (part, m) ->
-                line.append(part)
-                    .append('=')
-                    .append(outcome(m.outcome()))
-                    .append('@')
-                    .append(m.server())
-                    .append(','));
+            (part, state) -> {
+              int outcome = state.outcome() == null ? -1 : position(state.outcome());
+              line.append(part).append('=').append(outcome);
+              line.append('@').append(state.server()).append(',');
+            });
     return line.toString();
   }
 
-  private static int outcome(Router.Outcome outcome) {
-    return outcome == null ? -1 : outcome.ordinal();
-  }
-
   private static String wake(Event event) {
-    if (event instanceof Event.AttemptTimedOut o) {
-      return "overdue " + id(o.attempt()) + " " + o.firstPart() + " " + o.partCount();
+    if (event instanceof Event.AttemptTimedOut timeout) {
+      return "overdue "
+          + id(timeout.attempt())
+          + " "
+          + timeout.firstPart()
+          + " "
+          + timeout.partCount();
     }
-    if (event instanceof Event.RequestDeadlineExpired t) {
-      return "expired " + t.requestId();
+    if (event instanceof Event.RequestDeadlineExpired deadline) {
+      return "expired " + deadline.requestId();
     }
     return "alarm";
   }
@@ -212,4 +252,13 @@
   private static String id(AttemptId id) {
     return id.part() + "/" + id.number();
   }
+
+  private static String joined(Object... words) {
+    return String.join("/", Arrays.stream(words).map(String::valueOf).toList());
+  }
+
+  /** The place of a constant in its enum, which a rename leaves. */
+  private static <T extends Enum<T>> int position(T constant) {
+    return List.of(constant.getDeclaringClass().getEnumConstants()).indexOf(constant);
+  }
 }
--- a/src/test/java/bitternpulley/trace/TraceWorld.java
+++ b/src/test/java/bitternpulley/trace/TraceWorld.java
@@ -146,7 +146,8 @@
   }
 
   /**
-   * Queries come at random gaps of so many ms in the mean; by {@code team} where it is not null.
+   * Queries come at random gaps of so many ms in the mean; by {@code teams} in turn where there are
+   * any.
    */
   void load(double meanGapMs, double until, int mostParts, List<String> teams) {
     if (now < until) {
@@ -205,7 +206,7 @@
 
   private void submit(int instance, Event event) {
     for (Effect effect : instances.get(instance).reduce(event, now)) {
-      EffectLines.add(digest, instance, now, effect);
+      effect.dispatch(new EffectLines(digest, instance, now));
       perform(instance, effect);
     }
   }
