--- a/src/main/java/bitternpulley/net/AddressListener.java
+++ b/src/main/java/bitternpulley/net/AddressListener.java
@@ -30,19 +30,19 @@
   }
 
   @Override
-  public void accept(Consumer<Connection> taken, Consumer<Throwable> failed) {
+  public void accept(Consumer<Connection> onAccepted, Consumer<Throwable> onFailure) {
     double armed = loop.now();
     channel.accept(
         null,
         new CompletionHandler<AsynchronousSocketChannel, Void>() {
           @Override
           public void completed(AsynchronousSocketChannel accepted, Void nothing) {
-            loop.socketTurn(armed, () -> taken.accept(new Connection(loop, accepted)));
+            loop.socketTurn(armed, () -> onAccepted.accept(new Connection(loop, accepted)));
           }
 
           @Override
-          public void failed(Throwable e, Void nothing) {
-            loop.inTurn(() -> failed.accept(e));
+          public void failed(Throwable error, Void nothing) {
+            loop.inTurn(() -> onFailure.accept(error));
           }
         });
   }
--- a/src/main/java/bitternpulley/net/Connection.java
+++ b/src/main/java/bitternpulley/net/Connection.java
@@ -21,40 +21,40 @@
   private static final System.Logger LOG = System.getLogger(Connection.class.getName());
 
   /** Bytes of a read at the most. */
-  private static final int READ_BUFFER = 8 * 1024;
+  private static final int MAX_READ_BUFFER_BYTES = 8 * 1024;
 
   /**
    * Bytes of a read at first where the program connects: several of a server's answers; and how
    * that grows when one is full.
    */
-  private static final int LEAST_BUFFER = 512;
+  private static final int MIN_READ_BUFFER_BYTES = 512;
 
-  private static final int BUFFER_GROWTH = 4;
+  private static final int READ_BUFFER_GROWTH_FACTOR = 4;
 
   /** Bytes that may wait to be written; a peer that reads so slowly is cut off. */
-  private static final int MOST_WAITING = 1 << 20;
+  private static final int MAX_PENDING_BYTES = 1 << 20;
 
   /**
    * Ms that a peer gets to end its side after we have ended ours, and the bytes read meanwhile at
    * most.
    */
-  private static final double LINGER = 2000;
+  private static final double LINGER_MS = 2000;
 
-  private static final long MOST_DROPPED = 96L << 20;
+  private static final long MAX_DISCARDED_BYTES = 96L << 20;
 
   /** Ms between looks at whether the machine has taken what it could not take at once. */
-  private static final double WRITE_LOOK = 4;
+  private static final double WRITE_POLL_MS = 4;
 
   /** Ms that a write may wait for its peer to read. */
-  private static final double WRITE_TIME = 3000;
+  private static final double WRITE_STALL_TIMEOUT_MS = 3000;
 
   /** What comes in to be dropped goes here, from all connections: nobody looks at it. */
-  private static final ByteBuffer DROPPED = ByteBuffer.allocateDirect(512 * 1024);
+  private static final ByteBuffer DISCARD_BUFFER = ByteBuffer.allocateDirect(512 * 1024);
 
   /**
    * Ms between such reads: few large ones cost far less than what comes as fast as it can be taken.
    */
-  private static final double DROP_PAUSE = 8;
+  private static final double DISCARD_PAUSE_MS = 8;
 
   /** What the owner of a connection is told. */
   public interface Owner {
@@ -65,21 +65,21 @@
     void closed();
   }
 
-  private record Pending(ByteBuffer bytes, Runnable written) {}
+  private record PendingWrite(ByteBuffer bytes, Runnable written) {}
 
   private final EventLoop loop;
 
-  private interface Ending {
-    void end() throws IOException;
+  private interface OutputShutdown {
+    void shutdown() throws IOException;
   }
 
   private final AsynchronousByteChannel channel;
-  private final Ending output;
-  private final ArrayDeque<Pending> writes = new ArrayDeque<>();
-  private ByteBuffer in;
+  private final OutputShutdown output;
+  private final ArrayDeque<PendingWrite> pendingWrites = new ArrayDeque<>();
+  private ByteBuffer readBuffer;
 
   /** The size that the read buffer goes back to when little comes. */
-  private final int leastBuffer;
+  private final int minReadBuffer;
 
   private Owner owner;
   private boolean writing;
@@ -87,34 +87,34 @@
   private boolean lingering;
 
   /** What comes in is read and dropped. */
-  private boolean dropping;
+  private boolean discarding;
 
-  private boolean endedByPeer;
+  private boolean isEndedByPeer;
   private boolean closed;
   private boolean reading;
   private boolean paused;
-  private int waiting;
-  private double linger = LINGER;
-  private long written;
-  private long dropped;
+  private int pendingBytes;
+  private double linger = LINGER_MS;
+  private long completedWrites;
+  private long discardedBytes;
 
   private Connection(
-      EventLoop loop, AsynchronousByteChannel channel, Ending output, int leastBuffer) {
+      EventLoop loop, AsynchronousByteChannel channel, OutputShutdown output, int leastBuffer) {
     this.loop = loop;
     this.channel = channel;
     this.output = output;
-    this.leastBuffer = leastBuffer;
-    in = ByteBuffer.allocate(leastBuffer);
+    this.minReadBuffer = leastBuffer;
+    readBuffer = ByteBuffer.allocate(leastBuffer);
   }
 
   /** A connection from a socket that was passed to the program. */
-  Connection(EventLoop loop, SelectedChannel channel) {
-    this(loop, channel, channel::shutdownOutput, READ_BUFFER);
+  Connection(EventLoop loop, SelectableByteChannel channel) {
+    this(loop, channel, channel::shutdownOutput, MAX_READ_BUFFER_BYTES);
   }
 
   /** An accepted connection, whose requests are read in as few pieces as may be. */
   Connection(EventLoop loop, AsynchronousSocketChannel channel) {
-    this(loop, channel, READ_BUFFER);
+    this(loop, channel, MAX_READ_BUFFER_BYTES);
   }
 
   private Connection(EventLoop loop, AsynchronousSocketChannel channel, int leastBuffer) {
@@ -134,7 +134,7 @@
       EventLoop loop, HostPort to, double timeout, Owner owner, Runnable connected) {
     try {
       AsynchronousSocketChannel channel = AsynchronousSocketChannel.open(loop.group());
-      Connection made = new Connection(loop, channel, LEAST_BUFFER);
+      Connection made = new Connection(loop, channel, MIN_READ_BUFFER_BYTES);
       made.owner = owner;
       var alarm = loop.after(timeout, made::close);
       channel.connect(
@@ -161,11 +161,11 @@
     read();
   }
 
-  private interface Done<T> {
-    void with(T result);
+  private interface CompletionAction<T> {
+    void run(T result);
   }
 
-  private static <T> CompletionHandler<T, Void> handler(Connection of, Done<T> done) {
+  private static <T> CompletionHandler<T, Void> handler(Connection of, CompletionAction<T> done) {
     double armed = of.loop.now();
     return new CompletionHandler<>() {
       @Override
@@ -174,7 +174,7 @@
             armed,
             () -> {
               try {
-                done.with(result);
+                done.run(result);
               } catch (RuntimeException e) {
                 // Guards against one bad message ending more than its own connection.
                 LOG.log(Level.ERROR, "a connection's handler failed", e);
@@ -184,7 +184,7 @@
       }
 
       @Override
-      public void failed(Throwable e, Void nothing) {
+      public void failed(Throwable error, Void nothing) {
         of.loop.inTurn(of::close);
       }
     };
@@ -195,24 +195,24 @@
       return;
     }
     reading = true;
-    boolean drops = dropping;
-    in.clear();
+    boolean drops = discarding;
+    readBuffer.clear();
     channel.read(
-        drops ? DROPPED.duplicate() : in,
+        drops ? DISCARD_BUFFER.duplicate() : readBuffer,
         null,
         handler(
             this,
             (Integer count) -> {
-              endedByPeer |= count < 0;
-              if (count < 0 || dropping && (dropped += count) > MOST_DROPPED) {
+              isEndedByPeer |= count < 0;
+              if (count < 0 || discarding && (discardedBytes += count) > MAX_DISCARDED_BYTES) {
                 close();
-              } else if (!closed && !dropping) {
-                owner.received(in.flip());
+              } else if (!closed && !discarding) {
+                owner.received(readBuffer.flip());
                 resize(count);
               }
               reading = false;
               if (drops && !closed) {
-                loop.after(DROP_PAUSE, this::read);
+                loop.after(DISCARD_PAUSE_MS, this::read);
               } else {
                 read();
               }
@@ -224,17 +224,18 @@
    * servers, nearly all of them idle, that each hold the memory of a busy one.
    */
   private void resize(int count) {
-    int size = in.capacity();
-    if (count == size && size < READ_BUFFER) {
-      in = ByteBuffer.allocate(Math.min(READ_BUFFER, size * BUFFER_GROWTH));
-    } else if (size > leastBuffer && count <= leastBuffer / 2) {
-      in = ByteBuffer.allocate(leastBuffer);
+    int size = readBuffer.capacity();
+    if (count == size && size < MAX_READ_BUFFER_BYTES) {
+      readBuffer =
+          ByteBuffer.allocate(Math.min(MAX_READ_BUFFER_BYTES, size * READ_BUFFER_GROWTH_FACTOR));
+    } else if (size > minReadBuffer && count <= minReadBuffer / 2) {
+      readBuffer = ByteBuffer.allocate(minReadBuffer);
     }
   }
 
   /** Bytes of the read buffer as it is now. */
-  int bufferSize() {
-    return in.capacity();
+  int readBufferSize() {
+    return readBuffer.capacity();
   }
 
   /**
@@ -250,24 +251,24 @@
    * it would not be were nothing read any more.
    */
   void dropInput() {
-    dropping = true;
+    discarding = true;
   }
 
   /**
-   * Writes bytes after what waits; {@code written} runs once the last of them has gone to the
-   * machine.
+   * Writes bytes after what waits; {@code completedWrites} runs once the last of them has gone to
+   * the machine.
    */
   public void write(ByteBuffer bytes, Runnable written) {
     if (closed || closing) {
       return;
     }
-    waiting += bytes.remaining();
-    if (waiting > MOST_WAITING) {
+    pendingBytes += bytes.remaining();
+    if (pendingBytes > MAX_PENDING_BYTES) {
       LOG.log(Level.WARNING, "a peer reads too slowly and is cut off");
       close();
       return;
     }
-    writes.add(new Pending(bytes, written));
+    pendingWrites.add(new PendingWrite(bytes, written));
     flush();
   }
 
@@ -275,23 +276,24 @@
   public boolean takeBack(ByteBuffer bytes) {
     boolean waits =
         bytes.position() == 0
-            && writes.removeIf(p -> p.bytes == bytes && !(writing && p == writes.peek()));
-    waiting -= waits ? bytes.remaining() : 0;
+            && pendingWrites.removeIf(
+                p -> p.bytes == bytes && !(writing && p == pendingWrites.peek()));
+    pendingBytes -= waits ? bytes.remaining() : 0;
     return waits;
   }
 
   private void flush() {
-    while (!writing && !closed && !writes.isEmpty()) {
-      Pending next = writes.peek();
+    while (!writing && !closed && !pendingWrites.isEmpty()) {
+      PendingWrite next = pendingWrites.peek();
       writing = true;
       Future<Integer> attempt = channel.write(next.bytes);
-      went(next, attempt);
+      recordProgress(next, attempt);
       if (writing) {
-        awaitMachine(next, attempt);
-        awaitReader(written);
+        pollWrite(next, attempt);
+        closeIfStalled(completedWrites);
       }
     }
-    if (writes.isEmpty() && closing && !lingering && !closed) {
+    if (pendingWrites.isEmpty() && closing && !lingering && !closed) {
       linger();
     }
   }
@@ -302,16 +304,16 @@
    * has been through all that came in before. Guards against answers that are decided in time and
    * go out when their clients have left.
    */
-  private void went(Pending next, Future<Integer> attempt) {
+  private void recordProgress(PendingWrite next, Future<Integer> attempt) {
     if (closed || !attempt.isDone()) {
       return;
     }
     try {
-      waiting -= attempt.get();
+      pendingBytes -= attempt.get();
       writing = false;
-      written++;
+      completedWrites++;
       if (!next.bytes.hasRemaining()) {
-        writes.poll();
+        pendingWrites.poll();
         next.written.run();
       }
     } catch (ExecutionException e) {
@@ -329,13 +331,13 @@
    * The machine takes no more just now, as its peer does not read: a rare case, so it is looked at
    * now and then.
    */
-  private void awaitMachine(Pending next, Future<Integer> attempt) {
+  private void pollWrite(PendingWrite next, Future<Integer> attempt) {
     loop.after(
-        WRITE_LOOK,
+        WRITE_POLL_MS,
         () -> {
-          went(next, attempt);
+          recordProgress(next, attempt);
           if (writing && !closed) {
-            awaitMachine(next, attempt);
+            pollWrite(next, attempt);
           } else {
             flush();
           }
@@ -343,11 +345,11 @@
   }
 
   /** Guards against a peer that stops reading, whose connection would be held for good. */
-  private void awaitReader(long before) {
+  private void closeIfStalled(long before) {
     loop.after(
-        WRITE_TIME,
+        WRITE_STALL_TIMEOUT_MS,
         () -> {
-          if (writing && written == before) {
+          if (writing && completedWrites == before) {
             close();
           }
         });
@@ -374,9 +376,9 @@
    */
   private void linger() {
     lingering = true;
-    dropping = true;
+    discarding = true;
     try {
-      output.end();
+      output.shutdown();
       loop.after(linger, this::close);
       read();
     } catch (IOException e) {
@@ -385,8 +387,8 @@
   }
 
   /** Whether all that was to be written has gone to the machine. */
-  boolean isWritten() {
-    return writes.isEmpty();
+  boolean hasWrittenAll() {
+    return pendingWrites.isEmpty();
   }
 
   /** Whether our side has ended and the peer's has not. */
@@ -402,8 +404,8 @@
    * Whether the peer ended its side in order. Guards against a reset or a time-out that is taken
    * for an end.
    */
-  boolean endedByPeer() {
-    return endedByPeer;
+  boolean isEndedByPeer() {
+    return isEndedByPeer;
   }
 
   /** Ends the connection at once. */
@@ -412,7 +414,7 @@
       return;
     }
     closed = true;
-    writes.clear();
+    pendingWrites.clear();
     try {
       channel.close();
     } catch (IOException e) {
--- a/src/main/java/bitternpulley/net/EventLoop.java
+++ b/src/main/java/bitternpulley/net/EventLoop.java
@@ -24,19 +24,19 @@
    * Alarms ring at multiples of so many ns: those that are due about together cost one waking of
    * their thread.
    */
-  private static final long GRID = 2_000_000;
+  private static final long TIMER_RESOLUTION_NS = 2_000_000;
 
   private final DoubleSupplier clock;
-  private final LoopLag lag = new LoopLag();
+  private final EventLoopLag lag = new EventLoopLag();
 
   /**
    * Fair. Guards against alarms, which are deadlines, that wait until all that has come in is dealt
    * with.
    */
-  private final ReentrantLock turn = new ReentrantLock(true);
+  private final ReentrantLock turnLock = new ReentrantLock(true);
 
-  private final ArrayDeque<Runnable> next = new ArrayDeque<>();
-  private final ScheduledThreadPoolExecutor alarms =
+  private final ArrayDeque<Runnable> deferredTasks = new ArrayDeque<>();
+  private final ScheduledThreadPoolExecutor timers =
       new ScheduledThreadPoolExecutor(1, r -> new Thread(r, "alarms"));
   private final AsynchronousChannelGroup group;
 
@@ -48,7 +48,7 @@
   /** A loop for which the clock tells the age of connections. */
   public EventLoop(DoubleSupplier clock) {
     this.clock = clock;
-    alarms.setRemoveOnCancelPolicy(true);
+    timers.setRemoveOnCancelPolicy(true);
     try {
       group = AsynchronousChannelGroup.withFixedThreadPool(1, r -> new Thread(r, "loop"));
     } catch (IOException e) {
@@ -67,24 +67,24 @@
 
   /** Begins to watch how late its own turns come; until then they count as in time. */
   public void watchItself() {
-    lag.beat(now());
-    after(LoopLag.BEAT, this::watchItself);
+    lag.tick(now());
+    after(EventLoopLag.TICK_INTERVAL_MS, this::watchItself);
   }
 
   /** Ms for which what is read in this turn may have lain unread. */
-  double unread() {
-    return lag.unread(now());
+  double unreadMs() {
+    return lag.unreadMs(now());
   }
 
   /** Ms by which turns came late in the last seconds, at the worst. */
-  double worstTurn() {
-    return lag.worst(now());
+  double worstLagMs() {
+    return lag.worstLagMs(now());
   }
 
   /** Runs a task in a turn of its own, now or, within another turn, at the end of that. */
   public void execute(Runnable task) {
-    if (turn.isHeldByCurrentThread()) {
-      next.add(task);
+    if (turnLock.isHeldByCurrentThread()) {
+      deferredTasks.add(task);
     } else {
       inTurn(task);
     }
@@ -94,42 +94,42 @@
   public Future<?> after(double ms, Runnable task) {
     long now = System.nanoTime();
     long due = now + (long) (Math.max(0, ms) * 1e6);
-    long wait = due + GRID - Math.floorMod(due, GRID) - now;
-    return alarms.schedule(() -> inTurn(task), wait, TimeUnit.NANOSECONDS);
+    long wait = due + TIMER_RESOLUTION_NS - Math.floorMod(due, TIMER_RESOLUTION_NS) - now;
+    return timers.schedule(() -> inTurn(task), wait, TimeUnit.NANOSECONDS);
   }
 
   /** A turn for what a socket brings that was last waited for from {@code armed} on. */
   void socketTurn(double armed, Runnable task) {
     inTurn(
         () -> {
-          if (turn.getHoldCount() == 1) {
-            lag.socket(now(), armed);
+          if (turnLock.getHoldCount() == 1) {
+            lag.socketTurnStarted(now(), armed);
           }
           task.run();
-          if (turn.getHoldCount() == 1) {
-            lag.socketDone(now());
+          if (turnLock.getHoldCount() == 1) {
+            lag.socketTurnEnded(now());
           }
         });
   }
 
   /** Runs a task while nothing else of the loop runs, then what it left to be done. */
   void inTurn(Runnable task) {
-    turn.lock();
+    turnLock.lock();
     try {
-      if (turn.getHoldCount() == 1) {
-        lag.turn(now());
+      if (turnLock.getHoldCount() == 1) {
+        lag.turnStarted(now());
       }
-      guarded(task);
-      while (turn.getHoldCount() == 1 && !next.isEmpty()) {
-        guarded(next.poll());
+      runLoggingErrors(task);
+      while (turnLock.getHoldCount() == 1 && !deferredTasks.isEmpty()) {
+        runLoggingErrors(deferredTasks.poll());
       }
     } finally {
-      turn.unlock();
+      turnLock.unlock();
     }
   }
 
   /** Guards against errors that vanish: an executor keeps to itself what its tasks throw. */
-  private static void guarded(Runnable task) {
+  private static void runLoggingErrors(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
--- a/src/main/java/bitternpulley/net/FrameCodec.java
+++ b/src/main/java/bitternpulley/net/FrameCodec.java
@@ -15,7 +15,7 @@
   /** One frame. */
   public record Frame(char letter, byte[] rest) {}
 
-  private ByteBuffer head = ByteBuffer.allocate(4).order(ByteOrder.LITTLE_ENDIAN);
+  private ByteBuffer lengthBytes = ByteBuffer.allocate(4).order(ByteOrder.LITTLE_ENDIAN);
   private ByteBuffer body;
 
   /** The bytes of a frame. */
@@ -30,7 +30,7 @@
 
   /** True between frames. */
   public boolean idle() {
-    return body == null && head.position() == 0;
+    return body == null && lengthBytes.position() == 0;
   }
 
   /**
@@ -40,10 +40,10 @@
   public void read(ByteBuffer in, Consumer<Frame> frames) {
     while (in.hasRemaining()) {
       if (body == null) {
-        head.put(in.get());
-        if (!head.hasRemaining()) {
-          int length = head.flip().getInt();
-          head.clear();
+        lengthBytes.put(in.get());
+        if (!lengthBytes.hasRemaining()) {
+          int length = lengthBytes.flip().getInt();
+          lengthBytes.clear();
           if (length < 1 || length > MOST) {
             throw new IllegalArgumentException("a frame of " + length + " bytes");
           }
--- a/src/main/java/bitternpulley/net/HttpClient.java
+++ b/src/main/java/bitternpulley/net/HttpClient.java
@@ -33,20 +33,20 @@
   }
 
   private final EventLoop loop;
-  private final int mostBody;
-  private final int mostOpen;
+  private final int maxBodyBytes;
+  private final int maxConnections;
   private final double connectTimeout;
-  private final double idleAfter;
-  private final Map<HostPort, ArrayDeque<Link>> idle = new HashMap<>();
-  private int open;
+  private final double idleTimeout;
+  private final Map<HostPort, ArrayDeque<PooledConnection>> idleConnections = new HashMap<>();
+  private int openConnections;
 
   public HttpClient(
       EventLoop loop, int mostBody, int mostOpen, double connectTimeout, double idleAfter) {
     this.loop = loop;
-    this.mostBody = mostBody;
-    this.mostOpen = mostOpen;
+    this.maxBodyBytes = mostBody;
+    this.maxConnections = mostOpen;
     this.connectTimeout = connectTimeout;
-    this.idleAfter = idleAfter;
+    this.idleTimeout = idleAfter;
   }
 
   /** A call under way; dropping it closes its connection, so that the server may stop. */
@@ -60,20 +60,20 @@
   /**
    * Sends a request, whose bytes are its head and body; null where no more connections may be open.
    */
-  public Call send(HostPort to, ByteBuffer request, Done done) {
-    return send(to, request, Double.POSITIVE_INFINITY, done);
+  public Call send(HostPort address, ByteBuffer request, Done done) {
+    return send(address, request, Double.POSITIVE_INFINITY, done);
   }
 
   /** As above, unless its connection comes up only after {@code sendBy}: then it ends unsent. */
-  public Call send(HostPort to, ByteBuffer request, double sendBy, Done done) {
-    ArrayDeque<Link> kept = idle.get(to);
-    Link link = kept == null ? null : kept.pollLast();
+  public Call send(HostPort address, ByteBuffer request, double sendBy, Done done) {
+    ArrayDeque<PooledConnection> idle = idleConnections.get(address);
+    PooledConnection link = idle == null ? null : idle.pollLast();
     if (link == null) {
-      if (open >= mostOpen) {
+      if (openConnections >= maxConnections) {
         return null;
       }
       try {
-        link = new Link(to);
+        link = new PooledConnection(address);
       } catch (UncheckedIOException e) {
         // Guards against a call that never ends because not even a socket could be had for it.
         return null;
@@ -84,29 +84,29 @@
   }
 
   /** Closes the idle connections to an address. */
-  public void closeIdle(HostPort to) {
-    ArrayDeque<Link> kept = idle.remove(to);
-    if (kept != null) {
-      kept.forEach(l -> l.connection.close());
+  public void closeIdle(HostPort address) {
+    ArrayDeque<PooledConnection> idle = idleConnections.remove(address);
+    if (idle != null) {
+      idle.forEach(l -> l.connection.close());
     }
   }
 
-  private final class Link implements Connection.Owner, Call {
-    private final HostPort to;
+  private final class PooledConnection implements Connection.Owner, Call {
+    private final HostPort address;
     private final HttpParser parser =
-        new HttpParser(true, mostBody, new WholeMessages(head -> {}, this::whole));
+        new HttpParser(true, maxBodyBytes, new HttpMessageAggregator(head -> {}, this::onMessage));
     private final Connection connection;
     private ByteBuffer request;
     private double sendBy;
     private Done done;
-    private boolean up;
+    private boolean connected;
     private boolean written;
-    private int uses;
-    private Response answer;
-    private boolean keeps;
+    private int useCount;
+    private Response response;
+    private boolean keepAlive;
 
-    Link(HostPort to) {
-      this.to = to;
+    PooledConnection(HostPort to) {
+      this.address = to;
       connection =
           Connection.open(
               loop,
@@ -114,26 +114,26 @@
               connectTimeout,
               this,
               () -> {
-                up = true;
+                connected = true;
                 write();
               });
-      open++;
+      openConnections++;
     }
 
     void begin(ByteBuffer bytes, double sendBy, Done done) {
-      uses++;
+      useCount++;
       this.sendBy = sendBy;
       request = bytes;
       written = false;
       this.done = done;
-      if (up) {
+      if (connected) {
         write();
       }
     }
 
     private void write() {
       if (request != null && loop.now() > sendBy) {
-        end(Broken.NOT_IN_TIME, "there was no connection in time");
+        endWithout(Broken.NOT_IN_TIME, "there was no connection in time");
         connection.close();
       } else if (request != null) {
         connection.write(request, () -> written = true);
@@ -142,7 +142,7 @@
 
     @Override
     public boolean begun() {
-      return up;
+      return connected;
     }
 
     @Override
@@ -157,19 +157,19 @@
       try {
         if (done == null) {
           connection.close(); // nothing was asked
-        } else if (parser.read(bytes) && answer != null) {
-          answered(bytes.hasRemaining());
+        } else if (parser.read(bytes) && response != null) {
+          complete(bytes.hasRemaining());
         }
       } catch (HttpException e) {
-        broken(e.getMessage());
+        fail(e.getMessage());
         connection.close();
       }
     }
 
-    private void whole(HttpHead head, byte[] body) {
+    private void onMessage(HttpHead head, byte[] body) {
       if (head.status() >= 200) {
-        answer = new Response(head, body);
-        keeps = head.keepAlive();
+        response = new Response(head, body);
+        keepAlive = head.keepAlive();
       }
     }
 
@@ -177,55 +177,55 @@
      * Guards against the next call going over a connection on which something stands behind the
      * answer: that is good, but what else comes here cannot be told apart.
      */
-    private void answered(boolean more) {
-      Response response = answer;
-      Done told = done;
-      answer = null;
+    private void complete(boolean more) {
+      Response received = response;
+      Done receiver = done;
+      response = null;
       done = null;
       request = null;
-      if (keeps && !more && !connection.isClosed()) {
-        idle.computeIfAbsent(to, t -> new ArrayDeque<>()).addLast(this);
-        int before = uses;
+      if (keepAlive && !more && !connection.isClosed()) {
+        idleConnections.computeIfAbsent(address, t -> new ArrayDeque<>()).addLast(this);
+        int before = useCount;
         loop.after(
-            idleAfter,
+            idleTimeout,
             () -> {
-              if (uses == before) {
+              if (useCount == before) {
                 connection.close();
               }
             });
       } else {
         connection.close();
       }
-      told.response(response);
+      receiver.response(received);
     }
 
-    private void broken(String why) {
-      end(written ? Broken.MAYBE_SENT : Broken.NEVER_SENT, why);
+    private void fail(String why) {
+      endWithout(written ? Broken.MAYBE_SENT : Broken.NEVER_SENT, why);
     }
 
-    private void end(Broken how, String why) {
-      Done told = done;
+    private void endWithout(Broken how, String why) {
+      Done receiver = done;
       done = null;
-      if (told != null) {
-        told.broken(how, why);
+      if (receiver != null) {
+        receiver.broken(how, why);
       }
     }
 
     @Override
     public void closed() {
-      open--;
-      ArrayDeque<Link> kept = idle.get(to);
-      if (kept != null) {
-        kept.remove(this);
-        if (kept.isEmpty()) {
-          idle.remove(to);
+      openConnections--;
+      ArrayDeque<PooledConnection> idle = idleConnections.get(address);
+      if (idle != null) {
+        idle.remove(this);
+        if (idle.isEmpty()) {
+          idleConnections.remove(address);
         }
       }
       // Guards against a body without a length that was cut off and is taken for whole.
-      if (done != null && connection.endedByPeer() && parser.ended() && answer != null) {
-        answered(true);
+      if (done != null && connection.isEndedByPeer() && parser.ended() && response != null) {
+        complete(true);
       } else {
-        broken("the connection broke");
+        fail("the connection broke");
       }
     }
   }
--- a/src/main/java/bitternpulley/net/HttpHead.java
+++ b/src/main/java/bitternpulley/net/HttpHead.java
@@ -17,12 +17,13 @@
   /** Whether the sender's side of the connection lasts beyond this message. */
   public boolean keepAlive() {
     String connection = header("connection");
-    String spoken = method.startsWith("HTTP/") ? method : version;
+    String spokenVersion = method.startsWith("HTTP/") ? method : version;
     if (connection == null) {
-      return !spoken.equals("HTTP/1.0");
+      return !spokenVersion.equals("HTTP/1.0");
     }
-    String said = connection.toLowerCase(Locale.ROOT);
-    return !said.contains("close") && (!spoken.equals("HTTP/1.0") || said.contains("keep-alive"));
+    String lowerCase = connection.toLowerCase(Locale.ROOT);
+    return !lowerCase.contains("close")
+        && (!spokenVersion.equals("HTTP/1.0") || lowerCase.contains("keep-alive"));
   }
 
   /** The status of a response. */
--- a/src/main/java/bitternpulley/net/WholeMessages.java
+++ b/src/main/java/bitternpulley/net/HttpMessageAggregator.java
@@ -6,21 +6,21 @@
 import java.util.function.Consumer;
 
 /** Puts the pieces of each message together; the parser's bound on bodies bounds what is kept. */
-final class WholeMessages implements HttpParser.Sink {
+final class HttpMessageAggregator implements HttpParser.Sink {
   private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-  private final Consumer<HttpHead> begun;
-  private final BiConsumer<HttpHead, byte[]> whole;
+  private final Consumer<HttpHead> onHead;
+  private final BiConsumer<HttpHead, byte[]> onMessage;
   private HttpHead head;
 
-  WholeMessages(Consumer<HttpHead> begun, BiConsumer<HttpHead, byte[]> whole) {
-    this.begun = begun;
-    this.whole = whole;
+  HttpMessageAggregator(Consumer<HttpHead> begun, BiConsumer<HttpHead, byte[]> whole) {
+    this.onHead = begun;
+    this.onMessage = whole;
   }
 
   @Override
   public void head(HttpHead head) {
     this.head = head;
-    begun.accept(head);
+    onHead.accept(head);
   }
 
   @Override
@@ -34,11 +34,11 @@
   public void end() {
     byte[] bytes = body.toByteArray();
     body = new ByteArrayOutputStream(0);
-    whole.accept(head, bytes);
+    onMessage.accept(head, bytes);
   }
 
   /** Bytes kept of a body that is not yet whole. */
-  int held() {
+  int bufferedBytes() {
     return body.size();
   }
 }
--- a/src/main/java/bitternpulley/net/HttpParser.java
+++ b/src/main/java/bitternpulley/net/HttpParser.java
@@ -11,11 +11,11 @@
  */
 public final class HttpParser {
   /** Bytes of a start line and headers together, and of a chunk's size line with its extensions. */
-  private static final int MOST_HEAD = 16 * 1024;
+  private static final int MAX_HEAD_BYTES = 16 * 1024;
 
-  private static final int MOST_CHUNK_LINE = 256;
+  private static final int MAX_CHUNK_LINE_BYTES = 256;
 
-  /** Told of a message as it comes in; the buffer of {@link #body} is only lent. */
+  /** Told of a message as it comes in; the buffer of {@link #bodyBytes} is only lent. */
   public interface Sink {
     void head(HttpHead head);
 
@@ -36,26 +36,26 @@
   }
 
   private final boolean responses;
-  private final long mostBody;
+  private final long maxBodyBytes;
   private final Sink sink;
-  private final StringBuilder line = new StringBuilder();
+  private final StringBuilder currentLine = new StringBuilder();
   private State state = State.START;
   private int headBytes;
-  private String[] start;
+  private String[] startLine;
   private Map<String, String> headers = new HashMap<>();
-  private long left;
-  private long body;
+  private long remainingBytes;
+  private long bodyBytes;
 
   /** A parser of requests or of responses whose bodies hold at most so many bytes. */
   public HttpParser(boolean responses, long mostBody, Sink sink) {
     this.responses = responses;
-    this.mostBody = mostBody;
+    this.maxBodyBytes = mostBody;
     this.sink = sink;
   }
 
   /** True between messages. */
   public boolean idle() {
-    return state == State.START && line.length() == 0;
+    return state == State.START && currentLine.length() == 0;
   }
 
   /** The connection has ended: true when that completes a message or falls between two. */
@@ -69,7 +69,7 @@
 
   /** Reads until the bytes are used up or one message has ended; true in the latter case. */
   public boolean read(ByteBuffer in) {
-    while (in.hasRemaining() || state == State.FIXED && left == 0) {
+    while (in.hasRemaining() || state == State.FIXED && remainingBytes == 0) {
       if (step(in)) {
         return true;
       }
@@ -80,39 +80,39 @@
   private boolean step(ByteBuffer in) {
     switch (state) {
       case START -> {
-        String text = takeLine(in, MOST_HEAD);
+        String text = takeLine(in, MAX_HEAD_BYTES);
         if (text != null && !text.isEmpty()) {
-          start = startLine(text);
+          startLine = startLine(text);
           state = State.HEADERS;
         }
       }
       case HEADERS -> {
-        String text = takeLine(in, MOST_HEAD);
+        String text = takeLine(in, MAX_HEAD_BYTES);
         if (text != null && text.isEmpty()) {
-          return headDone();
+          return finishHead();
         } else if (text != null) {
-          header(text);
+          parseHeader(text);
         }
       }
       case FIXED, CHUNK, TO_CLOSE -> {
-        return piece(in);
+        return readBody(in);
       }
       case CHUNK_SIZE -> {
-        String text = takeLine(in, MOST_CHUNK_LINE);
+        String text = takeLine(in, MAX_CHUNK_LINE_BYTES);
         if (text != null) {
-          left = chunkSize(text);
-          state = left == 0 ? State.TRAILERS : State.CHUNK;
+          remainingBytes = parseChunkSize(text);
+          state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
         }
       }
       case CHUNK_END -> {
-        String text = takeLine(in, MOST_CHUNK_LINE);
+        String text = takeLine(in, MAX_CHUNK_LINE_BYTES);
         if (text != null) {
           require(text.isEmpty(), "a chunk is longer than its size");
           state = State.CHUNK_SIZE;
         }
       }
       default -> {
-        String text = takeLine(in, MOST_HEAD);
+        String text = takeLine(in, MAX_HEAD_BYTES);
         if (text != null && text.isEmpty()) {
           return finish();
         }
@@ -121,25 +121,26 @@
     return false;
   }
 
-  private boolean piece(ByteBuffer in) {
-    int size = state == State.TO_CLOSE ? in.remaining() : (int) Math.min(left, in.remaining());
+  private boolean readBody(ByteBuffer in) {
+    int size =
+        state == State.TO_CLOSE ? in.remaining() : (int) Math.min(remainingBytes, in.remaining());
     if (size > 0) {
-      grow(size);
+      countBody(size);
       ByteBuffer piece = in.slice(in.position(), size);
       in.position(in.position() + size);
-      left -= size;
+      remainingBytes -= size;
       sink.body(piece);
     }
-    if (state == State.CHUNK && left == 0) {
+    if (state == State.CHUNK && remainingBytes == 0) {
       state = State.CHUNK_END;
     }
-    return state == State.FIXED && left == 0 && finish();
+    return state == State.FIXED && remainingBytes == 0 && finish();
   }
 
-  private void grow(long size) {
-    body += size;
-    if (body > mostBody) {
-      throw new HttpException(413, "a body holds at most " + mostBody + " bytes");
+  private void countBody(long size) {
+    bodyBytes += size;
+    if (bodyBytes > maxBodyBytes) {
+      throw new HttpException(413, "a body holds at most " + maxBodyBytes + " bytes");
     }
   }
 
@@ -147,19 +148,21 @@
   private String takeLine(ByteBuffer in, int most) {
     while (in.hasRemaining()) {
       char c = (char) (in.get() & 0xff);
-      if (++headBytes > MOST_HEAD || line.length() >= most) {
+      if (++headBytes > MAX_HEAD_BYTES || currentLine.length() >= most) {
         throw new HttpException(431, "a head holds at most " + most + " bytes");
       }
       if (c == '\n') {
-        int end = line.length();
-        String text = line.substring(0, end > 0 && line.charAt(end - 1) == '\r' ? end - 1 : end);
-        line.setLength(0);
+        int end = currentLine.length();
+        String text =
+            currentLine.substring(
+                0, end > 0 && currentLine.charAt(end - 1) == '\r' ? end - 1 : end);
+        currentLine.setLength(0);
         if (state == State.CHUNK_SIZE || state == State.CHUNK_END) {
           headBytes = 0;
         }
         return text;
       }
-      line.append(c);
+      currentLine.append(c);
     }
     return null;
   }
@@ -181,7 +184,7 @@
     return words;
   }
 
-  private void header(String text) {
+  private void parseHeader(String text) {
     int colon = text.indexOf(':');
     require(
         colon > 0 && text.substring(0, colon).matches("[!#$%&'*+.^_`|~0-9A-Za-z-]+"),
@@ -199,8 +202,8 @@
     }
   }
 
-  private boolean headDone() {
-    HttpHead head = new HttpHead(start[0], start[1], start[2], Map.copyOf(headers));
+  private boolean finishHead() {
+    HttpHead head = new HttpHead(startLine[0], startLine[1], startLine[2], Map.copyOf(headers));
     String length = head.header("content-length");
     String coding = head.header("transfer-encoding");
     require(length == null || coding == null, "a length and a transfer coding together");
@@ -209,10 +212,13 @@
         coding == null || coding.equalsIgnoreCase("chunked"),
         "a transfer coding other than chunked");
     boolean bodiless =
-        responses && (start[1].startsWith("1") || start[1].equals("204") || start[1].equals("304"));
-    left = length == null || bodiless ? 0 : Long.parseLong(length);
-    if (left > mostBody) {
-      throw new HttpException(413, "a body holds at most " + mostBody + " bytes");
+        responses
+            && (startLine[1].startsWith("1")
+                || startLine[1].equals("204")
+                || startLine[1].equals("304"));
+    remainingBytes = length == null || bodiless ? 0 : Long.parseLong(length);
+    if (remainingBytes > maxBodyBytes) {
+      throw new HttpException(413, "a body holds at most " + maxBodyBytes + " bytes");
     }
     sink.head(head);
     if (coding != null) {
@@ -221,19 +227,19 @@
     } else {
       state = responses && length == null && !bodiless ? State.TO_CLOSE : State.FIXED;
     }
-    return state == State.FIXED && left == 0 && finish();
+    return state == State.FIXED && remainingBytes == 0 && finish();
   }
 
   private boolean finish() {
     state = State.START;
     headers = new HashMap<>();
     headBytes = 0;
-    body = 0;
+    bodyBytes = 0;
     sink.end();
     return true;
   }
 
-  private static long chunkSize(String text) {
+  private static long parseChunkSize(String text) {
     int end = text.indexOf(';');
     String digits = (end < 0 ? text : text.substring(0, end)).strip();
     require(digits.matches("[0-9A-Fa-f]{1,8}"), "not a chunk size");
--- a/src/main/java/bitternpulley/net/HttpServer.java
+++ b/src/main/java/bitternpulley/net/HttpServer.java
@@ -16,13 +16,13 @@
   private static final int BACKLOG = 512;
 
   /** Bytes kept of bodies that are not yet whole, from all connections together. */
-  private static final long MOST_HELD = 4 << 20;
+  private static final long MAX_BUFFERED_BYTES = 4 << 20;
 
   /** Ms between looks at what all connections do. */
-  private static final double SWEEP = 100;
+  private static final double SWEEP_INTERVAL_MS = 100;
 
   /** Ms for which a connection that says nothing, or not all, is spared when room is needed. */
-  private static final double SPARED = 150;
+  private static final double EVICTION_GRACE_MS = 150;
 
   /**
    * Answered connections left unused for so many ms beyond which each answer ends its own: a
@@ -30,44 +30,44 @@
    * Guards against clients that ask once and keep their connection, by which the others come to
    * have none left.
    */
-  private static final double CROWD = 0.15;
+  private static final double CROWDED_SHARE = 0.15;
 
-  private static final int CROWD_LEAST = 16;
-  private static final double UNUSED = 300;
+  private static final int MIN_CROWDED = 16;
+  private static final double UNUSED_AFTER_MS = 300;
 
   /**
    * Share of the places that is left for connections whose end is under way. Guards against a place
    * that is made by a reset, with which a request on its way is answered when its connection has to
    * go.
    */
-  private static final double ENDING_SHARE = 0.125;
+  private static final double CLOSING_SHARE = 0.125;
 
   /** Ms until accepting is tried again after it failed, as it does when descriptors run out. */
-  private static final double ACCEPT_PAUSE = 50;
+  private static final double ACCEPT_RETRY_MS = 50;
 
   /**
    * While quiesced, ms after which an idle connection is closed, time enough for a request that is
    * on its way; and ms after the call to that by which those begun before must be whole: none that
    * is younger than 2 s may be held at 4 s.
    */
-  private static final double QUIET_AFTER = 1000;
+  private static final double QUIESCED_IDLE_MS = 1000;
 
-  private static final double LAST_WHOLE = 1800;
+  private static final double QUIESCED_REQUEST_MS = 1800;
 
   /**
    * Once no more are to be taken: ms without a connection after which none waits to be accepted,
    * and ms for which that is awaited at most. Guards against clients whose connections the machine
    * has accepted and the program has not.
    */
-  private static final double NONE_WAITS = 30;
+  private static final double BACKLOG_EMPTY_MS = 30;
 
-  private static final double LAST_ACCEPT = 150;
+  private static final double MAX_BACKLOG_WAIT_MS = 150;
 
   /**
    * Ms after that in which a request must be whole: what the platform ends the program for may not
    * come later.
    */
-  private static final double LAST_BYTES = 200;
+  private static final double LAST_REQUEST_MS = 200;
 
   /**
    * Ms that a client has to begin its first request, to send a whole one, and to begin the next.
@@ -113,29 +113,29 @@
 
   private final EventLoop loop;
   private final Handler handler;
-  private final int mostBody;
-  private final int mostConnections;
-  private final int roomFrom;
+  private final int maxBodyBytes;
+  private final int maxConnections;
+  private final int evictionThreshold;
   private final Timeouts timeouts;
   private final Set<HttpSession> sessions = new LinkedHashSet<>();
   private Listener listener;
   private int unused;
   private boolean accepting;
-  private boolean holdsBack;
+  private boolean holdingBack;
   private boolean draining;
   private boolean quiesced;
   private double quiescedAt;
   private double stoppedAt = Double.POSITIVE_INFINITY;
   private double lastAccepted;
-  private long held;
+  private long bufferedBytes;
 
   /** A server that holds so many connections, which have so much time. */
   public HttpServer(
       EventLoop loop, int mostBody, int mostConnections, Timeouts timeouts, Handler handler) {
     this.loop = loop;
-    this.mostBody = mostBody;
-    this.mostConnections = mostConnections;
-    this.roomFrom = mostConnections - (int) (ENDING_SHARE * mostConnections);
+    this.maxBodyBytes = mostBody;
+    this.maxConnections = mostConnections;
+    this.evictionThreshold = mostConnections - (int) (CLOSING_SHARE * mostConnections);
     this.timeouts = timeouts;
     this.handler = handler;
   }
@@ -163,24 +163,24 @@
   private void listen(Listener from) {
     listener = from;
     accept();
-    loop.after(SWEEP, this::sweep);
+    loop.after(SWEEP_INTERVAL_MS, this::sweep);
   }
 
   /** From now on, connections wait with the machine until they are let in. */
   public void holdBack() {
-    holdsBack = true;
+    holdingBack = true;
   }
 
   /** Takes the connections that were held back, and all that come. */
   public void letIn() {
-    holdsBack = false;
+    holdingBack = false;
     if (listener != null) {
       accept();
     }
   }
 
   private void accept() {
-    if (accepting || holdsBack || !listener.isOpen() || !room()) {
+    if (accepting || holdingBack || !listener.isOpen() || !makeCapacity()) {
       return;
     }
     accepting = true;
@@ -188,16 +188,16 @@
         connection -> {
           accepting = false;
           lastAccepted = loop.now();
-          HttpSession session = new HttpSession(this, connection, mostBody);
+          HttpSession session = new HttpSession(this, connection, maxBodyBytes);
           sessions.add(session);
           connection.start(session);
           accept();
         },
-        e -> {
+        error -> {
           accepting = false;
           if (listener.isOpen()) {
-            LOG.log(Level.WARNING, "accept failed: " + e);
-            loop.after(ACCEPT_PAUSE, this::accept);
+            LOG.log(Level.WARNING, "accept failed: " + error);
+            loop.after(ACCEPT_RETRY_MS, this::accept);
           }
         });
   }
@@ -205,13 +205,13 @@
   /** Ends what takes too long; one look for all, in place of an alarm for each. */
   private void sweep() {
     unused = 0;
-    for (HttpSession s : Set.copyOf(sessions)) {
-      unused += s.unusedFor(UNUSED) ? 1 : 0;
-      s.check();
+    for (HttpSession session : Set.copyOf(sessions)) {
+      unused += session.isUnusedFor(UNUSED_AFTER_MS) ? 1 : 0;
+      session.enforceTimeouts();
     }
     accept();
     if (listener.isOpen() || !sessions.isEmpty()) {
-      loop.after(SWEEP, this::sweep);
+      loop.after(SWEEP_INTERVAL_MS, this::sweep);
     }
   }
 
@@ -220,27 +220,27 @@
    * when hardly more may be open, one that never said anything makes room, else the one longest
    * idle, else one that does not end its request.
    */
-  private boolean room() {
-    if (sessions.size() < roomFrom) {
+  private boolean makeCapacity() {
+    if (sessions.size() < evictionThreshold) {
       return true;
     }
     HttpSession least = null;
-    for (HttpSession s : sessions) {
-      if (s.claim() < HttpSession.BUSY
+    for (HttpSession session : sessions) {
+      if (session.claim() < HttpSession.BUSY
           && (least == null
-              || s.claim() < least.claim()
-              || s.claim() == least.claim() && s.since() < least.since())) {
-        least = s;
+              || session.claim() < least.claim()
+              || session.claim() == least.claim() && session.since() < least.since())) {
+        least = session;
       }
     }
     if (least != null) {
-      least.makeRoom();
+      least.evict();
     }
-    return sessions.size() < mostConnections;
+    return sessions.size() < maxConnections;
   }
 
-  private boolean crowded() {
-    return unused > Math.max(CROWD_LEAST, CROWD * mostConnections);
+  private boolean isCrowded() {
+    return unused > Math.max(MIN_CROWDED, CROWDED_SHARE * maxConnections);
   }
 
   /** From now on each answer ends its connection. */
@@ -271,13 +271,14 @@
   public void stopListening() {
     stoppedAt = loop.now();
     stopWhenNoneWaits();
-    Set.copyOf(sessions).forEach(HttpSession::check);
+    Set.copyOf(sessions).forEach(HttpSession::enforceTimeouts);
   }
 
   private void stopWhenNoneWaits() {
     double now = loop.now();
-    if (now - Math.max(lastAccepted, stoppedAt) < NONE_WAITS && now - stoppedAt < LAST_ACCEPT) {
-      loop.after(NONE_WAITS, this::stopWhenNoneWaits);
+    if (now - Math.max(lastAccepted, stoppedAt) < BACKLOG_EMPTY_MS
+        && now - stoppedAt < MAX_BACKLOG_WAIT_MS) {
+      loop.after(BACKLOG_EMPTY_MS, this::stopWhenNoneWaits);
     } else {
       stopAccepting();
     }
@@ -288,13 +289,13 @@
    * end of them.
    */
   public int busy() {
-    return (int) sessions.stream().filter(HttpSession::owes).count()
+    return (int) sessions.stream().filter(HttpSession::hasPendingWork).count()
         + (listener != null && listener.isOpen() ? 1 : 0);
   }
 
   /** Connections on which an answer is still owed, or has not all gone to the machine. */
   public int unanswered() {
-    return (int) sessions.stream().filter(HttpSession::owesAnswer).count();
+    return (int) sessions.stream().filter(HttpSession::hasPendingResponse).count();
   }
 
   // --- For the sessions of this server, on the loop's thread -------------------------------------
@@ -313,7 +314,7 @@
 
   /** Whether a connection lasts beyond the answer that is being written. */
   boolean keepsConnections() {
-    return !draining && !quiesced && !crowded();
+    return !draining && !quiesced && !isCrowded();
   }
 
   /**
@@ -321,46 +322,49 @@
    * away.
    */
   boolean endsIdle(double age, boolean used) {
-    boolean quiet = quiesced && loop.now() - quiescedAt > QUIET_AFTER && age > QUIET_AFTER;
+    boolean quiet =
+        quiesced && loop.now() - quiescedAt > QUIESCED_IDLE_MS && age > QUIESCED_IDLE_MS;
     // A client that has only just connected is about to ask.
-    return quiet || loop.now() >= stoppedAt && (used || age > SPARED);
+    return quiet || loop.now() >= stoppedAt && (used || age > EVICTION_GRACE_MS);
   }
 
   /** Whether a request that was begun then is too late to be taken, as clients are sent away. */
-  boolean tooLate(double begun) {
+  boolean isTooLate(double begun) {
     boolean quiet =
-        quiesced && loop.now() - quiescedAt > LAST_WHOLE && begun < quiescedAt + LAST_WHOLE;
-    return quiet || loop.now() - stoppedAt > LAST_BYTES;
+        quiesced
+            && loop.now() - quiescedAt > QUIESCED_REQUEST_MS
+            && begun < quiescedAt + QUIESCED_REQUEST_MS;
+    return quiet || loop.now() - stoppedAt > LAST_REQUEST_MS;
   }
 
-  boolean spares(double age) {
-    return age < SPARED;
+  boolean isWithinGrace(double age) {
+    return age < EVICTION_GRACE_MS;
   }
 
   /**
    * Notes what a connection keeps of what is not yet dealt with; false where all together keep too
    * much.
    */
-  boolean holds(long before, long after) {
-    held += after - before;
-    return held <= MOST_HELD || after == 0;
+  boolean recordBuffered(long before, long after) {
+    bufferedBytes += after - before;
+    return bufferedBytes <= MAX_BUFFERED_BYTES || after == 0;
   }
 
   /**
    * Least recently used first: an idle connection that must make room is the one longest unused.
    */
-  void used(HttpSession session) {
+  void markUsed(HttpSession session) {
     sessions.remove(session);
     sessions.add(session);
   }
 
-  void ended(HttpSession session) {
+  void remove(HttpSession session) {
     sessions.remove(session);
     accept();
   }
 
   /** A place may be free, or an idle connection may make one. */
-  void lookForRoom() {
+  void acceptIfCapacity() {
     accept();
   }
 
@@ -368,7 +372,7 @@
     return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  static String reason(int status) {
+  static String reasonPhrase(int status) {
     return switch (status) {
       case 200 -> "OK";
       case 400 -> "Bad Request";
--- a/src/main/java/bitternpulley/net/HttpSession.java
+++ b/src/main/java/bitternpulley/net/HttpSession.java
@@ -24,39 +24,40 @@
    * Bytes kept of what a client sends ahead of its turn. A client that sends more is answered so
    * far, and then told so.
    */
-  private static final int MOST_AHEAD = 256 * 1024;
+  private static final int MAX_PIPELINED_BYTES = 256 * 1024;
 
   /**
    * Ms that the client of an idle connection gets to end its side after ours: what was on its way
    * as we did so arrives by then, and is dropped.
    */
-  private static final double CROSSING = 25;
+  private static final double IDLE_LINGER_MS = 25;
 
   /**
    * Ms by which a request may have lain unread and its client still be taken to be there, without
    * another look.
    */
-  private static final double SURELY_THERE = 50;
+  private static final double RECHECK_AFTER_MS = 50;
 
-  private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
+  private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
   private final HttpServer server;
   private final EventLoop loop;
   private final Connection connection;
-  private final WholeMessages messages = new WholeMessages(this::begun, this::whole);
+  private final HttpMessageAggregator aggregator =
+      new HttpMessageAggregator(this::onHead, this::onRequest);
   private final HttpParser parser;
 
   /** What was sent ahead of its turn, up to the position. */
-  private ByteBuffer ahead = NOTHING;
+  private ByteBuffer pipelined = EMPTY;
 
-  private boolean overrun;
-  private Call call;
-  private boolean broken;
-  private int count;
-  private long mine;
+  private boolean pipelineOverflowed;
+  private HttpExchange exchange;
+  private boolean ending;
+  private int requestCount;
+  private long bufferedBytes;
 
   /** When what was read last may have come. */
-  private double cameAt;
+  private double arrivedAt;
 
   /** When it was opened, its request begun or its last answer written. */
   private double since;
@@ -65,12 +66,12 @@
     this.server = server;
     this.loop = server.loop();
     this.connection = connection;
-    this.parser = new HttpParser(false, mostBody, messages);
+    this.parser = new HttpParser(false, mostBody, aggregator);
     this.since = loop.now();
   }
 
-  private boolean idle() {
-    return call == null && parser.idle() && !broken;
+  private boolean isIdle() {
+    return exchange == null && parser.idle() && !ending;
   }
 
   private double age() {
@@ -81,8 +82,8 @@
     return since;
   }
 
-  boolean unusedFor(double ms) {
-    return count > 0 && idle() && age() > ms;
+  boolean isUnusedFor(double ms) {
+    return requestCount > 0 && isIdle() && age() > ms;
   }
 
   /**
@@ -90,31 +91,35 @@
    * be on its way. Guards against a program that ends, and with it by a reset the connection of a
    * client which still reads its answer.
    */
-  boolean owes() {
-    return count == 0 || call != null || broken || !parser.idle() || !connection.isWritten();
+  boolean hasPendingWork() {
+    return requestCount == 0
+        || exchange != null
+        || ending
+        || !parser.idle()
+        || !connection.hasWrittenAll();
   }
 
   /** Whether a request is under way, or an answer on its way out. */
-  boolean owesAnswer() {
-    return call != null || !connection.isWritten();
+  boolean hasPendingResponse() {
+    return exchange != null || !connection.hasWrittenAll();
   }
 
   int claim() {
-    boolean spared = server.spares(age());
-    if (idle()) {
-      return count > 0 ? IDLE : spared ? BUSY : SILENT;
+    boolean spared = server.isWithinGrace(age());
+    if (isIdle()) {
+      return requestCount > 0 ? IDLE : spared ? BUSY : SILENT;
     }
     if (connection.isLingering()) {
       return spared ? BUSY : SILENT;
     }
-    return call != null || broken || spared ? BUSY : PARTIAL;
+    return exchange != null || ending || spared ? BUSY : PARTIAL;
   }
 
-  void makeRoom() {
+  void evict() {
     if (connection.isLingering()) {
       connection.close();
-    } else if (idle()) {
-      end();
+    } else if (isIdle()) {
+      closeIdle();
     } else {
       refuse(503, "there is no room");
     }
@@ -123,15 +128,15 @@
   /**
    * Guards against connections that are opened and left, and requests that are begun and never end.
    */
-  void check() {
+  void enforceTimeouts() {
     HttpServer.Timeouts timeouts = server.timeouts();
-    if (idle()
-        && (age() > (count == 0 ? timeouts.firstByte() : timeouts.keepAlive())
-            || server.endsIdle(age(), count > 0))) {
-      end();
-    } else if (call == null && !broken && !parser.idle() && server.tooLate(since)) {
+    if (isIdle()
+        && (age() > (requestCount == 0 ? timeouts.firstByte() : timeouts.keepAlive())
+            || server.endsIdle(age(), requestCount > 0))) {
+      closeIdle();
+    } else if (exchange == null && !ending && !parser.idle() && server.isTooLate(since)) {
       refuse(503, "clients are being sent away");
-    } else if (call == null && !broken && !parser.idle() && age() > timeouts.request()) {
+    } else if (exchange == null && !ending && !parser.idle() && age() > timeouts.request()) {
       refuse(408, "the request did not end in time");
     }
   }
@@ -140,80 +145,81 @@
    * Ends an idle connection in order: a request that crosses the end is not read, and its client
    * sees no reset.
    */
-  private void end() {
-    broken = true;
-    connection.closeGracefully(CROSSING);
+  private void closeIdle() {
+    ending = true;
+    connection.closeGracefully(IDLE_LINGER_MS);
   }
 
   private void refuse(int status, String reason) {
-    broken = true;
-    ahead = NOTHING;
-    hold(0);
+    ending = true;
+    pipelined = EMPTY;
+    recordBuffered(0);
     send(server.handler().unusable(status, reason), false);
   }
 
   /** False where all connections together keep too much. */
-  private boolean hold(long bytes) {
-    boolean fits = server.holds(mine, bytes);
-    mine = bytes;
+  private boolean recordBuffered(long bytes) {
+    boolean fits = server.recordBuffered(bufferedBytes, bytes);
+    bufferedBytes = bytes;
     return fits;
   }
 
   @Override
   public void received(ByteBuffer bytes) {
-    double seen = loop.now() - loop.unread();
+    double seen = loop.now() - loop.unreadMs();
     // What a client sends behind an answer cannot have come before that.
-    cameAt = count > 0 && idle() ? Math.max(seen, Math.min(since, loop.now())) : seen;
-    take(bytes);
-    if (bytes.hasRemaining() && !broken) {
-      keep(bytes);
+    arrivedAt = requestCount > 0 && isIdle() ? Math.max(seen, Math.min(since, loop.now())) : seen;
+    parseRequests(bytes);
+    if (bytes.hasRemaining() && !ending) {
+      bufferPipelined(bytes);
     }
   }
 
-  private void take(ByteBuffer bytes) {
-    while (call == null && bytes.hasRemaining() && !broken) {
+  private void parseRequests(ByteBuffer bytes) {
+    while (exchange == null && bytes.hasRemaining() && !ending) {
       parse(bytes);
     }
   }
 
   /** What comes while a request is under way waits for the end of that. */
-  private void keep(ByteBuffer bytes) {
-    if (overrun) {
+  private void bufferPipelined(ByteBuffer bytes) {
+    if (pipelineOverflowed) {
       return;
     }
-    int size = ahead.position() + bytes.remaining();
-    if (size > MOST_AHEAD || !hold(size)) {
+    int size = pipelined.position() + bytes.remaining();
+    if (size > MAX_PIPELINED_BYTES || !recordBuffered(size)) {
       // Guards against memory used up by what is sent ahead. It is read on all the same: were it
       // left unread, its client's
       // end behind it would not be seen.
-      overrun = true;
-      hold(ahead.position());
+      pipelineOverflowed = true;
+      recordBuffered(pipelined.position());
       connection.dropInput();
       return;
     }
-    if (size > ahead.capacity()) {
-      ahead =
-          ByteBuffer.allocate(Math.max(size, Math.min(MOST_AHEAD, 2 * ahead.capacity())))
-              .put(ahead.flip());
+    if (size > pipelined.capacity()) {
+      pipelined =
+          ByteBuffer.allocate(
+                  Math.max(size, Math.min(MAX_PIPELINED_BYTES, 2 * pipelined.capacity())))
+              .put(pipelined.flip());
     }
-    ahead.put(bytes);
+    pipelined.put(bytes);
   }
 
   /** Takes up what was sent ahead. */
-  private void goOn() {
-    ahead.flip();
-    take(ahead);
-    if (broken) {
+  private void resumePipelined() {
+    pipelined.flip();
+    parseRequests(pipelined);
+    if (ending) {
       return;
     }
-    ahead.compact();
-    if (ahead.position() == 0) {
-      ahead = NOTHING;
+    pipelined.compact();
+    if (pipelined.position() == 0) {
+      pipelined = EMPTY;
     }
-    if (call == null && overrun) {
+    if (exchange == null && pipelineOverflowed) {
       refuse(413, "more was sent ahead than is kept");
     } else {
-      hold(ahead.position() + messages.held());
+      recordBuffered(pipelined.position() + aggregator.bufferedBytes());
     }
   }
 
@@ -223,7 +229,7 @@
     }
     try {
       parser.read(bytes);
-      if (!hold(messages.held()) && messages.held() > 0) {
+      if (!recordBuffered(aggregator.bufferedBytes()) && aggregator.bufferedBytes() > 0) {
         // Guards against memory used up by many large bodies at once, none of them too large by
         // itself.
         throw new HttpException(503, "too much is being sent at once");
@@ -233,7 +239,7 @@
     }
   }
 
-  private void begun(HttpHead head) {
+  private void onHead(HttpHead head) {
     if ("100-continue".equalsIgnoreCase(head.header("expect"))) {
       connection.write(HttpServer.ascii("HTTP/1.1 100 Continue\r\n\r\n"), () -> {});
     }
@@ -244,29 +250,31 @@
    * been read. Guards against the request of a client that has left meanwhile; where the loop was
    * late, the sockets are looked at once more.
    */
-  private void whole(HttpHead head, byte[] body) {
-    server.used(this);
-    count++;
-    Call next = new Call(this, head.keepAlive());
-    call = next;
+  private void onRequest(HttpHead head, byte[] body) {
+    server.markUsed(this);
+    requestCount++;
+    HttpExchange next = new HttpExchange(this, head.keepAlive());
+    exchange = next;
     Runnable handle = () -> handle(head, body, next);
-    if (loop.unread() > SURELY_THERE) {
+    if (loop.unreadMs() > RECHECK_AFTER_MS) {
       loop.after(0, handle);
     } else {
       loop.execute(handle);
     }
   }
 
-  private void handle(HttpHead head, byte[] body, Call next) {
+  private void handle(HttpHead head, byte[] body, HttpExchange next) {
     if (connection.isClosed()) {
       return;
     }
-    if (server.tooLate(since)) {
+    if (server.isTooLate(since)) {
       refuse(503, "clients are being sent away");
       return;
     }
     try {
-      server.handler().handle(new Request(head, body, loop.now() - cameAt, loop.worstTurn()), next);
+      server
+          .handler()
+          .handle(new Request(head, body, loop.now() - arrivedAt, loop.worstLagMs()), next);
     } catch (RuntimeException e) {
       // Guards against a request that is lost because dealing with it failed.
       LOG.log(Level.ERROR, "a request could not be dealt with", e);
@@ -280,7 +288,7 @@
         new StringBuilder("HTTP/1.1 ")
             .append(r.status())
             .append(' ')
-            .append(HttpServer.reason(r.status()));
+            .append(HttpServer.reasonPhrase(r.status()));
     r.headers()
         .forEach((name, value) -> text.append("\r\n").append(name).append(": ").append(value));
     text.append("\r\nContent-Length: ").append(r.body().length);
@@ -291,56 +299,56 @@
     connection.write(
         all,
         () -> {
-          call = null;
+          exchange = null;
           since = loop.now();
-          if (stays && (ahead.position() > 0 || overrun)) {
-            goOn();
+          if (stays && (pipelined.position() > 0 || pipelineOverflowed)) {
+            resumePipelined();
           }
-          server.lookForRoom();
+          server.acceptIfCapacity();
         });
     if (!stays) {
-      broken = true;
+      ending = true;
       connection.closeGracefully();
     }
   }
 
   @Override
   public void closed() {
-    hold(0);
-    ahead = NOTHING;
-    if (call != null) {
-      call.left();
+    recordBuffered(0);
+    pipelined = EMPTY;
+    if (exchange != null) {
+      exchange.clientDisconnected();
     }
-    server.ended(this);
+    server.remove(this);
   }
 
-  private static final class Call implements Exchange {
+  private static final class HttpExchange implements Exchange {
     private final HttpSession session;
-    private final boolean keep;
-    private Runnable gone;
+    private final boolean keepAlive;
+    private Runnable onDisconnect;
     private boolean replied;
 
-    Call(HttpSession session, boolean keep) {
+    HttpExchange(HttpSession session, boolean keep) {
       this.session = session;
-      this.keep = keep;
+      this.keepAlive = keep;
     }
 
     @Override
     public void reply(Response response) {
       if (!replied) {
         replied = true;
-        session.send(response, keep);
+        session.send(response, keepAlive);
       }
     }
 
     @Override
     public void onGone(Runnable gone) {
-      this.gone = gone;
+      this.onDisconnect = gone;
     }
 
-    void left() {
-      if (!replied && gone != null) {
-        gone.run();
+    void clientDisconnected() {
+      if (!replied && onDisconnect != null) {
+        onDisconnect.run();
       }
     }
   }
--- a/src/main/java/bitternpulley/net/LineServer.java
+++ b/src/main/java/bitternpulley/net/LineServer.java
@@ -12,15 +12,15 @@
 public final class LineServer {
   private static final System.Logger LOG = System.getLogger(LineServer.class.getName());
   private static final int BACKLOG = 64;
-  private static final int MOST_LINE = 512;
+  private static final int MAX_LINE_LENGTH = 512;
 
   /** Callers at once; beyond, the one that has been silent for longest makes room. */
-  private static final int MOST_CALLERS = 16;
+  private static final int MAX_SESSIONS = 16;
 
   /** Ms that a caller has to write its line and to take its answer. */
-  private static final double MOST_TIME = 10_000;
+  private static final double SESSION_TIMEOUT_MS = 10_000;
 
-  private static final double ACCEPT_PAUSE = 50;
+  private static final double ACCEPT_RETRY_MS = 50;
 
   /** Takes a whole line; the answer may come at any time, once. */
   public interface Handler {
@@ -32,7 +32,7 @@
 
   private final EventLoop loop;
   private final Handler handler;
-  private final Set<Caller> callers = new LinkedHashSet<>();
+  private final Set<Session> sessions = new LinkedHashSet<>();
   private Listener listener;
 
   public LineServer(EventLoop loop, Handler handler) {
@@ -49,67 +49,67 @@
   private void accept() {
     listener.accept(
         connection -> {
-          makeRoom();
-          Caller caller = new Caller(connection);
-          callers.add(caller);
+          evictIfFull();
+          Session caller = new Session(connection);
+          sessions.add(caller);
           connection.start(caller);
           accept();
         },
-        e -> {
-          LOG.log(Level.WARNING, "accept failed: " + e);
-          loop.after(ACCEPT_PAUSE, this::accept);
+        error -> {
+          LOG.log(Level.WARNING, "accept failed: " + error);
+          loop.after(ACCEPT_RETRY_MS, this::accept);
         });
   }
 
   /** Guards against silent callers that keep out the rest. */
-  private void makeRoom() {
-    if (callers.size() >= MOST_CALLERS) {
-      callers.stream()
-          .filter(c -> !c.asked)
+  private void evictIfFull() {
+    if (sessions.size() >= MAX_SESSIONS) {
+      sessions.stream()
+          .filter(c -> !c.lineReceived)
           .findFirst()
-          .or(() -> callers.stream().findFirst())
+          .or(() -> sessions.stream().findFirst())
           .ifPresent(c -> c.connection.close());
     }
   }
 
-  private final class Caller implements Connection.Owner {
+  private final class Session implements Connection.Owner {
     private final Connection connection;
     private final StringBuilder line = new StringBuilder();
-    private boolean asked;
+    private boolean lineReceived;
 
-    Caller(Connection connection) {
+    Session(Connection connection) {
       this.connection = connection;
-      loop.after(MOST_TIME, connection::close);
+      loop.after(SESSION_TIMEOUT_MS, connection::close);
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-      while (!asked && bytes.hasRemaining()) {
+      while (!lineReceived && bytes.hasRemaining()) {
         char c = (char) (bytes.get() & 0xff);
         if (c == '\n') {
-          ask(() -> handler.line(line.toString().strip(), this::answer));
-        } else if (line.append(c).length() > MOST_LINE) {
-          ask(() -> answer(handler.tooLong()));
+          handleLine(() -> handler.line(line.toString().strip(), this::respond));
+        } else if (line.append(c).length() > MAX_LINE_LENGTH) {
+          handleLine(() -> respond(handler.tooLong()));
         }
       }
     }
 
-    private void ask(Runnable question) {
-      asked = true;
+    private void handleLine(Runnable question) {
+      lineReceived = true;
       // Guards against a caller that ends its side behind its line, which is no reason to leave it
       // without an answer.
       connection.pause();
       question.run();
     }
 
-    private void answer(String text) {
+    private void respond(String text) {
       connection.write(ByteBuffer.wrap((text + "\n").getBytes(StandardCharsets.UTF_8)), () -> {});
       connection.closeGracefully();
     }
 
     @Override
     public void closed() {
-      callers.remove(this);
+      sessions.remove(this);
     }
   }
 }
--- a/src/main/java/bitternpulley/net/PassedListener.java
+++ b/src/main/java/bitternpulley/net/PassedListener.java
@@ -21,8 +21,8 @@
   private final Selector selector;
   private final ServerSocketChannel channel;
   private final SelectionKey key;
-  private volatile Consumer<Connection> taken;
-  private volatile Consumer<Throwable> failed;
+  private volatile Consumer<Connection> onAccepted;
+  private volatile Consumer<Throwable> onFailure;
   private volatile boolean open = true;
 
   private PassedListener(EventLoop loop, ServerSocketChannel channel) throws IOException {
@@ -58,9 +58,9 @@
   }
 
   @Override
-  public void accept(Consumer<Connection> taken, Consumer<Throwable> failed) {
-    this.taken = taken;
-    this.failed = failed;
+  public void accept(Consumer<Connection> onAccepted, Consumer<Throwable> onFailure) {
+    this.onAccepted = onAccepted;
+    this.onFailure = onFailure;
     key.interestOpsOr(SelectionKey.OP_ACCEPT);
     selector.wakeup();
   }
@@ -73,11 +73,11 @@
         return; // another process took it, or is to take it
       }
       key.interestOpsAnd(0);
-      Connection connection = new Connection(loop, new SelectedChannel(accepted, selector));
-      loop.inTurn(() -> taken.accept(connection));
+      Connection connection = new Connection(loop, new SelectableByteChannel(accepted, selector));
+      loop.inTurn(() -> onAccepted.accept(connection));
     } catch (IOException e) {
       key.interestOpsAnd(0);
-      loop.inTurn(() -> failed.accept(e));
+      loop.inTurn(() -> onFailure.accept(e));
     }
   }
 
--- a/src/main/java/bitternpulley/net/SelectedChannel.java
+++ b/src/main/java/bitternpulley/net/SelectableByteChannel.java
@@ -15,8 +15,8 @@
  * A selectable channel with completion handlers: at most one read and one write at a time, as
  * {@link Connection} has.
  */
-final class SelectedChannel implements AsynchronousByteChannel {
-  private record Wait<A>(
+final class SelectableByteChannel implements AsynchronousByteChannel {
+  private record PendingOperation<A>(
       ByteBuffer bytes, A attachment, CompletionHandler<Integer, ? super A> handler) {
     void completed(int count) {
       handler.completed(count, attachment);
@@ -30,11 +30,11 @@
   private final SocketChannel channel;
   private final Selector selector;
   private final SelectionKey key;
-  private volatile Wait<?> reader;
-  private volatile Wait<?> writer;
+  private volatile PendingOperation<?> reader;
+  private volatile PendingOperation<?> writer;
 
   /** Called on the selector's thread. */
-  SelectedChannel(SocketChannel channel, Selector selector) throws IOException {
+  SelectableByteChannel(SocketChannel channel, Selector selector) throws IOException {
     this.channel = channel;
     this.selector = selector;
     channel.configureBlocking(false);
@@ -45,14 +45,14 @@
 
   @Override
   public <A> void read(ByteBuffer to, A attachment, CompletionHandler<Integer, ? super A> handler) {
-    reader = new Wait<>(to, attachment, handler);
+    reader = new PendingOperation<>(to, attachment, handler);
     await(SelectionKey.OP_READ);
   }
 
   @Override
   public <A> void write(
       ByteBuffer from, A attachment, CompletionHandler<Integer, ? super A> handler) {
-    Wait<A> wait = new Wait<>(from, attachment, handler);
+    PendingOperation<A> wait = new PendingOperation<>(from, attachment, handler);
     int count;
     try {
       count = channel.write(from);
@@ -77,18 +77,18 @@
 
   private void ready() {
     if (key.isValid() && key.isReadable()) {
-      Wait<?> now = reader;
+      PendingOperation<?> now = reader;
       key.interestOpsAnd(~SelectionKey.OP_READ);
       perform(now, true);
     }
     if (key.isValid() && key.isWritable()) {
-      Wait<?> now = writer;
+      PendingOperation<?> now = writer;
       key.interestOpsAnd(~SelectionKey.OP_WRITE);
       perform(now, false);
     }
   }
 
-  private void perform(Wait<?> wait, boolean reads) {
+  private void perform(PendingOperation<?> wait, boolean reads) {
     int count;
     try {
       count = reads ? channel.read(wait.bytes()) : channel.write(wait.bytes());
@@ -136,8 +136,8 @@
           }
 
           @Override
-          public void failed(Throwable e, CompletableFuture<Integer> to) {
-            to.completeExceptionally(e);
+          public void failed(Throwable error, CompletableFuture<Integer> to) {
+            to.completeExceptionally(error);
           }
         });
     return done;
--- a/src/main/java/bitternpulley/net/StreamServer.java
+++ b/src/main/java/bitternpulley/net/StreamServer.java
@@ -33,9 +33,9 @@
           connection.start(owners.apply(connection));
           accept();
         },
-        e -> {
+        error -> {
           if (listener.isOpen()) {
-            LOG.log(Level.WARNING, "accept failed: " + e);
+            LOG.log(Level.WARNING, "accept failed: " + error);
           }
         });
   }
--- a/src/test/java/bitternpulley/net/ConnectionTest.java
+++ b/src/test/java/bitternpulley/net/ConnectionTest.java
@@ -116,11 +116,11 @@
         peer.getOutputStream().write(new byte[PIECE]);
         await(read, PIECE);
         int[] size = new int[1];
-        loop.inTurn(() -> size[0] = made[0].bufferSize());
+        loop.inTurn(() -> size[0] = made[0].readBufferSize());
         assertTrue(size[0] > 512, "grown to " + size[0]);
         peer.getOutputStream().write(new byte[10]);
         await(read, 10);
-        loop.inTurn(() -> size[0] = made[0].bufferSize());
+        loop.inTurn(() -> size[0] = made[0].readBufferSize());
         assertEquals(size[0], 512);
       }
     }
