--- a/src/main/java/bitternpulley/net/DatagramLink.java
+++ b/src/main/java/bitternpulley/net/DatagramLink.java
@@ -9,14 +9,16 @@
 import java.nio.channels.DatagramChannel;
 
 /**
- * One UDP socket. The JDK has no asynchronous datagram channels, so a thread waits for it and hands
- * each datagram to the loop; that thread takes the next one only then, so nothing piles up here.
+ * One UDP socket. The JDK has no asynchronous datagram channels, so a thread of its own receives
+ * and hands each datagram to the event loop. It receives the next one only after that, so no queue
+ * grows here.
  */
 public final class DatagramLink {
   private static final System.Logger LOG = System.getLogger(DatagramLink.class.getName());
 
-  /** Takes datagrams; the bytes are lent for the call. */
+  /** Receives datagrams. */
   public interface Owner {
+    /** Handles a datagram; the bytes are valid only during the call. */
     void received(byte[] bytes, int length, InetSocketAddress from);
   }
 
@@ -25,25 +27,27 @@
   private final Owner owner;
 
   /**
-   * Opens and binds; datagrams of more than {@code most} bytes come as longer than that, cut off.
+   * Opens and binds a socket. A datagram of more than {@code maxBytes} is delivered truncated to
+   * {@code maxBytes + 1}, so that its length shows that it was too long.
    */
-  public DatagramLink(EventLoop loop, HostPort at, int most, Owner owner) throws IOException {
+  public DatagramLink(EventLoop loop, HostPort address, int maxBytes, Owner owner)
+      throws IOException {
     this.loop = loop;
     this.owner = owner;
     channel = DatagramChannel.open();
     try {
-      channel.bind(at.address());
+      channel.bind(address.address());
     } catch (IOException e) {
       channel.close();
       throw e;
     }
-    Thread thread = new Thread(() -> run(most + 1), "datagrams");
+    Thread thread = new Thread(() -> receiveUntilClosed(maxBytes + 1), "datagrams");
     thread.setDaemon(true);
     thread.start();
   }
 
-  private void run(int most) {
-    ByteBuffer buffer = ByteBuffer.allocate(most);
+  private void receiveUntilClosed(int bufferBytes) {
+    ByteBuffer buffer = ByteBuffer.allocate(bufferBytes);
     while (channel.isOpen()) {
       try {
         buffer.clear();
@@ -53,26 +57,27 @@
       } catch (ClosedChannelException e) {
         return;
       } catch (IOException | RuntimeException e) {
-        // Guards against one datagram's fault ending the thread that waits for all.
-        LOG.log(Level.WARNING, "a datagram could not be taken", e);
+        // Supervised boundary: one failed datagram must not end the thread that receives them all.
+        LOG.log(Level.WARNING, "Receiving a datagram failed", e);
       }
     }
   }
 
-  /** Sends; a datagram may be lost, so one that the machine does not take is. */
+  /** Sends a datagram; like any datagram it may be lost, so a failure is only logged. */
   public void send(byte[] bytes, InetSocketAddress to) {
     try {
       channel.send(ByteBuffer.wrap(bytes), to);
     } catch (IOException e) {
-      LOG.log(Level.DEBUG, "a datagram was not sent", e);
+      LOG.log(Level.DEBUG, "Sending a datagram failed", e);
     }
   }
 
+  /** Closes the socket and ends its thread. */
   public void close() {
     try {
       channel.close();
     } catch (IOException e) {
-      LOG.log(Level.DEBUG, "closing a socket failed", e);
+      LOG.log(Level.DEBUG, "Closing a datagram socket failed", e);
     }
   }
 }
--- a/src/main/java/bitternpulley/net/EventLoop.java
+++ b/src/main/java/bitternpulley/net/EventLoop.java
@@ -12,45 +12,47 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Runs all completions and alarms one at a time. Completions run on the thread that waits for the
- * sockets, which spares each of them the hand-over to another thread; alarms have a thread of their
- * own, and both take turns by one lock. The queues are bounded by what feeds them: each channel has
- * at most a read and a write under way, and each request a bounded number of alarms.
+ * Runs all completions and timers one at a time, each in a turn of its own. Completions run on the
+ * thread that polls the sockets, which saves a hand-over to another thread; timers have a thread of
+ * their own, and one lock serializes both. The queues are bounded by what feeds them: each channel
+ * has at most one read and one write in progress, and each request a bounded number of timers.
  */
 public final class EventLoop {
   private static final System.Logger LOG = System.getLogger(EventLoop.class.getName());
 
   /**
-   * Alarms ring at multiples of so many ns: those that are due about together cost one waking of
-   * their thread.
+   * Timers fire at multiples of this many ns, so that timers due at about the same time share one
+   * wake-up of their thread.
    */
   private static final long TIMER_RESOLUTION_NS = 2_000_000;
 
+  private static final double NANOS_PER_MS = 1e6;
+
   private final DoubleSupplier clock;
   private final EventLoopLag lag = new EventLoopLag();
 
   /**
-   * Fair. Guards against alarms, which are deadlines, that wait until all that has come in is dealt
-   * with.
+   * Fair, because an unfair lock would let a backlog of completions delay timers, which are
+   * deadlines.
    */
   private final ReentrantLock turnLock = new ReentrantLock(true);
 
   private final ArrayDeque<Runnable> deferredTasks = new ArrayDeque<>();
   private final ScheduledThreadPoolExecutor timers =
-      new ScheduledThreadPoolExecutor(1, r -> new Thread(r, "alarms"));
+      new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "alarms"));
   private final AsynchronousChannelGroup group;
 
-  /** A loop by the JVM's own time. */
+  /** Creates a loop that takes the time from the JVM's monotonic clock. */
   public EventLoop() {
-    this(() -> System.nanoTime() / 1e6);
+    this(() -> System.nanoTime() / NANOS_PER_MS);
   }
 
-  /** A loop for which the clock tells the age of connections. */
+  /** Creates a loop that takes the time, in ms, from {@code clock}. */
   public EventLoop(DoubleSupplier clock) {
     this.clock = clock;
     timers.setRemoveOnCancelPolicy(true);
     try {
-      group = AsynchronousChannelGroup.withFixedThreadPool(1, r -> new Thread(r, "loop"));
+      group = AsynchronousChannelGroup.withFixedThreadPool(1, task -> new Thread(task, "loop"));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -60,67 +62,84 @@
     return group;
   }
 
-  /** The time in ms, by which the ages of connections are told, and the lateness of turns. */
+  /** Returns the time in ms by which ages of connections and lag of turns are measured. */
   public double now() {
     return clock.getAsDouble();
   }
 
-  /** Begins to watch how late its own turns come; until then they count as in time. */
+  /** Starts to measure the loop's own lag, which counts as zero until then. */
   public void watchItself() {
     lag.tick(now());
-    after(EventLoopLag.TICK_INTERVAL_MS, this::watchItself);
+    schedule(EventLoopLag.TICK_INTERVAL_MS, this::watchItself);
   }
 
-  /** Ms for which what is read in this turn may have lain unread. */
+  /** Returns for how many ms the bytes read in this turn may have lain unread. */
   double unreadMs() {
     return lag.unreadMs(now());
   }
 
-  /** Ms by which turns came late in the last seconds, at the worst. */
+  /** Returns the worst lag of a turn in the last seconds, in ms. */
   double worstLagMs() {
     return lag.worstLagMs(now());
   }
 
-  /** Runs a task in a turn of its own, now or, within another turn, at the end of that. */
+  /**
+   * Runs a task in a turn of its own: at once, or at the end of the current turn if there is one.
+   */
   public void execute(Runnable task) {
-    if (turnLock.isHeldByCurrentThread()) {
+    if (isInTurn()) {
       deferredTasks.add(task);
     } else {
       inTurn(task);
     }
   }
 
-  /** Runs a task after so many milliseconds; the returned future takes it back. */
+  private boolean isInTurn() {
+    return turnLock.getHoldCount() > 0;
+  }
+
+  private boolean isInOutermostTurn() {
+    return turnLock.getHoldCount() == 1;
+  }
+
+  /** Runs a task in a turn of its own after a delay in ms; the returned future cancels it. */
   public Future<?> after(double ms, Runnable task) {
     long now = System.nanoTime();
-    long due = now + (long) (Math.max(0, ms) * 1e6);
-    long wait = due + TIMER_RESOLUTION_NS - Math.floorMod(due, TIMER_RESOLUTION_NS) - now;
-    return timers.schedule(() -> inTurn(task), wait, TimeUnit.NANOSECONDS);
+    long due = now + (long) (Math.max(0, ms) * NANOS_PER_MS);
+    long delay = due + TIMER_RESOLUTION_NS - Math.floorMod(due, TIMER_RESOLUTION_NS) - now;
+    return timers.schedule(() -> inTurn(task), delay, TimeUnit.NANOSECONDS);
   }
 
-  /** A turn for what a socket brings that was last waited for from {@code armed} on. */
-  void socketTurn(double armed, Runnable task) {
+  /** Runs a task in a turn of its own after a delay in ms, for callers that never cancel it. */
+  public void schedule(double ms, Runnable task) {
+    Future<?> unused = after(ms, task);
+  }
+
+  /**
+   * Runs a task in a turn for the result of a socket operation that was armed at {@code armedAt}.
+   */
+  void socketTurn(double armedAt, Runnable task) {
     inTurn(
         () -> {
-          if (turnLock.getHoldCount() == 1) {
-            lag.socketTurnStarted(now(), armed);
+          if (isInOutermostTurn()) {
+            lag.socketTurnStarted(now(), armedAt);
           }
           task.run();
-          if (turnLock.getHoldCount() == 1) {
+          if (isInOutermostTurn()) {
             lag.socketTurnEnded(now());
           }
         });
   }
 
-  /** Runs a task while nothing else of the loop runs, then what it left to be done. */
+  /** Runs a task while nothing else of the loop runs, then the tasks that it deferred. */
   void inTurn(Runnable task) {
     turnLock.lock();
     try {
-      if (turnLock.getHoldCount() == 1) {
+      if (isInOutermostTurn()) {
         lag.turnStarted(now());
       }
       runLoggingErrors(task);
-      while (turnLock.getHoldCount() == 1 && !deferredTasks.isEmpty()) {
+      while (isInOutermostTurn() && !deferredTasks.isEmpty()) {
         runLoggingErrors(deferredTasks.poll());
       }
     } finally {
@@ -128,12 +147,15 @@
     }
   }
 
-  /** Guards against errors that vanish: an executor keeps to itself what its tasks throw. */
+  /**
+   * Supervised boundary: the loop outlives a failed task, and an executor would swallow what the
+   * task throws.
+   */
   private static void runLoggingErrors(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
-      LOG.log(Level.ERROR, "a task failed", e);
+      LOG.log(Level.ERROR, "A task of the event loop failed", e);
     }
   }
 }
--- a/src/main/java/bitternpulley/net/EventLoopLag.java
+++ b/src/main/java/bitternpulley/net/EventLoopLag.java
@@ -1,28 +1,27 @@
 package bitternpulley.net;
 
 /**
- * How late the loop is with what has come: from when its turns begin and from a beat that is due
- * each {@link #TICK_INTERVAL_MS} ms. A beat that is overdue tells of a turn that was long or of a
- * process that did not run; what came meanwhile lay unread. Guards against answers that are in time
- * by the moment of the read and late for their clients. Pure; times in ms.
+ * Measures how late the event loop handles what has arrived, from the start times of its turns and
+ * from a tick that is due every {@link #TICK_INTERVAL_MS}. An overdue tick shows that a turn took
+ * long or that the process was stopped, and that bytes which arrived meanwhile lay unread: a
+ * response that is in time by the moment of the read may be late for its client. Pure; all times in
+ * ms.
  */
 final class EventLoopLag {
   /**
-   * Ms between beats, and by which one may be overdue: what goes unnoticed is less than the sum,
-   * which lies well below the 50 ms that the protocol adds to each limit.
+   * Interval of the tick, and the time by which it may be overdue unnoticed. Lag below the sum of
+   * the two is not seen; the sum is well below the 50 ms that the protocol adds to each limit.
    */
   static final double TICK_INTERVAL_MS = 25;
 
   private static final double TICK_TOLERANCE_MS = 10;
 
-  /**
-   * Ms for which a late turn is remembered: one to two of these, as long as a query may be open.
-   */
+  /** A late turn is remembered for one to two of these, which is as long as a query may be open. */
   private static final double WORST_LAG_WINDOW_MS = 6000;
 
   /**
-   * Ms without a socket's turn after which the sockets are taken to have been waited for: no run of
-   * turns pauses so long.
+   * Time without a socket turn after which the loop must have waited for its sockets: consecutive
+   * turns never pause that long.
    */
   private static final double IDLE_GAP_MS = 5;
 
@@ -34,69 +33,70 @@
   private double gapStart;
   private double gapMs;
   private double gapReadUntil = Double.NEGATIVE_INFINITY;
-  private double worstLagMs;
+  private double worst;
   private double worstOfPreviousWindow;
   private double windowStart;
 
-  /** The beat rings. */
+  /** Records a tick; the next one is due an interval later. */
   void tick(double now) {
     nextTickDue = now + TICK_INTERVAL_MS;
   }
 
-  /** A turn begins: whatever lay in the sockets when the one before began was seen by then. */
+  /** Records the start of a turn: what arrived before the previous turn was seen by then. */
   void turnStarted(double now) {
     if (now > nextTickDue + TICK_TOLERANCE_MS) {
       double lag = now - lastTurnAt;
       if (now > gapReadUntil || lag >= gapMs) {
-        // What lay there is read one by one, and that takes a while; as long as it took to pile up,
-        // at most.
+        // The backlog of a gap is read one socket at a time, which takes at most as long as the
+        // gap itself.
         gapStart = now > gapReadUntil ? lastTurnAt : Math.min(gapStart, lastTurnAt);
         gapMs = lag;
         gapReadUntil = now + lag;
       }
       rotateWindow(now);
-      worstLagMs = Math.max(worstLagMs, lag);
+      worst = Math.max(worst, lag);
     }
     lastTurnAt = now;
   }
 
   /**
-   * A turn for a socket begins that was last waited for from {@code armed} on. What one look at the
-   * sockets found is dealt with in one turn each, and until then there is no other look; none found
-   * a socket before it was waited for.
+   * Records the start of a turn for a socket whose read was armed at {@code armedAt}. The results
+   * of one poll are handled in one turn each with no other poll in between, and a poll finds only
+   * sockets that were armed before it.
    */
-  void socketTurnStarted(double now, double armed) {
+  void socketTurnStarted(double now, double armedAt) {
     inSocketTurn = true;
-    lastPollAt = now - socketTurnEndedAt > IDLE_GAP_MS ? now : Math.max(lastPollAt, armed);
+    lastPollAt = now - socketTurnEndedAt > IDLE_GAP_MS ? now : Math.max(lastPollAt, armedAt);
   }
 
-  /** That turn ends. */
+  /** Records the end of a socket turn. */
   void socketTurnEnded(double now) {
     inSocketTurn = false;
     socketTurnEndedAt = now;
   }
 
   /**
-   * For how many ms what is read now may have lain unread; at most twice the gap in which it did.
+   * Returns for how many ms bytes that are read now may have lain unread; at most twice the gap in
+   * which they arrived.
    */
   double unreadMs(double now) {
-    double behind =
+    double sincePoll =
         inSocketTurn && now - lastPollAt > TICK_TOLERANCE_MS + TICK_INTERVAL_MS
             ? now - lastPollAt
             : 0;
-    return Math.max(behind, now <= gapReadUntil ? Math.min(now - gapStart, 2 * gapMs) : 0);
+    return Math.max(sincePoll, now <= gapReadUntil ? Math.min(now - gapStart, 2 * gapMs) : 0);
   }
 
-  /** By how many ms turns came late of late, at the worst; 0 where none did. */
+  /** Returns the worst lag in ms of the last seconds; 0 when no turn was late. */
   double worstLagMs(double now) {
     rotateWindow(now);
-    return Math.max(worstLagMs, worstOfPreviousWindow);
+    return Math.max(worst, worstOfPreviousWindow);
   }
 
   private void rotateWindow(double now) {
     if (now - windowStart > WORST_LAG_WINDOW_MS) {
-      worstOfPreviousWindow = now - windowStart > 2 * WORST_LAG_WINDOW_MS ? 0 : worstLagMs;
-      worstLagMs = 0;
+      worstOfPreviousWindow = now - windowStart > 2 * WORST_LAG_WINDOW_MS ? 0 : worst;
+      worst = 0;
       windowStart = now;
     }
   }
--- a/src/main/java/bitternpulley/net/FrameCodec.java
+++ b/src/main/java/bitternpulley/net/FrameCodec.java
@@ -5,63 +5,87 @@
 import java.util.function.Consumer;
 
 /**
- * Frames of a length (four bytes, least significant first, which covers letter and rest), a letter
- * and the rest.
+ * Encodes and decodes frames: a length of four bytes, least significant first, that covers letter
+ * and rest; a letter; the rest.
  */
 public final class FrameCodec {
-  /** Bytes of a frame beyond which it is taken for garbage. */
+  /** The largest length of a frame in bytes; anything longer is an error of the peer. */
   public static final int MOST = 64 * 1024;
 
-  /** One frame. */
+  private static final int LENGTH_BYTES = 4;
+  private static final int LETTER_BYTES = 1;
+
+  /**
+   * One frame.
+   *
+   * @param letter the type of the frame
+   * @param rest the bytes behind the letter
+   */
   public record Frame(char letter, byte[] rest) {}
 
-  private ByteBuffer lengthBytes = ByteBuffer.allocate(4).order(ByteOrder.LITTLE_ENDIAN);
+  private final ByteBuffer lengthBytes =
+      ByteBuffer.allocate(LENGTH_BYTES).order(ByteOrder.LITTLE_ENDIAN);
   private ByteBuffer body;
 
-  /** The bytes of a frame. */
+  /** Returns the bytes of a frame. */
   public static ByteBuffer encode(char letter, byte[] rest) {
-    return ByteBuffer.allocate(5 + rest.length)
+    return ByteBuffer.allocate(LENGTH_BYTES + LETTER_BYTES + rest.length)
         .order(ByteOrder.LITTLE_ENDIAN)
-        .putInt(1 + rest.length)
+        .putInt(LETTER_BYTES + rest.length)
         .put((byte) letter)
         .put(rest)
         .flip();
   }
 
-  /** True between frames. */
+  /** Returns true between frames. */
   public boolean idle() {
     return body == null && lengthBytes.position() == 0;
   }
 
   /**
-   * Reads bytes that come in any pieces; throws IllegalArgumentException on a length that no frame
-   * has.
+   * Decodes bytes that arrive in pieces of any size and hands on each frame as it completes.
+   *
+   * @throws FrameException on a length that no frame may have
    */
   public void read(ByteBuffer in, Consumer<Frame> frames) {
     while (in.hasRemaining()) {
       if (body == null) {
-        lengthBytes.put(in.get());
-        if (!lengthBytes.hasRemaining()) {
-          int length = lengthBytes.flip().getInt();
-          lengthBytes.clear();
-          if (length < 1 || length > MOST) {
-            throw new IllegalArgumentException("a frame of " + length + " bytes");
-          }
-          body = ByteBuffer.allocate(length);
-        }
+        readLength(in);
       } else {
-        int size = Math.min(body.remaining(), in.remaining());
-        body.put(in.slice(in.position(), size));
-        in.position(in.position() + size);
+        readBody(in);
       }
       if (body != null && !body.hasRemaining()) {
-        byte[] rest = new byte[body.capacity() - 1];
-        body.flip();
-        char letter = (char) (body.get() & 0xff);
-        body.get(rest);
-        body = null;
-        frames.accept(new Frame(letter, rest));
+        frames.accept(takeFrame());
       }
     }
   }
+
+  private void readLength(ByteBuffer in) {
+    lengthBytes.put(in.get());
+    if (lengthBytes.hasRemaining()) {
+      return;
+    }
+    int length = lengthBytes.flip().getInt();
+    lengthBytes.clear();
+    if (length < LETTER_BYTES || length > MOST) {
+      throw new FrameException("a frame of " + length + " bytes");
+    }
+    body = ByteBuffer.allocate(length);
+  }
+
+  private void readBody(ByteBuffer in) {
+    int size = Math.min(body.remaining(), in.remaining());
+    body.put(body.position(), in, in.position(), size);
+    body.position(body.position() + size);
+    in.position(in.position() + size);
+  }
+
+  private Frame takeFrame() {
+    byte[] rest = new byte[body.capacity() - LETTER_BYTES];
+    body.flip();
+    char letter = (char) (body.get() & 0xff);
+    body.get(rest);
+    body = null;
+    return new Frame(letter, rest);
+  }
 }
--- a/src/main/java/bitternpulley/net/HttpException.java
+++ b/src/main/java/bitternpulley/net/HttpException.java
@@ -1,18 +1,17 @@
 package bitternpulley.net;
 
-/**
- * A message that breaks HTTP/1.1 or a bound of ours; {@code status} is what its sender should be
- * told.
- */
+/** A message that violates HTTP/1.1 or a limit of this program, with the status for its sender. */
 public final class HttpException extends RuntimeException {
   private static final long serialVersionUID = 1L;
   private final int status;
 
+  /** Creates an error with the status and the message that its sender receives. */
   public HttpException(int status, String message) {
     super(message);
     this.status = status;
   }
 
+  /** Returns the status that the sender of the message receives. */
   public int status() {
     return status;
   }
--- a/src/main/java/bitternpulley/net/HttpHead.java
+++ b/src/main/java/bitternpulley/net/HttpHead.java
@@ -4,29 +4,34 @@
 import java.util.Map;
 
 /**
- * The start line and headers; for a response {@code method} is the version and {@code target} the
- * status.
+ * The start line and headers of a message.
+ *
+ * @param method the method; of a response, the version
+ * @param target the target; of a response, the status
+ * @param version the version; of a response, the reason phrase
+ * @param headers values by header name in lower case
  */
 public record HttpHead(String method, String target, String version, Map<String, String> headers) {
+  private static final String HTTP_1_0 = "HTTP/1.0";
 
-  /** A header's value, or null; names are kept in lower case. */
+  /** Returns the value of a header, or null; upper and lower case of the name are the same. */
   public String header(String name) {
     return headers.get(name.toLowerCase(Locale.ROOT));
   }
 
-  /** Whether the sender's side of the connection lasts beyond this message. */
+  /** Returns whether the sender keeps the connection open after this message. */
   public boolean keepAlive() {
     String connection = header("connection");
-    String spokenVersion = method.startsWith("HTTP/") ? method : version;
+    String httpVersion = method.startsWith("HTTP/") ? method : version;
     if (connection == null) {
-      return !spokenVersion.equals("HTTP/1.0");
+      return !httpVersion.equals(HTTP_1_0);
     }
     String lowerCase = connection.toLowerCase(Locale.ROOT);
     return !lowerCase.contains("close")
-        && (!spokenVersion.equals("HTTP/1.0") || lowerCase.contains("keep-alive"));
+        && (!httpVersion.equals(HTTP_1_0) || lowerCase.contains("keep-alive"));
   }
 
-  /** The status of a response. */
+  /** Returns the status of a response. */
   public int status() {
     return Integer.parseInt(target);
   }
--- a/src/main/java/bitternpulley/net/HttpMessageAggregator.java
+++ b/src/main/java/bitternpulley/net/HttpMessageAggregator.java
@@ -5,16 +5,16 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Puts the pieces of each message together; the parser's bound on bodies bounds what is kept. */
+/** Collects the pieces of each message; the parser's limit on bodies bounds what is buffered. */
 final class HttpMessageAggregator implements HttpParser.Sink {
   private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
   private final Consumer<HttpHead> onHead;
   private final BiConsumer<HttpHead, byte[]> onMessage;
   private HttpHead head;
 
-  HttpMessageAggregator(Consumer<HttpHead> begun, BiConsumer<HttpHead, byte[]> whole) {
-    this.onHead = begun;
-    this.onMessage = whole;
+  HttpMessageAggregator(Consumer<HttpHead> onHead, BiConsumer<HttpHead, byte[]> onMessage) {
+    this.onHead = onHead;
+    this.onMessage = onMessage;
   }
 
   @Override
@@ -37,7 +37,7 @@
     onMessage.accept(head, bytes);
   }
 
-  /** Bytes kept of a body that is not yet whole. */
+  /** Returns the bytes buffered of a body that is not complete yet. */
   int bufferedBytes() {
     return body.size();
   }
--- a/src/main/java/bitternpulley/net/Listener.java
+++ b/src/main/java/bitternpulley/net/Listener.java
@@ -2,13 +2,17 @@
 
 import java.util.function.Consumer;
 
-/** Where connections come from. Calls come on the loop's turn, and so does what is told. */
+/** A listening socket. It is called, and calls back, in turns of the event loop. */
 interface Listener {
-  /** Takes one connection, now or when one comes; asked for again only once this is told. */
+  /**
+   * Accepts one connection, now or when one arrives. The caller asks for the next one only after
+   * one of the two callbacks has run.
+   */
   void accept(Consumer<Connection> onAccepted, Consumer<Throwable> onFailure);
 
+  /** Returns whether more connections are accepted. */
   boolean isOpen();
 
-  /** Takes no more. */
+  /** Stops accepting. */
   void close();
 }
