--- a/src/main/java/bitternpulley/net/AddressListener.java
+++ b/src/main/java/bitternpulley/net/AddressListener.java
@@ -9,39 +9,52 @@
 import java.nio.channels.CompletionHandler;
 import java.util.function.Consumer;
 
-/** Listens at an address of its own. */
+/** Listens on an address that this process binds itself. */
 final class AddressListener implements Listener {
   private static final System.Logger LOG = System.getLogger(AddressListener.class.getName());
 
   private final EventLoop loop;
   private final AsynchronousServerSocketChannel channel;
 
-  AddressListener(EventLoop loop, HostPort at, int backlog, boolean shared) throws IOException {
+  private AddressListener(EventLoop loop, AsynchronousServerSocketChannel channel) {
     this.loop = loop;
-    channel = AsynchronousServerSocketChannel.open(loop.group());
-    if (shared) {
-      channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
-    }
-    channel.bind(at.address(), backlog);
+    this.channel = channel;
+  }
+
+  /** Binds an address; port 0 stands for any free port. */
+  static AddressListener bind(EventLoop loop, HostPort address, int backlog) throws IOException {
+    AsynchronousServerSocketChannel channel = AsynchronousServerSocketChannel.open(loop.group());
+    channel.bind(address.address(), backlog);
+    return new AddressListener(loop, channel);
+  }
+
+  /** Binds an address that other processes may bind in the same way at the same time. */
+  static AddressListener bindShared(EventLoop loop, HostPort address, int backlog)
+      throws IOException {
+    AsynchronousServerSocketChannel channel = AsynchronousServerSocketChannel.open(loop.group());
+    channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
+    channel.bind(address.address(), backlog);
+    return new AddressListener(loop, channel);
   }
 
+  /** Returns the port that was bound. */
   int port() throws IOException {
     return ((InetSocketAddress) channel.getLocalAddress()).getPort();
   }
 
   @Override
   public void accept(Consumer<Connection> onAccepted, Consumer<Throwable> onFailure) {
-    double armed = loop.now();
+    double armedAt = loop.now();
     channel.accept(
         null,
         new CompletionHandler<AsynchronousSocketChannel, Void>() {
           @Override
-          public void completed(AsynchronousSocketChannel accepted, Void nothing) {
-            loop.socketTurn(armed, () -> onAccepted.accept(new Connection(loop, accepted)));
+          public void completed(AsynchronousSocketChannel accepted, Void attachment) {
+            loop.socketTurn(armedAt, () -> onAccepted.accept(new Connection(loop, accepted)));
           }
 
           @Override
-          public void failed(Throwable error, Void nothing) {
+          public void failed(Throwable error, Void attachment) {
             loop.inTurn(() -> onFailure.accept(error));
           }
         });
@@ -57,7 +70,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      LOG.log(Level.DEBUG, "closing the listener failed", e);
+      LOG.log(Level.DEBUG, "Closing a listener failed", e);
     }
   }
 }
--- a/src/main/java/bitternpulley/net/Connection.java
+++ b/src/main/java/bitternpulley/net/Connection.java
@@ -8,417 +8,300 @@
 import java.nio.channels.AsynchronousByteChannel;
 import java.nio.channels.AsynchronousSocketChannel;
 import java.nio.channels.CompletionHandler;
-import java.util.ArrayDeque;
-import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Future;
 
 /**
- * One TCP connection: reads handed to its owner piece by piece, writes in order with a word when
- * their last byte has gone. All calls come on the loop's thread, and the owner hears of the end
- * exactly once.
+ * One TCP connection: hands what it reads to its owner piece by piece and writes in order, with a
+ * callback for each last byte written. All calls come in turns of the event loop, and the owner is
+ * notified of the end exactly once.
  */
 public final class Connection {
   private static final System.Logger LOG = System.getLogger(Connection.class.getName());
 
-  /** Bytes of a read at the most. */
-  private static final int MAX_READ_BUFFER_BYTES = 8 * 1024;
-
-  /**
-   * Bytes of a read at first where the program connects: several of a server's answers; and how
-   * that grows when one is full.
-   */
-  private static final int MIN_READ_BUFFER_BYTES = 512;
-
-  private static final int READ_BUFFER_GROWTH_FACTOR = 4;
-
-  /** Bytes that may wait to be written; a peer that reads so slowly is cut off. */
-  private static final int MAX_PENDING_BYTES = 1 << 20;
-
-  /**
-   * Ms that a peer gets to end its side after we have ended ours, and the bytes read meanwhile at
-   * most.
-   */
+  /** Time that a peer gets to end its side after this side has ended. */
   private static final double LINGER_MS = 2000;
 
+  /** Bytes that are read and discarded at most before the connection is closed. */
   private static final long MAX_DISCARDED_BYTES = 96L << 20;
 
-  /** Ms between looks at whether the machine has taken what it could not take at once. */
-  private static final double WRITE_POLL_MS = 4;
-
-  /** Ms that a write may wait for its peer to read. */
-  private static final double WRITE_STALL_TIMEOUT_MS = 3000;
-
-  /** What comes in to be dropped goes here, from all connections: nobody looks at it. */
+  /** Target of all discarding reads of all connections; its content is never looked at. */
   private static final ByteBuffer DISCARD_BUFFER = ByteBuffer.allocateDirect(512 * 1024);
 
-  /**
-   * Ms between such reads: few large ones cost far less than what comes as fast as it can be taken.
-   */
+  /** Pause between discarding reads: few large reads cost far less than many small ones. */
   private static final double DISCARD_PAUSE_MS = 8;
 
-  /** What the owner of a connection is told. */
+  /** Receives the events of a connection. */
   public interface Owner {
-    /** Bytes have come; the buffer is lent for this call only. */
+    /** Handles bytes that arrived; the buffer is valid only during the call. */
     void received(ByteBuffer bytes);
 
-    /** The connection has ended, by whichever side. */
+    /** Handles the end of the connection, whichever side caused it. */
     void closed();
   }
 
-  private record PendingWrite(ByteBuffer bytes, Runnable written) {}
-
-  private final EventLoop loop;
-
   private interface OutputShutdown {
     void shutdown() throws IOException;
   }
 
+  private interface CompletionAction<T> {
+    void run(T result);
+  }
+
+  private final EventLoop loop;
   private final AsynchronousByteChannel channel;
   private final OutputShutdown output;
-  private final ArrayDeque<PendingWrite> pendingWrites = new ArrayDeque<>();
-  private ByteBuffer readBuffer;
-
-  /** The size that the read buffer goes back to when little comes. */
-  private final int minReadBuffer;
-
+  private final WriteQueue writes;
+  private final ReadBuffer readBuffer;
   private Owner owner;
-  private boolean writing;
   private boolean closing;
   private boolean lingering;
 
-  /** What comes in is read and dropped. */
+  /** Whether what arrives is read and discarded. */
   private boolean discarding;
 
-  private boolean isEndedByPeer;
+  private boolean endedByPeer;
   private boolean closed;
   private boolean reading;
   private boolean paused;
-  private int pendingBytes;
   private double linger = LINGER_MS;
-  private long completedWrites;
   private long discardedBytes;
 
   private Connection(
-      EventLoop loop, AsynchronousByteChannel channel, OutputShutdown output, int leastBuffer) {
+      EventLoop loop, AsynchronousByteChannel channel, OutputShutdown output, int minReadBytes) {
     this.loop = loop;
     this.channel = channel;
     this.output = output;
-    this.minReadBuffer = leastBuffer;
-    readBuffer = ByteBuffer.allocate(leastBuffer);
+    writes = new WriteQueue(loop, channel, this::lingerIfClosing, this::close);
+    readBuffer = new ReadBuffer(minReadBytes);
   }
 
-  /** A connection from a socket that was passed to the program. */
+  /** Creates a connection that was accepted from an inherited listening socket. */
   Connection(EventLoop loop, SelectableByteChannel channel) {
-    this(loop, channel, channel::shutdownOutput, MAX_READ_BUFFER_BYTES);
+    this(loop, channel, channel::shutdownOutput, ReadBuffer.MAX_BYTES);
   }
 
-  /** An accepted connection, whose requests are read in as few pieces as may be. */
+  /** Creates an accepted connection, whose requests are read in as few pieces as possible. */
   Connection(EventLoop loop, AsynchronousSocketChannel channel) {
-    this(loop, channel, MAX_READ_BUFFER_BYTES);
+    this(loop, channel, ReadBuffer.MAX_BYTES);
   }
 
-  private Connection(EventLoop loop, AsynchronousSocketChannel channel, int leastBuffer) {
-    this(loop, channel, channel::shutdownOutput, leastBuffer);
+  private Connection(EventLoop loop, AsynchronousSocketChannel channel, int minReadBytes) {
+    this(loop, channel, channel::shutdownOutput, minReadBytes);
     try {
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     } catch (IOException e) {
-      LOG.log(Level.DEBUG, "no TCP_NODELAY", e);
+      LOG.log(Level.DEBUG, "Setting TCP_NODELAY failed", e);
     }
   }
 
   /**
-   * Connects; the owner's {@code closed} tells of a refusal or of a connection that did not come up
-   * in time.
+   * Connects within {@code timeout} ms and runs {@code connected} then; when the peer refuses or
+   * the time is over, the owner's {@code closed} is called.
+   *
+   * @throws UncheckedIOException when no socket can be opened
    */
   public static Connection open(
-      EventLoop loop, HostPort to, double timeout, Owner owner, Runnable connected) {
+      EventLoop loop, HostPort address, double timeout, Owner owner, Runnable connected) {
     try {
       AsynchronousSocketChannel channel = AsynchronousSocketChannel.open(loop.group());
-      Connection made = new Connection(loop, channel, MIN_READ_BUFFER_BYTES);
-      made.owner = owner;
-      var alarm = loop.after(timeout, made::close);
-      channel.connect(
-          to.address(),
-          null,
-          handler(
-              made,
-              ignored -> {
-                alarm.cancel(false);
-                if (!made.closed) {
-                  connected.run();
-                  made.read();
-                }
-              }));
-      return made;
+      Connection connection = new Connection(loop, channel, ReadBuffer.MIN_BYTES);
+      connection.owner = owner;
+      connection.connect(channel, address, timeout, connected);
+      return connection;
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** Begins to read an accepted connection. */
-  void start(Owner to) {
-    owner = to;
-    read();
+  private void connect(
+      AsynchronousSocketChannel socket, HostPort address, double timeout, Runnable connected) {
+    Future<?> timer = loop.after(timeout, this::close);
+    socket.connect(
+        address.address(),
+        null,
+        handler(
+            ignored -> {
+              timer.cancel(false);
+              if (!closed) {
+                connected.run();
+                read();
+              }
+            }));
   }
 
-  private interface CompletionAction<T> {
-    void run(T result);
+  /** Starts to read an accepted connection. */
+  void start(Owner newOwner) {
+    owner = newOwner;
+    read();
   }
 
-  private static <T> CompletionHandler<T, Void> handler(Connection of, CompletionAction<T> done) {
-    double armed = of.loop.now();
+  private <T> CompletionHandler<T, Void> handler(CompletionAction<T> action) {
+    double armedAt = loop.now();
     return new CompletionHandler<>() {
       @Override
-      public void completed(T result, Void nothing) {
-        of.loop.socketTurn(
-            armed,
-            () -> {
-              try {
-                done.run(result);
-              } catch (RuntimeException e) {
-                // Guards against one bad message ending more than its own connection.
-                LOG.log(Level.ERROR, "a connection's handler failed", e);
-                of.close();
-              }
-            });
+      public void completed(T result, Void attachment) {
+        loop.socketTurn(armedAt, () -> runClosingOnError(action, result));
       }
 
       @Override
-      public void failed(Throwable error, Void nothing) {
-        of.loop.inTurn(of::close);
+      public void failed(Throwable error, Void attachment) {
+        loop.inTurn(Connection.this::close);
       }
     };
   }
 
+  /** Supervised boundary: a message that makes its handler fail ends its own connection only. */
+  private <T> void runClosingOnError(CompletionAction<T> action, T result) {
+    try {
+      action.run(result);
+    } catch (RuntimeException e) {
+      LOG.log(Level.ERROR, "The handler of a connection failed; closing the connection", e);
+      close();
+    }
+  }
+
   private void read() {
     if (closed || reading || paused && !lingering) {
       return;
     }
     reading = true;
-    boolean drops = discarding;
-    readBuffer.clear();
+    boolean discards = discarding;
+    ByteBuffer empty = readBuffer.clear();
     channel.read(
-        drops ? DISCARD_BUFFER.duplicate() : readBuffer,
+        discards ? DISCARD_BUFFER.duplicate() : empty,
         null,
-        handler(
-            this,
-            (Integer count) -> {
-              isEndedByPeer |= count < 0;
-              if (count < 0 || discarding && (discardedBytes += count) > MAX_DISCARDED_BYTES) {
-                close();
-              } else if (!closed && !discarding) {
-                owner.received(readBuffer.flip());
-                resize(count);
-              }
-              reading = false;
-              if (drops && !closed) {
-                loop.after(DISCARD_PAUSE_MS, this::read);
-              } else {
-                read();
-              }
-            }));
+        handler((Integer count) -> readCompleted(count, discards)));
   }
 
-  /**
-   * The next read's buffer follows what the last one brought. Guards against thousands of links to
-   * servers, nearly all of them idle, that each hold the memory of a busy one.
-   */
-  private void resize(int count) {
-    int size = readBuffer.capacity();
-    if (count == size && size < MAX_READ_BUFFER_BYTES) {
-      readBuffer =
-          ByteBuffer.allocate(Math.min(MAX_READ_BUFFER_BYTES, size * READ_BUFFER_GROWTH_FACTOR));
-    } else if (size > minReadBuffer && count <= minReadBuffer / 2) {
-      readBuffer = ByteBuffer.allocate(minReadBuffer);
+  private void readCompleted(int count, boolean discarded) {
+    endedByPeer |= count < 0;
+    if (count < 0 || discarding && (discardedBytes += count) > MAX_DISCARDED_BYTES) {
+      close();
+    } else if (!closed && !discarding) {
+      owner.received(readBuffer.flip());
+      readBuffer.adapt(count);
+    }
+    reading = false;
+    if (discarded && !closed) {
+      loop.schedule(DISCARD_PAUSE_MS, this::read);
+    } else {
+      read();
     }
   }
 
-  /** Bytes of the read buffer as it is now. */
+  /** Returns the current size of the read buffer in bytes. */
   int readBufferSize() {
     return readBuffer.capacity();
   }
 
   /**
-   * Reads no more until our side has ended: for a peer that may end its own and still waits for an
-   * answer.
+   * Stops reading until this side has ended: for a peer that may end its side and still waits for a
+   * response.
    */
   void pause() {
     paused = true;
   }
 
   /**
-   * From now on what the peer sends is read and dropped, up to a bound. Its end is still seen, as
-   * it would not be were nothing read any more.
+   * Reads and discards what the peer sends from now on, up to a limit. Reading goes on because the
+   * end of the peer's side would not be noticed otherwise.
    */
   void dropInput() {
     discarding = true;
   }
 
   /**
-   * Writes bytes after what waits; {@code completedWrites} runs once the last of them has gone to
-   * the machine.
+   * Queues bytes behind those that wait; {@code written} runs once the kernel has taken the last of
+   * them.
    */
   public void write(ByteBuffer bytes, Runnable written) {
     if (closed || closing) {
       return;
     }
-    pendingBytes += bytes.remaining();
-    if (pendingBytes > MAX_PENDING_BYTES) {
-      LOG.log(Level.WARNING, "a peer reads too slowly and is cut off");
+    if (!writes.add(bytes, written)) {
+      LOG.log(
+          Level.WARNING,
+          "Closing a connection whose peer reads too slowly, queued bytes: "
+              + writes.pendingBytes());
       close();
       return;
     }
-    pendingWrites.add(new PendingWrite(bytes, written));
-    flush();
+    writes.flush();
   }
 
-  /** Takes back what waits to be written; false where a byte of it may have gone. */
+  /** Removes bytes that wait to be written; returns false when some of them may have been sent. */
   public boolean takeBack(ByteBuffer bytes) {
-    boolean waits =
-        bytes.position() == 0
-            && pendingWrites.removeIf(
-                p -> p.bytes == bytes && !(writing && p == pendingWrites.peek()));
-    pendingBytes -= waits ? bytes.remaining() : 0;
-    return waits;
-  }
-
-  private void flush() {
-    while (!writing && !closed && !pendingWrites.isEmpty()) {
-      PendingWrite next = pendingWrites.peek();
-      writing = true;
-      Future<Integer> attempt = channel.write(next.bytes);
-      recordProgress(next, attempt);
-      if (writing) {
-        pollWrite(next, attempt);
-        closeIfStalled(completedWrites);
-      }
-    }
-    if (pendingWrites.isEmpty() && closing && !lingering && !closed) {
-      linger();
-    }
+    return writes.cancel(bytes);
   }
 
   /**
-   * Takes note of what has gone. By a future, as that alone is tried at once: with a handler a
-   * group of one thread puts off what is written in an alarm's turn, or behind some others, till it
-   * has been through all that came in before. Guards against answers that are decided in time and
-   * go out when their clients have left.
-   */
-  private void recordProgress(PendingWrite next, Future<Integer> attempt) {
-    if (closed || !attempt.isDone()) {
-      return;
-    }
-    try {
-      pendingBytes -= attempt.get();
-      writing = false;
-      completedWrites++;
-      if (!next.bytes.hasRemaining()) {
-        pendingWrites.poll();
-        next.written.run();
-      }
-    } catch (ExecutionException e) {
-      close();
-    } catch (InterruptedException e) {
-      throw new IllegalStateException("what is done is not waited for", e);
-    } catch (RuntimeException e) {
-      // Guards against one bad message ending more than its own connection.
-      LOG.log(Level.ERROR, "a connection's handler failed", e);
-      close();
-    }
-  }
-
-  /**
-   * The machine takes no more just now, as its peer does not read: a rare case, so it is looked at
-   * now and then.
-   */
-  private void pollWrite(PendingWrite next, Future<Integer> attempt) {
-    loop.after(
-        WRITE_POLL_MS,
-        () -> {
-          recordProgress(next, attempt);
-          if (writing && !closed) {
-            pollWrite(next, attempt);
-          } else {
-            flush();
-          }
-        });
-  }
-
-  /** Guards against a peer that stops reading, whose connection would be held for good. */
-  private void closeIfStalled(long before) {
-    loop.after(
-        WRITE_STALL_TIMEOUT_MS,
-        () -> {
-          if (writing && completedWrites == before) {
-            close();
-          }
-        });
-  }
-
-  /**
-   * Ends the connection once all that waits is written: a half-close, then a lingering close. Bytes
-   * that cross it are read and dropped, so that no reset destroys what was written before.
+   * Closes the connection once all that waits is written: a half-close, then a lingering close.
+   * Bytes that cross it are read and discarded, so that no reset destroys what was written before.
    */
   public void closeGracefully() {
     closing = true;
-    flush();
+    writes.flush();
   }
 
-  /** As above, where the peer gets at most so many ms to end its side. */
-  void closeGracefully(double linger) {
-    this.linger = linger;
+  /** Closes gracefully, where the peer gets {@code lingerMs} at most to end its side. */
+  void closeGracefully(double lingerMs) {
+    linger = lingerMs;
     closeGracefully();
   }
 
+  private void lingerIfClosing() {
+    if (closing && !lingering && !closed) {
+      linger();
+    }
+  }
+
   /**
-   * Guards against a reset that overtakes the last answer, as a close with unread bytes causes: our
-   * side is ended first, and what still comes is read and dropped until the peer ends its own.
+   * Ends this side, then reads and discards until the peer ends its own. Closing with unread bytes
+   * would send a reset, which may overtake the last response.
    */
   private void linger() {
     lingering = true;
     discarding = true;
     try {
       output.shutdown();
-      loop.after(linger, this::close);
+      loop.schedule(linger, this::close);
       read();
     } catch (IOException e) {
       close();
     }
   }
 
-  /** Whether all that was to be written has gone to the machine. */
+  /** Returns whether the kernel has taken all that was to be written. */
   boolean hasWrittenAll() {
-    return pendingWrites.isEmpty();
+    return writes.isEmpty();
   }
 
-  /** Whether our side has ended and the peer's has not. */
+  /** Returns whether this side has ended and the peer's has not. */
   boolean isLingering() {
     return lingering && !closed;
   }
 
+  /** Returns whether the connection has ended. */
   public boolean isClosed() {
     return closed;
   }
 
-  /**
-   * Whether the peer ended its side in order. Guards against a reset or a time-out that is taken
-   * for an end.
-   */
+  /** Returns whether the peer ended its side in order, not by a reset or a time-out. */
   boolean isEndedByPeer() {
-    return isEndedByPeer;
+    return endedByPeer;
   }
 
-  /** Ends the connection at once. */
+  /** Closes the connection at once. */
   public void close() {
     if (closed) {
       return;
     }
     closed = true;
-    pendingWrites.clear();
+    writes.close();
     try {
       channel.close();
     } catch (IOException e) {
-      LOG.log(Level.DEBUG, "a close failed", e);
+      LOG.log(Level.DEBUG, "Closing a connection failed", e);
     }
     loop.execute(owner::closed);
   }
--- a/src/main/java/bitternpulley/net/HttpSession.java
+++ b/src/main/java/bitternpulley/net/HttpSession.java
@@ -1,72 +1,67 @@
 package bitternpulley.net;
 
-import bitternpulley.net.HttpServer.Exchange;
-import bitternpulley.net.HttpServer.Request;
-import bitternpulley.net.HttpServer.Response;
 import java.lang.System.Logger.Level;
 import java.nio.ByteBuffer;
 
 /**
- * One client's connection: idle, reading a request, with a request under way, or ending. Bytes are
- * read in each of these, so that a client that leaves is noticed at once.
+ * One client's connection: idle, receiving a request, handling one, or ending. It reads in each of
+ * these states, so that a client that disconnects is noticed at once.
  */
 final class HttpSession implements Connection.Owner {
-  /** How strong a claim to its place a session has; none makes room that is busy. */
-  static final int SILENT = 0;
-
-  static final int IDLE = 1;
-  static final int PARTIAL = 2;
-  static final int BUSY = 3;
+  /** The order in which sessions are evicted when a server has no capacity left. */
+  enum EvictionOrder {
+    /** The client has sent nothing yet, or only its end of the connection is missing. */
+    SILENT,
+    /** No request is in progress. */
+    IDLE,
+    /** A request is incomplete. */
+    PARTIAL,
+    /** The session is busy, or too young to be judged. */
+    NEVER
+  }
 
   private static final System.Logger LOG = System.getLogger(HttpSession.class.getName());
 
   /**
-   * Bytes kept of what a client sends ahead of its turn. A client that sends more is answered so
-   * far, and then told so.
-   */
-  private static final int MAX_PIPELINED_BYTES = 256 * 1024;
-
-  /**
-   * Ms that the client of an idle connection gets to end its side after ours: what was on its way
-   * as we did so arrives by then, and is dropped.
+   * Time that the client of an idle connection gets to end its side after this one: a request that
+   * crossed the close arrives by then and is discarded.
    */
   private static final double IDLE_LINGER_MS = 25;
 
   /**
-   * Ms by which a request may have lain unread and its client still be taken to be there, without
-   * another look.
+   * When a request may have lain unread for longer than this, the sockets are polled once more
+   * before it is handled, as its client may have disconnected.
    */
   private static final double RECHECK_AFTER_MS = 50;
 
-  private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
-
   private final HttpServer server;
+  private final HttpSessionRegistry sessions;
+  private final DrainState drainState;
   private final EventLoop loop;
   private final Connection connection;
   private final HttpMessageAggregator aggregator =
       new HttpMessageAggregator(this::onHead, this::onRequest);
   private final HttpParser parser;
-
-  /** What was sent ahead of its turn, up to the position. */
-  private ByteBuffer pipelined = EMPTY;
-
+  private final PipelineBuffer pipeline = new PipelineBuffer();
   private boolean pipelineOverflowed;
   private HttpExchange exchange;
   private boolean ending;
   private int requestCount;
   private long bufferedBytes;
 
-  /** When what was read last may have come. */
+  /** When the bytes that were read last may have arrived. */
   private double arrivedAt;
 
-  /** When it was opened, its request begun or its last answer written. */
+  /** When the connection was opened, its request begun or its last response written. */
   private double since;
 
-  HttpSession(HttpServer server, Connection connection, int mostBody) {
+  HttpSession(HttpServer server, Connection connection, int maxBodyBytes) {
     this.server = server;
+    this.sessions = server.sessions();
+    this.drainState = server.drainState();
     this.loop = server.loop();
     this.connection = connection;
-    this.parser = new HttpParser(false, mostBody, aggregator);
+    this.parser = new HttpParser(false, maxBodyBytes, aggregator);
     this.since = loop.now();
   }
 
@@ -74,22 +69,23 @@
     return exchange == null && parser.idle() && !ending;
   }
 
-  private double age() {
-    return loop.now() - since;
+  private boolean isReceivingRequest() {
+    return exchange == null && !ending && !parser.idle();
   }
 
-  double since() {
-    return since;
+  private double age() {
+    return loop.now() - since;
   }
 
+  /** Returns whether the client has kept an idle connection for so many ms after a response. */
   boolean isUnusedFor(double ms) {
     return requestCount > 0 && isIdle() && age() > ms;
   }
 
   /**
-   * Until its client has ended its side as well, or had the time to, and while a first request may
-   * be on its way. Guards against a program that ends, and with it by a reset the connection of a
-   * client which still reads its answer.
+   * Returns whether the session has work left. This includes a first request that may be on its
+   * way, and the client's end of the connection: a process that exits before it would send a reset
+   * to a client that is still reading its response.
    */
   boolean hasPendingWork() {
     return requestCount == 0
@@ -99,22 +95,33 @@
         || !connection.hasWrittenAll();
   }
 
-  /** Whether a request is under way, or an answer on its way out. */
+  /** Returns whether a request is in progress, or its response not completely written. */
   boolean hasPendingResponse() {
     return exchange != null || !connection.hasWrittenAll();
   }
 
-  int claim() {
-    boolean spared = server.isWithinGrace(age());
-    if (isIdle()) {
-      return requestCount > 0 ? IDLE : spared ? BUSY : SILENT;
+  /** Returns when this session may be evicted, relative to others. */
+  EvictionOrder evictionOrder() {
+    boolean withinGrace = sessions.isWithinGrace(age());
+    if (isIdle() && requestCount > 0) {
+      return EvictionOrder.IDLE;
     }
-    if (connection.isLingering()) {
-      return spared ? BUSY : SILENT;
+    if (withinGrace) {
+      return EvictionOrder.NEVER;
     }
-    return exchange != null || ending || spared ? BUSY : PARTIAL;
+    if (isIdle() || connection.isLingering()) {
+      return EvictionOrder.SILENT;
+    }
+    return exchange != null || ending ? EvictionOrder.NEVER : EvictionOrder.PARTIAL;
+  }
+
+  /** Returns whether this session is evicted before another; of equals, the longest unchanged. */
+  boolean isEvictedBefore(HttpSession other) {
+    int order = evictionOrder().compareTo(other.evictionOrder());
+    return order < 0 || order == 0 && since < other.since;
   }
 
+  /** Ends the session so that another client can be served. */
   void evict() {
     if (connection.isLingering()) {
       connection.close();
@@ -125,25 +132,26 @@
     }
   }
 
-  /**
-   * Guards against connections that are opened and left, and requests that are begun and never end.
-   */
+  /** Ends connections that stay unused and requests that stay incomplete. */
   void enforceTimeouts() {
-    HttpServer.Timeouts timeouts = server.timeouts();
-    if (isIdle()
-        && (age() > (requestCount == 0 ? timeouts.firstByte() : timeouts.keepAlive())
-            || server.endsIdle(age(), requestCount > 0))) {
+    if (isIdle() && isIdleTimeOver()) {
       closeIdle();
-    } else if (exchange == null && !ending && !parser.idle() && server.isTooLate(since)) {
+    } else if (isReceivingRequest() && drainState.rejectsRequest(since)) {
       refuse(503, "clients are being sent away");
-    } else if (exchange == null && !ending && !parser.idle() && age() > timeouts.request()) {
+    } else if (isReceivingRequest() && age() > server.timeouts().request()) {
       refuse(408, "the request did not end in time");
     }
   }
 
+  private boolean isIdleTimeOver() {
+    HttpServer.Timeouts timeouts = server.timeouts();
+    return age() > (requestCount == 0 ? timeouts.firstByte() : timeouts.keepAlive())
+        || drainState.closesIdle(age(), requestCount > 0);
+  }
+
   /**
-   * Ends an idle connection in order: a request that crosses the end is not read, and its client
-   * sees no reset.
+   * Closes an idle connection in order: a request that crosses the close is not read, and its
+   * client sees no reset.
    */
   private void closeIdle() {
     ending = true;
@@ -152,23 +160,24 @@
 
   private void refuse(int status, String reason) {
     ending = true;
-    pipelined = EMPTY;
+    pipeline.clear();
     recordBuffered(0);
     send(server.handler().unusable(status, reason), false);
   }
 
-  /** False where all connections together keep too much. */
+  /** Records the bytes buffered here; returns false when all sessions together buffer too much. */
   private boolean recordBuffered(long bytes) {
-    boolean fits = server.recordBuffered(bufferedBytes, bytes);
+    boolean fits = sessions.recordBuffered(bufferedBytes, bytes);
     bufferedBytes = bytes;
     return fits;
   }
 
   @Override
   public void received(ByteBuffer bytes) {
-    double seen = loop.now() - loop.unreadMs();
-    // What a client sends behind an answer cannot have come before that.
-    arrivedAt = requestCount > 0 && isIdle() ? Math.max(seen, Math.min(since, loop.now())) : seen;
+    double earliest = loop.now() - loop.unreadMs();
+    // What a client sends after a response cannot have arrived before it was written.
+    arrivedAt =
+        requestCount > 0 && isIdle() ? Math.max(earliest, Math.min(since, loop.now())) : earliest;
     parseRequests(bytes);
     if (bytes.hasRemaining() && !ending) {
       bufferPipelined(bytes);
@@ -181,83 +190,70 @@
     }
   }
 
-  /** What comes while a request is under way waits for the end of that. */
+  private void parse(ByteBuffer bytes) {
+    if (parser.idle()) {
+      since = loop.now();
+    }
+    try {
+      parser.read(bytes);
+      // Many large bodies at once may exceed the memory although none of them is too large.
+      if (!recordBuffered(aggregator.bufferedBytes()) && aggregator.bufferedBytes() > 0) {
+        throw new HttpException(503, "too much is being sent at once");
+      }
+    } catch (HttpException e) {
+      refuse(e.status(), e.getMessage());
+    }
+  }
+
+  /** Buffers what arrives while a request is in progress. */
   private void bufferPipelined(ByteBuffer bytes) {
     if (pipelineOverflowed) {
       return;
     }
-    int size = pipelined.position() + bytes.remaining();
-    if (size > MAX_PIPELINED_BYTES || !recordBuffered(size)) {
-      // Guards against memory used up by what is sent ahead. It is read on all the same: were it
-      // left unread, its client's
-      // end behind it would not be seen.
-      pipelineOverflowed = true;
-      recordBuffered(pipelined.position());
-      connection.dropInput();
+    int size = pipeline.sizeWith(bytes);
+    if (PipelineBuffer.fits(size) && recordBuffered(size)) {
+      pipeline.append(bytes);
       return;
     }
-    if (size > pipelined.capacity()) {
-      pipelined =
-          ByteBuffer.allocate(
-                  Math.max(size, Math.min(MAX_PIPELINED_BYTES, 2 * pipelined.capacity())))
-              .put(pipelined.flip());
-    }
-    pipelined.put(bytes);
+    // Reading goes on, because the client's end of the connection behind this would not be noticed
+    // otherwise.
+    pipelineOverflowed = true;
+    recordBuffered(pipeline.size());
+    connection.dropInput();
   }
 
-  /** Takes up what was sent ahead. */
+  /** Continues with what arrived while the last request was in progress. */
   private void resumePipelined() {
-    pipelined.flip();
-    parseRequests(pipelined);
+    parseRequests(pipeline.startReading());
     if (ending) {
       return;
     }
-    pipelined.compact();
-    if (pipelined.position() == 0) {
-      pipelined = EMPTY;
-    }
+    pipeline.finishReading();
     if (exchange == null && pipelineOverflowed) {
       refuse(413, "more was sent ahead than is kept");
     } else {
-      recordBuffered(pipelined.position() + aggregator.bufferedBytes());
-    }
-  }
-
-  private void parse(ByteBuffer bytes) {
-    if (parser.idle()) {
-      since = loop.now();
-    }
-    try {
-      parser.read(bytes);
-      if (!recordBuffered(aggregator.bufferedBytes()) && aggregator.bufferedBytes() > 0) {
-        // Guards against memory used up by many large bodies at once, none of them too large by
-        // itself.
-        throw new HttpException(503, "too much is being sent at once");
-      }
-    } catch (HttpException e) {
-      refuse(e.status(), e.getMessage());
+      recordBuffered(pipeline.size() + aggregator.bufferedBytes());
     }
   }
 
   private void onHead(HttpHead head) {
     if ("100-continue".equalsIgnoreCase(head.header("expect"))) {
-      connection.write(HttpServer.ascii("HTTP/1.1 100 Continue\r\n\r\n"), () -> {});
+      connection.write(HttpResponseEncoder.encodeContinue(), () -> {});
     }
   }
 
   /**
-   * Hands a whole request on at the end of the turn, when what lies behind it on the connection has
-   * been read. Guards against the request of a client that has left meanwhile; where the loop was
-   * late, the sockets are looked at once more.
+   * Hands on a complete request at the end of the turn, when the client's end of the connection, if
+   * it lies behind the request, has been read: a request whose client has left is not handled.
    */
   private void onRequest(HttpHead head, byte[] body) {
-    server.markUsed(this);
+    sessions.markUsed(this);
     requestCount++;
     HttpExchange next = new HttpExchange(this, head.keepAlive());
     exchange = next;
     Runnable handle = () -> handle(head, body, next);
     if (loop.unreadMs() > RECHECK_AFTER_MS) {
-      loop.after(0, handle);
+      loop.schedule(0, handle);
     } else {
       loop.execute(handle);
     }
@@ -267,89 +263,47 @@
     if (connection.isClosed()) {
       return;
     }
-    if (server.isTooLate(since)) {
+    if (drainState.rejectsRequest(since)) {
       refuse(503, "clients are being sent away");
       return;
     }
     try {
-      server
-          .handler()
-          .handle(new Request(head, body, loop.now() - arrivedAt, loop.worstLagMs()), next);
+      double unread = loop.now() - arrivedAt;
+      server.handler().handle(new HttpServer.Request(head, body, unread, loop.worstLagMs()), next);
     } catch (RuntimeException e) {
-      // Guards against a request that is lost because dealing with it failed.
-      LOG.log(Level.ERROR, "a request could not be dealt with", e);
+      // Supervised boundary: a request whose handler fails still gets a response.
+      LOG.log(Level.ERROR, "Handling a request failed", e);
       next.reply(server.handler().unusable(500, "failed"));
     }
   }
 
-  private void send(Response r, boolean keep) {
-    boolean stays = keep && server.keepsConnections();
-    StringBuilder text =
-        new StringBuilder("HTTP/1.1 ")
-            .append(r.status())
-            .append(' ')
-            .append(HttpServer.reasonPhrase(r.status()));
-    r.headers()
-        .forEach((name, value) -> text.append("\r\n").append(name).append(": ").append(value));
-    text.append("\r\nContent-Length: ").append(r.body().length);
-    text.append(stays ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n");
-    ByteBuffer first = HttpServer.ascii(text.toString());
-    ByteBuffer all =
-        ByteBuffer.allocate(first.remaining() + r.body().length).put(first).put(r.body()).flip();
+  /** Writes a response, after which the connection stays open if {@code keepAlive} and allowed. */
+  void send(HttpServer.Response response, boolean keepAlive) {
+    boolean staysOpen = keepAlive && server.keepsConnections();
     connection.write(
-        all,
-        () -> {
-          exchange = null;
-          since = loop.now();
-          if (stays && (pipelined.position() > 0 || pipelineOverflowed)) {
-            resumePipelined();
-          }
-          server.acceptIfCapacity();
-        });
-    if (!stays) {
+        HttpResponseEncoder.encode(response, staysOpen), () -> responseWritten(staysOpen));
+    if (!staysOpen) {
       ending = true;
       connection.closeGracefully();
     }
   }
 
+  private void responseWritten(boolean staysOpen) {
+    exchange = null;
+    since = loop.now();
+    if (staysOpen && (pipeline.size() > 0 || pipelineOverflowed)) {
+      resumePipelined();
+    }
+    server.acceptIfCapacity();
+  }
+
   @Override
   public void closed() {
     recordBuffered(0);
-    pipelined = EMPTY;
+    pipeline.clear();
     if (exchange != null) {
       exchange.clientDisconnected();
     }
-    server.remove(this);
-  }
-
-  private static final class HttpExchange implements Exchange {
-    private final HttpSession session;
-    private final boolean keepAlive;
-    private Runnable onDisconnect;
-    private boolean replied;
-
-    HttpExchange(HttpSession session, boolean keep) {
-      this.session = session;
-      this.keepAlive = keep;
-    }
-
-    @Override
-    public void reply(Response response) {
-      if (!replied) {
-        replied = true;
-        session.send(response, keepAlive);
-      }
-    }
-
-    @Override
-    public void onGone(Runnable gone) {
-      this.onDisconnect = gone;
-    }
-
-    void clientDisconnected() {
-      if (!replied && onDisconnect != null) {
-        onDisconnect.run();
-      }
-    }
+    server.sessionEnded(this);
   }
 }
--- a/src/main/java/bitternpulley/net/PassedListener.java
+++ b/src/main/java/bitternpulley/net/PassedListener.java
@@ -10,9 +10,9 @@
 import java.util.function.Consumer;
 
 /**
- * Takes connections from the listening socket that was passed to the program as descriptor 0, and
- * which other processes may hold as well. Java gives it as a selectable channel only, so a thread
- * waits for it and all that comes from it.
+ * Accepts connections from the listening socket that the process inherited as descriptor 0 and that
+ * other processes may hold as well. The JDK offers it as a selectable channel only, so a thread of
+ * its own selects it and all connections accepted from it.
  */
 public final class PassedListener implements Listener {
   private static final System.Logger LOG = System.getLogger(PassedListener.class.getName());
@@ -31,13 +31,17 @@
     selector = Selector.open();
     channel.configureBlocking(false);
     key = channel.register(selector, 0);
-    key.attach((Runnable) this::ready);
-    Thread thread = new Thread(this::run, "passed");
+    key.attach((Runnable) this::acceptReady);
+    Thread thread = new Thread(this::selectForever, "passed");
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** The socket that was passed to this program. */
+  /**
+   * Returns a listener on the inherited socket.
+   *
+   * @throws IOException when descriptor 0 is not a listening socket
+   */
   public static PassedListener inherited(EventLoop loop) throws IOException {
     Channel inherited = System.inheritedChannel();
     if (inherited instanceof ServerSocketChannel listening) {
@@ -46,13 +50,13 @@
     throw new IOException("descriptor 0 is no listening socket");
   }
 
-  private void run() {
+  private void selectForever() {
     while (true) {
       try {
         selector.select(selected -> ((Runnable) selected.attachment()).run());
       } catch (IOException | RuntimeException e) {
-        // Guards against one connection's fault ending the thread that waits for all.
-        LOG.log(Level.ERROR, "waiting for sockets failed", e);
+        // Supervised boundary: the fault of one connection must not end the thread of them all.
+        LOG.log(Level.ERROR, "Selecting the inherited sockets failed", e);
       }
     }
   }
@@ -65,12 +69,12 @@
     selector.wakeup();
   }
 
-  private void ready() {
+  private void acceptReady() {
     SocketChannel accepted;
     try {
       accepted = open ? channel.accept() : null;
       if (accepted == null) {
-        return; // another process took it, or is to take it
+        return; // accepted by another process, or left to it
       }
       key.interestOpsAnd(0);
       Connection connection = new Connection(loop, new SelectableByteChannel(accepted, selector));
@@ -87,8 +91,8 @@
   }
 
   /**
-   * Never closes the channel: the JDK would point descriptors 0 to 2 at /dev/null then, and so end
-   * the log.
+   * Never closes the channel: the JDK would then redirect descriptors 0 to 2 to /dev/null, and the
+   * log with them.
    */
   @Override
   public void close() {
--- a/src/main/java/bitternpulley/net/SelectableByteChannel.java
+++ b/src/main/java/bitternpulley/net/SelectableByteChannel.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.Future;
 
 /**
- * A selectable channel with completion handlers: at most one read and one write at a time, as
- * {@link Connection} has.
+ * Adapts a selectable channel to completion handlers, with at most one read and one write in
+ * progress, which is what {@link Connection} needs.
  */
 final class SelectableByteChannel implements AsynchronousByteChannel {
   private record PendingOperation<A>(
@@ -27,13 +27,17 @@
     }
   }
 
+  private interface Transfer {
+    int run(SocketChannel channel, ByteBuffer bytes) throws IOException;
+  }
+
   private final SocketChannel channel;
   private final Selector selector;
   private final SelectionKey key;
   private volatile PendingOperation<?> reader;
   private volatile PendingOperation<?> writer;
 
-  /** Called on the selector's thread. */
+  /** Registers a connection; called on the thread of the selector. */
   SelectableByteChannel(SocketChannel channel, Selector selector) throws IOException {
     this.channel = channel;
     this.selector = selector;
@@ -52,60 +56,61 @@
   @Override
   public <A> void write(
       ByteBuffer from, A attachment, CompletionHandler<Integer, ? super A> handler) {
-    PendingOperation<A> wait = new PendingOperation<>(from, attachment, handler);
+    PendingOperation<A> operation = new PendingOperation<>(from, attachment, handler);
     int count;
     try {
       count = channel.write(from);
     } catch (IOException e) {
-      wait.failed(e);
+      operation.failed(e);
       return;
     }
     if (count > 0) {
-      wait.completed(count);
+      operation.completed(count);
     } else {
-      writer = wait;
+      writer = operation;
       await(SelectionKey.OP_WRITE);
     }
   }
 
-  private void await(int what) {
+  private void await(int operations) {
     if (key.isValid()) {
-      key.interestOpsOr(what);
+      key.interestOpsOr(operations);
       selector.wakeup();
     }
   }
 
   private void ready() {
     if (key.isValid() && key.isReadable()) {
-      PendingOperation<?> now = reader;
+      PendingOperation<?> operation = reader;
       key.interestOpsAnd(~SelectionKey.OP_READ);
-      perform(now, true);
+      perform(operation, SocketChannel::read);
     }
     if (key.isValid() && key.isWritable()) {
-      PendingOperation<?> now = writer;
+      PendingOperation<?> operation = writer;
       key.interestOpsAnd(~SelectionKey.OP_WRITE);
-      perform(now, false);
+      perform(operation, SocketChannel::write);
     }
   }
 
-  private void perform(PendingOperation<?> wait, boolean reads) {
+  private void perform(PendingOperation<?> operation, Transfer transfer) {
     int count;
     try {
-      count = reads ? channel.read(wait.bytes()) : channel.write(wait.bytes());
+      count = transfer.run(channel, operation.bytes());
     } catch (IOException e) {
-      wait.failed(e);
+      operation.failed(e);
       return;
     }
-    wait.completed(count);
+    operation.completed(count);
   }
 
+  /** Ends this side of the connection. */
   void shutdownOutput() throws IOException {
     channel.shutdownOutput();
   }
 
   /**
-   * What waits is not told: whoever closes a connection is done with it. The selector must look, to
-   * free it.
+   * Closes without completing what is pending, since its caller has closed it. The selector has to
+   * run once to release the descriptor.
    */
   @Override
   public void close() throws IOException {
@@ -120,26 +125,26 @@
 
   @Override
   public Future<Integer> read(ByteBuffer to) {
-    throw new UnsupportedOperationException("this program reads by completion handlers only");
+    throw new UnsupportedOperationException("reads use completion handlers");
   }
 
   @Override
   public Future<Integer> write(ByteBuffer from) {
-    CompletableFuture<Integer> done = new CompletableFuture<>();
+    CompletableFuture<Integer> result = new CompletableFuture<>();
     write(
         from,
-        done,
+        result,
         new CompletionHandler<Integer, CompletableFuture<Integer>>() {
           @Override
-          public void completed(Integer count, CompletableFuture<Integer> to) {
-            to.complete(count);
+          public void completed(Integer count, CompletableFuture<Integer> future) {
+            future.complete(count);
           }
 
           @Override
-          public void failed(Throwable error, CompletableFuture<Integer> to) {
-            to.completeExceptionally(error);
+          public void failed(Throwable error, CompletableFuture<Integer> future) {
+            future.completeExceptionally(error);
           }
         });
-    return done;
+    return result;
   }
 }
--- a/src/main/java/bitternpulley/net/StreamServer.java
+++ b/src/main/java/bitternpulley/net/StreamServer.java
@@ -1,47 +1,36 @@
 package bitternpulley.net;
 
 import java.io.IOException;
-import java.lang.System.Logger.Level;
 import java.util.function.Function;
 
-/**
- * Listens for connections whose bytes are their owner's affair; for stand-ins of servers whose wire
- * is not HTTP.
- */
+/** Accepts connections whose protocol is up to their owners, for emulators of other servers. */
 public final class StreamServer {
-  private static final System.Logger LOG = System.getLogger(StreamServer.class.getName());
   private static final int BACKLOG = 512;
 
   private final Function<Connection, Connection.Owner> owners;
-  private AddressListener listener;
+  private AcceptLoop acceptLoop;
 
-  /** {@code owners} gives each connection, as it comes, whoever reads it. */
+  /** Creates a server; {@code owners} returns the owner of each connection as it is accepted. */
   public StreamServer(Function<Connection, Connection.Owner> owners) {
     this.owners = owners;
   }
 
-  /** Begins to listen; port 0 for any that is free. The address that was bound is returned. */
-  public HostPort listen(EventLoop loop, HostPort at) throws IOException {
-    listener = new AddressListener(loop, at, BACKLOG, false);
-    loop.execute(this::accept);
-    return new HostPort(at.host(), listener.port());
+  /** Starts to listen and returns the bound address; port 0 stands for any free port. */
+  public HostPort listen(EventLoop loop, HostPort address) throws IOException {
+    AddressListener listener = AddressListener.bind(loop, address, BACKLOG);
+    acceptLoop =
+        new AcceptLoop(
+            loop,
+            listener,
+            AcceptLoop.FailureAction.STOP,
+            () -> true,
+            connection -> connection.start(owners.apply(connection)));
+    loop.execute(acceptLoop::acceptNext);
+    return new HostPort(address.host(), listener.port());
   }
 
-  private void accept() {
-    listener.accept(
-        connection -> {
-          connection.start(owners.apply(connection));
-          accept();
-        },
-        error -> {
-          if (listener.isOpen()) {
-            LOG.log(Level.WARNING, "accept failed: " + error);
-          }
-        });
-  }
-
-  /** Takes no more connections. */
+  /** Accepts no more connections. */
   public void close() {
-    listener.close();
+    acceptLoop.close();
   }
 }
--- /dev/null
+++ b/src/main/java/bitternpulley/net/WriteQueue.java
@@ -0,0 +1,156 @@
+package bitternpulley.net;
+
+import java.lang.System.Logger.Level;
+import java.nio.ByteBuffer;
+import java.nio.channels.AsynchronousByteChannel;
+import java.util.ArrayDeque;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.Future;
+
+/** Writes buffers to a channel in order, one at a time; all calls come in turns of the loop. */
+final class WriteQueue {
+  private static final System.Logger LOG = System.getLogger(WriteQueue.class.getName());
+
+  /** Bytes that may be queued; a peer that reads so slowly is disconnected. */
+  private static final int MAX_PENDING_BYTES = 1 << 20;
+
+  /** Interval at which a write that the kernel could not take at once is looked at again. */
+  private static final double WRITE_POLL_MS = 4;
+
+  /** Time that one write may wait for the peer to read. */
+  private static final double WRITE_STALL_TIMEOUT_MS = 3000;
+
+  private record PendingWrite(ByteBuffer bytes, Runnable onWritten) {}
+
+  private final EventLoop loop;
+  private final AsynchronousByteChannel channel;
+  private final Runnable onDrained;
+  private final Runnable onFailure;
+  private final ArrayDeque<PendingWrite> pendingWrites = new ArrayDeque<>();
+  private boolean writing;
+  private boolean closed;
+  private int pendingBytes;
+  private long completedWrites;
+
+  /**
+   * Creates a queue that runs {@code onDrained} after each flush that leaves it empty, and {@code
+   * onFailure} when the connection cannot go on.
+   */
+  WriteQueue(
+      EventLoop loop, AsynchronousByteChannel channel, Runnable onDrained, Runnable onFailure) {
+    this.loop = loop;
+    this.channel = channel;
+    this.onDrained = onDrained;
+    this.onFailure = onFailure;
+  }
+
+  /**
+   * Adds bytes; {@code onWritten} runs once the kernel has taken the last of them. Returns false
+   * when more is queued than may be.
+   */
+  boolean add(ByteBuffer bytes, Runnable onWritten) {
+    pendingBytes += bytes.remaining();
+    if (pendingBytes > MAX_PENDING_BYTES) {
+      return false;
+    }
+    pendingWrites.add(new PendingWrite(bytes, onWritten));
+    return true;
+  }
+
+  /** Removes queued bytes; returns false when the kernel may have taken some of them. */
+  boolean cancel(ByteBuffer bytes) {
+    boolean removed =
+        bytes.position() == 0
+            && pendingWrites.removeIf(
+                write -> write.bytes == bytes && !(writing && write == pendingWrites.peek()));
+    pendingBytes -= removed ? bytes.remaining() : 0;
+    return removed;
+  }
+
+  /** Writes as much as the kernel takes now. */
+  void flush() {
+    while (!writing && !closed && !pendingWrites.isEmpty()) {
+      PendingWrite next = pendingWrites.peek();
+      writing = true;
+      Future<Integer> attempt = channel.write(next.bytes);
+      recordProgress(next, attempt);
+      if (writing) {
+        pollWrite(next, attempt);
+        failIfStalled(completedWrites);
+      }
+    }
+    if (pendingWrites.isEmpty()) {
+      onDrained.run();
+    }
+  }
+
+  /**
+   * Records what was written. Writes use a future, because only these are attempted at once: with a
+   * completion handler, a channel group of one thread postpones a write made in a timer's turn, or
+   * behind several others, until it has handled everything that had arrived before. A response
+   * decided in time would then leave after its client.
+   */
+  private void recordProgress(PendingWrite write, Future<Integer> attempt) {
+    if (closed || !attempt.isDone()) {
+      return;
+    }
+    try {
+      pendingBytes -= attempt.get();
+      writing = false;
+      completedWrites++;
+      if (!write.bytes.hasRemaining()) {
+        pendingWrites.poll();
+        write.onWritten.run();
+      }
+    } catch (ExecutionException e) {
+      onFailure.run();
+    } catch (InterruptedException e) {
+      throw new IllegalStateException("Interrupted although the write was complete", e);
+    } catch (RuntimeException e) {
+      // Supervised boundary: a failed callback ends its own connection and nothing else.
+      LOG.log(Level.ERROR, "Handling a completed write failed; closing the connection", e);
+      onFailure.run();
+    }
+  }
+
+  /** The kernel takes no more because the peer does not read; this is rare, so polling will do. */
+  private void pollWrite(PendingWrite write, Future<Integer> attempt) {
+    loop.schedule(
+        WRITE_POLL_MS,
+        () -> {
+          recordProgress(write, attempt);
+          if (writing && !closed) {
+            pollWrite(write, attempt);
+          } else {
+            flush();
+          }
+        });
+  }
+
+  /** A peer that stops reading would otherwise hold its connection forever. */
+  private void failIfStalled(long completedBefore) {
+    loop.schedule(
+        WRITE_STALL_TIMEOUT_MS,
+        () -> {
+          if (writing && completedWrites == completedBefore) {
+            onFailure.run();
+          }
+        });
+  }
+
+  /** Returns whether nothing waits to be written. */
+  boolean isEmpty() {
+    return pendingWrites.isEmpty();
+  }
+
+  /** Returns the bytes that wait to be written. */
+  int pendingBytes() {
+    return pendingBytes;
+  }
+
+  /** Drops what waits; nothing is written any more. */
+  void close() {
+    closed = true;
+    pendingWrites.clear();
+  }
+}
