--- a/src/main/java/bitternpulley/net/AddressListener.java
+++ b/src/main/java/bitternpulley/net/AddressListener.java
@@ -69,8 +69,8 @@
   public void close() {
     try {
       channel.close();
-    } catch (IOException e) {
-      LOG.log(Level.DEBUG, "Closing a listener failed", e);
+    } catch (IOException exception) {
+      LOG.log(Level.DEBUG, "Closing a listener failed", exception);
     }
   }
 }
--- a/src/main/java/bitternpulley/net/Connection.java
+++ b/src/main/java/bitternpulley/net/Connection.java
@@ -89,8 +89,8 @@
     this(loop, channel, channel::shutdownOutput, minReadBytes);
     try {
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    } catch (IOException e) {
-      LOG.log(Level.DEBUG, "Setting TCP_NODELAY failed", e);
+    } catch (IOException exception) {
+      LOG.log(Level.DEBUG, "Setting TCP_NODELAY failed", exception);
     }
   }
 
@@ -108,8 +108,8 @@
       connection.owner = owner;
       connection.connect(channel, address, timeout, connected);
       return connection;
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
+    } catch (IOException exception) {
+      throw new UncheckedIOException(exception);
     }
   }
 
@@ -154,14 +154,14 @@
   private <T> void runClosingOnError(CompletionAction<T> action, T result) {
     try {
       action.run(result);
-    } catch (RuntimeException e) {
-      LOG.log(Level.ERROR, "The handler of a connection failed; closing the connection", e);
+    } catch (RuntimeException exception) {
+      LOG.log(Level.ERROR, "The handler of a connection failed; closing the connection", exception);
       close();
     }
   }
 
   private void read() {
-    if (closed || reading || paused && !lingering) {
+    if (closed || reading || (paused && !lingering)) {
       return;
     }
     reading = true;
@@ -175,7 +175,7 @@
 
   private void readCompleted(int count, boolean discarded) {
     endedByPeer |= count < 0;
-    if (count < 0 || discarding && (discardedBytes += count) > MAX_DISCARDED_BYTES) {
+    if (count < 0 || (discarding && (discardedBytes += count) > MAX_DISCARDED_BYTES)) {
       close();
     } else if (!closed && !discarding) {
       owner.received(readBuffer.flip());
@@ -266,7 +266,7 @@
       output.shutdown();
       loop.schedule(linger, this::close);
       read();
-    } catch (IOException e) {
+    } catch (IOException exception) {
       close();
     }
   }
@@ -300,8 +300,8 @@
     writes.close();
     try {
       channel.close();
-    } catch (IOException e) {
-      LOG.log(Level.DEBUG, "Closing a connection failed", e);
+    } catch (IOException exception) {
+      LOG.log(Level.DEBUG, "Closing a connection failed", exception);
     }
     loop.execute(owner::closed);
   }
--- a/src/main/java/bitternpulley/net/DatagramLink.java
+++ b/src/main/java/bitternpulley/net/DatagramLink.java
@@ -37,9 +37,9 @@
     channel = DatagramChannel.open();
     try {
       channel.bind(address.address());
-    } catch (IOException e) {
+    } catch (IOException exception) {
       channel.close();
-      throw e;
+      throw exception;
     }
     Thread thread = new Thread(() -> receiveUntilClosed(maxBytes + 1), "datagrams");
     thread.setDaemon(true);
@@ -54,11 +54,11 @@
         SocketAddress from = channel.receive(buffer);
         loop.inTurn(
             () -> owner.received(buffer.array(), buffer.position(), (InetSocketAddress) from));
-      } catch (ClosedChannelException e) {
+      } catch (ClosedChannelException exception) {
         return;
-      } catch (IOException | RuntimeException e) {
+      } catch (IOException | RuntimeException exception) {
         // Supervised boundary: one failed datagram must not end the thread that receives them all.
-        LOG.log(Level.WARNING, "Receiving a datagram failed", e);
+        LOG.log(Level.WARNING, "Receiving a datagram failed", exception);
       }
     }
   }
@@ -67,8 +67,8 @@
   public void send(byte[] bytes, InetSocketAddress to) {
     try {
       channel.send(ByteBuffer.wrap(bytes), to);
-    } catch (IOException e) {
-      LOG.log(Level.DEBUG, "Sending a datagram failed", e);
+    } catch (IOException exception) {
+      LOG.log(Level.DEBUG, "Sending a datagram failed", exception);
     }
   }
 
@@ -76,8 +76,8 @@
   public void close() {
     try {
       channel.close();
-    } catch (IOException e) {
-      LOG.log(Level.DEBUG, "Closing a datagram socket failed", e);
+    } catch (IOException exception) {
+      LOG.log(Level.DEBUG, "Closing a datagram socket failed", exception);
     }
   }
 }
--- a/src/main/java/bitternpulley/net/DrainState.java
+++ b/src/main/java/bitternpulley/net/DrainState.java
@@ -65,7 +65,7 @@
     boolean quiescedIdle =
         quiesced && loop.now() - quiescedAt > QUIESCED_IDLE_MS && age > QUIESCED_IDLE_MS;
     return quiescedIdle
-        || loop.now() >= stoppedAt && (hasServedRequest || age > FIRST_REQUEST_GRACE_MS);
+        || (loop.now() >= stoppedAt && (hasServedRequest || age > FIRST_REQUEST_GRACE_MS));
   }
 
   /** Returns whether a request that began at {@code startedAt} is too late to be handled. */
--- a/src/main/java/bitternpulley/net/EventLoop.java
+++ b/src/main/java/bitternpulley/net/EventLoop.java
@@ -53,8 +53,8 @@
     timers.setRemoveOnCancelPolicy(true);
     try {
       group = AsynchronousChannelGroup.withFixedThreadPool(1, task -> new Thread(task, "loop"));
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
+    } catch (IOException exception) {
+      throw new UncheckedIOException(exception);
     }
   }
 
@@ -154,8 +154,8 @@
   private static void runLoggingErrors(Runnable task) {
     try {
       task.run();
-    } catch (RuntimeException e) {
-      LOG.log(Level.ERROR, "A task of the event loop failed", e);
+    } catch (RuntimeException exception) {
+      LOG.log(Level.ERROR, "A task of the event loop failed", exception);
     }
   }
 }
--- a/src/main/java/bitternpulley/net/FrameCodec.java
+++ b/src/main/java/bitternpulley/net/FrameCodec.java
@@ -21,6 +21,7 @@
    * @param letter the type of the frame
    * @param rest the bytes behind the letter
    */
+  @SuppressWarnings("ArrayRecordComponent") // Frames are never compared, and a copy would cost.
   public record Frame(char letter, byte[] rest) {}
 
   private final ByteBuffer lengthBytes =
--- a/src/main/java/bitternpulley/net/HostPort.java
+++ b/src/main/java/bitternpulley/net/HostPort.java
@@ -45,8 +45,8 @@
   public InetSocketAddress address() {
     try {
       return new InetSocketAddress(InetAddress.getByName(host), port);
-    } catch (UnknownHostException e) {
-      throw new HostPortException("'" + host + "' is not an address", e);
+    } catch (UnknownHostException exception) {
+      throw new HostPortException("'" + host + "' is not an address", exception);
     }
   }
 
--- a/src/main/java/bitternpulley/net/HttpClient.java
+++ b/src/main/java/bitternpulley/net/HttpClient.java
@@ -7,31 +7,52 @@
 import java.util.Map;
 
 /**
- * Sends HTTP/1.1 requests, one at a time on a connection, over a bounded number of kept
- * connections.
+ * Sends HTTP/1.1 requests over a pool of a bounded number of connections, one request at a time on
+ * each.
  */
 public final class HttpClient {
   /** How a call ended without a response. */
   public enum Broken {
+    /** No byte of the request was sent. */
     NEVER_SENT,
+    /** No byte of the request was sent, because the connection was not up in time. */
     NOT_IN_TIME,
+    /** The server may have received the request. */
     MAYBE_SENT
   }
 
-  /** A whole response. */
+  /**
+   * A complete response.
+   *
+   * @param head its start line and headers
+   * @param body its body, empty when there is none
+   */
+  @SuppressWarnings("ArrayRecordComponent") // Responses are never compared, and a copy would cost.
   public record Response(HttpHead head, byte[] body) {
+    /** Returns the status code. */
     public int status() {
       return head.status();
     }
   }
 
-  /** Told once how a call ended; not at all when the call was dropped. */
+  /** Receives the end of a call, once; a call that was dropped has none. */
   public interface Done {
+    /** Handles the response. */
     void response(Response response);
 
+    /** Handles the end of a call without a response. */
     void broken(Broken how, String why);
   }
 
+  /** A call in progress. */
+  public interface Call {
+    /** Drops the call and closes its connection, so that the server may stop working on it. */
+    void drop();
+
+    /** Returns whether some bytes of the request may have been sent. */
+    boolean begun();
+  }
+
   private final EventLoop loop;
   private final int maxBodyBytes;
   private final int maxConnections;
@@ -40,192 +61,98 @@
   private final Map<HostPort, ArrayDeque<PooledConnection>> idleConnections = new HashMap<>();
   private int openConnections;
 
+  /**
+   * Creates a client.
+   *
+   * @param loop runs its callbacks
+   * @param maxBodyBytes limit of the body of a response
+   * @param maxConnections limit of open connections to all addresses together
+   * @param connectTimeout ms for a connection to come up
+   * @param idleTimeout ms after which an unused connection is closed
+   */
   public HttpClient(
-      EventLoop loop, int mostBody, int mostOpen, double connectTimeout, double idleAfter) {
+      EventLoop loop,
+      int maxBodyBytes,
+      int maxConnections,
+      double connectTimeout,
+      double idleTimeout) {
     this.loop = loop;
-    this.maxBodyBytes = mostBody;
-    this.maxConnections = mostOpen;
+    this.maxBodyBytes = maxBodyBytes;
+    this.maxConnections = maxConnections;
     this.connectTimeout = connectTimeout;
-    this.idleTimeout = idleAfter;
-  }
-
-  /** A call under way; dropping it closes its connection, so that the server may stop. */
-  public interface Call {
-    void drop();
-
-    /** Whether a byte of it may have gone. */
-    boolean begun();
+    this.idleTimeout = idleTimeout;
   }
 
   /**
-   * Sends a request, whose bytes are its head and body; null where no more connections may be open.
+   * Sends a request, given as the bytes of its head and body; returns null when no more connections
+   * may be opened.
    */
   public Call send(HostPort address, ByteBuffer request, Done done) {
     return send(address, request, Double.POSITIVE_INFINITY, done);
   }
 
-  /** As above, unless its connection comes up only after {@code sendBy}: then it ends unsent. */
+  /**
+   * Sends a request like {@link #send(HostPort, ByteBuffer, Done)}, unless its connection comes up
+   * only after {@code sendBy}, in ms of the loop's clock: then the call ends unsent.
+   */
   public Call send(HostPort address, ByteBuffer request, double sendBy, Done done) {
     ArrayDeque<PooledConnection> idle = idleConnections.get(address);
-    PooledConnection link = idle == null ? null : idle.pollLast();
-    if (link == null) {
-      if (openConnections >= maxConnections) {
-        return null;
-      }
-      try {
-        link = new PooledConnection(address);
-      } catch (UncheckedIOException e) {
-        // Guards against a call that never ends because not even a socket could be had for it.
-        return null;
-      }
+    PooledConnection connection = idle == null ? null : idle.pollLast();
+    if (connection == null) {
+      connection = connect(address);
+    }
+    if (connection != null) {
+      connection.begin(request, sendBy, done);
+    }
+    return connection;
+  }
+
+  private PooledConnection connect(HostPort address) {
+    if (openConnections >= maxConnections) {
+      return null;
+    }
+    try {
+      PooledConnection connection =
+          new PooledConnection(this, loop, address, maxBodyBytes, connectTimeout);
+      openConnections++;
+      return connection;
+    } catch (UncheckedIOException exception) {
+      // Without a socket there is no connection that could report the end of the call.
+      return null;
     }
-    link.begin(request, sendBy, done);
-    return link;
   }
 
   /** Closes the idle connections to an address. */
   public void closeIdle(HostPort address) {
     ArrayDeque<PooledConnection> idle = idleConnections.remove(address);
     if (idle != null) {
-      idle.forEach(l -> l.connection.close());
+      idle.forEach(PooledConnection::close);
     }
   }
 
-  private final class PooledConnection implements Connection.Owner, Call {
-    private final HostPort address;
-    private final HttpParser parser =
-        new HttpParser(true, maxBodyBytes, new HttpMessageAggregator(head -> {}, this::onMessage));
-    private final Connection connection;
-    private ByteBuffer request;
-    private double sendBy;
-    private Done done;
-    private boolean connected;
-    private boolean written;
-    private int useCount;
-    private Response response;
-    private boolean keepAlive;
-
-    PooledConnection(HostPort to) {
-      this.address = to;
-      connection =
-          Connection.open(
-              loop,
-              to,
-              connectTimeout,
-              this,
-              () -> {
-                connected = true;
-                write();
-              });
-      openConnections++;
-    }
-
-    void begin(ByteBuffer bytes, double sendBy, Done done) {
-      useCount++;
-      this.sendBy = sendBy;
-      request = bytes;
-      written = false;
-      this.done = done;
-      if (connected) {
-        write();
-      }
-    }
-
-    private void write() {
-      if (request != null && loop.now() > sendBy) {
-        endWithout(Broken.NOT_IN_TIME, "there was no connection in time");
-        connection.close();
-      } else if (request != null) {
-        connection.write(request, () -> written = true);
-      }
-    }
-
-    @Override
-    public boolean begun() {
-      return connected;
-    }
-
-    @Override
-    public void drop() {
-      done = null;
-      request = null;
-      connection.close();
-    }
-
-    @Override
-    public void received(ByteBuffer bytes) {
-      try {
-        if (done == null) {
-          connection.close(); // nothing was asked
-        } else if (parser.read(bytes) && response != null) {
-          complete(bytes.hasRemaining());
-        }
-      } catch (HttpException e) {
-        fail(e.getMessage());
-        connection.close();
-      }
-    }
-
-    private void onMessage(HttpHead head, byte[] body) {
-      if (head.status() >= 200) {
-        response = new Response(head, body);
-        keepAlive = head.keepAlive();
-      }
-    }
-
-    /**
-     * Guards against the next call going over a connection on which something stands behind the
-     * answer: that is good, but what else comes here cannot be told apart.
-     */
-    private void complete(boolean more) {
-      Response received = response;
-      Done receiver = done;
-      response = null;
-      done = null;
-      request = null;
-      if (keepAlive && !more && !connection.isClosed()) {
-        idleConnections.computeIfAbsent(address, t -> new ArrayDeque<>()).addLast(this);
-        int before = useCount;
-        loop.after(
-            idleTimeout,
-            () -> {
-              if (useCount == before) {
-                connection.close();
-              }
-            });
-      } else {
-        connection.close();
-      }
-      receiver.response(received);
-    }
-
-    private void fail(String why) {
-      endWithout(written ? Broken.MAYBE_SENT : Broken.NEVER_SENT, why);
-    }
-
-    private void endWithout(Broken how, String why) {
-      Done receiver = done;
-      done = null;
-      if (receiver != null) {
-        receiver.broken(how, why);
-      }
-    }
+  /** Keeps a connection for the next request to its address, until the idle time-out. */
+  void release(PooledConnection connection) {
+    idleConnections
+        .computeIfAbsent(connection.address(), address -> new ArrayDeque<>())
+        .addLast(connection);
+    int useCount = connection.useCount();
+    loop.schedule(
+        idleTimeout,
+        () -> {
+          if (connection.useCount() == useCount) {
+            connection.close();
+          }
+        });
+  }
 
-    @Override
-    public void closed() {
-      openConnections--;
-      ArrayDeque<PooledConnection> idle = idleConnections.get(address);
-      if (idle != null) {
-        idle.remove(this);
-        if (idle.isEmpty()) {
-          idleConnections.remove(address);
-        }
-      }
-      // Guards against a body without a length that was cut off and is taken for whole.
-      if (done != null && connection.isEndedByPeer() && parser.ended() && response != null) {
-        complete(true);
-      } else {
-        fail("the connection broke");
+  /** Removes a connection that has ended. */
+  void remove(PooledConnection connection) {
+    openConnections--;
+    ArrayDeque<PooledConnection> idle = idleConnections.get(connection.address());
+    if (idle != null) {
+      idle.remove(connection);
+      if (idle.isEmpty()) {
+        idleConnections.remove(connection.address());
       }
     }
   }
--- a/src/main/java/bitternpulley/net/HttpParser.java
+++ b/src/main/java/bitternpulley/net/HttpParser.java
@@ -6,24 +6,30 @@
 import java.util.Map;
 
 /**
- * Reads HTTP/1.1 messages from bytes that come in any pieces. Heads and bodies are bounded; what
- * breaks the grammar throws {@link HttpException}, after which the parser is of no more use.
+ * Parses HTTP/1.1 messages from bytes that arrive in pieces of any size. Heads and bodies are
+ * bounded; a violation of the grammar or of a bound throws {@link HttpException}, after which the
+ * parser must not be used any more.
  */
 public final class HttpParser {
-  /** Bytes of a start line and headers together, and of a chunk's size line with its extensions. */
+  /** Limit of a start line and headers together, and of the trailers. */
   private static final int MAX_HEAD_BYTES = 16 * 1024;
 
+  /** Limit of the size line of a chunk with its extensions. */
   private static final int MAX_CHUNK_LINE_BYTES = 256;
 
-  /** Told of a message as it comes in; the buffer of {@link #bodyBytes} is only lent. */
+  /** Receives messages as they are parsed. */
   public interface Sink {
+    /** Handles the start line and headers of a message. */
     void head(HttpHead head);
 
+    /** Handles a piece of the body; the buffer is valid only during the call. */
     void body(ByteBuffer piece);
 
+    /** Handles the end of the message. */
     void end();
   }
 
+  /** What the next byte belongs to. */
   private enum State {
     START,
     HEADERS,
@@ -41,24 +47,41 @@
   private final StringBuilder currentLine = new StringBuilder();
   private State state = State.START;
   private int headBytes;
-  private String[] startLine;
+
+  /** The words of the start line; of a response: version, status, reason phrase. */
+  private String method;
+
+  private String target;
+  private String version;
   private Map<String, String> headers = new HashMap<>();
+
+  /** Bytes left of a body of fixed length, or of a chunk. */
   private long remainingBytes;
+
   private long bodyBytes;
 
-  /** A parser of requests or of responses whose bodies hold at most so many bytes. */
-  public HttpParser(boolean responses, long mostBody, Sink sink) {
+  /**
+   * Creates a parser.
+   *
+   * @param responses whether it parses responses, else requests
+   * @param maxBodyBytes limit of a body
+   * @param sink receives the messages
+   */
+  public HttpParser(boolean responses, long maxBodyBytes, Sink sink) {
     this.responses = responses;
-    this.maxBodyBytes = mostBody;
+    this.maxBodyBytes = maxBodyBytes;
     this.sink = sink;
   }
 
-  /** True between messages. */
+  /** Returns true between messages. */
   public boolean idle() {
     return state == State.START && currentLine.length() == 0;
   }
 
-  /** The connection has ended: true when that completes a message or falls between two. */
+  /**
+   * Handles the end of the connection; returns true when it completes a message or falls between
+   * two.
+   */
   public boolean ended() {
     if (state == State.TO_CLOSE) {
       finish();
@@ -67,9 +90,13 @@
     return idle();
   }
 
-  /** Reads until the bytes are used up or one message has ended; true in the latter case. */
+  /**
+   * Parses until the bytes are used up or one message has ended; returns true in the latter case.
+   *
+   * @throws HttpException when a message violates HTTP/1.1 or a limit
+   */
   public boolean read(ByteBuffer in) {
-    while (in.hasRemaining() || state == State.FIXED && remainingBytes == 0) {
+    while (in.hasRemaining() || (state == State.FIXED && remainingBytes == 0)) {
       if (step(in)) {
         return true;
       }
@@ -78,46 +105,34 @@
   }
 
   private boolean step(ByteBuffer in) {
-    switch (state) {
-      case START -> {
-        String text = takeLine(in, MAX_HEAD_BYTES);
-        if (text != null && !text.isEmpty()) {
-          startLine = startLine(text);
-          state = State.HEADERS;
-        }
-      }
-      case HEADERS -> {
-        String text = takeLine(in, MAX_HEAD_BYTES);
-        if (text != null && text.isEmpty()) {
-          return finishHead();
-        } else if (text != null) {
-          parseHeader(text);
-        }
-      }
-      case FIXED, CHUNK, TO_CLOSE -> {
-        return readBody(in);
-      }
-      case CHUNK_SIZE -> {
-        String text = takeLine(in, MAX_CHUNK_LINE_BYTES);
-        if (text != null) {
-          remainingBytes = parseChunkSize(text);
-          state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
-        }
-      }
-      case CHUNK_END -> {
-        String text = takeLine(in, MAX_CHUNK_LINE_BYTES);
-        if (text != null) {
-          require(text.isEmpty(), "a chunk is longer than its size");
-          state = State.CHUNK_SIZE;
-        }
-      }
-      default -> {
-        String text = takeLine(in, MAX_HEAD_BYTES);
-        if (text != null && text.isEmpty()) {
-          return finish();
-        }
-      }
+    return switch (state) {
+      case START -> readStartLine(in);
+      case HEADERS -> readHeader(in);
+      case FIXED, CHUNK, TO_CLOSE -> readBody(in);
+      case CHUNK_SIZE -> readChunkSize(in);
+      case CHUNK_END -> readChunkEnd(in);
+      case TRAILERS -> readTrailer(in);
+    };
+  }
+
+  private boolean readStartLine(ByteBuffer in) {
+    String line = takeLine(in, MAX_HEAD_BYTES);
+    if (line != null && !line.isEmpty()) {
+      parseStartLine(line);
+      state = State.HEADERS;
+    }
+    return false;
+  }
+
+  private boolean readHeader(ByteBuffer in) {
+    String line = takeLine(in, MAX_HEAD_BYTES);
+    if (line == null) {
+      return false;
     }
+    if (line.isEmpty()) {
+      return finishHead();
+    }
+    parseHeader(line);
     return false;
   }
 
@@ -126,7 +141,7 @@
         state == State.TO_CLOSE ? in.remaining() : (int) Math.min(remainingBytes, in.remaining());
     if (size > 0) {
       countBody(size);
-      ByteBuffer piece = in.slice(in.position(), size);
+      ByteBuffer piece = in.duplicate().limit(in.position() + size);
       in.position(in.position() + size);
       remainingBytes -= size;
       sink.body(piece);
@@ -137,73 +152,105 @@
     return state == State.FIXED && remainingBytes == 0 && finish();
   }
 
+  private boolean readChunkSize(ByteBuffer in) {
+    String line = takeLine(in, MAX_CHUNK_LINE_BYTES);
+    if (line != null) {
+      remainingBytes = parseChunkSize(line);
+      state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
+    }
+    return false;
+  }
+
+  private boolean readChunkEnd(ByteBuffer in) {
+    String line = takeLine(in, MAX_CHUNK_LINE_BYTES);
+    if (line != null) {
+      require(line.isEmpty(), "a chunk is longer than its size");
+      state = State.CHUNK_SIZE;
+    }
+    return false;
+  }
+
+  private boolean readTrailer(ByteBuffer in) {
+    String line = takeLine(in, MAX_HEAD_BYTES);
+    return line != null && line.isEmpty() && finish();
+  }
+
   private void countBody(long size) {
     bodyBytes += size;
-    if (bodyBytes > maxBodyBytes) {
+    requireBodySize(bodyBytes);
+  }
+
+  private void requireBodySize(long size) {
+    if (size > maxBodyBytes) {
       throw new HttpException(413, "a body holds at most " + maxBodyBytes + " bytes");
     }
   }
 
-  /** A line without its end, or null while it is not complete. */
-  private String takeLine(ByteBuffer in, int most) {
+  /** Returns a line without its end, or null while it is not complete. */
+  private String takeLine(ByteBuffer in, int maxBytes) {
     while (in.hasRemaining()) {
-      char c = (char) (in.get() & 0xff);
-      if (++headBytes > MAX_HEAD_BYTES || currentLine.length() >= most) {
-        throw new HttpException(431, "a head holds at most " + most + " bytes");
+      char next = (char) (in.get() & 0xff);
+      if (++headBytes > MAX_HEAD_BYTES || currentLine.length() >= maxBytes) {
+        throw new HttpException(431, "a head holds at most " + maxBytes + " bytes");
       }
-      if (c == '\n') {
-        int end = currentLine.length();
-        String text =
-            currentLine.substring(
-                0, end > 0 && currentLine.charAt(end - 1) == '\r' ? end - 1 : end);
-        currentLine.setLength(0);
-        if (state == State.CHUNK_SIZE || state == State.CHUNK_END) {
-          headBytes = 0;
-        }
-        return text;
+      if (next == '\n') {
+        return finishLine();
       }
-      currentLine.append(c);
+      currentLine.append(next);
     }
     return null;
   }
 
-  private String[] startLine(String text) {
-    String[] words = text.split(" ", 3);
+  private String finishLine() {
+    int end = currentLine.length();
+    boolean endsWithReturn = end > 0 && currentLine.charAt(end - 1) == '\r';
+    String line = currentLine.substring(0, endsWithReturn ? end - 1 : end);
+    currentLine.setLength(0);
+    if (state == State.CHUNK_SIZE || state == State.CHUNK_END) {
+      headBytes = 0;
+    }
+    return line;
+  }
+
+  private void parseStartLine(String line) {
+    String[] words = line.split(" ", 3);
     if (responses) {
       require(
           words.length >= 2
               && words[0].startsWith("HTTP/1.")
               && words[1].matches("[1-5][0-9][0-9]"),
           "not a status line");
-      return new String[] {words[0], words[1], words.length > 2 ? words[2] : ""};
+    } else {
+      require(
+          words.length == 3 && words[0].matches("[A-Z]+") && words[1].startsWith("/"),
+          "not a request line");
+      require(words[2].equals("HTTP/1.1") || words[2].equals("HTTP/1.0"), "not HTTP/1.1");
     }
-    require(
-        words.length == 3 && words[0].matches("[A-Z]+") && words[1].startsWith("/"),
-        "not a request line");
-    require(words[2].equals("HTTP/1.1") || words[2].equals("HTTP/1.0"), "not HTTP/1.1");
-    return words;
+    method = words[0];
+    target = words[1];
+    version = words.length > 2 ? words[2] : "";
   }
 
-  private void parseHeader(String text) {
-    int colon = text.indexOf(':');
+  private void parseHeader(String line) {
+    int colon = line.indexOf(':');
     require(
-        colon > 0 && text.substring(0, colon).matches("[!#$%&'*+.^_`|~0-9A-Za-z-]+"),
+        colon > 0 && line.substring(0, colon).matches("[!#$%&'*+.^_`|~0-9A-Za-z-]+"),
         "not a header");
-    String name = text.substring(0, colon).toLowerCase(Locale.ROOT);
-    String value = text.substring(colon + 1).strip();
+    String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
+    String value = line.substring(colon + 1).strip();
     require(
-        value.chars().allMatch(c -> c == '\t' || c >= ' ' && c != 0x7f), "not a header's value");
-    String before = headers.putIfAbsent(name, value);
-    // Guards against a body whose two ends disagree: a second length may not differ from the first.
-    require(
-        before == null || before.equals(value) || !name.equals("content-length"), "two lengths");
-    if (before != null && !before.equals(value)) {
-      headers.put(name, before + (name.equals("cookie") ? "; " : ", ") + value);
+        value.chars().allMatch(c -> c == '\t' || (c >= ' ' && c != 0x7f)), "not a header's value");
+    String earlier = headers.putIfAbsent(name, value);
+    boolean differs = earlier != null && !earlier.equals(value);
+    // Two different lengths would make it ambiguous where the body ends.
+    require(!differs || !name.equals("content-length"), "two lengths");
+    if (differs) {
+      headers.put(name, earlier + (name.equals("cookie") ? "; " : ", ") + value);
     }
   }
 
   private boolean finishHead() {
-    HttpHead head = new HttpHead(startLine[0], startLine[1], startLine[2], Map.copyOf(headers));
+    HttpHead head = new HttpHead(method, target, version, Map.copyOf(headers));
     String length = head.header("content-length");
     String coding = head.header("transfer-encoding");
     require(length == null || coding == null, "a length and a transfer coding together");
@@ -211,15 +258,9 @@
     require(
         coding == null || coding.equalsIgnoreCase("chunked"),
         "a transfer coding other than chunked");
-    boolean bodiless =
-        responses
-            && (startLine[1].startsWith("1")
-                || startLine[1].equals("204")
-                || startLine[1].equals("304"));
+    boolean bodiless = isBodilessResponse();
     remainingBytes = length == null || bodiless ? 0 : Long.parseLong(length);
-    if (remainingBytes > maxBodyBytes) {
-      throw new HttpException(413, "a body holds at most " + maxBodyBytes + " bytes");
-    }
+    requireBodySize(remainingBytes);
     sink.head(head);
     if (coding != null) {
       headBytes = 0;
@@ -230,6 +271,11 @@
     return state == State.FIXED && remainingBytes == 0 && finish();
   }
 
+  /** The target of a response is its status. */
+  private boolean isBodilessResponse() {
+    return responses && (target.startsWith("1") || target.equals("204") || target.equals("304"));
+  }
+
   private boolean finish() {
     state = State.START;
     headers = new HashMap<>();
@@ -239,9 +285,9 @@
     return true;
   }
 
-  private static long parseChunkSize(String text) {
-    int end = text.indexOf(';');
-    String digits = (end < 0 ? text : text.substring(0, end)).strip();
+  private static long parseChunkSize(String line) {
+    int end = line.indexOf(';');
+    String digits = (end < 0 ? line : line.substring(0, end)).strip();
     require(digits.matches("[0-9A-Fa-f]{1,8}"), "not a chunk size");
     return Long.parseLong(digits, 16);
   }
--- a/src/main/java/bitternpulley/net/HttpServer.java
+++ b/src/main/java/bitternpulley/net/HttpServer.java
@@ -44,6 +44,7 @@
    * @param worstTurn worst lag in ms of the event loop in the last seconds, which the response may
    *     meet too
    */
+  @SuppressWarnings("ArrayRecordComponent") // Requests are never compared, and a copy would cost.
   public record Request(HttpHead head, byte[] body, double unread, double worstTurn) {
     /** Creates a request of an event loop that was never late. */
     public Request(HttpHead head, byte[] body) {
@@ -67,6 +68,7 @@
    * @param headers values by header name, written as they are
    * @param body the body
    */
+  @SuppressWarnings("ArrayRecordComponent") // Responses are never compared, and a copy would cost.
   public record Response(int status, Map<String, String> headers, byte[] body) {}
 
   /** Connects a request with its client until the response. */
--- a/src/main/java/bitternpulley/net/HttpSession.java
+++ b/src/main/java/bitternpulley/net/HttpSession.java
@@ -77,7 +77,7 @@
     return loop.now() - since;
   }
 
-  /** Returns whether the client has kept an idle connection for so many ms after a response. */
+  /** Returns whether the client has kept the connection idle for {@code ms} after a response. */
   boolean isUnusedFor(double ms) {
     return requestCount > 0 && isIdle() && age() > ms;
   }
@@ -118,7 +118,7 @@
   /** Returns whether this session is evicted before another; of equals, the longest unchanged. */
   boolean isEvictedBefore(HttpSession other) {
     int order = evictionOrder().compareTo(other.evictionOrder());
-    return order < 0 || order == 0 && since < other.since;
+    return order < 0 || (order == 0 && since < other.since);
   }
 
   /** Ends the session so that another client can be served. */
@@ -200,8 +200,8 @@
       if (!recordBuffered(aggregator.bufferedBytes()) && aggregator.bufferedBytes() > 0) {
         throw new HttpException(503, "too much is being sent at once");
       }
-    } catch (HttpException e) {
-      refuse(e.status(), e.getMessage());
+    } catch (HttpException exception) {
+      refuse(exception.status(), exception.getMessage());
     }
   }
 
@@ -270,9 +270,9 @@
     try {
       double unread = loop.now() - arrivedAt;
       server.handler().handle(new HttpServer.Request(head, body, unread, loop.worstLagMs()), next);
-    } catch (RuntimeException e) {
+    } catch (RuntimeException exception) {
       // Supervised boundary: a request whose handler fails still gets a response.
-      LOG.log(Level.ERROR, "Handling a request failed", e);
+      LOG.log(Level.ERROR, "Handling a request failed", exception);
       next.reply(server.handler().unusable(500, "failed"));
     }
   }
--- a/src/main/java/bitternpulley/net/HttpSessionRegistry.java
+++ b/src/main/java/bitternpulley/net/HttpSessionRegistry.java
@@ -110,7 +110,7 @@
     return age < EVICTION_GRACE_MS;
   }
 
-  /** Returns whether so many connections are unused that each response ends its own. */
+  /** Returns whether too many connections are unused, so that each response ends its own. */
   boolean isCrowded() {
     return unused > Math.max(MIN_CROWDED, CROWDED_SHARE * maxConnections);
   }
--- a/src/main/java/bitternpulley/net/PassedListener.java
+++ b/src/main/java/bitternpulley/net/PassedListener.java
@@ -54,9 +54,9 @@
     while (true) {
       try {
         selector.select(selected -> ((Runnable) selected.attachment()).run());
-      } catch (IOException | RuntimeException e) {
+      } catch (IOException | RuntimeException exception) {
         // Supervised boundary: the fault of one connection must not end the thread of them all.
-        LOG.log(Level.ERROR, "Selecting the inherited sockets failed", e);
+        LOG.log(Level.ERROR, "Selecting the inherited sockets failed", exception);
       }
     }
   }
@@ -79,9 +79,9 @@
       key.interestOpsAnd(0);
       Connection connection = new Connection(loop, new SelectableByteChannel(accepted, selector));
       loop.inTurn(() -> onAccepted.accept(connection));
-    } catch (IOException e) {
+    } catch (IOException exception) {
       key.interestOpsAnd(0);
-      loop.inTurn(() -> onFailure.accept(e));
+      loop.inTurn(() -> onFailure.accept(exception));
     }
   }
 
--- a/src/main/java/bitternpulley/net/PipelineBuffer.java
+++ b/src/main/java/bitternpulley/net/PipelineBuffer.java
@@ -22,7 +22,7 @@
     return buffer.position() + bytes.remaining();
   }
 
-  /** Returns whether so many bytes may be held. */
+  /** Returns whether {@code size} bytes may be held. */
   static boolean fits(int size) {
     return size <= MAX_BYTES;
   }
--- /dev/null
+++ b/src/main/java/bitternpulley/net/PooledConnection.java
@@ -0,0 +1,151 @@
+package bitternpulley.net;
+
+import java.nio.ByteBuffer;
+
+/** One connection of an {@link HttpClient}, with at most one call at a time. */
+final class PooledConnection implements Connection.Owner, HttpClient.Call {
+  /** Responses below this status are interim; the final one follows. */
+  private static final int MIN_FINAL_STATUS = 200;
+
+  private final HttpClient client;
+  private final EventLoop loop;
+  private final HostPort address;
+  private final HttpParser parser;
+  private final Connection connection;
+  private ByteBuffer request;
+  private double sendBy;
+  private HttpClient.Done done;
+  private boolean connected;
+  private boolean written;
+  private int useCount;
+  private HttpClient.Response response;
+  private boolean keepAlive;
+
+  /** Starts to connect, which may take {@code connectTimeout} ms. */
+  PooledConnection(
+      HttpClient client,
+      EventLoop loop,
+      HostPort address,
+      int maxBodyBytes,
+      double connectTimeout) {
+    this.client = client;
+    this.loop = loop;
+    this.address = address;
+    parser =
+        new HttpParser(true, maxBodyBytes, new HttpMessageAggregator(head -> {}, this::onMessage));
+    connection = Connection.open(loop, address, connectTimeout, this, this::onConnected);
+  }
+
+  private void onConnected() {
+    connected = true;
+    write();
+  }
+
+  /** Starts a call; its request is written as soon as the connection is up. */
+  void begin(ByteBuffer newRequest, double newSendBy, HttpClient.Done newDone) {
+    useCount++;
+    sendBy = newSendBy;
+    request = newRequest;
+    written = false;
+    done = newDone;
+    if (connected) {
+      write();
+    }
+  }
+
+  private void write() {
+    if (request != null && loop.now() > sendBy) {
+      endWithout(HttpClient.Broken.NOT_IN_TIME, "there was no connection in time");
+      connection.close();
+    } else if (request != null) {
+      connection.write(request, () -> written = true);
+    }
+  }
+
+  HostPort address() {
+    return address;
+  }
+
+  /** Returns the number of calls that were started on this connection. */
+  int useCount() {
+    return useCount;
+  }
+
+  void close() {
+    connection.close();
+  }
+
+  @Override
+  public boolean begun() {
+    return connected;
+  }
+
+  @Override
+  public void drop() {
+    done = null;
+    request = null;
+    connection.close();
+  }
+
+  @Override
+  public void received(ByteBuffer bytes) {
+    try {
+      if (done == null) {
+        connection.close(); // there is no request that this could respond to
+      } else if (parser.read(bytes) && response != null) {
+        complete(bytes.hasRemaining());
+      }
+    } catch (HttpException exception) {
+      fail(exception.getMessage());
+      connection.close();
+    }
+  }
+
+  private void onMessage(HttpHead head, byte[] body) {
+    if (head.status() >= MIN_FINAL_STATUS) {
+      response = new HttpClient.Response(head, body);
+      keepAlive = head.keepAlive();
+    }
+  }
+
+  /**
+   * Hands on the response. When more bytes follow it, the response is good, but nothing later on
+   * this connection could be assigned to a request, so it is closed.
+   */
+  private void complete(boolean hasMoreBytes) {
+    HttpClient.Response received = response;
+    HttpClient.Done receiver = done;
+    response = null;
+    done = null;
+    request = null;
+    if (keepAlive && !hasMoreBytes && !connection.isClosed()) {
+      client.release(this);
+    } else {
+      connection.close();
+    }
+    receiver.response(received);
+  }
+
+  private void fail(String why) {
+    endWithout(written ? HttpClient.Broken.MAYBE_SENT : HttpClient.Broken.NEVER_SENT, why);
+  }
+
+  private void endWithout(HttpClient.Broken how, String why) {
+    HttpClient.Done receiver = done;
+    done = null;
+    if (receiver != null) {
+      receiver.broken(how, why);
+    }
+  }
+
+  @Override
+  public void closed() {
+    client.remove(this);
+    // A body without a length is complete only if the server ended the connection in order.
+    if (done != null && connection.isEndedByPeer() && parser.ended() && response != null) {
+      complete(true);
+    } else {
+      fail("the connection broke");
+    }
+  }
+}
--- a/src/main/java/bitternpulley/net/SelectableByteChannel.java
+++ b/src/main/java/bitternpulley/net/SelectableByteChannel.java
@@ -22,8 +22,8 @@
       handler.completed(count, attachment);
     }
 
-    void failed(IOException e) {
-      handler.failed(e, attachment);
+    void failed(IOException exception) {
+      handler.failed(exception, attachment);
     }
   }
 
@@ -60,8 +60,8 @@
     int count;
     try {
       count = channel.write(from);
-    } catch (IOException e) {
-      operation.failed(e);
+    } catch (IOException exception) {
+      operation.failed(exception);
       return;
     }
     if (count > 0) {
@@ -96,8 +96,8 @@
     int count;
     try {
       count = transfer.run(channel, operation.bytes());
-    } catch (IOException e) {
-      operation.failed(e);
+    } catch (IOException exception) {
+      operation.failed(exception);
       return;
     }
     operation.completed(count);
--- a/src/main/java/bitternpulley/net/WriteQueue.java
+++ b/src/main/java/bitternpulley/net/WriteQueue.java
@@ -58,6 +58,7 @@
   }
 
   /** Removes queued bytes; returns false when the kernel may have taken some of them. */
+  @SuppressWarnings("ReferenceEquality") // equal bytes may belong to another write
   boolean cancel(ByteBuffer bytes) {
     boolean removed =
         bytes.position() == 0
@@ -102,13 +103,13 @@
         pendingWrites.poll();
         write.onWritten.run();
       }
-    } catch (ExecutionException e) {
+    } catch (ExecutionException exception) {
       onFailure.run();
-    } catch (InterruptedException e) {
-      throw new IllegalStateException("Interrupted although the write was complete", e);
-    } catch (RuntimeException e) {
+    } catch (InterruptedException exception) {
+      throw new IllegalStateException("Interrupted although the write was complete", exception);
+    } catch (RuntimeException exception) {
       // Supervised boundary: a failed callback ends its own connection and nothing else.
-      LOG.log(Level.ERROR, "Handling a completed write failed; closing the connection", e);
+      LOG.log(Level.ERROR, "Handling a completed write failed; closing the connection", exception);
       onFailure.run();
     }
   }
