--- a/src/test/java/bitternpulley/net/ConnectionTest.java
+++ b/src/test/java/bitternpulley/net/ConnectionTest.java
@@ -6,6 +6,7 @@
 
 import java.io.IOException;
 import java.net.InetAddress;
+import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.ByteBuffer;
@@ -20,8 +21,8 @@
   private static final int PATIENCE_MS = 30_000;
   private static final int PIECE = 64 * 1024;
 
-  private final CountDownLatch up = new CountDownLatch(1);
-  private int gone;
+  private final CountDownLatch connected = new CountDownLatch(1);
+  private int writtenPieces;
 
   @Override
   public void received(ByteBuffer bytes) {
@@ -30,63 +31,57 @@
 
   @Override
   public void closed() {
-    // as its peer ends it
+    // the peer ends it
   }
 
-  private static ByteBuffer piece(int of) {
+  private static ByteBuffer piece(int content) {
     byte[] bytes = new byte[PIECE];
-    Arrays.fill(bytes, (byte) of);
+    Arrays.fill(bytes, (byte) content);
     return ByteBuffer.wrap(bytes);
   }
 
-  /**
-   * Guards against what waits behind a peer that does not read, and goes to it when nobody wants it
-   * any more.
-   */
   @Test
-  public void whatWaitsBehindAPeerThatDoesNotReadCanBeTakenBackUnlessItHasBegunToGo()
-      throws Exception {
+  public void cancelsAQueuedWriteUnlessItHasStarted() throws Exception {
     EventLoop loop = new EventLoop();
     try (ServerSocket server = new ServerSocket()) {
       server.setReceiveBufferSize(4096);
-      server.bind(new java.net.InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-      Connection[] made = new Connection[1];
+      server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+      Connection[] connection = new Connection[1];
       loop.execute(
           () ->
-              made[0] =
+              connection[0] =
                   Connection.open(
                       loop,
                       new HostPort("127.0.0.1", server.getLocalPort()),
                       5000,
                       this,
-                      up::countDown));
+                      connected::countDown));
       try (Socket peer = server.accept()) {
         peer.setSoTimeout(PATIENCE_MS);
-        assertTrue(up.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(connected.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
         int[] sent = new int[1];
         loop.inTurn(
             () -> {
-              ByteBuffer begun;
-              do { // until the machine takes no more of one
-                begun = piece(1);
-                made[0].write(begun, () -> gone++);
+              ByteBuffer started;
+              do { // until the kernel does not take all of one
+                started = piece(1);
+                connection[0].write(started, () -> writtenPieces++);
                 sent[0]++;
-              } while (gone == sent[0]);
-              ByteBuffer taken = piece(2);
-              made[0].write(taken, () -> gone++);
-              made[0].write(piece(3), () -> gone++);
-              assertFalse(made[0].takeBack(begun), "it is being written");
-              assertTrue(made[0].takeBack(taken));
-              assertFalse(made[0].takeBack(taken), "only once");
+              } while (writtenPieces == sent[0]);
+              ByteBuffer queued = piece(2);
+              connection[0].write(queued, () -> writtenPieces++);
+              connection[0].write(piece(3), () -> writtenPieces++);
+              assertFalse(connection[0].takeBack(started), "it is being written");
+              assertTrue(connection[0].takeBack(queued));
+              assertFalse(connection[0].takeBack(queued), "only once");
             });
         assertEquals(read(peer, sent[0] + 1), "1".repeat(sent[0]) + "3");
       }
     }
   }
 
-  /** Guards against thousands of idle links that each hold the memory of a busy one. */
   @Test
-  public void theReadBufferFollowsWhatComes() throws Exception {
+  public void adaptsTheReadBufferToWhatArrives() throws Exception {
     EventLoop loop = new EventLoop();
     LinkedBlockingQueue<Integer> read = new LinkedBlockingQueue<>();
     Connection.Owner counts =
@@ -98,14 +93,14 @@
 
           @Override
           public void closed() {
-            // as its peer ends it
+            // the peer ends it
           }
         };
-    try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-      Connection[] made = new Connection[1];
+    try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      Connection[] connection = new Connection[1];
       loop.execute(
           () ->
-              made[0] =
+              connection[0] =
                   Connection.open(
                       loop,
                       new HostPort("127.0.0.1", server.getLocalPort()),
@@ -116,11 +111,11 @@
         peer.getOutputStream().write(new byte[PIECE]);
         await(read, PIECE);
         int[] size = new int[1];
-        loop.inTurn(() -> size[0] = made[0].readBufferSize());
+        loop.inTurn(() -> size[0] = connection[0].readBufferSize());
         assertTrue(size[0] > 512, "grown to " + size[0]);
         peer.getOutputStream().write(new byte[10]);
         await(read, 10);
-        loop.inTurn(() -> size[0] = made[0].readBufferSize());
+        loop.inTurn(() -> size[0] = connection[0].readBufferSize());
         assertEquals(size[0], 512);
       }
     }
@@ -136,15 +131,15 @@
   }
 
   private static String read(Socket peer, int pieces) throws IOException {
-    StringBuilder kinds = new StringBuilder();
+    StringBuilder contents = new StringBuilder();
     for (int i = 0; i < pieces; i++) {
       byte[] piece = peer.getInputStream().readNBytes(PIECE);
       byte first = piece[0];
-      for (byte b : piece) {
-        assertEquals(b, first);
+      for (byte next : piece) {
+        assertEquals(next, first);
       }
-      kinds.append(first);
+      contents.append(first);
     }
-    return kinds.toString();
+    return contents.toString();
   }
 }
--- a/src/test/java/bitternpulley/net/EventLoopLagTest.java
+++ b/src/test/java/bitternpulley/net/EventLoopLagTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 /**
- * In virtual time: beats and turns as they come to a loop that is on time, is stopped, or has a
+ * Ticks and turns in virtual time, as they come to a loop that is on time, is stopped, or has a
  * long turn.
  */
 public class EventLoopLagTest {
@@ -18,92 +18,86 @@
     lag = new EventLoopLag();
   }
 
-  private double run(double from, double to) {
-    for (double t = from; t <= to; t += EventLoopLag.TICK_INTERVAL_MS) {
-      lag.turnStarted(t);
-      lag.tick(t);
+  private double runOnTime(double from, double to) {
+    for (double now = from; now <= to; now += EventLoopLag.TICK_INTERVAL_MS) {
+      lag.turnStarted(now);
+      lag.tick(now);
     }
     return to;
   }
 
   @Test
-  public void onTimeNothingCountsAsUnread() {
+  public void reportsNothingUnreadWhileOnTime() {
     EventLoopLag fresh = new EventLoopLag();
     fresh.turnStarted(5000);
     assertEquals(fresh.unreadMs(5000), 0.0, "no beat yet");
-    for (double t = 0; t < 1000; t += 27) {
-      fresh.tick(t);
-      fresh.turnStarted(t + 13);
-      assertEquals(fresh.unreadMs(t + 13), 0.0);
+    for (double now = 0; now < 1000; now += 27) {
+      fresh.tick(now);
+      fresh.turnStarted(now + 13);
+      assertEquals(fresh.unreadMs(now + 13), 0.0);
     }
     assertEquals(fresh.worstLagMs(1000), 0.0);
   }
 
   @Test
-  public void whatIsReadAfterAStopMayHaveLainThereSinceTheLastLook() {
-    run(0, 1000);
+  public void countsBytesReadAfterAPauseFromTheLastTurn() {
+    runOnTime(0, 1000);
     lag.turnStarted(1150);
     assertEquals(lag.unreadMs(1150), 150.0);
-    // Whether the beat or a socket gets the first turn after the stop makes no difference, nor how
-    // many come before.
+    // It makes no difference whether the tick or a socket has the first turn after the pause, nor
+    // how many turns follow.
     lag.tick(1150);
     lag.turnStarted(1170);
     assertEquals(lag.unreadMs(1170), 170.0, "still being read");
-    run(1175, 1400);
+    runOnTime(1175, 1400);
     assertEquals(lag.unreadMs(1400), 0.0, "all of it is read by now");
     assertEquals(lag.worstLagMs(1400), 150.0);
-    run(1400, 20_000);
+    runOnTime(1400, 20_000);
     assertEquals(lag.worstLagMs(20_000), 0.0, "forgotten");
   }
 
-  /**
-   * A turn that is long, as code not compiled makes it, hides what comes meanwhile just as a stop
-   * does.
-   */
+  /** A long turn, as before the JIT has compiled it, hides what arrives just as a pause does. */
   @Test
-  public void aLongTurnCountsFromItsBeginning() {
-    EventLoopLag one = new EventLoopLag();
-    one.tick(0);
-    one.turnStarted(10);
-    one.turnStarted(410);
-    assertEquals(one.unreadMs(410), 400.0);
+  public void countsALongTurnFromItsStart() {
+    EventLoopLag longTurn = new EventLoopLag();
+    longTurn.tick(0);
+    longTurn.turnStarted(10);
+    longTurn.turnStarted(410);
+    assertEquals(longTurn.unreadMs(410), 400.0);
   }
 
-  /** Alarms may be on time all the while that one look's finds are dealt with, turn by turn. */
+  /** Timers may be on time while the results of one poll are handled turn by turn. */
   @Test
-  public void whatComesWhileOneLooksFindsAreDealtWithLiesUnread() {
-    run(0, 1000);
+  public void countsBytesAsUnreadWhileTheResultsOfOnePollAreHandled() {
+    runOnTime(0, 1000);
     lag.socketTurnStarted(1000, 900);
     assertEquals(lag.unreadMs(1000), 0.0, "it was waited for");
-    double t = 1000;
-    for (int i = 0; i < 50; i++, t += 4) {
-      lag.socketTurnStarted(t, 800 + i);
-      lag.socketTurnEnded(t + 3);
-      lag.turnStarted(t + 3.5);
-      lag.tick(t + 3.5);
+    double now = 1000;
+    for (int i = 0; i < 50; i++, now += 4) {
+      lag.socketTurnStarted(now, 800 + i);
+      lag.socketTurnEnded(now + 3);
+      lag.turnStarted(now + 3.5);
+      lag.tick(now + 3.5);
     }
-    lag.socketTurnStarted(t, 990);
-    assertEquals(lag.unreadMs(t), 200.0, "since the look at 1,000");
-    lag.socketTurnEnded(t + 1);
-    lag.socketTurnStarted(t + 2, 1150);
+    lag.socketTurnStarted(now, 990);
+    assertEquals(lag.unreadMs(now), 200.0, "since the look at 1,000");
+    lag.socketTurnEnded(now + 1);
+    lag.socketTurnStarted(now + 2, 1150);
     assertEquals(
-        lag.unreadMs(t + 2), 52.0, "what was waited for from 1,150 on was found by a later look");
-    lag.socketTurnEnded(t + 3);
-    lag.socketTurnStarted(t + 20, 0);
-    assertEquals(lag.unreadMs(t + 20), 0.0);
+        lag.unreadMs(now + 2), 52.0, "what was waited for from 1,150 on was found by a later look");
+    lag.socketTurnEnded(now + 3);
+    lag.socketTurnStarted(now + 20, 0);
+    assertEquals(lag.unreadMs(now + 20), 0.0);
   }
 
-  /**
-   * Guards against an instance that is always a little late and comes to count its queries as
-   * minutes old.
-   */
+  /** An instance that is always a little late must not count its queries as minutes old. */
   @Test
-  public void lastingLatenessDoesNotAddUp() {
+  public void doesNotAccumulateLastingLag() {
     EventLoopLag slow = new EventLoopLag();
-    for (double t = 0; t < 60_000; t += 80) {
-      slow.turnStarted(t);
-      slow.tick(t);
-      assertTrue(slow.unreadMs(t) <= 160, "at " + t + ": " + slow.unreadMs(t));
+    for (double now = 0; now < 60_000; now += 80) {
+      slow.turnStarted(now);
+      slow.tick(now);
+      assertTrue(slow.unreadMs(now) <= 160, "at " + now + ": " + slow.unreadMs(now));
     }
     assertEquals(slow.worstLagMs(60_000), 80.0);
   }
--- a/src/test/java/bitternpulley/net/HttpClientTest.java
+++ b/src/test/java/bitternpulley/net/HttpClientTest.java
@@ -25,16 +25,16 @@
   private ServerSocket server;
 
   @BeforeMethod
-  public void begin() throws IOException {
+  public void startClientAndServer() throws IOException {
     ends.clear();
     loop = new EventLoop();
     client = new HttpClient(loop, 1000, 4, 5000, 5000);
-    server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
+    server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
     server.setSoTimeout(PATIENCE_MS);
   }
 
   @AfterMethod
-  public void end() throws IOException {
+  public void closeServer() throws IOException {
     server.close();
   }
 
@@ -51,44 +51,48 @@
   private void send(double sendBy) {
     HostPort at = new HostPort("127.0.0.1", server.getLocalPort());
     loop.execute(
-        () -> client.send(at, ByteBuffer.wrap("GET / HTTP/1.1\r\n\r\n".getBytes()), sendBy, this));
+        () ->
+            client.send(
+                at,
+                ByteBuffer.wrap("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)),
+                sendBy,
+                this));
   }
 
   private String next() throws InterruptedException {
     return ends.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
   }
 
-  private void answerWithoutALength(boolean reset) throws IOException {
+  private void respondWithoutLength(boolean reset) throws IOException {
     send(Double.POSITIVE_INFINITY);
-    try (Socket one = server.accept()) {
-      one.getInputStream().readNBytes(18);
-      one.getOutputStream()
+    try (Socket socket = server.accept()) {
+      socket.getInputStream().readNBytes(18);
+      socket
+          .getOutputStream()
           .write("HTTP/1.1 200 OK\r\n\r\n{\"half\":1}".getBytes(StandardCharsets.US_ASCII));
-      one.setSoLinger(reset, 0);
+      socket.setSoLinger(reset, 0);
     }
   }
 
   @Test
-  public void anOrderlyEndIsTheEndOfAnAnswerWithoutALength() throws Exception {
-    answerWithoutALength(false);
+  public void acceptsAResponseWithoutLengthThatEndsWithTheConnection() throws Exception {
+    respondWithoutLength(false);
     assertEquals(next(), "200 {\"half\":1}");
   }
 
-  /** Guards against an answer that was cut off and reads as though it were whole. */
   @Test
-  public void aResetIsNoEnd() throws Exception {
-    answerWithoutALength(true);
+  public void rejectsAResponseWithoutLengthThatEndsWithAReset() throws Exception {
+    respondWithoutLength(true);
     assertEquals(next(), "MAYBE_SENT");
   }
 
-  /** Guards against a repeat that waits for a connection until its window is over. */
   @Test
-  public void whatIsTooLateWhenItsConnectionComesUpEndsUnsent() throws Exception {
+  public void endsUnsentWhenTheConnectionComesUpTooLate() throws Exception {
     send(loop.now());
-    try (Socket one = server.accept()) {
+    try (Socket socket = server.accept()) {
       assertEquals(next(), "NOT_IN_TIME");
-      one.setSoTimeout(PATIENCE_MS);
-      assertEquals(one.getInputStream().read(), -1, "not a byte");
+      socket.setSoTimeout(PATIENCE_MS);
+      assertEquals(socket.getInputStream().read(), -1, "not a byte");
     }
   }
 }
--- a/src/test/java/bitternpulley/net/HttpParserTest.java
+++ b/src/test/java/bitternpulley/net/HttpParserTest.java
@@ -13,14 +13,15 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** The grammar and the limits of the HTTP parser, and those of frames and addresses. */
 public class HttpParserTest {
   private final List<String> seen = new ArrayList<>();
 
-  private HttpParser parser(boolean responses, long most) {
+  private HttpParser parser(boolean responses, long maxBodyBytes) {
     seen.clear();
     return new HttpParser(
         responses,
-        most,
+        maxBodyBytes,
         new HttpParser.Sink() {
           private final StringBuilder body = new StringBuilder();
 
@@ -47,10 +48,11 @@
   }
 
   @Test
-  public void readsWholeAndByteByByteAlike() {
+  public void parsesTheSameWhateverThePieces() {
     String two =
         "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
-            + "POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;e=1\r\nde\r\n1\r\nf\r\n0\r\nT: x\r\n\r\n";
+            + "POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + "2;e=1\r\nde\r\n1\r\nf\r\n0\r\nT: x\r\n\r\n";
     HttpParser whole = parser(false, 10);
     ByteBuffer all = bytes(two);
     assertTrue(whole.read(all));
@@ -59,8 +61,8 @@
     List<String> expected = List.of("POST /a", "abc", "POST /b", "def");
     assertEquals(seen, expected);
     HttpParser split = parser(false, 10);
-    for (char c : two.toCharArray()) {
-      split.read(bytes(String.valueOf(c)));
+    for (int i = 0; i < two.length(); i++) {
+      split.read(bytes(String.valueOf(two.charAt(i))));
     }
     assertEquals(seen, expected);
     assertTrue(split.idle());
@@ -89,14 +91,14 @@
   }
 
   @Test(dataProvider = "broken")
-  public void whatBreaksTheGrammarOrABoundIsNamed(String text, int status) {
+  public void rejectsViolationsOfTheGrammarOrALimit(String text, int status) {
     HttpParser parser = parser(false, 10);
     assertEquals(
         expectThrows(HttpException.class, () -> parser.read(bytes(text))).status(), status);
   }
 
   @Test
-  public void aResponseWithoutALengthEndsWithItsConnection() {
+  public void endsAResponseWithoutLengthWithTheConnection() {
     HttpParser parser = parser(true, 10);
     assertFalse(parser.read(bytes("HTTP/1.1 200 OK\r\n\r\nabc")));
     assertTrue(parser.ended());
@@ -107,34 +109,34 @@
   }
 
   @Test
-  public void framesComeInAnyPiecesAndGarbageIsNoFrame() {
+  public void decodesFramesInAnyPiecesAndRejectsImpossibleLengths() {
     FrameCodec codec = new FrameCodec();
     List<String> frames = new ArrayList<>();
     ByteBuffer two =
         ByteBuffer.allocate(100)
-            .put(FrameCodec.encode('1', "abc".getBytes()))
+            .put(FrameCodec.encode('1', "abc".getBytes(StandardCharsets.US_ASCII)))
             .put(FrameCodec.encode('3', new byte[0]))
             .flip();
     while (two.hasRemaining()) {
       codec.read(
           ByteBuffer.wrap(new byte[] {two.get()}),
-          f -> frames.add(f.letter() + new String(f.rest())));
+          frame ->
+              frames.add(frame.letter() + new String(frame.rest(), StandardCharsets.US_ASCII)));
     }
     assertEquals(frames, List.of("1abc", "3"));
     assertThrows(
-        IllegalArgumentException.class,
+        FrameException.class,
         () -> codec.read(ByteBuffer.wrap(new byte[] {-1, -1, -1, 127}), f -> {}));
     assertThrows(
-        IllegalArgumentException.class,
-        () -> new FrameCodec().read(ByteBuffer.wrap(new byte[4]), f -> {}));
+        FrameException.class, () -> new FrameCodec().read(ByteBuffer.wrap(new byte[4]), f -> {}));
   }
 
   @Test
-  public void addressesAreNumbersAndAPort() {
+  public void parsesOnlyNumericAddressesWithAPort() {
     assertEquals(HostPort.parse("127.0.0.1:80"), new HostPort("127.0.0.1", 80));
     for (String bad :
         List.of("localhost:80", "127.0.0.1", "127.0.0.1:99999", ":80", "127.0.0.1:x")) {
-      assertThrows(IllegalArgumentException.class, () -> HostPort.parse(bad));
+      assertThrows(HostPortException.class, () -> HostPort.parse(bad));
     }
   }
 }
--- /dev/null
+++ b/src/test/java/bitternpulley/net/HttpServerHarness.java
@@ -0,0 +1,150 @@
+package bitternpulley.net;
+
+import static org.testng.Assert.assertTrue;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.BooleanSupplier;
+import org.testng.annotations.BeforeMethod;
+
+/**
+ * A server and plain sockets as its clients, for tests of what is due when a connection ends. Races
+ * are forced by blocking the event loop: what a test writes meanwhile lies in the sockets when the
+ * server does what ends the connection.
+ */
+public abstract class HttpServerHarness implements HttpServer.Handler {
+  /** Longest wait for anything, in ms. */
+  static final int PATIENCE_MS = 30_000;
+
+  /** More than one read takes, so that bytes lie unread when the connection ends. */
+  static final String LONG_REQUEST = request("/long", "x".repeat(40_000));
+
+  private static final String CONTENT_LENGTH = "Content-Length: ";
+
+  /** Targets of the requests that were handled, in order. */
+  final List<String> handled = new CopyOnWriteArrayList<>();
+
+  /** Exchanges of the requests whose targets begin with {@code /held}. */
+  final List<HttpServer.Exchange> openExchanges = new CopyOnWriteArrayList<>();
+
+  /** Number of held requests whose client disconnected. */
+  final AtomicInteger disconnects = new AtomicInteger();
+
+  EventLoop loop;
+  HttpServer server;
+  HostPort address;
+
+  /** Starts a server with many connections and the usual time-outs. */
+  @BeforeMethod
+  public void startServer() throws IOException {
+    handled.clear();
+    openExchanges.clear();
+    disconnects.set(0);
+    listen(1000, HttpServer.Timeouts.USUAL);
+  }
+
+  /** Replaces the server by one with other limits. */
+  final void listen(int connections, HttpServer.Timeouts timeouts) throws IOException {
+    createServer(connections, timeouts);
+    address = server.listen(new HostPort("127.0.0.1", 0));
+  }
+
+  /** Replaces the server by one that does not listen yet. */
+  final void createServer(int connections, HttpServer.Timeouts timeouts) {
+    loop = new EventLoop();
+    server = new HttpServer(loop, 64 * 1024, connections, timeouts, this);
+  }
+
+  /** Holds the requests that ask for it and answers all others at once. */
+  @Override
+  public void handle(HttpServer.Request request, HttpServer.Exchange exchange) {
+    handled.add(request.head().target());
+    if (request.head().target().startsWith("/held")) {
+      exchange.onGone(disconnects::incrementAndGet);
+      openExchanges.add(exchange);
+    } else {
+      exchange.reply(unusable(200, "fine"));
+    }
+  }
+
+  @Override
+  public HttpServer.Response unusable(int status, String reason) {
+    return new HttpServer.Response(status, Map.of(), reason.getBytes(StandardCharsets.UTF_8));
+  }
+
+  static String request(String target, String body) {
+    return "POST " + target + " HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+  }
+
+  /** Connects and writes a text. */
+  final Socket connect(String text) throws IOException {
+    Socket socket = new Socket(address.host(), address.port());
+    socket.setSoTimeout(PATIENCE_MS);
+    write(socket, text);
+    return socket;
+  }
+
+  static void write(Socket to, String text) throws IOException {
+    to.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+  }
+
+  static String readLine(Socket from) throws IOException {
+    StringBuilder line = new StringBuilder();
+    for (int next = from.getInputStream().read();
+        next >= 0 && next != '\n';
+        next = from.getInputStream().read()) {
+      line.append((char) next);
+    }
+    return line.toString().strip();
+  }
+
+  /** Reads one response whose body is short and returns its status. */
+  static int readStatus(Socket from) throws IOException {
+    String first = readLine(from);
+    assertTrue(first.startsWith("HTTP/1.1 "), "instead of a response: '" + first + "'");
+    int status = Integer.parseInt(first.split(" ", 3)[1]);
+    int length = 0;
+    for (String line = readLine(from); !line.isEmpty(); line = readLine(from)) {
+      length =
+          line.startsWith(CONTENT_LENGTH)
+              ? Integer.parseInt(line.substring(CONTENT_LENGTH.length()))
+              : length;
+    }
+    from.getInputStream().readNBytes(length);
+    return status;
+  }
+
+  static void awaitCondition(String what, BooleanSupplier holds) throws InterruptedException {
+    long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+    while (!holds.getAsBoolean()) {
+      assertTrue(System.nanoTime() < end, what);
+      Thread.sleep(1);
+    }
+  }
+
+  /** What a test does while the event loop is blocked. */
+  interface Action {
+    void run() throws IOException;
+  }
+
+  /** Runs an action during which the server reads and writes nothing. */
+  final void whileLoopIsBlocked(Action action) throws IOException {
+    IOException[] failure = new IOException[1];
+    loop.inTurn(
+        () -> {
+          try {
+            action.run();
+          } catch (IOException e) {
+            failure[0] = e;
+          }
+        });
+    if (failure[0] != null) {
+      throw failure[0];
+    }
+  }
+}
--- a/src/test/java/bitternpulley/net/HttpServerTest.java
+++ b/src/test/java/bitternpulley/net/HttpServerTest.java
@@ -16,18 +16,18 @@
 import org.testng.annotations.Test;
 
 /**
- * What no client of the real program can bring about: a handler that throws, and bounds set very
+ * What no client of the real program can cause: a handler that throws, and limits that are very
  * low.
  */
 public class HttpServerTest implements HttpServer.Handler {
   private static final int PATIENCE_MS = 30_000;
-  private HostPort at;
+  private HostPort address;
 
   @BeforeMethod
-  public void listen() throws IOException {
+  public void startServer() throws IOException {
     HttpServer server =
         new HttpServer(new EventLoop(), 100, 2, new HttpServer.Timeouts(10_000, 50, 10_000), this);
-    at = server.listen(new HostPort("127.0.0.1", 0));
+    address = server.listen(new HostPort("127.0.0.1", 0));
   }
 
   @Override
@@ -44,7 +44,7 @@
   }
 
   private Socket connect(String text) throws IOException {
-    Socket socket = new Socket(at.host(), at.port());
+    Socket socket = new Socket(address.host(), address.port());
     socket.setSoTimeout(PATIENCE_MS);
     socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     return socket;
@@ -61,38 +61,37 @@
   }
 
   @Test
-  public void aRequestWhoseHandlerThrowsIsAnswered() throws IOException {
+  public void answersARequestWhoseHandlerThrows() throws IOException {
     try (Socket socket = connect("GET /throw HTTP/1.1\r\n\r\n")) {
       assertEquals(firstLine(socket), "HTTP/1.1 500 Internal Server Error");
     }
   }
 
   @Test
-  public void aRequestThatNeverEndsIsEnded() throws IOException {
+  public void rejectsARequestThatStaysIncomplete() throws IOException {
     try (Socket socket = connect("POST /half HTTP/1.1\r\nContent-Le")) {
       assertEquals(firstLine(socket), "HTTP/1.1 408 Request Timeout");
     }
   }
 
-  /** Guards against connections that are opened and then left. */
   @Test
-  public void aConnectionThatSaysNothingIsClosed() throws IOException {
+  public void closesAConnectionThatStaysSilent() throws IOException {
     HttpServer server =
         new HttpServer(new EventLoop(), 100, 2, new HttpServer.Timeouts(50, 10_000, 10_000), this);
-    at = server.listen(new HostPort("127.0.0.1", 0));
+    address = server.listen(new HostPort("127.0.0.1", 0));
     try (Socket silent = connect("")) {
       assertEquals(silent.getInputStream().read(), -1);
     }
   }
 
-  /** Guards against memory used up by bodies of which none is too large by itself. */
+  /** Many bodies may exceed the memory although none of them is too large. */
   @Test
-  public void unfinishedBodiesAreBoundedTogether() throws IOException {
+  public void limitsIncompleteBodiesOfAllConnectionsTogether() throws IOException {
     int most = 2 << 20;
     HttpServer server =
         new HttpServer(
             new EventLoop(), most, 3, new HttpServer.Timeouts(10_000, 10_000, 10_000), this);
-    at = server.listen(new HostPort("127.0.0.1", 0));
+    address = server.listen(new HostPort("127.0.0.1", 0));
     String part =
         "POST / HTTP/1.1\r\nContent-Length: " + most + "\r\n\r\n" + "x".repeat(most - 1000);
     try (Socket first = connect(part);
@@ -101,21 +100,21 @@
       List<Socket> left = new ArrayList<>(List.of(first, second, third));
       Socket refused = null;
       while (refused == null) {
-        for (Socket s : left) {
-          refused = s.getInputStream().available() > 0 ? s : refused;
+        for (Socket socket : left) {
+          refused = socket.getInputStream().available() > 0 ? socket : refused;
         }
       }
       assertEquals(firstLine(refused), "HTTP/1.1 503 Service Unavailable");
       left.remove(refused);
-      for (Socket s : left) {
-        s.getOutputStream().write(new byte[1000]);
-        assertEquals(firstLine(s), "HTTP/1.1 200 OK", "the others go on");
+      for (Socket socket : left) {
+        socket.getOutputStream().write(new byte[1000]);
+        assertEquals(firstLine(socket), "HTTP/1.1 200 OK", "the others go on");
       }
     }
   }
 
   @Test
-  public void theLongestIdleConnectionMakesRoom() throws IOException {
+  public void evictsTheConnectionIdleLongest() throws IOException {
     try (Socket first = connect("GET / HTTP/1.1\r\n\r\n")) {
       assertEquals(firstLine(first), "HTTP/1.1 200 OK");
       try (Socket second = connect("GET / HTTP/1.1\r\n\r\n");
@@ -128,16 +127,13 @@
     }
   }
 
-  /**
-   * Guards against clients that ask once and keep their connection, by which the others come to
-   * have none left.
-   */
+  /** Clients that keep unused connections would otherwise leave none for the others. */
   @Test
-  public void whereManyKeepTheirConnectionsAnAnswerEndsItsOwn() throws IOException {
+  public void closesConnectionsAfterTheirResponseWhileManyAreUnused() throws IOException {
     HttpServer server =
         new HttpServer(
             new EventLoop(), 100, 40, new HttpServer.Timeouts(60_000, 60_000, 60_000), this);
-    at = server.listen(new HostPort("127.0.0.1", 0));
+    address = server.listen(new HostPort("127.0.0.1", 0));
     List<Socket> kept = new ArrayList<>();
     try {
       boolean ended = false;
@@ -154,23 +150,22 @@
       assertTrue(ended);
       assertTrue(kept.size() > 10, "not where there are few");
     } finally {
-      for (Socket s : kept) {
-        s.close();
+      for (Socket socket : kept) {
+        socket.close();
       }
     }
   }
 
-  /**
-   * Guards against a client cut off, and its open request lost, since it sent many requests at
-   * once.
-   */
   @Test
-  public void manyRequestsAtOnceWaitUnread() throws IOException {
+  public void answersManyPipelinedRequests() throws IOException {
     int count = 2000;
     try (Socket socket = connect("")) {
       socket
           .getOutputStream()
-          .write("GET / HTTP/1.1\r\nCookie: obj=1\r\n\r\n".repeat(count).getBytes());
+          .write(
+              "GET / HTTP/1.1\r\nCookie: obj=1\r\n\r\n"
+                  .repeat(count)
+                  .getBytes(StandardCharsets.US_ASCII));
       for (int i = 0; i < count; i++) {
         assertEquals(firstLine(socket), "HTTP/1.1 200 OK", "answer " + i);
         socket.getInputStream().skipNBytes("\nContent-Length: 4\r\n\r\nfine".length());
@@ -179,7 +174,7 @@
   }
 
   @Test
-  public void pipelinedRequestsAreAnsweredInTurn() throws IOException {
+  public void answersPipelinedRequestsInOrder() throws IOException {
     try (Socket socket =
         connect("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nConnection: close\r\n\r\n")) {
       String all = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
@@ -187,61 +182,66 @@
     }
   }
 
-  /**
-   * Guards against an answer that is decided at its time, in an alarm's turn, and goes out only
-   * when all that has come in before is dealt with.
-   */
+  /** Answers {@code /timer} in a timer's turn and is busy for a while with every other request. */
+  private final class SlowHandler implements HttpServer.Handler {
+    private static final int TIMER_MS = 100;
+    private static final int BUSY_MS = 20;
+
+    private final EventLoop loop;
+    private final AtomicInteger handledRequests = new AtomicInteger();
+    private final CountDownLatch received = new CountDownLatch(1);
+
+    SlowHandler(EventLoop loop) {
+      this.loop = loop;
+    }
+
+    @Override
+    public void handle(HttpServer.Request request, HttpServer.Exchange exchange) {
+      if (request.head().target().equals("/timer")) {
+        received.countDown();
+        loop.schedule(
+            TIMER_MS, () -> exchange.reply(unusable(200, String.valueOf(handledRequests.get()))));
+        return;
+      }
+      long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(BUSY_MS);
+      while (System.nanoTime() < end) {
+        Thread.onSpinWait();
+      }
+      handledRequests.incrementAndGet();
+      exchange.reply(unusable(200, "fine"));
+    }
+
+    @Override
+    public HttpServer.Response unusable(int status, String reason) {
+      return HttpServerTest.this.unusable(status, reason);
+    }
+  }
+
+  /** A response decided in a timer's turn must not wait behind the backlog of reads. */
   @Test
-  public void anAlarmsAnswerDoesNotWaitForWhatHasComeIn() throws Exception {
+  public void writesATimersResponseBeforeTheBacklogIsHandled() throws Exception {
     EventLoop loop = new EventLoop();
     int busy = 40;
-    AtomicInteger dealtWith = new AtomicInteger();
-    CountDownLatch taken = new CountDownLatch(1);
-    HttpServer server =
-        new HttpServer(
-            loop,
-            100,
-            100,
-            HttpServer.Timeouts.USUAL,
-            new HttpServer.Handler() {
-              @Override
-              public void handle(HttpServer.Request request, HttpServer.Exchange exchange) {
-                if (request.head().target().equals("/alarm")) {
-                  taken.countDown();
-                  loop.after(
-                      100, () -> exchange.reply(unusable(200, String.valueOf(dealtWith.get()))));
-                  return;
-                }
-                long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(20);
-                while (System.nanoTime() < end) {
-                  Thread.onSpinWait();
-                }
-                dealtWith.incrementAndGet();
-                exchange.reply(unusable(200, "fine"));
-              }
-
-              @Override
-              public HttpServer.Response unusable(int status, String reason) {
-                return HttpServerTest.this.unusable(status, reason);
-              }
-            });
-    at = server.listen(new HostPort("127.0.0.1", 0));
+    SlowHandler handler = new SlowHandler(loop);
+    HttpServer server = new HttpServer(loop, 100, 100, HttpServer.Timeouts.USUAL, handler);
+    address = server.listen(new HostPort("127.0.0.1", 0));
     List<Socket> all = new ArrayList<>();
     for (int i = 0; i < busy; i++) {
       all.add(connect(""));
     }
-    try (Socket waits = connect("GET /alarm HTTP/1.1\r\n\r\n")) {
-      assertTrue(taken.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
-      for (Socket s : all) {
-        s.getOutputStream().write("GET /busy HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+    try (Socket waiting = connect("GET /timer HTTP/1.1\r\n\r\n")) {
+      assertTrue(handler.received.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
+      for (Socket socket : all) {
+        socket
+            .getOutputStream()
+            .write("GET /busy HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       }
-      firstLine(waits);
-      assertTrue(
-          dealtWith.get() < busy / 2,
-          "answered after " + dealtWith.get() + " of " + busy + " others");
+      firstLine(waiting);
+      int handled = handler.handledRequests.get();
+      assertTrue(handled < busy / 2, "answered after " + handled + " of " + busy + " others");
     } finally {
-      for (Socket s : all) {
-        s.close();
+      for (Socket socket : all) {
+        socket.close();
       }
     }
   }
--- /dev/null
+++ b/src/test/java/bitternpulley/net/HttpShutdownTest.java
@@ -0,0 +1,131 @@
+package bitternpulley.net;
+
+import static org.testng.Assert.assertEquals;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import org.testng.annotations.Test;
+
+/** What clients receive while a server starts to accept, drains and stops. */
+public class HttpShutdownTest extends HttpServerHarness {
+  @Test
+  public void answersARequestReadBeforeTheServerStops() throws Exception {
+    try (Socket client = connect(request("/first", ""))) {
+      assertEquals(readStatus(client), 200);
+      write(client, request("/held", ""));
+      awaitCondition("it is read", () -> openExchanges.size() == 1);
+      whileLoopIsBlocked(
+          () -> {
+            server.drain();
+            server.stopListening();
+            openExchanges.get(0).reply(unusable(200, "fine"));
+          });
+      assertEquals(readStatus(client), 200);
+      assertEquals(client.getInputStream().read(), -1);
+    }
+  }
+
+  /** The kernel has accepted connections that the server has not when it stops. */
+  @Test
+  public void servesConnectionsInTheBacklogBeforeTheListenerCloses() throws Exception {
+    List<Socket> clients = new ArrayList<>();
+    whileLoopIsBlocked(
+        () -> {
+          for (int i = 0; i < 20; i++) {
+            clients.add(connect(request("/late", "")));
+          }
+          server.drain();
+          server.stopListening();
+        });
+    for (Socket socket : clients) {
+      assertEquals(readStatus(socket), 200);
+      assertEquals(socket.getInputStream().read(), -1);
+      socket.close();
+    }
+    awaitCondition("nothing is owed any more", () -> busy() == 0);
+  }
+
+  /** The client has connected, and its first request is on its way. */
+  @Test
+  public void servesTheFirstRequestOfANewConnectionAfterListeningStops() throws Exception {
+    try (Socket other = connect(request("/other", ""));
+        Socket fresh = connect("")) {
+      assertEquals(readStatus(other), 200);
+      try (Socket behind = connect(request("/behind", ""))) {
+        assertEquals(readStatus(behind), 200, "so the fresh one was accepted before");
+        whileLoopIsBlocked(
+            () -> {
+              server.drain();
+              server.stopListening();
+              write(fresh, request("/fresh", ""));
+            });
+        assertEquals(readStatus(fresh), 200);
+      }
+    }
+  }
+
+  /** A process that exits earlier would reset a client that still reads its response. */
+  @Test
+  public void staysBusyUntilTheClientHasEndedItsSide() throws Exception {
+    try (Socket client = connect(request("/held", ""))) {
+      awaitCondition("under way", () -> openExchanges.size() == 1);
+      whileLoopIsBlocked(
+          () -> {
+            server.drain();
+            server.stopListening();
+            openExchanges.get(0).reply(unusable(200, "fine"));
+          });
+      awaitCondition("no more are taken", () -> !accepts());
+      assertEquals(busy(), 1, "its client has not read it yet");
+      assertEquals(readStatus(client), 200);
+      assertEquals(client.getInputStream().read(), -1);
+    }
+    awaitCondition("its client has left", () -> busy() == 0);
+  }
+
+  /** The platform would kill the process before a response to such a late request. */
+  @Test
+  public void rejectsAnIncompleteRequestOnceListeningHasStopped() throws Exception {
+    try (Socket client = connect(LONG_REQUEST.substring(0, 20_000))) {
+      awaitCondition("it is begun", () -> busy() == 2);
+      whileLoopIsBlocked(
+          () -> {
+            server.drain();
+            server.stopListening();
+          });
+      assertEquals(readStatus(client), 503);
+      assertEquals(client.getInputStream().read(), -1);
+    }
+    assertEquals(handled, List.of());
+  }
+
+  /** Connections that are held back wait in the kernel. */
+  @Test
+  public void servesHeldBackConnectionsOnceTheyAreAccepted() throws Exception {
+    createServer(100, HttpServer.Timeouts.USUAL);
+    server.holdBack();
+    address = server.listen(new HostPort("127.0.0.1", 0));
+    try (Socket client = connect(request("/early", ""))) {
+      loop.inTurn(() -> assertEquals(handled, List.of()));
+      loop.execute(server::letIn);
+      assertEquals(readStatus(client), 200);
+    }
+  }
+
+  private int busy() {
+    int[] count = new int[1];
+    loop.inTurn(() -> count[0] = server.busy());
+    return count[0];
+  }
+
+  @SuppressWarnings("try") // the connection itself is under test
+  private boolean accepts() {
+    try (Socket probe = new Socket(address.host(), address.port())) {
+      return true;
+    } catch (IOException e) {
+      return false;
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/bitternpulley/net/HttpSlowClientTest.java
@@ -0,0 +1,50 @@
+package bitternpulley.net;
+
+import static org.testng.Assert.assertEquals;
+
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.util.Map;
+import org.testng.annotations.Test;
+
+/** Clients that send more than is buffered, or do not read what they receive. */
+public class HttpSlowClientTest extends HttpServerHarness {
+  @Test
+  public void answersPipelinedRequestsInOrderAndRejectsWhatExceedsTheBuffer() throws Exception {
+    // Far more than the kernel buffers: once it is written, the server has read more than it
+    // buffers.
+    int sent = 400;
+    try (Socket client = connect(request("/held", ""))) {
+      awaitCondition("under way", () -> openExchanges.size() == 1);
+      write(client, request("/ahead", "x".repeat(60_000)).repeat(sent));
+      loop.execute(() -> openExchanges.get(0).reply(unusable(200, "at last")));
+      assertEquals(readStatus(client), 200);
+      int answered = 0;
+      int last = readStatus(client);
+      while (last == 200) {
+        answered++;
+        last = readStatus(client);
+      }
+      assertEquals(last, 413, "after " + answered);
+      assertEquals(answered, 4, "as many as are kept");
+      assertEquals(client.getInputStream().read(), -1);
+    }
+  }
+
+  @Test
+  public void servesOthersWhileOneClientDoesNotRead() throws Exception {
+    try (Socket slow = new Socket()) {
+      slow.setReceiveBufferSize(2048);
+      slow.connect(new InetSocketAddress(address.host(), address.port()));
+      write(slow, request("/held", ""));
+      awaitCondition("under way", () -> openExchanges.size() == 1);
+      byte[] large = new byte[900_000];
+      loop.execute(() -> openExchanges.get(0).reply(new HttpServer.Response(200, Map.of(), large)));
+      for (int i = 0; i < 50; i++) {
+        try (Socket other = connect(request("/other", ""))) {
+          assertEquals(readStatus(other), 200);
+        }
+      }
+    }
+  }
+}
