--- a/src/main/java/bitternpulley/net/Connection.java
+++ b/src/main/java/bitternpulley/net/Connection.java
@@ -206,7 +206,7 @@
    * Reads and discards what the peer sends from now on, up to a limit. Reading goes on because the
    * end of the peer's side would not be noticed otherwise.
    */
-  void dropInput() {
+  void discardInput() {
     discarding = true;
   }
 
--- a/src/main/java/bitternpulley/net/HttpSession.java
+++ b/src/main/java/bitternpulley/net/HttpSession.java
@@ -219,7 +219,7 @@
     // otherwise.
     pipelineOverflowed = true;
     recordBuffered(pipeline.size());
-    connection.dropInput();
+    connection.discardInput();
   }
 
   /** Continues with what arrived while the last request was in progress. */
--- a/src/test/java/bitternpulley/net/ConnectionTest.java
+++ b/src/test/java/bitternpulley/net/ConnectionTest.java
@@ -71,7 +71,7 @@
               ByteBuffer queued = piece(2);
               connection[0].write(queued, () -> writtenPieces++);
               connection[0].write(piece(3), () -> writtenPieces++);
-              assertFalse(connection[0].takeBack(started), "it is being written");
+              assertFalse(connection[0].takeBack(started), "the kernel has taken a part of it");
               assertTrue(connection[0].takeBack(queued));
               assertFalse(connection[0].takeBack(queued), "only once");
             });
--- a/src/test/java/bitternpulley/net/EventLoopLagTest.java
+++ b/src/test/java/bitternpulley/net/EventLoopLagTest.java
@@ -53,7 +53,7 @@
     assertEquals(lag.unreadMs(1400), 0.0, "all of it is read by now");
     assertEquals(lag.worstLagMs(1400), 150.0);
     runOnTime(1400, 20_000);
-    assertEquals(lag.worstLagMs(20_000), 0.0, "forgotten");
+    assertEquals(lag.worstLagMs(20_000), 0.0, "out of the window");
   }
 
   /** A long turn, as before the JIT has compiled it, hides what arrives just as a pause does. */
@@ -71,7 +71,7 @@
   public void countsBytesAsUnreadWhileTheResultsOfOnePollAreHandled() {
     runOnTime(0, 1000);
     lag.socketTurnStarted(1000, 900);
-    assertEquals(lag.unreadMs(1000), 0.0, "it was waited for");
+    assertEquals(lag.unreadMs(1000), 0.0, "the socket was polled just now");
     double now = 1000;
     for (int i = 0; i < 50; i++, now += 4) {
       lag.socketTurnStarted(now, 800 + i);
@@ -80,11 +80,10 @@
       lag.tick(now + 3.5);
     }
     lag.socketTurnStarted(now, 990);
-    assertEquals(lag.unreadMs(now), 200.0, "since the look at 1,000");
+    assertEquals(lag.unreadMs(now), 200.0, "since the poll at 1,000");
     lag.socketTurnEnded(now + 1);
     lag.socketTurnStarted(now + 2, 1150);
-    assertEquals(
-        lag.unreadMs(now + 2), 52.0, "what was waited for from 1,150 on was found by a later look");
+    assertEquals(lag.unreadMs(now + 2), 52.0, "what was armed at 1,150 was found by a later poll");
     lag.socketTurnEnded(now + 3);
     lag.socketTurnStarted(now + 20, 0);
     assertEquals(lag.unreadMs(now + 20), 0.0);
--- a/src/test/java/bitternpulley/net/HttpCloseRaceTest.java
+++ b/src/test/java/bitternpulley/net/HttpCloseRaceTest.java
@@ -20,9 +20,10 @@
             write(client, LONG_REQUEST);
             close.run();
           });
-      assertEquals(client.getInputStream().read(), -1, "an orderly end, with no byte of an answer");
+      assertEquals(
+          client.getInputStream().read(), -1, "an orderly close, with no byte of a response");
     }
-    assertEquals(handled, List.of("/first"), "nothing is taken from behind our end");
+    assertEquals(handled, List.of("/first"), "no request behind the close is handled");
   }
 
   @Test
@@ -39,7 +40,7 @@
     int first = client.getInputStream().read();
     assertEquals(
         first < 0 ? 0 : handled.stream().filter(target::equals).count(), first < 0 ? 0 : 1);
-    assertEquals(handled.contains(target), first >= 0, "taken, and its client has " + first);
+    assertEquals(handled.contains(target), first >= 0, "handled, and its client received " + first);
     if (first >= 0) {
       assertEquals(readLine(client), "TTP/1.1 200 OK");
     }
@@ -71,10 +72,10 @@
    */
   @Test(invocationCount = 5)
   public void answersOrClosesInOrderWhenARequestCrossesItsEviction() throws Exception {
-    int places = 16;
-    listen(places, HttpServer.Timeouts.USUAL);
+    int maxConnections = 16;
+    listen(maxConnections, HttpServer.Timeouts.USUAL);
     List<Socket> clients = new ArrayList<>();
-    for (int i = 0; i < places - 2; i++) {
+    for (int i = 0; i < maxConnections - 2; i++) {
       clients.add(connect(request("/first" + i, "")));
       assertEquals(readStatus(clients.get(i)), 200);
     }
@@ -102,16 +103,16 @@
     }
     try (Socket other = connect(request("/other", ""))) {
       assertEquals(readStatus(other), 200);
-      assertEquals(other.getInputStream().read(), -1, "its answer ends it");
+      assertEquals(other.getInputStream().read(), -1, "the response ends it");
     }
-    assertEquals(handled, List.of("/first", "/other"), "nothing is taken from behind our end");
+    assertEquals(handled, List.of("/first", "/other"), "no request behind the close is handled");
   }
 
   /** Unread bytes at the close would cause a reset that destroys the response. */
   @Test
   public void deliversTheLastResponseCompletelyWhateverIsSentBehindTheRequest() throws Exception {
     try (Socket client = connect(request("/held", ""))) {
-      awaitCondition("under way", () -> openExchanges.size() == 1);
+      awaitCondition("the request is in progress", () -> openExchanges.size() == 1);
       whileLoopIsBlocked(
           () -> {
             server.drain();
--- a/src/test/java/bitternpulley/net/HttpDisconnectTest.java
+++ b/src/test/java/bitternpulley/net/HttpDisconnectTest.java
@@ -15,13 +15,13 @@
     for (int i = 0; i < clients; i++) {
       all.add(connect(request("/held", "") + behind));
     }
-    awaitCondition("all under way", () -> openExchanges.size() == clients);
+    awaitCondition("all requests are in progress", () -> openExchanges.size() == clients);
     for (Socket socket : all) {
       socket.setSoLinger(reset, 0);
       socket.close();
     }
-    awaitCondition("each end is told", () -> disconnects.get() == clients);
-    assertEquals(handled.size(), clients, "nothing of what was sent ahead is taken up");
+    awaitCondition("every disconnect is reported", () -> disconnects.get() == clients);
+    assertEquals(handled.size(), clients, "no pipelined request is handled");
   }
 
   @Test
@@ -73,7 +73,7 @@
   @Test
   public void ignoresASecondResponseAndOneAfterTheDisconnect() throws Exception {
     try (Socket client = connect(request("/held", ""))) {
-      awaitCondition("under way", () -> openExchanges.size() == 1);
+      awaitCondition("the request is in progress", () -> openExchanges.size() == 1);
       whileLoopIsBlocked(
           () -> {
             openExchanges.get(0).reply(unusable(200, "one"));
@@ -81,9 +81,9 @@
           });
       assertEquals(readStatus(client), 200);
       write(client, request("/held2", ""));
-      awaitCondition("under way", () -> openExchanges.size() == 2);
+      awaitCondition("the request is in progress", () -> openExchanges.size() == 2);
     }
-    awaitCondition("its end is told", () -> disconnects.get() == 1);
+    awaitCondition("the disconnect is reported", () -> disconnects.get() == 1);
     loop.execute(() -> openExchanges.get(1).reply(unusable(200, "late")));
     try (Socket next = connect(request("/next", ""))) {
       assertEquals(readStatus(next), 200);
--- a/src/test/java/bitternpulley/net/HttpServerTest.java
+++ b/src/test/java/bitternpulley/net/HttpServerTest.java
@@ -108,7 +108,7 @@
       left.remove(refused);
       for (Socket socket : left) {
         socket.getOutputStream().write(new byte[1000]);
-        assertEquals(firstLine(socket), "HTTP/1.1 200 OK", "the others go on");
+        assertEquals(firstLine(socket), "HTTP/1.1 200 OK", "the others are served");
       }
     }
   }
@@ -122,7 +122,7 @@
         assertEquals(firstLine(second), "HTTP/1.1 200 OK");
         assertEquals(firstLine(third), "HTTP/1.1 200 OK");
         first.getInputStream().readAllBytes();
-        assertTrue(first.getInputStream().read() < 0, "closed to make room");
+        assertTrue(first.getInputStream().read() < 0, "evicted");
       }
     }
   }
--- a/src/test/java/bitternpulley/net/HttpShutdownTest.java
+++ b/src/test/java/bitternpulley/net/HttpShutdownTest.java
@@ -15,7 +15,7 @@
     try (Socket client = connect(request("/first", ""))) {
       assertEquals(readStatus(client), 200);
       write(client, request("/held", ""));
-      awaitCondition("it is read", () -> openExchanges.size() == 1);
+      awaitCondition("the request is read", () -> openExchanges.size() == 1);
       whileLoopIsBlocked(
           () -> {
             server.drain();
@@ -44,7 +44,7 @@
       assertEquals(socket.getInputStream().read(), -1);
       socket.close();
     }
-    awaitCondition("nothing is owed any more", () -> busy() == 0);
+    awaitCondition("no work is left", () -> busy() == 0);
   }
 
   /** The client has connected, and its first request is on its way. */
@@ -54,7 +54,7 @@
         Socket fresh = connect("")) {
       assertEquals(readStatus(other), 200);
       try (Socket behind = connect(request("/behind", ""))) {
-        assertEquals(readStatus(behind), 200, "so the fresh one was accepted before");
+        assertEquals(readStatus(behind), 200, "so the new connection was accepted before");
         whileLoopIsBlocked(
             () -> {
               server.drain();
@@ -70,26 +70,26 @@
   @Test
   public void staysBusyUntilTheClientHasEndedItsSide() throws Exception {
     try (Socket client = connect(request("/held", ""))) {
-      awaitCondition("under way", () -> openExchanges.size() == 1);
+      awaitCondition("the request is in progress", () -> openExchanges.size() == 1);
       whileLoopIsBlocked(
           () -> {
             server.drain();
             server.stopListening();
             openExchanges.get(0).reply(unusable(200, "fine"));
           });
-      awaitCondition("no more are taken", () -> !accepts());
+      awaitCondition("no more connections are accepted", () -> !accepts());
       assertEquals(busy(), 1, "its client has not read it yet");
       assertEquals(readStatus(client), 200);
       assertEquals(client.getInputStream().read(), -1);
     }
-    awaitCondition("its client has left", () -> busy() == 0);
+    awaitCondition("its client has disconnected", () -> busy() == 0);
   }
 
   /** The platform would kill the process before a response to such a late request. */
   @Test
   public void rejectsAnIncompleteRequestOnceListeningHasStopped() throws Exception {
     try (Socket client = connect(LONG_REQUEST.substring(0, 20_000))) {
-      awaitCondition("it is begun", () -> busy() == 2);
+      awaitCondition("the request has begun", () -> busy() == 2);
       whileLoopIsBlocked(
           () -> {
             server.drain();
--- a/src/test/java/bitternpulley/net/HttpSlowClientTest.java
+++ b/src/test/java/bitternpulley/net/HttpSlowClientTest.java
@@ -15,7 +15,7 @@
     // buffers.
     int sent = 400;
     try (Socket client = connect(request("/held", ""))) {
-      awaitCondition("under way", () -> openExchanges.size() == 1);
+      awaitCondition("the request is in progress", () -> openExchanges.size() == 1);
       write(client, request("/ahead", "x".repeat(60_000)).repeat(sent));
       loop.execute(() -> openExchanges.get(0).reply(unusable(200, "at last")));
       assertEquals(readStatus(client), 200);
@@ -26,7 +26,7 @@
         last = readStatus(client);
       }
       assertEquals(last, 413, "after " + answered);
-      assertEquals(answered, 4, "as many as are kept");
+      assertEquals(answered, 4, "as many as are buffered");
       assertEquals(client.getInputStream().read(), -1);
     }
   }
@@ -37,7 +37,7 @@
       slow.setReceiveBufferSize(2048);
       slow.connect(new InetSocketAddress(address.host(), address.port()));
       write(slow, request("/held", ""));
-      awaitCondition("under way", () -> openExchanges.size() == 1);
+      awaitCondition("the request is in progress", () -> openExchanges.size() == 1);
       byte[] large = new byte[900_000];
       loop.execute(() -> openExchanges.get(0).reply(new HttpServer.Response(200, Map.of(), large)));
       for (int i = 0; i < 50; i++) {
