--- a/src/main/java/bitternpulley/net/AddressListener.java
+++ b/src/main/java/bitternpulley/net/AddressListener.java
@@ -9,40 +9,53 @@
 import java.nio.channels.CompletionHandler;
 import java.util.function.Consumer;
 
-/** Listens at an address of its own. */
+/** Listens on an address that this process binds itself. */
 final class AddressListener implements Listener {
   private static final System.Logger LOG = System.getLogger(AddressListener.class.getName());
 
   private final EventLoop loop;
   private final AsynchronousServerSocketChannel channel;
 
-  AddressListener(EventLoop loop, HostPort at, int backlog, boolean shared) throws IOException {
+  private AddressListener(EventLoop loop, AsynchronousServerSocketChannel channel) {
     this.loop = loop;
-    channel = AsynchronousServerSocketChannel.open(loop.group());
-    if (shared) {
-      channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
-    }
-    channel.bind(at.address(), backlog);
+    this.channel = channel;
+  }
+
+  /** Binds an address; port 0 stands for any free port. */
+  static AddressListener bind(EventLoop loop, HostPort address, int backlog) throws IOException {
+    AsynchronousServerSocketChannel channel = AsynchronousServerSocketChannel.open(loop.group());
+    channel.bind(address.address(), backlog);
+    return new AddressListener(loop, channel);
+  }
+
+  /** Binds an address that other processes may bind in the same way at the same time. */
+  static AddressListener bindShared(EventLoop loop, HostPort address, int backlog)
+      throws IOException {
+    AsynchronousServerSocketChannel channel = AsynchronousServerSocketChannel.open(loop.group());
+    channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
+    channel.bind(address.address(), backlog);
+    return new AddressListener(loop, channel);
   }
 
+  /** Returns the port that was bound. */
   int port() throws IOException {
     return ((InetSocketAddress) channel.getLocalAddress()).getPort();
   }
 
   @Override
-  public void accept(Consumer<Connection> taken, Consumer<Throwable> failed) {
-    double armed = loop.now();
+  public void accept(Consumer<Connection> onAccepted, Consumer<Throwable> onFailure) {
+    double armedAt = loop.now();
     channel.accept(
         null,
         new CompletionHandler<AsynchronousSocketChannel, Void>() {
           @Override
-          public void completed(AsynchronousSocketChannel accepted, Void nothing) {
-            loop.socketTurn(armed, () -> taken.accept(new Connection(loop, accepted)));
+          public void completed(AsynchronousSocketChannel accepted, Void attachment) {
+            loop.socketTurn(armedAt, () -> onAccepted.accept(new Connection(loop, accepted)));
           }
 
           @Override
-          public void failed(Throwable e, Void nothing) {
-            loop.inTurn(() -> failed.accept(e));
+          public void failed(Throwable error, Void attachment) {
+            loop.inTurn(() -> onFailure.accept(error));
           }
         });
   }
@@ -56,8 +69,8 @@
   public void close() {
     try {
       channel.close();
-    } catch (IOException e) {
-      LOG.log(Level.DEBUG, "closing the listener failed", e);
+    } catch (IOException exception) {
+      LOG.log(Level.DEBUG, "Closing a listener failed", exception);
     }
   }
 }
--- a/src/main/java/bitternpulley/net/HttpClient.java
+++ b/src/main/java/bitternpulley/net/HttpClient.java
@@ -7,225 +7,152 @@
 import java.util.Map;
 
 /**
- * Sends HTTP/1.1 requests, one at a time on a connection, over a bounded number of kept
- * connections.
+ * Sends HTTP/1.1 requests over a pool of a bounded number of connections, one request at a time on
+ * each.
  */
 public final class HttpClient {
   /** How a call ended without a response. */
   public enum Broken {
+    /** No byte of the request was sent. */
     NEVER_SENT,
+    /** No byte of the request was sent, because the connection was not up in time. */
     NOT_IN_TIME,
+    /** The server may have received the request. */
     MAYBE_SENT
   }
 
-  /** A whole response. */
+  /**
+   * A complete response.
+   *
+   * @param head its start line and headers
+   * @param body its body, empty when there is none
+   */
+  @SuppressWarnings("ArrayRecordComponent") // Responses are never compared, and a copy would cost.
   public record Response(HttpHead head, byte[] body) {
+    /** Returns the status code. */
     public int status() {
       return head.status();
     }
   }
 
-  /** Told once how a call ended; not at all when the call was dropped. */
+  /** Receives the end of a call, once; a call that was dropped has none. */
   public interface Done {
+    /** Handles the response. */
     void response(Response response);
 
+    /** Handles the end of a call without a response. */
     void broken(Broken how, String why);
   }
 
+  /** A call in progress. */
+  public interface Call {
+    /** Drops the call and closes its connection, so that the server may stop working on it. */
+    void drop();
+
+    /** Returns whether some bytes of the request may have been sent. */
+    boolean begun();
+  }
+
   private final EventLoop loop;
-  private final int mostBody;
-  private final int mostOpen;
+  private final int maxBodyBytes;
+  private final int maxConnections;
   private final double connectTimeout;
-  private final double idleAfter;
-  private final Map<HostPort, ArrayDeque<Link>> idle = new HashMap<>();
-  private int open;
+  private final double idleTimeout;
+  private final Map<HostPort, ArrayDeque<PooledConnection>> idleConnections = new HashMap<>();
+  private int openConnections;
 
+  /**
+   * Creates a client.
+   *
+   * @param loop runs its callbacks
+   * @param maxBodyBytes limit of the body of a response
+   * @param maxConnections limit of open connections to all addresses together
+   * @param connectTimeout ms for a connection to come up
+   * @param idleTimeout ms after which an unused connection is closed
+   */
   public HttpClient(
-      EventLoop loop, int mostBody, int mostOpen, double connectTimeout, double idleAfter) {
+      EventLoop loop,
+      int maxBodyBytes,
+      int maxConnections,
+      double connectTimeout,
+      double idleTimeout) {
     this.loop = loop;
-    this.mostBody = mostBody;
-    this.mostOpen = mostOpen;
+    this.maxBodyBytes = maxBodyBytes;
+    this.maxConnections = maxConnections;
     this.connectTimeout = connectTimeout;
-    this.idleAfter = idleAfter;
-  }
-
-  /** A call under way; dropping it closes its connection, so that the server may stop. */
-  public interface Call {
-    void drop();
-
-    /** Whether a byte of it may have gone. */
-    boolean begun();
+    this.idleTimeout = idleTimeout;
   }
 
   /**
-   * Sends a request, whose bytes are its head and body; null where no more connections may be open.
+   * Sends a request, given as the bytes of its head and body; returns null when no more connections
+   * may be opened.
    */
-  public Call send(HostPort to, ByteBuffer request, Done done) {
-    return send(to, request, Double.POSITIVE_INFINITY, done);
+  public Call send(HostPort address, ByteBuffer request, Done done) {
+    return send(address, request, Double.POSITIVE_INFINITY, done);
   }
 
-  /** As above, unless its connection comes up only after {@code sendBy}: then it ends unsent. */
-  public Call send(HostPort to, ByteBuffer request, double sendBy, Done done) {
-    ArrayDeque<Link> kept = idle.get(to);
-    Link link = kept == null ? null : kept.pollLast();
-    if (link == null) {
-      if (open >= mostOpen) {
-        return null;
-      }
-      try {
-        link = new Link(to);
-      } catch (UncheckedIOException e) {
-        // Guards against a call that never ends because not even a socket could be had for it.
-        return null;
-      }
+  /**
+   * Sends a request like {@link #send(HostPort, ByteBuffer, Done)}, unless its connection comes up
+   * only after {@code sendBy}, in ms of the loop's clock: then the call ends unsent.
+   */
+  public Call send(HostPort address, ByteBuffer request, double sendBy, Done done) {
+    ArrayDeque<PooledConnection> idle = idleConnections.get(address);
+    PooledConnection connection = idle == null ? null : idle.pollLast();
+    if (connection == null) {
+      connection = connect(address);
     }
-    link.begin(request, sendBy, done);
-    return link;
-  }
-
-  /** Closes the idle connections to an address. */
-  public void closeIdle(HostPort to) {
-    ArrayDeque<Link> kept = idle.remove(to);
-    if (kept != null) {
-      kept.forEach(l -> l.connection.close());
+    if (connection != null) {
+      connection.begin(request, sendBy, done);
     }
+    return connection;
   }
 
-  private final class Link implements Connection.Owner, Call {
-    private final HostPort to;
-    private final HttpParser parser =
-        new HttpParser(true, mostBody, new WholeMessages(head -> {}, this::whole));
-    private final Connection connection;
-    private ByteBuffer request;
-    private double sendBy;
-    private Done done;
-    private boolean up;
-    private boolean written;
-    private int uses;
-    private Response answer;
-    private boolean keeps;
-
-    Link(HostPort to) {
-      this.to = to;
-      connection =
-          Connection.open(
-              loop,
-              to,
-              connectTimeout,
-              this,
-              () -> {
-                up = true;
-                write();
-              });
-      open++;
+  private PooledConnection connect(HostPort address) {
+    if (openConnections >= maxConnections) {
+      return null;
     }
-
-    void begin(ByteBuffer bytes, double sendBy, Done done) {
-      uses++;
-      this.sendBy = sendBy;
-      request = bytes;
-      written = false;
-      this.done = done;
-      if (up) {
-        write();
-      }
-    }
-
-    private void write() {
-      if (request != null && loop.now() > sendBy) {
-        end(Broken.NOT_IN_TIME, "there was no connection in time");
-        connection.close();
-      } else if (request != null) {
-        connection.write(request, () -> written = true);
-      }
-    }
-
-    @Override
-    public boolean begun() {
-      return up;
-    }
-
-    @Override
-    public void drop() {
-      done = null;
-      request = null;
-      connection.close();
-    }
-
-    @Override
-    public void received(ByteBuffer bytes) {
-      try {
-        if (done == null) {
-          connection.close(); // nothing was asked
-        } else if (parser.read(bytes) && answer != null) {
-          answered(bytes.hasRemaining());
-        }
-      } catch (HttpException e) {
-        broken(e.getMessage());
-        connection.close();
-      }
-    }
-
-    private void whole(HttpHead head, byte[] body) {
-      if (head.status() >= 200) {
-        answer = new Response(head, body);
-        keeps = head.keepAlive();
-      }
-    }
-
-    /**
-     * Guards against the next call going over a connection on which something stands behind the
-     * answer: that is good, but what else comes here cannot be told apart.
-     */
-    private void answered(boolean more) {
-      Response response = answer;
-      Done told = done;
-      answer = null;
-      done = null;
-      request = null;
-      if (keeps && !more && !connection.isClosed()) {
-        idle.computeIfAbsent(to, t -> new ArrayDeque<>()).addLast(this);
-        int before = uses;
-        loop.after(
-            idleAfter,
-            () -> {
-              if (uses == before) {
-                connection.close();
-              }
-            });
-      } else {
-        connection.close();
-      }
-      told.response(response);
+    try {
+      PooledConnection connection =
+          new PooledConnection(this, loop, address, maxBodyBytes, connectTimeout);
+      openConnections++;
+      return connection;
+    } catch (UncheckedIOException exception) {
+      // Without a socket there is no connection that could report the end of the call.
+      return null;
     }
+  }
 
-    private void broken(String why) {
-      end(written ? Broken.MAYBE_SENT : Broken.NEVER_SENT, why);
+  /** Closes the idle connections to an address. */
+  public void closeIdle(HostPort address) {
+    ArrayDeque<PooledConnection> idle = idleConnections.remove(address);
+    if (idle != null) {
+      idle.forEach(PooledConnection::close);
     }
+  }
 
-    private void end(Broken how, String why) {
-      Done told = done;
-      done = null;
-      if (told != null) {
-        told.broken(how, why);
-      }
-    }
+  /** Keeps a connection for the next request to its address, until the idle time-out. */
+  void release(PooledConnection connection) {
+    idleConnections
+        .computeIfAbsent(connection.address(), address -> new ArrayDeque<>())
+        .addLast(connection);
+    int useCount = connection.useCount();
+    loop.schedule(
+        idleTimeout,
+        () -> {
+          if (connection.useCount() == useCount) {
+            connection.close();
+          }
+        });
+  }
 
-    @Override
-    public void closed() {
-      open--;
-      ArrayDeque<Link> kept = idle.get(to);
-      if (kept != null) {
-        kept.remove(this);
-        if (kept.isEmpty()) {
-          idle.remove(to);
-        }
-      }
-      // Guards against a body without a length that was cut off and is taken for whole.
-      if (done != null && connection.endedByPeer() && parser.ended() && answer != null) {
-        answered(true);
-      } else {
-        broken("the connection broke");
+  /** Removes a connection that has ended. */
+  void remove(PooledConnection connection) {
+    openConnections--;
+    ArrayDeque<PooledConnection> idle = idleConnections.get(connection.address());
+    if (idle != null) {
+      idle.remove(connection);
+      if (idle.isEmpty()) {
+        idleConnections.remove(connection.address());
       }
     }
   }
--- a/src/main/java/bitternpulley/net/WholeMessages.java
+++ b/src/main/java/bitternpulley/net/HttpMessageAggregator.java
@@ -5,22 +5,22 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Puts the pieces of each message together; the parser's bound on bodies bounds what is kept. */
-final class WholeMessages implements HttpParser.Sink {
+/** Collects the pieces of each message; the parser's limit on bodies bounds what is buffered. */
+final class HttpMessageAggregator implements HttpParser.Sink {
   private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-  private final Consumer<HttpHead> begun;
-  private final BiConsumer<HttpHead, byte[]> whole;
+  private final Consumer<HttpHead> onHead;
+  private final BiConsumer<HttpHead, byte[]> onMessage;
   private HttpHead head;
 
-  WholeMessages(Consumer<HttpHead> begun, BiConsumer<HttpHead, byte[]> whole) {
-    this.begun = begun;
-    this.whole = whole;
+  HttpMessageAggregator(Consumer<HttpHead> onHead, BiConsumer<HttpHead, byte[]> onMessage) {
+    this.onHead = onHead;
+    this.onMessage = onMessage;
   }
 
   @Override
   public void head(HttpHead head) {
     this.head = head;
-    begun.accept(head);
+    onHead.accept(head);
   }
 
   @Override
@@ -34,11 +34,11 @@
   public void end() {
     byte[] bytes = body.toByteArray();
     body = new ByteArrayOutputStream(0);
-    whole.accept(head, bytes);
+    onMessage.accept(head, bytes);
   }
 
-  /** Bytes kept of a body that is not yet whole. */
-  int held() {
+  /** Returns the bytes buffered of a body that is not complete yet. */
+  int bufferedBytes() {
     return body.size();
   }
 }
--- a/src/main/java/bitternpulley/net/HttpSession.java
+++ b/src/main/java/bitternpulley/net/HttpSession.java
@@ -1,347 +1,309 @@
 package bitternpulley.net;
 
-import bitternpulley.net.HttpServer.Exchange;
-import bitternpulley.net.HttpServer.Request;
-import bitternpulley.net.HttpServer.Response;
 import java.lang.System.Logger.Level;
 import java.nio.ByteBuffer;
 
 /**
- * One client's connection: idle, reading a request, with a request under way, or ending. Bytes are
- * read in each of these, so that a client that leaves is noticed at once.
+ * One client's connection: idle, receiving a request, handling one, or ending. It reads in each of
+ * these states, so that a client that disconnects is noticed at once.
  */
 final class HttpSession implements Connection.Owner {
-  /** How strong a claim to its place a session has; none makes room that is busy. */
-  static final int SILENT = 0;
-
-  static final int IDLE = 1;
-  static final int PARTIAL = 2;
-  static final int BUSY = 3;
+  /** The order in which sessions are evicted when a server has no capacity left. */
+  enum EvictionOrder {
+    /** The client has sent nothing yet, or only its end of the connection is missing. */
+    SILENT,
+    /** No request is in progress. */
+    IDLE,
+    /** A request is incomplete. */
+    PARTIAL,
+    /** The session is busy, or too young to be judged. */
+    NEVER
+  }
 
   private static final System.Logger LOG = System.getLogger(HttpSession.class.getName());
 
   /**
-   * Bytes kept of what a client sends ahead of its turn. A client that sends more is answered so
-   * far, and then told so.
-   */
-  private static final int MOST_AHEAD = 256 * 1024;
-
-  /**
-   * Ms that the client of an idle connection gets to end its side after ours: what was on its way
-   * as we did so arrives by then, and is dropped.
+   * Time that the client of an idle connection gets to end its side after this one: a request that
+   * crossed the close arrives by then and is discarded.
    */
-  private static final double CROSSING = 25;
+  private static final double IDLE_LINGER_MS = 25;
 
   /**
-   * Ms by which a request may have lain unread and its client still be taken to be there, without
-   * another look.
+   * When a request may have lain unread for longer than this, the sockets are polled once more
+   * before it is handled, as its client may have disconnected.
    */
-  private static final double SURELY_THERE = 50;
-
-  private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
+  private static final double RECHECK_AFTER_MS = 50;
 
   private final HttpServer server;
+  private final HttpSessionRegistry sessions;
+  private final DrainState drainState;
   private final EventLoop loop;
   private final Connection connection;
-  private final WholeMessages messages = new WholeMessages(this::begun, this::whole);
+  private final HttpMessageAggregator aggregator =
+      new HttpMessageAggregator(this::onHead, this::onRequest);
   private final HttpParser parser;
+  private final PipelineBuffer pipeline = new PipelineBuffer();
+  private boolean pipelineOverflowed;
+  private HttpExchange exchange;
+  private boolean ending;
+  private int requestCount;
+  private long bufferedBytes;
 
-  /** What was sent ahead of its turn, up to the position. */
-  private ByteBuffer ahead = NOTHING;
-
-  private boolean overrun;
-  private Call call;
-  private boolean broken;
-  private int count;
-  private long mine;
-
-  /** When what was read last may have come. */
-  private double cameAt;
+  /** When the bytes that were read last may have arrived. */
+  private double arrivedAt;
 
-  /** When it was opened, its request begun or its last answer written. */
+  /** When the connection was opened, its request begun or its last response written. */
   private double since;
 
-  HttpSession(HttpServer server, Connection connection, int mostBody) {
+  HttpSession(HttpServer server, Connection connection, int maxBodyBytes) {
     this.server = server;
+    this.sessions = server.sessions();
+    this.drainState = server.drainState();
     this.loop = server.loop();
     this.connection = connection;
-    this.parser = new HttpParser(false, mostBody, messages);
+    this.parser = new HttpParser(false, maxBodyBytes, aggregator);
     this.since = loop.now();
   }
 
-  private boolean idle() {
-    return call == null && parser.idle() && !broken;
+  private boolean isIdle() {
+    return exchange == null && parser.idle() && !ending;
   }
 
-  private double age() {
-    return loop.now() - since;
+  private boolean isReceivingRequest() {
+    return exchange == null && !ending && !parser.idle();
   }
 
-  double since() {
-    return since;
+  private double age() {
+    return loop.now() - since;
   }
 
-  boolean unusedFor(double ms) {
-    return count > 0 && idle() && age() > ms;
+  /** Returns whether the client has kept the connection idle for {@code ms} after a response. */
+  boolean isUnusedFor(double ms) {
+    return requestCount > 0 && isIdle() && age() > ms;
   }
 
   /**
-   * Until its client has ended its side as well, or had the time to, and while a first request may
-   * be on its way. Guards against a program that ends, and with it by a reset the connection of a
-   * client which still reads its answer.
+   * Returns whether the session has work left. This includes a first request that may be on its
+   * way, and the client's end of the connection: a process that exits before it would send a reset
+   * to a client that is still reading its response.
    */
-  boolean owes() {
-    return count == 0 || call != null || broken || !parser.idle() || !connection.isWritten();
+  boolean hasPendingWork() {
+    return requestCount == 0
+        || exchange != null
+        || ending
+        || !parser.idle()
+        || !connection.hasWrittenAll();
   }
 
-  /** Whether a request is under way, or an answer on its way out. */
-  boolean owesAnswer() {
-    return call != null || !connection.isWritten();
+  /** Returns whether a request is in progress, or its response not completely written. */
+  boolean hasPendingResponse() {
+    return exchange != null || !connection.hasWrittenAll();
   }
 
-  int claim() {
-    boolean spared = server.spares(age());
-    if (idle()) {
-      return count > 0 ? IDLE : spared ? BUSY : SILENT;
+  /** Returns when this session may be evicted, relative to others. */
+  EvictionOrder evictionOrder() {
+    boolean withinGrace = sessions.isWithinGrace(age());
+    if (isIdle() && requestCount > 0) {
+      return EvictionOrder.IDLE;
     }
-    if (connection.isLingering()) {
-      return spared ? BUSY : SILENT;
+    if (withinGrace) {
+      return EvictionOrder.NEVER;
+    }
+    if (isIdle() || connection.isLingering()) {
+      return EvictionOrder.SILENT;
     }
-    return call != null || broken || spared ? BUSY : PARTIAL;
+    return exchange != null || ending ? EvictionOrder.NEVER : EvictionOrder.PARTIAL;
+  }
+
+  /** Returns whether this session is evicted before another; of equals, the longest unchanged. */
+  boolean isEvictedBefore(HttpSession other) {
+    int order = evictionOrder().compareTo(other.evictionOrder());
+    return order < 0 || (order == 0 && since < other.since);
   }
 
-  void makeRoom() {
+  /** Ends the session so that another client can be served. */
+  void evict() {
     if (connection.isLingering()) {
       connection.close();
-    } else if (idle()) {
-      end();
+    } else if (isIdle()) {
+      closeIdle();
     } else {
       refuse(503, "there is no room");
     }
   }
 
-  /**
-   * Guards against connections that are opened and left, and requests that are begun and never end.
-   */
-  void check() {
-    HttpServer.Timeouts timeouts = server.timeouts();
-    if (idle()
-        && (age() > (count == 0 ? timeouts.firstByte() : timeouts.keepAlive())
-            || server.endsIdle(age(), count > 0))) {
-      end();
-    } else if (call == null && !broken && !parser.idle() && server.tooLate(since)) {
+  /** Ends connections that stay unused and requests that stay incomplete. */
+  void enforceTimeouts() {
+    if (isIdle() && isIdleTimeOver()) {
+      closeIdle();
+    } else if (isReceivingRequest() && drainState.rejectsRequest(since)) {
       refuse(503, "clients are being sent away");
-    } else if (call == null && !broken && !parser.idle() && age() > timeouts.request()) {
+    } else if (isReceivingRequest() && age() > server.timeouts().request()) {
       refuse(408, "the request did not end in time");
     }
   }
 
+  private boolean isIdleTimeOver() {
+    HttpServer.Timeouts timeouts = server.timeouts();
+    return age() > (requestCount == 0 ? timeouts.firstByte() : timeouts.keepAlive())
+        || drainState.closesIdle(age(), requestCount > 0);
+  }
+
   /**
-   * Ends an idle connection in order: a request that crosses the end is not read, and its client
-   * sees no reset.
+   * Closes an idle connection in order: a request that crosses the close is not read, and its
+   * client sees no reset.
    */
-  private void end() {
-    broken = true;
-    connection.closeGracefully(CROSSING);
+  private void closeIdle() {
+    ending = true;
+    connection.closeGracefully(IDLE_LINGER_MS);
   }
 
   private void refuse(int status, String reason) {
-    broken = true;
-    ahead = NOTHING;
-    hold(0);
+    ending = true;
+    pipeline.clear();
+    recordBuffered(0);
     send(server.handler().unusable(status, reason), false);
   }
 
-  /** False where all connections together keep too much. */
-  private boolean hold(long bytes) {
-    boolean fits = server.holds(mine, bytes);
-    mine = bytes;
+  /** Records the bytes buffered here; returns false when all sessions together buffer too much. */
+  private boolean recordBuffered(long bytes) {
+    boolean fits = sessions.recordBuffered(bufferedBytes, bytes);
+    bufferedBytes = bytes;
     return fits;
   }
 
   @Override
   public void received(ByteBuffer bytes) {
-    double seen = loop.now() - loop.unread();
-    // What a client sends behind an answer cannot have come before that.
-    cameAt = count > 0 && idle() ? Math.max(seen, Math.min(since, loop.now())) : seen;
-    take(bytes);
-    if (bytes.hasRemaining() && !broken) {
-      keep(bytes);
+    double earliest = loop.now() - loop.unreadMs();
+    // What a client sends after a response cannot have arrived before it was written.
+    arrivedAt =
+        requestCount > 0 && isIdle() ? Math.max(earliest, Math.min(since, loop.now())) : earliest;
+    parseRequests(bytes);
+    if (bytes.hasRemaining() && !ending) {
+      bufferPipelined(bytes);
     }
   }
 
-  private void take(ByteBuffer bytes) {
-    while (call == null && bytes.hasRemaining() && !broken) {
+  private void parseRequests(ByteBuffer bytes) {
+    while (exchange == null && bytes.hasRemaining() && !ending) {
       parse(bytes);
     }
   }
 
-  /** What comes while a request is under way waits for the end of that. */
-  private void keep(ByteBuffer bytes) {
-    if (overrun) {
-      return;
-    }
-    int size = ahead.position() + bytes.remaining();
-    if (size > MOST_AHEAD || !hold(size)) {
-      // Guards against memory used up by what is sent ahead. It is read on all the same: were it
-      // left unread, its client's
-      // end behind it would not be seen.
-      overrun = true;
-      hold(ahead.position());
-      connection.dropInput();
-      return;
+  private void parse(ByteBuffer bytes) {
+    if (parser.idle()) {
+      since = loop.now();
     }
-    if (size > ahead.capacity()) {
-      ahead =
-          ByteBuffer.allocate(Math.max(size, Math.min(MOST_AHEAD, 2 * ahead.capacity())))
-              .put(ahead.flip());
+    try {
+      parser.read(bytes);
+      // Many large bodies at once may exceed the memory although none of them is too large.
+      if (!recordBuffered(aggregator.bufferedBytes()) && aggregator.bufferedBytes() > 0) {
+        throw new HttpException(503, "too much is being sent at once");
+      }
+    } catch (HttpException exception) {
+      refuse(exception.status(), exception.getMessage());
     }
-    ahead.put(bytes);
   }
 
-  /** Takes up what was sent ahead. */
-  private void goOn() {
-    ahead.flip();
-    take(ahead);
-    if (broken) {
+  /** Buffers what arrives while a request is in progress. */
+  private void bufferPipelined(ByteBuffer bytes) {
+    if (pipelineOverflowed) {
       return;
     }
-    ahead.compact();
-    if (ahead.position() == 0) {
-      ahead = NOTHING;
-    }
-    if (call == null && overrun) {
-      refuse(413, "more was sent ahead than is kept");
-    } else {
-      hold(ahead.position() + messages.held());
+    int size = pipeline.sizeWith(bytes);
+    if (PipelineBuffer.fits(size) && recordBuffered(size)) {
+      pipeline.append(bytes);
+      return;
     }
+    // Reading goes on, because the client's end of the connection behind this would not be noticed
+    // otherwise.
+    pipelineOverflowed = true;
+    recordBuffered(pipeline.size());
+    connection.discardInput();
   }
 
-  private void parse(ByteBuffer bytes) {
-    if (parser.idle()) {
-      since = loop.now();
+  /** Continues with what arrived while the last request was in progress. */
+  private void resumePipelined() {
+    parseRequests(pipeline.startReading());
+    if (ending) {
+      return;
     }
-    try {
-      parser.read(bytes);
-      if (!hold(messages.held()) && messages.held() > 0) {
-        // Guards against memory used up by many large bodies at once, none of them too large by
-        // itself.
-        throw new HttpException(503, "too much is being sent at once");
-      }
-    } catch (HttpException e) {
-      refuse(e.status(), e.getMessage());
+    pipeline.finishReading();
+    if (exchange == null && pipelineOverflowed) {
+      refuse(413, "more was sent ahead than is kept");
+    } else {
+      recordBuffered(pipeline.size() + aggregator.bufferedBytes());
     }
   }
 
-  private void begun(HttpHead head) {
+  private void onHead(HttpHead head) {
     if ("100-continue".equalsIgnoreCase(head.header("expect"))) {
-      connection.write(HttpServer.ascii("HTTP/1.1 100 Continue\r\n\r\n"), () -> {});
+      connection.write(HttpResponseEncoder.encodeContinue(), () -> {});
     }
   }
 
   /**
-   * Hands a whole request on at the end of the turn, when what lies behind it on the connection has
-   * been read. Guards against the request of a client that has left meanwhile; where the loop was
-   * late, the sockets are looked at once more.
+   * Hands on a complete request at the end of the turn, when the client's end of the connection, if
+   * it lies behind the request, has been read: a request whose client has left is not handled.
    */
-  private void whole(HttpHead head, byte[] body) {
-    server.used(this);
-    count++;
-    Call next = new Call(this, head.keepAlive());
-    call = next;
+  private void onRequest(HttpHead head, byte[] body) {
+    sessions.markUsed(this);
+    requestCount++;
+    HttpExchange next = new HttpExchange(this, head.keepAlive());
+    exchange = next;
     Runnable handle = () -> handle(head, body, next);
-    if (loop.unread() > SURELY_THERE) {
-      loop.after(0, handle);
+    if (loop.unreadMs() > RECHECK_AFTER_MS) {
+      loop.schedule(0, handle);
     } else {
       loop.execute(handle);
     }
   }
 
-  private void handle(HttpHead head, byte[] body, Call next) {
+  private void handle(HttpHead head, byte[] body, HttpExchange next) {
     if (connection.isClosed()) {
       return;
     }
-    if (server.tooLate(since)) {
+    if (drainState.rejectsRequest(since)) {
       refuse(503, "clients are being sent away");
       return;
     }
     try {
-      server.handler().handle(new Request(head, body, loop.now() - cameAt, loop.worstTurn()), next);
-    } catch (RuntimeException e) {
-      // Guards against a request that is lost because dealing with it failed.
-      LOG.log(Level.ERROR, "a request could not be dealt with", e);
+      double unread = loop.now() - arrivedAt;
+      server.handler().handle(new HttpServer.Request(head, body, unread, loop.worstLagMs()), next);
+    } catch (RuntimeException exception) {
+      // Supervised boundary: a request whose handler fails still gets a response.
+      LOG.log(Level.ERROR, "Handling a request failed", exception);
       next.reply(server.handler().unusable(500, "failed"));
     }
   }
 
-  private void send(Response r, boolean keep) {
-    boolean stays = keep && server.keepsConnections();
-    StringBuilder text =
-        new StringBuilder("HTTP/1.1 ")
-            .append(r.status())
-            .append(' ')
-            .append(HttpServer.reason(r.status()));
-    r.headers()
-        .forEach((name, value) -> text.append("\r\n").append(name).append(": ").append(value));
-    text.append("\r\nContent-Length: ").append(r.body().length);
-    text.append(stays ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n");
-    ByteBuffer first = HttpServer.ascii(text.toString());
-    ByteBuffer all =
-        ByteBuffer.allocate(first.remaining() + r.body().length).put(first).put(r.body()).flip();
+  /** Writes a response, after which the connection stays open if {@code keepAlive} and allowed. */
+  void send(HttpServer.Response response, boolean keepAlive) {
+    boolean staysOpen = keepAlive && server.keepsConnections();
     connection.write(
-        all,
-        () -> {
-          call = null;
-          since = loop.now();
-          if (stays && (ahead.position() > 0 || overrun)) {
-            goOn();
-          }
-          server.lookForRoom();
-        });
-    if (!stays) {
-      broken = true;
+        HttpResponseEncoder.encode(response, staysOpen), () -> responseWritten(staysOpen));
+    if (!staysOpen) {
+      ending = true;
       connection.closeGracefully();
     }
   }
 
-  @Override
-  public void closed() {
-    hold(0);
-    ahead = NOTHING;
-    if (call != null) {
-      call.left();
+  private void responseWritten(boolean staysOpen) {
+    exchange = null;
+    since = loop.now();
+    if (staysOpen && (pipeline.size() > 0 || pipelineOverflowed)) {
+      resumePipelined();
     }
-    server.ended(this);
+    server.acceptIfCapacity();
   }
 
-  private static final class Call implements Exchange {
-    private final HttpSession session;
-    private final boolean keep;
-    private Runnable gone;
-    private boolean replied;
-
-    Call(HttpSession session, boolean keep) {
-      this.session = session;
-      this.keep = keep;
-    }
-
-    @Override
-    public void reply(Response response) {
-      if (!replied) {
-        replied = true;
-        session.send(response, keep);
-      }
-    }
-
-    @Override
-    public void onGone(Runnable gone) {
-      this.gone = gone;
-    }
-
-    void left() {
-      if (!replied && gone != null) {
-        gone.run();
-      }
+  @Override
+  public void closed() {
+    recordBuffered(0);
+    pipeline.clear();
+    if (exchange != null) {
+      exchange.clientDisconnected();
     }
+    server.sessionEnded(this);
   }
 }
--- /dev/null
+++ b/src/test/java/bitternpulley/net/EventLoopLagTest.java
@@ -0,0 +1,103 @@
+package bitternpulley.net;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
+
+/**
+ * Ticks and turns in virtual time, as they come to a loop that is on time, is stopped, or has a
+ * long turn.
+ */
+public class EventLoopLagTest {
+  private EventLoopLag lag;
+
+  @BeforeMethod
+  public void fresh() {
+    lag = new EventLoopLag();
+  }
+
+  private double runOnTime(double from, double to) {
+    for (double now = from; now <= to; now += EventLoopLag.TICK_INTERVAL_MS) {
+      lag.turnStarted(now);
+      lag.tick(now);
+    }
+    return to;
+  }
+
+  @Test
+  public void reportsNothingUnreadWhileOnTime() {
+    EventLoopLag fresh = new EventLoopLag();
+    fresh.turnStarted(5000);
+    assertEquals(fresh.unreadMs(5000), 0.0, "no beat yet");
+    for (double now = 0; now < 1000; now += 27) {
+      fresh.tick(now);
+      fresh.turnStarted(now + 13);
+      assertEquals(fresh.unreadMs(now + 13), 0.0);
+    }
+    assertEquals(fresh.worstLagMs(1000), 0.0);
+  }
+
+  @Test
+  public void countsBytesReadAfterAPauseFromTheLastTurn() {
+    runOnTime(0, 1000);
+    lag.turnStarted(1150);
+    assertEquals(lag.unreadMs(1150), 150.0);
+    // It makes no difference whether the tick or a socket has the first turn after the pause, nor
+    // how many turns follow.
+    lag.tick(1150);
+    lag.turnStarted(1170);
+    assertEquals(lag.unreadMs(1170), 170.0, "still being read");
+    runOnTime(1175, 1400);
+    assertEquals(lag.unreadMs(1400), 0.0, "all of it is read by now");
+    assertEquals(lag.worstLagMs(1400), 150.0);
+    runOnTime(1400, 20_000);
+    assertEquals(lag.worstLagMs(20_000), 0.0, "out of the window");
+  }
+
+  /** A long turn, as before the JIT has compiled it, hides what arrives just as a pause does. */
+  @Test
+  public void countsALongTurnFromItsStart() {
+    EventLoopLag longTurn = new EventLoopLag();
+    longTurn.tick(0);
+    longTurn.turnStarted(10);
+    longTurn.turnStarted(410);
+    assertEquals(longTurn.unreadMs(410), 400.0);
+  }
+
+  /** Timers may be on time while the results of one poll are handled turn by turn. */
+  @Test
+  public void countsBytesAsUnreadWhileTheResultsOfOnePollAreHandled() {
+    runOnTime(0, 1000);
+    lag.socketTurnStarted(1000, 900);
+    assertEquals(lag.unreadMs(1000), 0.0, "the socket was polled just now");
+    double now = 1000;
+    for (int i = 0; i < 50; i++, now += 4) {
+      lag.socketTurnStarted(now, 800 + i);
+      lag.socketTurnEnded(now + 3);
+      lag.turnStarted(now + 3.5);
+      lag.tick(now + 3.5);
+    }
+    lag.socketTurnStarted(now, 990);
+    assertEquals(lag.unreadMs(now), 200.0, "since the poll at 1,000");
+    lag.socketTurnEnded(now + 1);
+    lag.socketTurnStarted(now + 2, 1150);
+    assertEquals(lag.unreadMs(now + 2), 52.0, "what was armed at 1,150 was found by a later poll");
+    lag.socketTurnEnded(now + 3);
+    lag.socketTurnStarted(now + 20, 0);
+    assertEquals(lag.unreadMs(now + 20), 0.0);
+  }
+
+  /** An instance that is always a little late must not count its queries as minutes old. */
+  @Test
+  public void doesNotAccumulateLastingLag() {
+    EventLoopLag slow = new EventLoopLag();
+    for (double now = 0; now < 60_000; now += 80) {
+      slow.turnStarted(now);
+      slow.tick(now);
+      assertTrue(slow.unreadMs(now) <= 160, "at " + now + ": " + slow.unreadMs(now));
+    }
+    assertEquals(slow.worstLagMs(60_000), 80.0);
+  }
+}
