--- a/src/test/java/bitternpulley/trace/HedgingTraceTest.java
+++ b/src/test/java/bitternpulley/trace/HedgingTraceTest.java
@@ -172,10 +172,11 @@
     }
 
     private void end(String key, Router.Outcome outcome) {
-      Running r = running.remove(key);
-      if (r != null) {
+      Running ended = running.remove(key);
+      if (ended != null) {
         router.onAttemptEnded(
-            new Router.AttemptEnded(r.part(), r.number(), r.server(), outcome, now - r.sentAt()),
+            new Router.AttemptEnded(
+                ended.part(), ended.number(), ended.server(), outcome, now - ended.sentAt()),
             now,
             this);
       }
--- a/src/test/java/bitternpulley/trace/TraceDigest.java
+++ b/src/test/java/bitternpulley/trace/TraceDigest.java
@@ -24,7 +24,7 @@
   public void add(Object... words) {
     String line =
         Arrays.stream(words)
-            .map(w -> w instanceof Double d ? Double.toHexString(d) : String.valueOf(w))
+            .map(w -> w instanceof Double number ? Double.toHexString(number) : String.valueOf(w))
             .collect(Collectors.joining(" "));
     digest.update((line + "\n").getBytes(StandardCharsets.UTF_8));
     lines++;
--- a/src/test/java/bitternpulley/trace/TraceWorld.java
+++ b/src/test/java/bitternpulley/trace/TraceWorld.java
@@ -14,6 +14,7 @@
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
@@ -160,50 +161,47 @@
 
   private void ask(int instance, int mostParts, List<String> teams) {
     int queryClass = random.nextInt(settings.classes().size());
-    Settings.QueryClass listed = settings.classes().get(queryClass);
-    int parts = 1 + random.nextInt(mostParts);
-    int first = random.nextInt(settings.layout().shards());
-    double[] weights = random.doubles(parts).map(w -> 0.2 + w).toArray();
-    double sum = java.util.Arrays.stream(weights).sum();
-    boolean hinted = random.nextInt(3) == 0;
-    List<Request.QueryPart> slices =
-        IntStream.range(0, parts)
-            .mapToObj(
-                i ->
-                    new Request.QueryPart(
-                        (first + i) % settings.layout().shards(),
-                        weights[i] / sum,
-                        hinted ? 60 * weights[i] : 0))
-            .toList();
-    double time = listed.deadline() * (0.3 + 0.7 * random.nextDouble());
+    List<Request.QueryPart> parts = parts(mostParts);
+    double timeout =
+        settings.classes().get(queryClass).deadline() * (0.3 + 0.7 * random.nextDouble());
     String team = teams.isEmpty() ? null : teams.get(queryClass % teams.size());
-    Router.Lateness late =
+    Router.Lateness lateness =
         random.nextInt(5) == 0
             ? new Router.Lateness(20 * random.nextDouble(), 10)
             : Router.Lateness.NONE;
     long id = ++requests;
-    submit(
-        instance,
-        new Event.RequestReceived(
-            new Request(
-                id,
-                null,
-                queryClass,
-                time,
-                random.nextInt(6) == 0,
-                new Router.Terms(random.nextInt(8) == 0, random.nextInt(8) == 0),
-                slices,
-                null,
-                team,
-                id % 50,
-                late)));
+    boolean retry = random.nextInt(6) == 0;
+    Router.Terms terms = new Router.Terms(random.nextInt(8) == 0, random.nextInt(8) == 0);
+    Request request =
+        new Request(
+            id, null, queryClass, timeout, retry, terms, parts, null, team, id % 50, lateness);
+    submit(instance, new Event.RequestReceived(request));
     if (random.nextInt(12) == 0) {
       at(
-          now + time * random.nextDouble(),
+          now + timeout * random.nextDouble(),
           () -> submit(instance, new Event.ClientDisconnected(id)));
     }
   }
 
+  /**
+   * Parts on consecutive shards with random weights; those of one query in three have estimates.
+   */
+  private List<Request.QueryPart> parts(int mostParts) {
+    int count = 1 + random.nextInt(mostParts);
+    int first = random.nextInt(settings.layout().shards());
+    double[] weights = random.doubles(count).map(weight -> 0.2 + weight).toArray();
+    double sum = Arrays.stream(weights).sum();
+    boolean estimated = random.nextInt(3) == 0;
+    return IntStream.range(0, count)
+        .mapToObj(
+            i ->
+                new Request.QueryPart(
+                    (first + i) % settings.layout().shards(),
+                    weights[i] / sum,
+                    estimated ? 60 * weights[i] : 0))
+        .toList();
+  }
+
   private void submit(int instance, Event event) {
     for (Effect effect : instances.get(instance).reduce(event, now)) {
       effect.dispatch(new EffectLines(digest, instance, now));
@@ -212,33 +210,33 @@
   }
 
   private void perform(int instance, Effect effect) {
-    if (effect instanceof Effect.StartCall e) {
-      e.attempts().forEach(s -> perform(instance, s));
-    } else if (effect instanceof Effect.StartAttempt e) {
-      start(instance, e);
-    } else if (effect instanceof Effect.CancelAttempt e) {
-      at(now + 0.1, () -> submit(instance, new Event.AttemptCancelled(e.id())));
-    } else if (effect instanceof Effect.CancelUnsent e) {
-      unsend(instance, e.id().part() + "/" + e.id().number());
-    } else if (effect instanceof Effect.CancelUnsentTo e) {
+    if (effect instanceof Effect.StartCall call) {
+      call.attempts().forEach(s -> perform(instance, s));
+    } else if (effect instanceof Effect.StartAttempt attempt) {
+      start(instance, attempt);
+    } else if (effect instanceof Effect.CancelAttempt cancellation) {
+      at(now + 0.1, () -> submit(instance, new Event.AttemptCancelled(cancellation.id())));
+    } else if (effect instanceof Effect.CancelUnsent unsent) {
+      unsend(instance, unsent.id().part() + "/" + unsent.id().number());
+    } else if (effect instanceof Effect.CancelUnsentTo unsentTo) {
       running.entrySet().stream()
           .filter(
               r ->
                   r.getValue().instance() == instance
-                      && r.getValue().start().server().equals(e.server()))
+                      && r.getValue().start().server().equals(unsentTo.server()))
           .map(Map.Entry::getKey)
           .sorted()
           .map(k -> k.substring(k.indexOf(':') + 1))
           .toList()
           .forEach(k -> unsend(instance, k));
-    } else if (effect instanceof Effect.WakeAt e) {
-      at(e.time(), () -> submit(instance, e.event()));
-    } else if (effect instanceof Effect.PersistOverride e) {
-      keep(e.command());
-    } else if (effect instanceof Effect.SendGossip e) {
-      post(e.to(), new Event.GossipReceived(e.message()));
-    } else if (effect instanceof Effect.SendLeaseMessage e) {
-      post(e.to(), new Event.LeaseMessageReceived(e.message()));
+    } else if (effect instanceof Effect.WakeAt alarm) {
+      at(alarm.time(), () -> submit(instance, alarm.event()));
+    } else if (effect instanceof Effect.PersistOverride persist) {
+      keep(persist.command());
+    } else if (effect instanceof Effect.SendGossip gossip) {
+      post(gossip.to(), new Event.GossipReceived(gossip.message()));
+    } else if (effect instanceof Effect.SendLeaseMessage lease) {
+      post(lease.to(), new Event.LeaseMessageReceived(lease.message()));
     }
   }
 
@@ -256,30 +254,30 @@
     }
   }
 
-  private void start(int instance, Effect.StartAttempt e) {
-    String key = instance + ":" + e.id().part() + "/" + e.id().number();
-    running.put(key, new Running(instance, e, now));
-    double hint = e.request().parts().get(e.partIndex()).estimatedWork();
+  private void start(int instance, Effect.StartAttempt attempt) {
+    String key = instance + ":" + attempt.id().part() + "/" + attempt.id().number();
+    running.put(key, new Running(instance, attempt, now));
+    double hint = attempt.request().parts().get(attempt.partIndex()).estimatedWork();
     TraceServers.End end =
-        servers.take(Integer.parseInt(e.server().substring(1)), hint > 0 ? hint : 45, now);
+        servers.take(Integer.parseInt(attempt.server().substring(1)), hint > 0 ? hint : 45, now);
     if (!end.outcome().equals("NEVER")) {
       at(now + end.afterMs(), () -> end(key, Router.Outcome.valueOf(end.outcome())));
     }
     if (random.nextInt(200) == 0) {
-      at(now + 3, () -> submit(instance, new Event.RequestRejectedByServer(e.id(), null)));
+      at(now + 3, () -> submit(instance, new Event.RequestRejectedByServer(attempt.id(), null)));
     }
   }
 
   private void end(String key, Router.Outcome outcome) {
-    Running r = running.remove(key);
-    if (r != null) {
-      submit(r.instance(), new Event.AttemptEnded(r.start().id(), outcome, null));
+    Running ended = running.remove(key);
+    if (ended != null) {
+      submit(ended.instance(), new Event.AttemptEnded(ended.start().id(), outcome, null));
     }
   }
 
   private void unsend(int instance, String attempt) {
-    Running r = running.get(instance + ":" + attempt);
-    if (r != null && now - r.sentAt() <= UNSENT_WITHIN_MS) {
+    Running ended = running.get(instance + ":" + attempt);
+    if (ended != null && now - ended.sentAt() <= UNSENT_WITHIN_MS) {
       at(now, () -> end(instance + ":" + attempt, Router.Outcome.NOT_SENT));
     }
   }
