--- a/src/main/java/bitternpulley/simulator/Main.java
+++ b/src/main/java/bitternpulley/simulator/Main.java
@@ -7,29 +7,48 @@
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 
-/** Hosts the decision module on a pipe: a line of events in, a line of actions out. */
+/** Runs the simulator adapter on standard input and output: one batch a line, one reply a line. */
 public final class Main {
+  /** Characters read ahead from standard input. */
+  private static final int INPUT_BUFFER_CHARS = 1 << 16;
+
+  /** Exit status after a batch that cannot be used. */
+  private static final int STATUS_UNUSABLE_INPUT = 2;
+
   private Main() {}
 
+  /**
+   * Answers batches until standard input ends. A batch that cannot be used ends the program with a
+   * message on standard error.
+   *
+   * @param args not used
+   * @throws IOException when standard input or output fails
+   */
   public static void main(String[] args) throws IOException {
-    Host host = new Host();
-    BufferedReader in =
-        new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
-    Writer out = new OutputStreamWriter(System.out, StandardCharsets.UTF_8);
-    long batch = 0;
-    for (String line = in.readLine(); line != null; line = in.readLine()) {
-      batch++;
+    SimulatorAdapter adapter = new SimulatorAdapter();
+    BufferedReader input =
+        new BufferedReader(
+            new InputStreamReader(System.in, StandardCharsets.UTF_8), INPUT_BUFFER_CHARS);
+    Writer output = new OutputStreamWriter(System.out, StandardCharsets.UTF_8);
+    long batchNumber = 0;
+    for (String line = input.readLine(); line != null; line = input.readLine()) {
+      batchNumber++;
       if (line.isEmpty()) {
         continue;
       }
-      try {
-        out.write(host.reply(line));
-      } catch (WireException e) {
-        System.err.println("bitternpulley: batch " + batch + ": " + e.getMessage());
-        System.exit(2);
-      }
-      out.write('\n');
-      out.flush();
+      output.write(replyOrExit(adapter, line, batchNumber));
+      output.write('\n');
+      output.flush();
+    }
+  }
+
+  private static String replyOrExit(SimulatorAdapter adapter, String line, long batchNumber) {
+    try {
+      return adapter.reply(line);
+    } catch (BatchException exception) {
+      System.err.println("bitternpulley: batch " + batchNumber + ": " + exception.getMessage());
+      System.exit(STATUS_UNUSABLE_INPUT);
+      throw exception;
     }
   }
 }
