--- a/src/main/java/bitternpulley/opensearch/PartHits.java
+++ b/src/main/java/bitternpulley/opensearch/PartHits.java
@@ -3,44 +3,58 @@
 import bitternpulley.broker.Payload;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
+import java.util.Optional;
 import java.util.stream.StreamSupport;
 
 /**
- * What one part of a search brought: its hits in order, and how many match (-1 where it does not
- * say).
+ * The hits of one part.
+ *
+ * @param total how many documents match; -1 where the server does not say
+ * @param isExact whether the total is exact; otherwise it is a lower bound
+ * @param hits the best hits in order
  */
-record PartHits(long total, boolean exact, List<JsonNode> hits) implements Payload {
-
-  /** Why a part failed, as its server put it. */
-  record Failure(int status, String type, String reason) implements Payload {}
+record PartHits(long total, boolean isExact, List<JsonNode> hits) implements Payload {
+  private static final long UNKNOWN_TOTAL = -1;
 
   /**
-   * Reads a server's answer to a part; null where it is not an answer from the whole of it, its
-   * total included.
+   * Reads a server's answer to a part.
+   *
+   * @param answer the body of the answer
+   * @param needsTotal whether an answer without a total is incomplete
+   * @return the hits; empty where the answer does not cover the whole part
    */
-  static PartHits read(JsonNode in, boolean totalWanted) {
-    JsonNode hits = in.path("hits");
-    JsonNode shards = in.path("_shards");
-    // Guards against passing off less as the whole: a part that its server cut short has failed.
-    if (in.path("timed_out").asBoolean(false)
-        || shards.path("failed").asInt(0) > 0
-        || in.path("terminated_early").asBoolean(false)
-        || !hits.path("hits").isArray()) {
-      return null;
-    }
-    for (JsonNode hit : hits.path("hits")) {
-      if (!hit.path("_score").isNumber()) {
-        return null;
-      }
+  static Optional<PartHits> read(JsonNode answer, boolean needsTotal) {
+    JsonNode hits = answer.path("hits");
+    if (isCutShort(answer) || !areMergeable(hits.path("hits"))) {
+      return Optional.empty();
     }
     JsonNode total = hits.path("total");
     JsonNode value = total.isObject() ? total.path("value") : total;
-    if (totalWanted && !value.isIntegralNumber()) {
-      return null;
+    if (needsTotal && !value.isIntegralNumber()) {
+      return Optional.empty();
+    }
+    return Optional.of(
+        new PartHits(
+            value.isIntegralNumber() ? value.longValue() : UNKNOWN_TOTAL,
+            !"gte".equals(total.path("relation").asText("eq")),
+            StreamSupport.stream(hits.path("hits").spliterator(), false).toList()));
+  }
+
+  private static boolean isCutShort(JsonNode answer) {
+    return answer.path("timed_out").asBoolean(false)
+        || answer.path("_shards").path("failed").asInt(0) > 0
+        || answer.path("terminated_early").asBoolean(false);
+  }
+
+  private static boolean areMergeable(JsonNode hits) {
+    if (!hits.isArray()) {
+      return false;
+    }
+    for (JsonNode hit : hits) {
+      if (!hit.path("_score").isNumber()) {
+        return false;
+      }
     }
-    return new PartHits(
-        value.isIntegralNumber() ? value.longValue() : -1,
-        !"gte".equals(total.path("relation").asText("eq")),
-        StreamSupport.stream(hits.path("hits").spliterator(), false).toList());
+    return true;
   }
 }
--- /dev/null
+++ b/src/main/java/bitternpulley/opensearch/PartRequestEncoder.java
@@ -0,0 +1,65 @@
+package bitternpulley.opensearch;
+
+import bitternpulley.broker.Effect;
+import bitternpulley.net.HostPort;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+
+/** Encodes an attempt of a part as an HTTP request to its server. */
+final class PartRequestEncoder {
+  private static final ObjectMapper MAPPER = new ObjectMapper();
+
+  private PartRequestEncoder() {}
+
+  /** The bytes of the request, head and body. */
+  static ByteBuffer encode(Effect.StartAttempt attempt, HostPort address) {
+    Search search = PendingSearch.of(attempt);
+    Search.Part part = search.parts().get(attempt.partIndex());
+    byte[] body = body(search, attempt.timeout());
+    byte[] head = head(search, part, address, body.length).getBytes(StandardCharsets.US_ASCII);
+    return ByteBuffer.allocate(head.length + body.length).put(head).put(body).flip();
+  }
+
+  private static byte[] body(Search search, double timeoutMs) {
+    ObjectNode body = search.body().deepCopy();
+    body.put("timeout", Math.max(1, Math.round(timeoutMs)) + "ms");
+    try {
+      return MAPPER.writeValueAsBytes(body);
+    } catch (IOException exception) {
+      throw new UncheckedIOException(exception);
+    }
+  }
+
+  private static String head(Search search, Search.Part part, HostPort address, int contentLength) {
+    String partName = part.index() + "." + part.shard();
+    return "POST /"
+        + part.index()
+        + "/_search?preference=_shards:"
+        + part.shard()
+        + "&allow_partial_search_results=false HTTP/1.1\r\n"
+        + header("Host", address.toString())
+        + header("Content-Type", "application/json")
+        + header("X-Opaque-Id", search.id() + "." + partName)
+        + idempotencyKeyHeader(search, partName)
+        + header("Content-Length", String.valueOf(contentLength))
+        + "\r\n";
+  }
+
+  /**
+   * A server drops a request whose key it has seen, so each part of a search has a key of its own.
+   * All attempts of a part share it.
+   */
+  private static String idempotencyKeyHeader(Search search, String partName) {
+    return search.idempotencyKey() == null
+        ? ""
+        : header("Idempotency-Key", search.idempotencyKey() + "." + partName);
+  }
+
+  private static String header(String name, String value) {
+    return name + ": " + value + "\r\n";
+  }
+}
--- /dev/null
+++ b/src/main/java/bitternpulley/opensearch/SearchSubmitter.java
@@ -0,0 +1,129 @@
+package bitternpulley.opensearch;
+
+import bitternpulley.broker.Broker;
+import bitternpulley.broker.Clock;
+import bitternpulley.broker.Dialect;
+import bitternpulley.broker.Event;
+import bitternpulley.broker.Request;
+import bitternpulley.routing.Router;
+import bitternpulley.routing.Settings;
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+
+/** Decodes searches and submits them to the core. */
+final class SearchSubmitter {
+  private final Settings settings;
+  private final SearchDecoder decoder;
+  private final TenantResolver tenants;
+  private final Broker broker;
+  private final Dialect servers;
+  private final Clock clock;
+  private final String instance;
+
+  /**
+   * Creates a submitter.
+   *
+   * @param settings the settings of the site
+   * @param decoder decodes the searches
+   * @param tenants identifies their teams
+   * @param broker the core
+   * @param servers sends the parts
+   * @param clock the clock of the core
+   * @param instance the name of this instance, part of each search's id
+   */
+  SearchSubmitter(
+      Settings settings,
+      SearchDecoder decoder,
+      TenantResolver tenants,
+      Broker broker,
+      Dialect servers,
+      Clock clock,
+      String instance) {
+    this.settings = settings;
+    this.decoder = decoder;
+    this.tenants = tenants;
+    this.broker = broker;
+    this.servers = servers;
+    this.clock = clock;
+    this.instance = instance;
+  }
+
+  /**
+   * Submits a search.
+   *
+   * @param indexNames the indices to search; all if it is empty
+   * @param parameters the parameters that the client gave outside the body
+   * @param caller who sent it
+   * @param body the body
+   * @param onResponse receives the response once
+   * @return to be run when the client disconnects
+   * @throws SearchException if the search cannot be answered; then nothing is submitted
+   */
+  Runnable submit(
+      List<String> indexNames,
+      Map<String, String> parameters,
+      SearchCaller caller,
+      JsonNode body,
+      Consumer<SearchResponse> onResponse) {
+    long id = broker.nextId();
+    double startedAt = clock.now();
+    Search search =
+        decoder.decode(instance + "-" + id, caller.idempotencyKey(), indexNames, parameters, body);
+    checkLimits(search);
+    PendingSearch pending =
+        new PendingSearch(
+            search,
+            answer ->
+                onResponse.accept(SearchResponse.of(search, answer, clock.now() - startedAt)));
+    broker.submit(new Event.RequestReceived(request(id, pending, caller)));
+    return () -> broker.submit(new Event.ClientDisconnected(id));
+  }
+
+  private Settings.QueryClass queryClass(Search search) {
+    return settings.classes().get(search.queryClass());
+  }
+
+  private void checkLimits(Search search) {
+    Settings.QueryClass queryClass = queryClass(search);
+    if (queryClass.idempotency() == Settings.Idempotency.KEYED && search.idempotencyKey() == null) {
+      throw SearchException.illegalArgument(
+          "class [" + queryClass.name() + "] needs an Idempotency-Key header");
+    }
+    // The core would reject a search of too many parts with a status that invites a retry, which
+    // can never succeed.
+    int maxParts = settings.limits().maxPending() - 1;
+    int partCount = search.parts().size();
+    if (partCount > maxParts) {
+      throw SearchException.illegalArgument(
+          "Trying to query " + partCount + " shards, which is over the limit of " + maxParts);
+    }
+  }
+
+  private Request request(long id, PendingSearch pending, SearchCaller caller) {
+    Search search = pending.search();
+    return new Request(
+        id,
+        servers,
+        search.queryClass(),
+        timeLeftMs(search),
+        false,
+        new Router.Terms(!search.allowsPartialResults(), search.hasTimeout()),
+        queryParts(search.parts()),
+        pending,
+        tenants.team(caller.keyOwner(), search.parts()),
+        tenants.fingerprint(search),
+        caller.lateness());
+  }
+
+  private double timeLeftMs(Search search) {
+    double deadline = queryClass(search).deadline();
+    return search.hasTimeout() ? Math.min(search.timeoutMs(), deadline) : deadline;
+  }
+
+  private static List<Request.QueryPart> queryParts(List<Search.Part> parts) {
+    double weight = 1.0 / parts.size();
+    return parts.stream().map(part -> new Request.QueryPart(part.shard(), weight, 0)).toList();
+  }
+}
--- a/src/main/java/bitternpulley/opensearch/package-info.java
+++ b/src/main/java/bitternpulley/opensearch/package-info.java
@@ -1,11 +1,14 @@
 /**
- * The second front, in the style of the OpenSearch search API: {@link
- * bitternpulley.opensearch.SearchFront} reads searches, {@link
- * bitternpulley.opensearch.SearchServers} sends each part to a holder, {@link
- * bitternpulley.opensearch.SearchResponse} merges hits.
+ * The OpenSearch-style front: the search API towards clients, and the same API towards the slot
+ * servers. It goes through the same core as the platform's front and keeps the same rules.
  *
- * <p>It goes through the same core as the platform's front and keeps the same rules; what cannot be
- * merged rightly gets 400. Off unless configured. Start with {@link
- * bitternpulley.opensearch.SearchFront}.
+ * <p>It decides which searches can be answered (what cannot be merged correctly gets 400), how a
+ * search becomes one part for each shard of each index, and how the hits of the parts are merged.
+ * It never chooses a server, retries, or admits: the core does. Invariants: the API's names occur
+ * only in {@code SearchTarget}, {@code SearchBodies}, {@code SearchDecoder}, {@code
+ * PartRequestEncoder}, {@code PartResponseDecoder}, {@code PartHits}, {@code SearchResponse} and
+ * {@code HitMerger}; 429 is returned only when nothing of the search can have run; all calls come
+ * on the thread of the event loop. Off unless configured; assembled by the package {@code
+ * aggregator}. Start with {@link bitternpulley.opensearch.SearchFront}.
  */
 package bitternpulley.opensearch;
--- a/src/test/java/bitternpulley/opensearch/SearchResponseTest.java
+++ b/src/test/java/bitternpulley/opensearch/SearchResponseTest.java
@@ -1,8 +1,7 @@
 package bitternpulley.opensearch;
 
 import static org.testng.Assert.assertEquals;
-import static org.testng.Assert.assertNotNull;
-import static org.testng.Assert.assertNull;
+import static org.testng.Assert.assertTrue;
 
 import bitternpulley.broker.Effect.Answer;
 import bitternpulley.broker.Payload;
@@ -12,10 +11,11 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Merging, and the words for each kind of end, without any wire. */
+/** Responses and merging, without a network. */
 public class SearchResponseTest {
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -34,19 +34,19 @@
         true,
         trackTotal,
         null,
-        JSON.createObjectNode(),
-        answer -> {});
+        JSON.createObjectNode());
   }
 
   private static PartHits part(String total, String... hits) throws IOException {
     return PartHits.read(
-        json(
-            "{'timed_out':false,'_shards':{'failed':0},'hits':{'total':"
-                + total
-                + ",'hits':["
-                + String.join(",", hits)
-                + "]}}"),
-        true);
+            json(
+                "{'timed_out':false,'_shards':{'failed':0},'hits':{'total':"
+                    + total
+                    + ",'hits':["
+                    + String.join(",", hits)
+                    + "]}}"),
+            true)
+        .orElseThrow();
   }
 
   private static SearchResponse answered(long trackTotal, Payload first, Payload second) {
@@ -54,30 +54,30 @@
         search(trackTotal), new Answer.Answered(true, Map.of(0, first, 1, second), Map.of()), 7);
   }
 
-  private static void assertTotal(SearchResponse r, String expected) throws IOException {
-    assertEquals(r.body().at("/hits/total").toString(), json(expected).toString());
+  private static void assertTotal(SearchResponse response, String expected) throws IOException {
+    assertEquals(response.body().at("/hits/total").toString(), json(expected).toString());
   }
 
   @Test
-  public void tiesGoByPartAndPlace() throws IOException {
-    SearchResponse r =
+  public void breaksTiesByPartThenPosition() throws IOException {
+    SearchResponse response =
         answered(
             100,
             part("{'value':2,'relation':'eq'}", "{'_id':'x','_score':2}", "{'_id':'y','_score':1}"),
             part("2", "{'_id':'z','_score':2.0}", "{'_id':'w','_score':1}"));
-    assertEquals(r.body().at("/hits/hits").findValuesAsText("_id"), List.of("x", "z", "y"));
-    assertTotal(r, "{'value':4,'relation':'eq'}");
+    assertEquals(response.body().at("/hits/hits").findValuesAsText("_id"), List.of("x", "z", "y"));
+    assertTotal(response, "{'value':4,'relation':'eq'}");
   }
 
   @Test
-  public void aTotalThatIsNotExactSaysSo() throws IOException {
-    PartHits gte = part("{'value':50,'relation':'gte'}");
-    assertTotal(answered(100, gte, part("1")), "{'value':51,'relation':'gte'}");
-    assertTotal(answered(40, gte, part("1")), "{'value':40,'relation':'gte'}");
+  public void reportsTotalAsLowerBoundWhenNotExact() throws IOException {
+    PartHits lowerBound = part("{'value':50,'relation':'gte'}");
+    assertTotal(answered(100, lowerBound, part("1")), "{'value':51,'relation':'gte'}");
+    assertTotal(answered(40, lowerBound, part("1")), "{'value':40,'relation':'gte'}");
   }
 
   @DataProvider
-  public Object[][] notWhole() {
+  public Object[][] incompleteAnswers() {
     return new Object[][] {
       {"{'timed_out':true,'hits':{'total':1,'hits':[]}}"},
       {"{'_shards':{'failed':1},'hits':{'total':1,'hits':[]}}"},
@@ -89,39 +89,52 @@
     };
   }
 
-  @Test(dataProvider = "notWhole")
-  public void lessThanTheWholePartIsNoAnswer(String text) throws IOException {
-    assertNull(PartHits.read(json(text), true));
+  @Test(dataProvider = "incompleteAnswers")
+  public void rejectsAnswerThatDoesNotCoverTheWholePart(String text) throws IOException {
+    assertEquals(PartHits.read(json(text), true), Optional.empty());
   }
 
   @Test
-  public void aTotalThatWasNotAskedForMayBeMissing() throws IOException {
-    assertNotNull(PartHits.read(json("{'hits':{'hits':[]}}"), false));
-  }
-
-  private static SearchResponse ended(boolean refused, boolean late, boolean mayHaveRun) {
-    Answer.Ending ending =
-        new Answer.Ending(
-            late,
-            mayHaveRun,
-            Map.of(
-                1,
-                new Answer.MissingPart(
-                    Outcome.ERROR, "s3", new PartHits.Failure(500, "boom", "it broke"))));
-    return SearchResponse.of(
-        search(1), refused ? new Answer.Rejected(1200, ending) : new Answer.Failed(ending), 7);
+  public void acceptsAnswerWithoutTotalThatWasNotRequested() throws IOException {
+    assertTrue(PartHits.read(json("{'hits':{'hits':[]}}"), false).isPresent());
+  }
+
+  private static final Answer.MissingPart FAILED_PART =
+      new Answer.MissingPart(Outcome.ERROR, "s3", new PartFailure(500, "boom", "it broke"));
+
+  private static Answer.Ending ending(boolean late, boolean mayHaveRun) {
+    return new Answer.Ending(late, mayHaveRun, Map.of(1, FAILED_PART));
+  }
+
+  private static SearchResponse rejected(boolean late, boolean mayHaveRun) {
+    return SearchResponse.of(search(1), new Answer.Rejected(1200, ending(late, mayHaveRun)), 7);
+  }
+
+  private static SearchResponse failed(boolean late, boolean mayHaveRun) {
+    return SearchResponse.of(search(1), new Answer.Failed(ending(late, mayHaveRun)), 7);
+  }
+
+  @Test
+  public void invitesRetryWhenNothingHasRun() {
+    assertEquals(rejected(false, false).status(), 429);
+    assertEquals(rejected(false, false).retryAfterSeconds(), 2);
+  }
+
+  @Test
+  public void doesNotInviteRetryWhenRejectedSearchMayHaveRun() {
+    assertEquals(rejected(false, true).status(), 500);
+    assertEquals(rejected(true, true).status(), 504);
+  }
+
+  @Test
+  public void doesNotInviteRetryOfFailedSearch() {
+    assertEquals(failed(false, false).status(), 500);
+    assertEquals(failed(true, true).status(), 504);
   }
 
-  /** Guards against telling a client that another try is safe when its work may have run. */
   @Test
-  public void onlyWhatNeverRanIsRefused() {
-    assertEquals(ended(true, false, false).status(), 429);
-    assertEquals(ended(true, false, false).retryAfter(), 2);
-    assertEquals(ended(true, false, true).status(), 500);
-    assertEquals(ended(true, true, true).status(), 504);
-    assertEquals(ended(false, false, false).status(), 500);
-    assertEquals(ended(false, true, true).status(), 504);
-    JsonNode failure = ended(false, false, true).body().at("/error/failed_shards/0");
+  public void namesServerAndErrorOfFailedPart() {
+    JsonNode failure = failed(false, true).body().at("/error/failed_shards/0");
     assertEquals(failure.path("node").asText() + failure.at("/reason/type").asText(), "s3boom");
   }
 }
