--- a/src/main/java/bitternpulley/simulator/SimulatorAdapter.java
+++ b/src/main/java/bitternpulley/simulator/SimulatorAdapter.java
@@ -55,13 +55,13 @@
     JsonGenerator generator = mapper.createGenerator(text);
     ActionWriter actions = new ActionWriter(generator);
     actions.beginReply();
-    deliver(MessageReader.messages(batch), now, actions);
+    deliverBatch(MessageReader.messages(batch), now, actions);
     actions.endReply();
     generator.close();
     return text.toString();
   }
 
-  private void deliver(JsonNode messages, double now, ActionWriter actions) {
+  private void deliverBatch(JsonNode messages, double now, ActionWriter actions) {
     Set<Integer> addressed = new LinkedHashSet<>();
     for (JsonNode message : messages) {
       MessageReader.MessageType type = MessageReader.type(message);
@@ -74,7 +74,7 @@
       reportingFailure(
           instance,
           actions,
-          () -> deliver(type, message, instance, now, actions.forInstance(instance)));
+          () -> deliverToInstance(type, message, instance, now, actions.forInstance(instance)));
     }
     for (int instance : addressed) {
       completeBatch(instance, now, actions);
@@ -109,7 +109,7 @@
     }
   }
 
-  private void deliver(
+  private void deliverToInstance(
       MessageReader.MessageType type,
       JsonNode message,
       int instance,
@@ -128,11 +128,11 @@
     }
     Router router = routers.get(instance);
     if (router != null) {
-      deliver(type, message, router, now, actions);
+      deliverToRouter(type, message, router, now, actions);
     }
   }
 
-  private void deliver(
+  private void deliverToRouter(
       MessageReader.MessageType type,
       JsonNode message,
       Router router,
