--- a/src/main/java/bitternpulley/opensearch/SearchDecoder.java
+++ b/src/main/java/bitternpulley/opensearch/SearchDecoder.java
@@ -204,9 +204,11 @@
     Set<Integer> preferredShards = allShards ? Set.of() : preferredShards(preference);
     List<Search.Part> parts = new ArrayList<>();
     for (SearchConfiguration.Index index : indices) {
-      index.sections().stream()
-          .filter(shard -> allShards || preferredShards.contains(shard))
-          .forEach(shard -> parts.add(new Search.Part(index.name(), shard)));
+      for (int shard : index.sections()) {
+        if (allShards || preferredShards.contains(shard)) {
+          parts.add(new Search.Part(index.name(), shard));
+        }
+      }
     }
     if (parts.isEmpty()) {
       throw SearchException.illegalArgument(
