--- a/src/main/java/bitternpulley/admin/AdminEndpoint.java
+++ b/src/main/java/bitternpulley/admin/AdminEndpoint.java
@@ -138,7 +138,7 @@
   }
 
   @Override
-  public String tooLong() {
+  public String lineTooLong() {
     return FAILURE + "the line is too long";
   }
 
--- a/src/main/java/bitternpulley/aggregator/Aggregator.java
+++ b/src/main/java/bitternpulley/aggregator/Aggregator.java
@@ -100,7 +100,7 @@
   /** Operator overrides, leases and endpoints take effect before the first request is accepted. */
   private void start(Runnable onReady) {
     Configuration site = context.site();
-    context.loop().watchItself();
+    context.loop().startLagMonitor();
     if (site.operations().admin().isPresent()) {
       startAdmin(site.operations().admin().get());
     }
--- a/src/main/java/bitternpulley/aggregator/EndpointListDistributor.java
+++ b/src/main/java/bitternpulley/aggregator/EndpointListDistributor.java
@@ -75,18 +75,18 @@
 
   private void setAddress(String server, HostPort address) {
     slotServers.setAddress(server, address);
-    search.ifPresent(service -> service.servers().address(server, address));
+    search.ifPresent(service -> service.servers().recordAddress(server, address));
   }
 
   private void removeServer(String server) {
     slotServers.forget(server);
-    search.ifPresent(service -> service.servers().forget(server));
+    search.ifPresent(service -> service.servers().removeServer(server));
   }
 
   private void removeServersMissingFrom(EndpointList list) {
     Set<String> servers =
         list.entries().stream().map(entry -> entry.endpoint().server()).collect(Collectors.toSet());
     slotServers.retainOnly(servers);
-    search.ifPresent(service -> service.servers().keepOnly(servers));
+    search.ifPresent(service -> service.servers().retainServers(servers));
   }
 }
--- a/src/main/java/bitternpulley/aggregator/Fronts.java
+++ b/src/main/java/bitternpulley/aggregator/Fronts.java
@@ -3,7 +3,7 @@
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
 import bitternpulley.net.HttpServer;
-import bitternpulley.net.PassedListener;
+import bitternpulley.net.InheritedListener;
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
@@ -41,17 +41,18 @@
         service ->
             ListenerStart.open(
                 address -> service.front().listen(address, true), service.address()));
-    ListenerStart.open(address -> queryFront.listen(PassedListener.inherited(loop)), queryAddress);
+    ListenerStart.open(
+        address -> queryFront.listen(InheritedListener.inherited(loop)), queryAddress);
   }
 
   /** Leaves new connections in the kernel's backlog. */
   void holdBackConnections() {
-    each(HttpServer::holdBack);
+    each(HttpServer::holdBackConnections);
   }
 
   /** Accepts the connections in the backlog, and all later ones. */
   void acceptConnections() {
-    each(HttpServer::letIn);
+    each(HttpServer::acceptConnections);
   }
 
   /** From now on each response closes its connection. */
@@ -76,12 +77,12 @@
 
   /** Whether every request has its response, written in full. */
   boolean allAnswered() {
-    return all(front -> front.unanswered() == 0);
+    return all(front -> front.countPendingResponses() == 0);
   }
 
   /** Whether nothing is owed on any connection, not even a client's close. */
   boolean allIdle() {
-    return all(front -> front.busy() == 0);
+    return all(front -> front.countPendingWork() == 0);
   }
 
   private boolean all(Predicate<HttpServer> condition) {
--- a/src/main/java/bitternpulley/aggregator/ServiceContext.java
+++ b/src/main/java/bitternpulley/aggregator/ServiceContext.java
@@ -52,7 +52,11 @@
   /** Creates a server for clients, which does not listen yet. */
   HttpServer newFront(HttpServer.Handler handler) {
     return new HttpServer(
-        loop, MAX_BODY_BYTES, descriptors.clientConnections(), HttpServer.Timeouts.USUAL, handler);
+        loop,
+        MAX_BODY_BYTES,
+        descriptors.clientConnections(),
+        HttpServer.Timeouts.DEFAULT,
+        handler);
   }
 
   /** Ms within which a connection to a slot server must be open. */
--- a/src/main/java/bitternpulley/benchmark/Team.java
+++ b/src/main/java/bitternpulley/benchmark/Team.java
@@ -138,7 +138,7 @@
         client.send(
             to,
             ByteBuffer.wrap(request.apply(n).getBytes()),
-            new HttpClient.Done() {
+            new HttpClient.ResponseHandler() {
               @Override
               public void response(HttpClient.Response r) {
                 if (r.status() == 200) {
@@ -151,7 +151,7 @@
               }
 
               @Override
-              public void broken(HttpClient.Broken how, String why) {
+              public void failed(HttpClient.Failure how, String why) {
                 // Not served, and not asked again: it may have run.
               }
             });
--- a/src/main/java/bitternpulley/broker/Effect.java
+++ b/src/main/java/bitternpulley/broker/Effect.java
@@ -199,11 +199,11 @@
     /**
      * The state of a request that ends without an answer.
      *
-     * @param late whether it counts as timed out
+     * @param timedOut whether it counts as timed out
      * @param mayHaveRun whether a server may have run some of it
      * @param missing the parts without a value, by position
      */
-    record Ending(boolean late, boolean mayHaveRun, Map<Integer, MissingPart> missing) {
+    record Ending(boolean timedOut, boolean mayHaveRun, Map<Integer, MissingPart> missing) {
       /** The state of a request of which nothing was sent. */
       public static final Ending NOTHING_SENT = new Ending(false, false, Map.of());
     }
--- a/src/main/java/bitternpulley/config/SearchConfiguration.java
+++ b/src/main/java/bitternpulley/config/SearchConfiguration.java
@@ -26,8 +26,8 @@
    * An index.
    *
    * @param name its name
-   * @param requestClass the query class of its searches, by position in the settings
-   * @param sections the shards that hold its documents
+   * @param queryClass the query class of its searches, by position in the settings
+   * @param shards the shards that hold its documents
    */
-  public record Index(String name, int requestClass, List<Integer> sections) {}
+  public record Index(String name, int queryClass, List<Integer> shards) {}
 }
--- a/src/main/java/bitternpulley/contracts/TenantIdentification.java
+++ b/src/main/java/bitternpulley/contracts/TenantIdentification.java
@@ -66,7 +66,7 @@
   }
 
   /** The owner of the key in an {@code Authorization} header; the header may be null. */
-  public KeyOwner byKey(String header) {
+  public KeyOwner ownerOfKey(String header) {
     if (header == null) {
       return NO_KEY;
     }
@@ -108,12 +108,12 @@
   }
 
   /** The team that an index belongs to, or null. */
-  public String byIndex(String index) {
+  public String teamOfIndex(String index) {
     return teamByIndex.get(index);
   }
 
   /** The team that a class's platform queries belong to, or null. */
-  public String byClass(int queryClass) {
+  public String teamOfClass(int queryClass) {
     return teamByClass.get(queryClass);
   }
 }
--- a/src/main/java/bitternpulley/emulator/SlotServer.java
+++ b/src/main/java/bitternpulley/emulator/SlotServer.java
@@ -194,7 +194,7 @@
           drains,
           now());
       boolean[] open = {true};
-      exchange.onGone(() -> end(open, part));
+      exchange.onDisconnect(() -> end(open, part));
       if (silent) {
         return;
       }
@@ -234,7 +234,7 @@
     }
 
     @Override
-    public HttpServer.Response unusable(int status, String reason) {
+    public HttpServer.Response errorResponse(int status, String reason) {
       return json(
           status, "{\"error\":{\"type\":\"illegal_argument_exception\",\"reason\":\"unusable\"}}");
     }
--- a/src/main/java/bitternpulley/net/Connection.java
+++ b/src/main/java/bitternpulley/net/Connection.java
@@ -230,7 +230,7 @@
   }
 
   /** Removes bytes that wait to be written; returns false when some of them may have been sent. */
-  public boolean takeBack(ByteBuffer bytes) {
+  public boolean cancelWrite(ByteBuffer bytes) {
     return writes.cancel(bytes);
   }
 
--- a/src/main/java/bitternpulley/net/EventLoop.java
+++ b/src/main/java/bitternpulley/net/EventLoop.java
@@ -68,9 +68,9 @@
   }
 
   /** Starts to measure the loop's own lag, which counts as zero until then. */
-  public void watchItself() {
+  public void startLagMonitor() {
     lag.tick(now());
-    schedule(EventLoopLag.TICK_INTERVAL_MS, this::watchItself);
+    schedule(EventLoopLag.TICK_INTERVAL_MS, this::startLagMonitor);
   }
 
   /** Returns for how many ms the bytes read in this turn may have lain unread. */
--- a/src/main/java/bitternpulley/net/FrameCodec.java
+++ b/src/main/java/bitternpulley/net/FrameCodec.java
@@ -10,7 +10,7 @@
  */
 public final class FrameCodec {
   /** The largest length of a frame in bytes; anything longer is an error of the peer. */
-  public static final int MOST = 64 * 1024;
+  public static final int MAX_FRAME_BYTES = 64 * 1024;
 
   private static final int LENGTH_BYTES = 4;
   private static final int LETTER_BYTES = 1;
@@ -68,7 +68,7 @@
     }
     int length = lengthBytes.flip().getInt();
     lengthBytes.clear();
-    if (length < LETTER_BYTES || length > MOST) {
+    if (length < LETTER_BYTES || length > MAX_FRAME_BYTES) {
       throw new FrameException("a frame of " + length + " bytes");
     }
     body = ByteBuffer.allocate(length);
--- a/src/main/java/bitternpulley/net/HttpClient.java
+++ b/src/main/java/bitternpulley/net/HttpClient.java
@@ -12,7 +12,7 @@
  */
 public final class HttpClient {
   /** How a call ended without a response. */
-  public enum Broken {
+  public enum Failure {
     /** No byte of the request was sent. */
     NEVER_SENT,
     /** No byte of the request was sent, because the connection was not up in time. */
@@ -36,21 +36,21 @@
   }
 
   /** Receives the end of a call, once; a call that was dropped has none. */
-  public interface Done {
+  public interface ResponseHandler {
     /** Handles the response. */
     void response(Response response);
 
     /** Handles the end of a call without a response. */
-    void broken(Broken how, String why);
+    void failed(Failure how, String why);
   }
 
   /** A call in progress. */
   public interface Call {
     /** Drops the call and closes its connection, so that the server may stop working on it. */
-    void drop();
+    void cancel();
 
     /** Returns whether some bytes of the request may have been sent. */
-    boolean begun();
+    boolean mayHaveBeenSent();
   }
 
   private final EventLoop loop;
@@ -87,15 +87,16 @@
    * Sends a request, given as the bytes of its head and body; returns null when no more connections
    * may be opened.
    */
-  public Call send(HostPort address, ByteBuffer request, Done done) {
+  public Call send(HostPort address, ByteBuffer request, ResponseHandler done) {
     return send(address, request, Double.POSITIVE_INFINITY, done);
   }
 
   /**
-   * Sends a request like {@link #send(HostPort, ByteBuffer, Done)}, unless its connection comes up
-   * only after {@code sendBy}, in ms of the loop's clock: then the call ends unsent.
+   * Sends a request like {@link #send(HostPort, ByteBuffer, ResponseHandler)}, unless its
+   * connection comes up only after {@code sendBy}, in ms of the loop's clock: then the call ends
+   * unsent.
    */
-  public Call send(HostPort address, ByteBuffer request, double sendBy, Done done) {
+  public Call send(HostPort address, ByteBuffer request, double sendBy, ResponseHandler done) {
     ArrayDeque<PooledConnection> idle = idleConnections.get(address);
     PooledConnection connection = idle == null ? null : idle.pollLast();
     if (connection == null) {
--- a/src/main/java/bitternpulley/net/HttpExchange.java
+++ b/src/main/java/bitternpulley/net/HttpExchange.java
@@ -21,7 +21,7 @@
   }
 
   @Override
-  public void onGone(Runnable gone) {
+  public void onDisconnect(Runnable gone) {
     onDisconnect = gone;
   }
 
--- a/src/main/java/bitternpulley/net/HttpServer.java
+++ b/src/main/java/bitternpulley/net/HttpServer.java
@@ -32,7 +32,7 @@
    */
   public record Timeouts(double firstByte, double request, double keepAlive) {
     /** Closes a bad connection within 3 s; a good one that is closed costs little to reopen. */
-    public static final Timeouts USUAL = new Timeouts(2000, 2200, 5000);
+    public static final Timeouts DEFAULT = new Timeouts(2000, 2200, 5000);
   }
 
   /**
@@ -40,12 +40,13 @@
    *
    * @param head its start line and headers
    * @param body its body, empty when there is none
-   * @param unread ms for which its last bytes may have lain unread because the event loop was late
-   * @param worstTurn worst lag in ms of the event loop in the last seconds, which the response may
+   * @param unreadMs ms for which its last bytes may have lain unread because the event loop was
+   *     late
+   * @param worstLagMs worst lag in ms of the event loop in the last seconds, which the response may
    *     meet too
    */
   @SuppressWarnings("ArrayRecordComponent") // Requests are never compared, and a copy would cost.
-  public record Request(HttpHead head, byte[] body, double unread, double worstTurn) {
+  public record Request(HttpHead head, byte[] body, double unreadMs, double worstLagMs) {
     /** Creates a request of an event loop that was never late. */
     public Request(HttpHead head, byte[] body) {
       this(head, body, 0, 0);
@@ -58,7 +59,7 @@
     void handle(Request request, Exchange exchange);
 
     /** Returns the response to an unusable message, in the format of this handler. */
-    Response unusable(int status, String reason);
+    Response errorResponse(int status, String reason);
   }
 
   /**
@@ -77,7 +78,7 @@
     void reply(Response response);
 
     /** Sets what runs when the client disconnects before the response. */
-    void onGone(Runnable gone);
+    void onDisconnect(Runnable gone);
   }
 
   private final EventLoop loop;
@@ -119,7 +120,7 @@
   }
 
   /** Starts to accept connections from an inherited socket. */
-  public void listen(PassedListener inherited) {
+  public void listen(InheritedListener inherited) {
     listen((Listener) inherited);
   }
 
@@ -141,13 +142,13 @@
     connection.start(session);
   }
 
-  /** Leaves new connections in the kernel's backlog until {@link #letIn}. */
-  public void holdBack() {
+  /** Leaves new connections in the kernel's backlog until {@link #acceptConnections}. */
+  public void holdBackConnections() {
     holdingBack = true;
   }
 
   /** Accepts the connections that were held back, and all that follow. */
-  public void letIn() {
+  public void acceptConnections() {
     holdingBack = false;
     if (acceptLoop != null) {
       acceptLoop.acceptNext();
@@ -213,12 +214,12 @@
    * Returns, once no more connections are accepted, the number of those that have work left, if
    * only the client's end of them.
    */
-  public int busy() {
+  public int countPendingWork() {
     return sessions.countPendingWork() + (acceptLoop != null && acceptLoop.isOpen() ? 1 : 0);
   }
 
   /** Returns the number of connections whose response is due or not completely written. */
-  public int unanswered() {
+  public int countPendingResponses() {
     return sessions.countPendingResponses();
   }
 
--- a/src/main/java/bitternpulley/net/HttpSession.java
+++ b/src/main/java/bitternpulley/net/HttpSession.java
@@ -162,7 +162,7 @@
     ending = true;
     pipeline.clear();
     recordBuffered(0);
-    send(server.handler().unusable(status, reason), false);
+    send(server.handler().errorResponse(status, reason), false);
   }
 
   /** Records the bytes buffered here; returns false when all sessions together buffer too much. */
@@ -273,7 +273,7 @@
     } catch (RuntimeException exception) {
       // Supervised boundary: a request whose handler fails still gets a response.
       LOG.log(Level.ERROR, "Handling a request failed", exception);
-      next.reply(server.handler().unusable(500, "failed"));
+      next.reply(server.handler().errorResponse(500, "failed"));
     }
   }
 
--- a/src/main/java/bitternpulley/net/PassedListener.java
+++ b/src/main/java/bitternpulley/net/InheritedListener.java
@@ -14,8 +14,8 @@
  * other processes may hold as well. The JDK offers it as a selectable channel only, so a thread of
  * its own selects it and all connections accepted from it.
  */
-public final class PassedListener implements Listener {
-  private static final System.Logger LOG = System.getLogger(PassedListener.class.getName());
+public final class InheritedListener implements Listener {
+  private static final System.Logger LOG = System.getLogger(InheritedListener.class.getName());
 
   private final EventLoop loop;
   private final Selector selector;
@@ -25,7 +25,7 @@
   private volatile Consumer<Throwable> onFailure;
   private volatile boolean open = true;
 
-  private PassedListener(EventLoop loop, ServerSocketChannel channel) throws IOException {
+  private InheritedListener(EventLoop loop, ServerSocketChannel channel) throws IOException {
     this.loop = loop;
     this.channel = channel;
     selector = Selector.open();
@@ -42,10 +42,10 @@
    *
    * @throws IOException when descriptor 0 is not a listening socket
    */
-  public static PassedListener inherited(EventLoop loop) throws IOException {
+  public static InheritedListener inherited(EventLoop loop) throws IOException {
     Channel inherited = System.inheritedChannel();
     if (inherited instanceof ServerSocketChannel listening) {
-      return new PassedListener(loop, listening);
+      return new InheritedListener(loop, listening);
     }
     throw new IOException("descriptor 0 is no listening socket");
   }
--- a/src/main/java/bitternpulley/net/LineServer.java
+++ b/src/main/java/bitternpulley/net/LineServer.java
@@ -18,7 +18,7 @@
     void line(String line, Consumer<String> answer);
 
     /** Returns the response to a line that is too long. */
-    String tooLong();
+    String lineTooLong();
   }
 
   private final EventLoop loop;
--- a/src/main/java/bitternpulley/net/LineSession.java
+++ b/src/main/java/bitternpulley/net/LineSession.java
@@ -37,7 +37,7 @@
         handler.line(line.toString().strip(), this::respond);
       } else if (line.append(next).length() > MAX_LINE_LENGTH) {
         stopReading();
-        respond(handler.tooLong());
+        respond(handler.lineTooLong());
       }
     }
   }
--- a/src/main/java/bitternpulley/net/PooledConnection.java
+++ b/src/main/java/bitternpulley/net/PooledConnection.java
@@ -14,7 +14,7 @@
   private final Connection connection;
   private ByteBuffer request;
   private double sendBy;
-  private HttpClient.Done done;
+  private HttpClient.ResponseHandler done;
   private boolean connected;
   private boolean written;
   private int useCount;
@@ -42,7 +42,7 @@
   }
 
   /** Starts a call; its request is written as soon as the connection is up. */
-  void begin(ByteBuffer newRequest, double newSendBy, HttpClient.Done newDone) {
+  void begin(ByteBuffer newRequest, double newSendBy, HttpClient.ResponseHandler newDone) {
     useCount++;
     sendBy = newSendBy;
     request = newRequest;
@@ -55,7 +55,7 @@
 
   private void write() {
     if (request != null && loop.now() > sendBy) {
-      endWithout(HttpClient.Broken.NOT_IN_TIME, "there was no connection in time");
+      endWithout(HttpClient.Failure.NOT_IN_TIME, "there was no connection in time");
       connection.close();
     } else if (request != null) {
       connection.write(request, () -> written = true);
@@ -76,12 +76,12 @@
   }
 
   @Override
-  public boolean begun() {
+  public boolean mayHaveBeenSent() {
     return connected;
   }
 
   @Override
-  public void drop() {
+  public void cancel() {
     done = null;
     request = null;
     connection.close();
@@ -114,7 +114,7 @@
    */
   private void complete(boolean hasMoreBytes) {
     HttpClient.Response received = response;
-    HttpClient.Done receiver = done;
+    HttpClient.ResponseHandler receiver = done;
     response = null;
     done = null;
     request = null;
@@ -127,14 +127,14 @@
   }
 
   private void fail(String why) {
-    endWithout(written ? HttpClient.Broken.MAYBE_SENT : HttpClient.Broken.NEVER_SENT, why);
+    endWithout(written ? HttpClient.Failure.MAYBE_SENT : HttpClient.Failure.NEVER_SENT, why);
   }
 
-  private void endWithout(HttpClient.Broken how, String why) {
-    HttpClient.Done receiver = done;
+  private void endWithout(HttpClient.Failure how, String why) {
+    HttpClient.ResponseHandler receiver = done;
     done = null;
     if (receiver != null) {
-      receiver.broken(how, why);
+      receiver.failed(how, why);
     }
   }
 
--- a/src/main/java/bitternpulley/opensearch/SearchDecoder.java
+++ b/src/main/java/bitternpulley/opensearch/SearchDecoder.java
@@ -101,7 +101,7 @@
     return new Search(
         id,
         parts,
-        indices.get(0).requestClass(),
+        indices.get(0).queryClass(),
         from,
         size,
         timeoutMs(body, parameters),
@@ -183,7 +183,7 @@
         indices.add(index);
       }
     }
-    if (indices.stream().map(SearchConfiguration.Index::requestClass).distinct().count() != 1) {
+    if (indices.stream().map(SearchConfiguration.Index::queryClass).distinct().count() != 1) {
       throw SearchException.illegalArgument(
           "indices " + names + " are of different classes and need searches of their own");
     }
@@ -204,7 +204,7 @@
     Set<Integer> preferredShards = allShards ? Set.of() : preferredShards(preference);
     List<Search.Part> parts = new ArrayList<>();
     for (SearchConfiguration.Index index : indices) {
-      for (int shard : index.sections()) {
+      for (int shard : index.shards()) {
         if (allShards || preferredShards.contains(shard)) {
           parts.add(new Search.Part(index.name(), shard));
         }
--- a/src/main/java/bitternpulley/opensearch/SearchFront.java
+++ b/src/main/java/bitternpulley/opensearch/SearchFront.java
@@ -61,7 +61,7 @@
   }
 
   @Override
-  public HttpServer.Response unusable(int status, String reason) {
+  public HttpServer.Response errorResponse(int status, String reason) {
     String type = status == 413 ? "content_too_long_exception" : "illegal_argument_exception";
     return SearchResponse.error(new SearchException(status, type, reason)).toHttp();
   }
@@ -71,7 +71,7 @@
     return new SearchCaller(
         tenants.keyOwner(request.head()),
         idempotencyKey,
-        new Router.Lateness(request.unread(), request.worstTurn()));
+        new Router.Lateness(request.unreadMs(), request.worstLagMs()));
   }
 
   private void search(
@@ -83,7 +83,7 @@
             caller,
             SearchBodies.readSingle(body),
             response -> exchange.reply(response.toHttp()));
-    exchange.onGone(onDisconnect);
+    exchange.onDisconnect(onDisconnect);
   }
 
   /** Submits several searches, each of which can fail by itself. */
@@ -100,7 +100,7 @@
     for (int position = 0; position < entries.size(); position++) {
       onDisconnect.add(submit(entries.get(position), position, target, caller, reply));
     }
-    exchange.onGone(() -> onDisconnect.forEach(Runnable::run));
+    exchange.onDisconnect(() -> onDisconnect.forEach(Runnable::run));
   }
 
   /** Submits one search of several; returns what is to be run when the client disconnects. */
--- a/src/main/java/bitternpulley/opensearch/SearchResponse.java
+++ b/src/main/java/bitternpulley/opensearch/SearchResponse.java
@@ -118,7 +118,7 @@
 
   private static SearchResponse failed(Search search, Answer.Ending ending) {
     SearchException exception =
-        ending.late()
+        ending.timedOut()
             ? new SearchException(504, "timeout_exception", "the search's time is over")
             : new SearchException(500, "search_phase_execution_exception", "all shards failed");
     SearchResponse response = error(exception);
--- a/src/main/java/bitternpulley/opensearch/SearchServers.java
+++ b/src/main/java/bitternpulley/opensearch/SearchServers.java
@@ -29,7 +29,7 @@
 
   private record InFlightAttempt(String server, HttpClient.Call call) {
     boolean isUnsent() {
-      return !call.begun();
+      return !call.mayHaveBeenSent();
     }
 
     boolean isUnsentTo(String name) {
@@ -53,21 +53,21 @@
   }
 
   /** Records the host of a server; its port for this API is the configured one. */
-  public void address(String server, HostPort address) {
+  public void recordAddress(String server, HostPort address) {
     addresses.put(server, new HostPort(address.host(), port));
   }
 
   /** Removes a server that no longer exists and closes the idle connections to it. */
-  public void forget(String server) {
+  public void removeServer(String server) {
     closeIdleConnections(server);
     addresses.remove(server);
   }
 
   /** Removes all servers but the given ones. */
-  public void keepOnly(Set<String> servers) {
+  public void retainServers(Set<String> servers) {
     List.copyOf(addresses.keySet()).stream()
         .filter(server -> !servers.contains(server))
-        .forEach(this::forget);
+        .forEach(this::removeServer);
   }
 
   @Override
@@ -91,7 +91,7 @@
   }
 
   /** Reports the end of one attempt to the core, unless it was cancelled before. */
-  private final class AttemptListener implements HttpClient.Done {
+  private final class AttemptListener implements HttpClient.ResponseHandler {
     private final Effect.StartAttempt attempt;
 
     AttemptListener(Effect.StartAttempt attempt) {
@@ -106,14 +106,14 @@
     }
 
     @Override
-    public void broken(HttpClient.Broken how, String why) {
+    public void failed(HttpClient.Failure how, String why) {
       if (inFlight.remove(attempt.id()) != null) {
         broker.submit(
             new Event.AttemptEnded(attempt.id(), outcome(how), PartFailure.notConnected(why)));
       }
     }
 
-    private static Outcome outcome(HttpClient.Broken how) {
+    private static Outcome outcome(HttpClient.Failure how) {
       return switch (how) {
         case MAYBE_SENT -> Outcome.RESET;
         case NEVER_SENT -> Outcome.UNREACHABLE;
@@ -131,7 +131,7 @@
   public void cancel(Effect.CancelAttempt attempt) {
     InFlightAttempt cancelled = inFlight.remove(attempt.id());
     if (cancelled != null) {
-      cancelled.call().drop();
+      cancelled.call().cancel();
       broker.submit(new Event.AttemptCancelled(attempt.id()));
     }
   }
@@ -141,7 +141,7 @@
     InFlightAttempt candidate = inFlight.get(attempt.id());
     if (candidate != null && candidate.isUnsent()) {
       inFlight.remove(attempt.id());
-      candidate.call().drop();
+      candidate.call().cancel();
       submitLater(new Event.AttemptEnded(attempt.id(), Outcome.NOT_SENT, null));
     }
   }
@@ -154,7 +154,7 @@
             .map(Map.Entry::getKey)
             .toList();
     for (AttemptId attempt : unsent) {
-      inFlight.remove(attempt).call().drop();
+      inFlight.remove(attempt).call().cancel();
       broker.submit(new Event.AttemptEnded(attempt, Outcome.NOT_SENT, null));
     }
   }
--- a/src/main/java/bitternpulley/opensearch/TenantResolver.java
+++ b/src/main/java/bitternpulley/opensearch/TenantResolver.java
@@ -24,7 +24,7 @@
     if (current == TenantIdentification.NONE) {
       return new TenantIdentification.KeyOwner(TenantIdentification.KeyStatus.ABSENT, null);
     }
-    TenantIdentification.KeyOwner owner = current.byKey(head.header("Authorization"));
+    TenantIdentification.KeyOwner owner = current.ownerOfKey(head.header("Authorization"));
     if (owner.status() == TenantIdentification.KeyStatus.UNKNOWN && !current.hasFallback()) {
       throw SearchException.unauthenticated("unable to authenticate with the key that is shown");
     }
@@ -45,7 +45,12 @@
 
   private static String teamOfIndices(TenantIdentification current, List<Search.Part> parts) {
     List<String> teams =
-        parts.stream().map(Search.Part::index).distinct().map(current::byIndex).distinct().toList();
+        parts.stream()
+            .map(Search.Part::index)
+            .distinct()
+            .map(current::teamOfIndex)
+            .distinct()
+            .toList();
     if (teams.size() > 1) {
       throw SearchException.illegalArgument(
           "the indices are of different teams and need searches of their own");
--- a/src/main/java/bitternpulley/platform/QueryFront.java
+++ b/src/main/java/bitternpulley/platform/QueryFront.java
@@ -71,7 +71,7 @@
     try {
       submit(request, exchange);
     } catch (HttpException failure) {
-      exchange.reply(unusable(failure.status(), failure.getMessage()));
+      exchange.reply(errorResponse(failure.status(), failure.getMessage()));
     }
   }
 
@@ -90,7 +90,7 @@
       throw new HttpException(409, "Request-Id is that of an open request");
     }
     long id = broker.nextId();
-    exchange.onGone(
+    exchange.onDisconnect(
         () -> {
           pendingIds.remove(query.id());
           broker.submit(new Event.ClientDisconnected(id));
@@ -106,9 +106,9 @@
                 Router.Terms.CLASS_DEFAULT,
                 query.parts(),
                 query,
-                tenantIdentification.get().byClass(query.queryClass()),
+                tenantIdentification.get().teamOfClass(query.queryClass()),
                 fingerprint(request.body(), query.queryClass()),
-                new Router.Lateness(request.unread(), request.worstTurn()))));
+                new Router.Lateness(request.unreadMs(), request.worstLagMs()))));
   }
 
   /**
@@ -121,7 +121,7 @@
   }
 
   @Override
-  public HttpServer.Response unusable(int status, String reason) {
+  public HttpServer.Response errorResponse(int status, String reason) {
     return plain(status, reason);
   }
 
--- a/src/main/java/bitternpulley/platform/SlotConnection.java
+++ b/src/main/java/bitternpulley/platform/SlotConnection.java
@@ -158,7 +158,7 @@
    */
   private boolean removeUnsent(AttemptId attempt) {
     SlotCall call = inFlight.get(attempt).call();
-    if (connected && !connection.takeBack(call.frame())) {
+    if (connected && !connection.cancelWrite(call.frame())) {
       return false;
     }
     remove(attempt);
--- a/src/main/java/bitternpulley/platform/SlotFrames.java
+++ b/src/main/java/bitternpulley/platform/SlotFrames.java
@@ -62,7 +62,7 @@
   /** Whether one frame holds these attempts: it repeats the query's text, which may be long. */
   static boolean fitOneCall(List<Effect.StartAttempt> attempts) {
     return attempts.stream().mapToInt(a -> callSection(a, partId(a)).length).sum()
-        < FrameCodec.MOST;
+        < FrameCodec.MAX_FRAME_BYTES;
   }
 
   /** A frame that calls one part or more. */
--- a/src/main/java/bitternpulley/platform/WarmupQueries.java
+++ b/src/main/java/bitternpulley/platform/WarmupQueries.java
@@ -265,7 +265,7 @@
     }
 
     @Override
-    public void onGone(Runnable gone) {
+    public void onDisconnect(Runnable gone) {
       // The synthetic clients never disconnect.
     }
   }
--- a/src/test/java/bitternpulley/broker/AttemptLifecycleTest.java
+++ b/src/test/java/bitternpulley/broker/AttemptLifecycleTest.java
@@ -85,7 +85,7 @@
     assertEquals(harness.attempts().size(), 4);
     Effect.Answer.Rejected rejected = (Effect.Answer.Rejected) harness.answer(0);
     assertTrue(rejected.ending().mayHaveRun());
-    assertFalse(rejected.ending().late());
+    assertFalse(rejected.ending().timedOut());
     assertEquals(rejected.ending().missing().get(0).reason(), new TestValue("no"));
   }
 
--- a/src/test/java/bitternpulley/broker/RequestAnswerTest.java
+++ b/src/test/java/bitternpulley/broker/RequestAnswerTest.java
@@ -93,14 +93,14 @@
             .lateness(new Router.Lateness(0, 300)));
     harness.advance(2700);
     harness.submit(new Event.AlarmFired("q1"));
-    assertTrue(((Effect.Answer.Rejected) harness.answer(0)).ending().late());
+    assertTrue(((Effect.Answer.Rejected) harness.answer(0)).ending().timedOut());
   }
 
   @Test
   public void aRequestOfVeryShortTimeoutIsNotTimedOutFromTheStart() {
     harness.submit(new Event.ServersChanged(Router.ListKind.COMPLETE, List.of()));
     submit(new RequestBuilder(1).timeLeft(80));
-    assertFalse(((Effect.Answer.Rejected) harness.answer(0)).ending().late());
+    assertFalse(((Effect.Answer.Rejected) harness.answer(0)).ending().timedOut());
   }
 
   private void submit(RequestBuilder request) {
--- a/src/test/java/bitternpulley/config/SearchConfigurationReaderTest.java
+++ b/src/test/java/bitternpulley/config/SearchConfigurationReaderTest.java
@@ -34,7 +34,7 @@
 
   @Test
   public void readsTheSectionsOfAnIndex() {
-    assertEquals(read(VALID).indices().get("i").sections(), List.of(1, 3));
+    assertEquals(read(VALID).indices().get("i").shards(), List.of(1, 3));
   }
 
   /** What is replaced in the valid file, by what, and the key that is faulty then. */
--- a/src/test/java/bitternpulley/contracts/TenantIdentificationTest.java
+++ b/src/test/java/bitternpulley/contracts/TenantIdentificationTest.java
@@ -29,30 +29,30 @@
   void identifiesTheTeamOfAKey() {
     assertEquals(
         new TenantIdentification.KeyOwner(TenantIdentification.KeyStatus.KNOWN, "team"),
-        identification.byKey(header("id:secret")));
+        identification.ownerOfKey(header("id:secret")));
   }
 
   @Test
   void aWrongSecretIdOrSchemeIsUnknown() {
     TenantIdentification.KeyOwner unknown =
         new TenantIdentification.KeyOwner(TenantIdentification.KeyStatus.UNKNOWN, null);
-    assertEquals(unknown, identification.byKey(header("id:wrong")));
-    assertEquals(unknown, identification.byKey(header("other:secret")));
-    assertEquals(unknown, identification.byKey(header("secret")));
-    assertEquals(unknown, identification.byKey("ApiKey ***"));
-    assertEquals(unknown, identification.byKey("Basic aWQ6c2VjcmV0"));
+    assertEquals(unknown, identification.ownerOfKey(header("id:wrong")));
+    assertEquals(unknown, identification.ownerOfKey(header("other:secret")));
+    assertEquals(unknown, identification.ownerOfKey(header("secret")));
+    assertEquals(unknown, identification.ownerOfKey("ApiKey ***"));
+    assertEquals(unknown, identification.ownerOfKey("Basic aWQ6c2VjcmV0"));
   }
 
   @Test
   void withoutAHeaderThereIsNoKey() {
-    assertEquals(TenantIdentification.KeyStatus.ABSENT, identification.byKey(null).status());
+    assertEquals(TenantIdentification.KeyStatus.ABSENT, identification.ownerOfKey(null).status());
   }
 
   @Test
   void identifiesTeamsByIndexAndByClass() {
-    assertEquals("stock-desk", identification.byIndex("stock"));
-    assertNull(identification.byIndex("other"));
-    assertEquals("app", identification.byClass(2));
-    assertNull(identification.byClass(0));
+    assertEquals("stock-desk", identification.teamOfIndex("stock"));
+    assertNull(identification.teamOfIndex("other"));
+    assertEquals("app", identification.teamOfClass(2));
+    assertNull(identification.teamOfClass(0));
   }
 }
--- a/src/test/java/bitternpulley/net/ConnectionTest.java
+++ b/src/test/java/bitternpulley/net/ConnectionTest.java
@@ -71,9 +71,9 @@
               ByteBuffer queued = piece(2);
               connection[0].write(queued, () -> writtenPieces++);
               connection[0].write(piece(3), () -> writtenPieces++);
-              assertFalse(connection[0].takeBack(started), "the kernel has taken a part of it");
-              assertTrue(connection[0].takeBack(queued));
-              assertFalse(connection[0].takeBack(queued), "only once");
+              assertFalse(connection[0].cancelWrite(started), "the kernel has taken a part of it");
+              assertTrue(connection[0].cancelWrite(queued));
+              assertFalse(connection[0].cancelWrite(queued), "only once");
             });
         assertEquals(read(peer, sent[0] + 1), "1".repeat(sent[0]) + "3");
       }
--- a/src/test/java/bitternpulley/net/HttpClientTest.java
+++ b/src/test/java/bitternpulley/net/HttpClientTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 /** Calls to a server whose side the test plays. */
-public class HttpClientTest implements HttpClient.Done {
+public class HttpClientTest implements HttpClient.ResponseHandler {
   private static final int PATIENCE_MS = 30_000;
 
   private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
@@ -44,7 +44,7 @@
   }
 
   @Override
-  public void broken(HttpClient.Broken how, String why) {
+  public void failed(HttpClient.Failure how, String why) {
     ends.add(how.toString());
   }
 
--- a/src/test/java/bitternpulley/net/HttpCloseRaceTest.java
+++ b/src/test/java/bitternpulley/net/HttpCloseRaceTest.java
@@ -73,7 +73,7 @@
   @Test(invocationCount = 5)
   public void answersOrClosesInOrderWhenARequestCrossesItsEviction() throws Exception {
     int maxConnections = 16;
-    listen(maxConnections, HttpServer.Timeouts.USUAL);
+    listen(maxConnections, HttpServer.Timeouts.DEFAULT);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < maxConnections - 2; i++) {
       clients.add(connect(request("/first" + i, "")));
--- a/src/test/java/bitternpulley/net/HttpDisconnectTest.java
+++ b/src/test/java/bitternpulley/net/HttpDisconnectTest.java
@@ -76,15 +76,15 @@
       awaitCondition("the request is in progress", () -> openExchanges.size() == 1);
       whileLoopIsBlocked(
           () -> {
-            openExchanges.get(0).reply(unusable(200, "one"));
-            openExchanges.get(0).reply(unusable(500, "two"));
+            openExchanges.get(0).reply(errorResponse(200, "one"));
+            openExchanges.get(0).reply(errorResponse(500, "two"));
           });
       assertEquals(readStatus(client), 200);
       write(client, request("/held2", ""));
       awaitCondition("the request is in progress", () -> openExchanges.size() == 2);
     }
     awaitCondition("the disconnect is reported", () -> disconnects.get() == 1);
-    loop.execute(() -> openExchanges.get(1).reply(unusable(200, "late")));
+    loop.execute(() -> openExchanges.get(1).reply(errorResponse(200, "late")));
     try (Socket next = connect(request("/next", ""))) {
       assertEquals(readStatus(next), 200);
     }
--- a/src/test/java/bitternpulley/net/HttpServerHarness.java
+++ b/src/test/java/bitternpulley/net/HttpServerHarness.java
@@ -45,7 +45,7 @@
     handled.clear();
     openExchanges.clear();
     disconnects.set(0);
-    listen(1000, HttpServer.Timeouts.USUAL);
+    listen(1000, HttpServer.Timeouts.DEFAULT);
   }
 
   /** Replaces the server by one with other limits. */
@@ -65,15 +65,15 @@
   public void handle(HttpServer.Request request, HttpServer.Exchange exchange) {
     handled.add(request.head().target());
     if (request.head().target().startsWith("/held")) {
-      exchange.onGone(disconnects::incrementAndGet);
+      exchange.onDisconnect(disconnects::incrementAndGet);
       openExchanges.add(exchange);
     } else {
-      exchange.reply(unusable(200, "fine"));
+      exchange.reply(errorResponse(200, "fine"));
     }
   }
 
   @Override
-  public HttpServer.Response unusable(int status, String reason) {
+  public HttpServer.Response errorResponse(int status, String reason) {
     return new HttpServer.Response(status, Map.of(), reason.getBytes(StandardCharsets.UTF_8));
   }
 
--- a/src/test/java/bitternpulley/net/HttpServerTest.java
+++ b/src/test/java/bitternpulley/net/HttpServerTest.java
@@ -35,11 +35,11 @@
     if (request.head().target().equals("/throw")) {
       throw new IllegalStateException("as asked for");
     }
-    exchange.reply(unusable(200, "fine"));
+    exchange.reply(errorResponse(200, "fine"));
   }
 
   @Override
-  public HttpServer.Response unusable(int status, String reason) {
+  public HttpServer.Response errorResponse(int status, String reason) {
     return new HttpServer.Response(status, Map.of(), reason.getBytes(StandardCharsets.UTF_8));
   }
 
@@ -200,7 +200,8 @@
       if (request.head().target().equals("/timer")) {
         received.countDown();
         loop.schedule(
-            TIMER_MS, () -> exchange.reply(unusable(200, String.valueOf(handledRequests.get()))));
+            TIMER_MS,
+            () -> exchange.reply(errorResponse(200, String.valueOf(handledRequests.get()))));
         return;
       }
       long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(BUSY_MS);
@@ -208,12 +209,12 @@
         Thread.onSpinWait();
       }
       handledRequests.incrementAndGet();
-      exchange.reply(unusable(200, "fine"));
+      exchange.reply(errorResponse(200, "fine"));
     }
 
     @Override
-    public HttpServer.Response unusable(int status, String reason) {
-      return HttpServerTest.this.unusable(status, reason);
+    public HttpServer.Response errorResponse(int status, String reason) {
+      return HttpServerTest.this.errorResponse(status, reason);
     }
   }
 
@@ -223,7 +224,7 @@
     EventLoop loop = new EventLoop();
     int busy = 40;
     SlowHandler handler = new SlowHandler(loop);
-    HttpServer server = new HttpServer(loop, 100, 100, HttpServer.Timeouts.USUAL, handler);
+    HttpServer server = new HttpServer(loop, 100, 100, HttpServer.Timeouts.DEFAULT, handler);
     address = server.listen(new HostPort("127.0.0.1", 0));
     List<Socket> all = new ArrayList<>();
     for (int i = 0; i < busy; i++) {
--- a/src/test/java/bitternpulley/net/HttpShutdownTest.java
+++ b/src/test/java/bitternpulley/net/HttpShutdownTest.java
@@ -20,7 +20,7 @@
           () -> {
             server.drain();
             server.stopListening();
-            openExchanges.get(0).reply(unusable(200, "fine"));
+            openExchanges.get(0).reply(errorResponse(200, "fine"));
           });
       assertEquals(readStatus(client), 200);
       assertEquals(client.getInputStream().read(), -1);
@@ -75,7 +75,7 @@
           () -> {
             server.drain();
             server.stopListening();
-            openExchanges.get(0).reply(unusable(200, "fine"));
+            openExchanges.get(0).reply(errorResponse(200, "fine"));
           });
       awaitCondition("no more connections are accepted", () -> !accepts());
       assertEquals(busy(), 1, "its client has not read it yet");
@@ -104,19 +104,19 @@
   /** Connections that are held back wait in the kernel. */
   @Test
   public void servesHeldBackConnectionsOnceTheyAreAccepted() throws Exception {
-    createServer(100, HttpServer.Timeouts.USUAL);
-    server.holdBack();
+    createServer(100, HttpServer.Timeouts.DEFAULT);
+    server.holdBackConnections();
     address = server.listen(new HostPort("127.0.0.1", 0));
     try (Socket client = connect(request("/early", ""))) {
       loop.inTurn(() -> assertEquals(handled, List.of()));
-      loop.execute(server::letIn);
+      loop.execute(server::acceptConnections);
       assertEquals(readStatus(client), 200);
     }
   }
 
   private int busy() {
     int[] count = new int[1];
-    loop.inTurn(() -> count[0] = server.busy());
+    loop.inTurn(() -> count[0] = server.countPendingWork());
     return count[0];
   }
 
--- a/src/test/java/bitternpulley/net/HttpSlowClientTest.java
+++ b/src/test/java/bitternpulley/net/HttpSlowClientTest.java
@@ -17,7 +17,7 @@
     try (Socket client = connect(request("/held", ""))) {
       awaitCondition("the request is in progress", () -> openExchanges.size() == 1);
       write(client, request("/ahead", "x".repeat(60_000)).repeat(sent));
-      loop.execute(() -> openExchanges.get(0).reply(unusable(200, "at last")));
+      loop.execute(() -> openExchanges.get(0).reply(errorResponse(200, "at last")));
       assertEquals(readStatus(client), 200);
       int answered = 0;
       int last = readStatus(client);
--- a/src/test/java/bitternpulley/trace/EffectLines.java
+++ b/src/test/java/bitternpulley/trace/EffectLines.java
@@ -219,7 +219,7 @@
   }
 
   private static String ending(Effect.Answer.Ending ending) {
-    return ending.late() + " " + ending.mayHaveRun() + " " + missing(ending.missing());
+    return ending.timedOut() + " " + ending.mayHaveRun() + " " + missing(ending.missing());
   }
 
   private static String missing(Map<Integer, Effect.Answer.MissingPart> missing) {
