--- a/src/main/java/bitternpulley/script/Builtins.java
+++ b/src/main/java/bitternpulley/script/Builtins.java
@@ -35,10 +35,10 @@
           "fail",
           "repr");
 
-  private final Meter meter;
+  private final EvaluationBudget meter;
   private final Values values;
 
-  Builtins(Meter meter, Values values) {
+  Builtins(EvaluationBudget meter, Values values) {
     this.meter = meter;
     this.values = values;
   }
@@ -47,82 +47,92 @@
     return NAMES.contains(name);
   }
 
-  Object call(String name, List<Object> plain, Map<String, Host.Value> named, Place at) {
+  Object call(String name, List<Object> plain, Map<String, Host.Value> named, Place position) {
     boolean reverse =
         named.containsKey("reverse")
             && name.equals("sorted")
-            && Values.truth(named.get("reverse").value());
+            && Values.isTruthy(named.get("reverse").value());
     if (!named.isEmpty() && !(name.equals("sorted") && named.keySet().equals(Set.of("reverse")))) {
-      throw new ScriptException(at, name + "() has no '" + named.keySet().iterator().next() + "'");
+      throw new ScriptException(
+          position, name + "() has no '" + named.keySet().iterator().next() + "'");
     }
     if (name.equals("print") || name.equals("fail")) {
       StringBuilder text = new StringBuilder();
-      plain.forEach(v -> text.append(text.length() == 0 ? "" : " ").append(values.text(v, at)));
+      plain.forEach(
+          value -> text.append(text.length() == 0 ? "" : " ").append(values.text(value, position)));
       if (name.equals("fail")) {
-        throw new ScriptException(at, text.toString());
+        throw new ScriptException(position, text.toString());
       }
-      meter.print(text.toString(), at);
+      meter.print(text.toString(), position);
       return None.NONE;
     }
     return switch (name) {
-      case "range" -> range(plain, at);
-      case "min", "max" -> extreme(name, plain, at);
-      case "zip" -> zip(plain, at);
+      case "range" -> range(plain, position);
+      case "min", "max" -> extreme(name, plain, position);
+      case "zip" -> zip(plain, position);
       case "list" ->
-          plain.isEmpty() ? new ArrayList<>() : values.elements(one(name, plain, at), at);
+          plain.isEmpty()
+              ? new ArrayList<>()
+              : values.elements(one(name, plain, position), position);
       case "tuple" ->
-          new Values.Tuple(plain.isEmpty() ? List.of() : values.elements(one(name, plain, at), at));
-      case "dict" -> plain.isEmpty() ? new LinkedHashMap<>() : dict(one(name, plain, at), at);
-      case "sorted" -> sorted(one(name, plain, at), reverse, at);
-      default -> single(name, one(name, plain, at), at);
+          new Values.Tuple(
+              plain.isEmpty() ? List.of() : values.elements(one(name, plain, position), position));
+      case "dict" ->
+          plain.isEmpty() ? new LinkedHashMap<>() : dict(one(name, plain, position), position);
+      case "sorted" -> sorted(one(name, plain, position), reverse, position);
+      default -> single(name, one(name, plain, position), position);
     };
   }
 
-  private Object single(String name, Object v, Place at) {
+  private Object single(String name, Object value, Place position) {
     return switch (name) {
       case "len" ->
-          v instanceof String s ? (Object) (long) s.length() : (long) values.elements(v, at).size();
-      case "str" -> values.text(v, at);
-      case "repr" -> values.written(v, at);
-      case "int" -> whole(v, at);
-      case "float" -> real(v, at);
-      case "bool" -> Values.truth(v);
-      case "type" -> Values.type(v);
+          value instanceof String text
+              ? (Object) (long) text.length()
+              : (long) values.elements(value, position).size();
+      case "str" -> values.text(value, position);
+      case "repr" -> values.literal(value, position);
+      case "int" -> toInteger(value, position);
+      case "float" -> toFloat(value, position);
+      case "bool" -> Values.isTruthy(value);
+      case "type" -> Values.typeName(value);
       case "abs" ->
-          v instanceof Long l && l != Long.MIN_VALUE
-              ? (Object) Math.abs(l)
-              : v instanceof Double d ? Math.abs(d) : refuse(name, v, at);
-      case "any" -> values.elements(v, at).stream().anyMatch(Values::truth);
-      case "all" -> values.elements(v, at).stream().allMatch(Values::truth);
-      case "reversed" -> reversed(values.elements(v, at));
-      default -> enumerated(values.elements(v, at), at);
+          value instanceof Long integer && integer != Long.MIN_VALUE
+              ? (Object) Math.abs(integer)
+              : value instanceof Double number ? Math.abs(number) : refuse(name, value, position);
+      case "any" -> values.elements(value, position).stream().anyMatch(Values::isTruthy);
+      case "all" -> values.elements(value, position).stream().allMatch(Values::isTruthy);
+      case "reversed" -> reversed(values.elements(value, position));
+      default -> enumerated(values.elements(value, position), position);
     };
   }
 
-  private static Object refuse(String name, Object v, Place at) {
-    throw new ScriptException(at, name + "() does not go with a " + Values.type(v));
+  private static Object refuse(String name, Object value, Place position) {
+    throw new ScriptException(position, name + "() does not go with a " + Values.typeName(value));
   }
 
-  private static Object one(String name, List<Object> plain, Place at) {
+  private static Object one(String name, List<Object> plain, Place position) {
     if (plain.size() != 1) {
-      throw new ScriptException(at, name + "() takes one argument, not " + plain.size());
+      throw new ScriptException(position, name + "() takes one argument, not " + plain.size());
     }
     return plain.get(0);
   }
 
-  private List<Object> range(List<Object> plain, Place at) {
-    if (plain.isEmpty() || plain.size() > 3 || !plain.stream().allMatch(v -> v instanceof Long)) {
-      throw new ScriptException(at, "range() takes one to three whole numbers");
+  private List<Object> range(List<Object> plain, Place position) {
+    if (plain.isEmpty()
+        || plain.size() > 3
+        || !plain.stream().allMatch(value -> value instanceof Long)) {
+      throw new ScriptException(position, "range() takes one to three whole numbers");
     }
     long from = plain.size() == 1 ? 0 : (Long) plain.get(0);
     long to = (Long) plain.get(plain.size() == 1 ? 0 : 1);
     long by = plain.size() == 3 ? (Long) plain.get(2) : 1;
     if (by == 0) {
-      throw new ScriptException(at, "range() cannot go by 0");
+      throw new ScriptException(position, "range() cannot go by 0");
     }
     List<Object> made = new ArrayList<>();
     for (long i = from; by > 0 ? i < to : i > to; i += by) {
-      meter.make(1, at);
+      meter.reserve(1, position);
       made.add(i);
       if (by > 0 && i > Long.MAX_VALUE - by || by < 0 && i < Long.MIN_VALUE - by) {
         break;
@@ -131,50 +141,55 @@
     return made;
   }
 
-  private Object extreme(String name, List<Object> plain, Place at) {
-    List<Object> of = plain.size() == 1 ? values.elements(plain.get(0), at) : plain;
+  private Object extreme(String name, List<Object> plain, Place position) {
+    List<Object> of = plain.size() == 1 ? values.elements(plain.get(0), position) : plain;
     if (of.isEmpty()) {
-      throw new ScriptException(at, name + "() of nothing");
+      throw new ScriptException(position, name + "() of nothing");
     }
     Object found = of.get(0);
-    for (Object v : of) {
-      int order = values.order(v, found, 0, at);
-      found = name.equals("min") ? order < 0 ? v : found : order > 0 ? v : found;
+    for (Object value : of) {
+      int order = values.order(value, found, 0, position);
+      found = name.equals("min") ? order < 0 ? value : found : order > 0 ? value : found;
     }
     return found;
   }
 
-  private List<Object> zip(List<Object> plain, Place at) {
-    List<List<Object>> columns = plain.stream().map(v -> values.elements(v, at)).toList();
+  private List<Object> zip(List<Object> plain, Place position) {
+    List<List<Object>> columns =
+        plain.stream().map(value -> values.elements(value, position)).toList();
     int rows = columns.stream().mapToInt(List::size).min().orElse(0);
     List<Object> made = new ArrayList<>();
     for (int i = 0; i < rows; i++) {
       int row = i;
-      meter.make(columns.size() + 1L, at);
+      meter.reserve(columns.size() + 1L, position);
       made.add(new Values.Tuple(columns.stream().map(c -> c.get(row)).toList()));
     }
     return made;
   }
 
-  private Object dict(Object v, Place at) {
-    if (v instanceof Map) {
-      meter.make(Values.dict(v).size(), at);
-      return new LinkedHashMap<>(Values.dict(v));
+  private Object dict(Object value, Place position) {
+    if (value instanceof Map) {
+      meter.reserve(Values.dict(value).size(), position);
+      return new LinkedHashMap<>(Values.dict(value));
     }
     Map<Object, Object> made = new LinkedHashMap<>();
-    for (Object pair : values.elements(v, at)) {
-      List<Object> two = values.elements(pair, at);
+    for (Object pair : values.elements(value, position)) {
+      List<Object> two = values.elements(pair, position);
       if (two.size() != 2) {
-        throw new ScriptException(at, "dict() takes pairs");
+        throw new ScriptException(position, "dict() takes pairs");
       }
-      made.put(values.key(two.get(0), at), two.get(1));
+      made.put(values.key(two.get(0), position), two.get(1));
     }
     return made;
   }
 
-  private List<Object> sorted(Object v, boolean reverse, Place at) {
-    List<Object> made = values.elements(v, at);
-    made.sort((a, b) -> reverse ? values.order(b, a, 0, at) : values.order(a, b, 0, at));
+  private List<Object> sorted(Object value, boolean reverse, Place position) {
+    List<Object> made = values.elements(value, position);
+    made.sort(
+        (left, right) ->
+            reverse
+                ? values.order(right, left, 0, position)
+                : values.order(left, right, 0, position));
     return made;
   }
 
@@ -183,139 +198,143 @@
     return elements;
   }
 
-  private List<Object> enumerated(List<Object> elements, Place at) {
+  private List<Object> enumerated(List<Object> elements, Place position) {
     List<Object> made = new ArrayList<>();
     for (Object e : elements) {
-      meter.make(3, at);
+      meter.reserve(3, position);
       made.add(new Values.Tuple(List.of((long) made.size(), e)));
     }
     return made;
   }
 
-  private Object whole(Object v, Place at) {
+  private Object toInteger(Object value, Place position) {
     try {
-      return v instanceof Long
-          ? v
-          : v instanceof Boolean b
+      return value instanceof Long
+          ? value
+          : value instanceof Boolean b
               ? (Object) (b ? 1L : 0L)
-              : v instanceof Double d && Math.abs(d) < 9e18
-                  ? (Object) (long) (double) d
-                  : v instanceof String s
-                      ? (Object) Long.parseLong(s.strip())
-                      : refuse("int", v, at);
+              : value instanceof Double number && Math.abs(number) < 9e18
+                  ? (Object) (long) (double) number
+                  : value instanceof String text
+                      ? (Object) Long.parseLong(text.strip())
+                      : refuse("int", value, position);
     } catch (NumberFormatException e) {
-      throw new ScriptException(at, values.written(v, at) + " is not a whole number");
+      throw new ScriptException(
+          position, values.literal(value, position) + " is not a whole number");
     }
   }
 
-  private Object real(Object v, Place at) {
+  private Object toFloat(Object value, Place position) {
     try {
       double d =
-          v instanceof Number n
+          value instanceof Number n
               ? n.doubleValue()
-              : v instanceof String s
-                  ? Double.parseDouble(s.strip())
-                  : (Double) refuse("float", v, at);
+              : value instanceof String text
+                  ? Double.parseDouble(text.strip())
+                  : (Double) refuse("float", value, position);
       if (Double.isNaN(d) || Double.isInfinite(d)) {
-        throw new ScriptException(at, "a number that is not finite");
+        throw new ScriptException(position, "a number that is not finite");
       }
       return d;
     } catch (NumberFormatException e) {
-      throw new ScriptException(at, values.written(v, at) + " is not a number");
+      throw new ScriptException(position, values.literal(value, position) + " is not a number");
     }
   }
 
   // --- Methods -----------------------------------------------------------------------------------
 
   Object method(
-      Object of, String name, List<Object> plain, Map<String, Host.Value> named, Place at) {
-    if (of instanceof String s && name.equals("format")) {
-      return format(s, plain, named, at);
+      Object of, String name, List<Object> plain, Map<String, Host.Value> named, Place position) {
+    if (of instanceof String text && name.equals("format")) {
+      return format(text, plain, named, position);
     }
     if (!named.isEmpty()) {
-      throw new ScriptException(at, "." + name + "() takes no arguments by name");
+      throw new ScriptException(position, "." + name + "() takes no arguments by name");
     }
     Object made =
-        of instanceof String s
-            ? text(s, name, plain, at)
+        of instanceof String text
+            ? text(text, name, plain, position)
             : of instanceof Map
-                ? dict(Values.dict(of), name, plain, at)
+                ? dict(Values.dict(of), name, plain, position)
                 : of instanceof List && !(of instanceof Values.Tuple)
-                    ? list(Values.list(of), name, plain, at)
+                    ? list(Values.list(of), name, plain, position)
                     : null;
     if (made == null) {
       throw new ScriptException(
-          at, "a " + Values.type(of) + " has no ." + name + "() of " + plain.size() + " arguments");
+          position,
+          "a " + Values.typeName(of) + " has no ." + name + "() of " + plain.size() + " arguments");
     }
     return made;
   }
 
-  private Object text(String s, String name, List<Object> plain, Place at) {
-    meter.make(s.length(), at);
+  private Object text(String text, String name, List<Object> plain, Place position) {
+    meter.reserve(text.length(), position);
     if (plain.isEmpty()) {
       return switch (name) {
-        case "upper" -> s.toUpperCase(Locale.ROOT);
-        case "lower" -> s.toLowerCase(Locale.ROOT);
-        case "strip" -> s.strip();
+        case "upper" -> text.toUpperCase(Locale.ROOT);
+        case "lower" -> text.toLowerCase(Locale.ROOT);
+        case "strip" -> text.strip();
         case "split" ->
-            s.isBlank()
+            text.isBlank()
                 ? new ArrayList<>()
-                : new ArrayList<Object>(Arrays.asList(s.strip().split("\\s+")));
+                : new ArrayList<Object>(Arrays.asList(text.strip().split("\\s+")));
         default -> null;
       };
     }
     if (name.equals("join") && plain.size() == 1) {
       StringBuilder joined = new StringBuilder();
-      for (Object v : values.elements(plain.get(0), at)) {
-        if (!(v instanceof String part)) {
-          throw new ScriptException(at, "join() takes texts, not a " + Values.type(v));
+      for (Object value : values.elements(plain.get(0), position)) {
+        if (!(value instanceof String part)) {
+          throw new ScriptException(
+              position, "join() takes texts, not a " + Values.typeName(value));
         }
-        meter.make((long) part.length() + s.length(), at);
-        joined.append(joined.length() == 0 ? "" : s).append(part);
+        meter.reserve((long) part.length() + text.length(), position);
+        joined.append(joined.length() == 0 ? "" : text).append(part);
       }
       return joined.toString();
     }
-    if (!plain.stream().allMatch(v -> v instanceof String)) {
+    if (!plain.stream().allMatch(value -> value instanceof String)) {
       return null;
     }
     String first = (String) plain.get(0);
     if (plain.size() == 2) {
-      return name.equals("replace") ? replaced(s, first, (String) plain.get(1), at) : null;
+      return name.equals("replace") ? replaced(text, first, (String) plain.get(1), position) : null;
     }
     return plain.size() != 1
         ? null
         : switch (name) {
-          case "startswith" -> s.startsWith(first);
-          case "endswith" -> s.endsWith(first);
+          case "startswith" -> text.startsWith(first);
+          case "endswith" -> text.endsWith(first);
           case "count" ->
               (long)
                   (first.isEmpty()
-                      ? s.length() + 1
-                      : s.split(java.util.regex.Pattern.quote(first), -1).length - 1);
-          case "find" -> (long) s.indexOf(first);
-          case "split" -> split(s, first, at);
+                      ? text.length() + 1
+                      : text.split(java.util.regex.Pattern.quote(first), -1).length - 1);
+          case "find" -> (long) text.indexOf(first);
+          case "split" -> split(text, first, position);
           default -> null;
         };
   }
 
-  private Object replaced(String s, String what, String by, Place at) {
+  private Object replaced(String text, String what, String by, Place position) {
     long times =
         what.isEmpty()
-            ? s.length() + 1L
-            : s.split(java.util.regex.Pattern.quote(what), -1).length - 1L;
-    meter.make(s.length() + times * by.length(), at);
-    return s.replace(what, by);
+            ? text.length() + 1L
+            : text.split(java.util.regex.Pattern.quote(what), -1).length - 1L;
+    meter.reserve(text.length() + times * by.length(), position);
+    return text.replace(what, by);
   }
 
-  private Object split(String s, String by, Place at) {
+  private Object split(String text, String by, Place position) {
     if (by.isEmpty()) {
-      throw new ScriptException(at, "split() by nothing");
+      throw new ScriptException(position, "split() by nothing");
     }
-    return new ArrayList<Object>(Arrays.asList(s.split(java.util.regex.Pattern.quote(by), -1)));
+    return new ArrayList<Object>(Arrays.asList(text.split(java.util.regex.Pattern.quote(by), -1)));
   }
 
   /** {@code "{} of {total}".format(1, total = 3)}. */
-  private String format(String form, List<Object> plain, Map<String, Host.Value> named, Place at) {
+  private String format(
+      String form, List<Object> plain, Map<String, Host.Value> named, Place position) {
     StringBuilder out = new StringBuilder();
     int next = 0;
     for (int i = 0; i < form.length(); i++) {
@@ -328,77 +347,77 @@
       }
       int end = form.indexOf('}', i);
       if (c == '}' || end < 0) {
-        throw new ScriptException(at, "a bracket in the text has no other");
+        throw new ScriptException(position, "a bracket in the text has no other");
       }
       String name = form.substring(i + 1, end);
-      Object v;
+      Object value;
       if (name.isEmpty() || name.matches("[0-9]{1,6}")) {
         int index = name.isEmpty() ? next++ : Integer.parseInt(name);
         if (index >= plain.size()) {
-          throw new ScriptException(at, "there are fewer values than places in the text");
+          throw new ScriptException(position, "there are fewer values than places in the text");
         }
-        v = plain.get(index);
+        value = plain.get(index);
       } else if (named.containsKey(name)) {
-        v = named.get(name).value();
+        value = named.get(name).value();
       } else {
-        throw new ScriptException(at, "format() is not given '" + name + "'");
+        throw new ScriptException(position, "format() is not given '" + name + "'");
       }
-      String placed = values.text(v, at);
-      meter.make(placed.length(), at);
+      String placed = values.text(value, position);
+      meter.reserve(placed.length(), position);
       out.append(placed);
       i = end;
     }
-    meter.make(out.length(), at);
+    meter.reserve(out.length(), position);
     return out.toString();
   }
 
-  private Object list(List<Object> of, String name, List<Object> plain, Place at) {
+  private Object list(List<Object> of, String name, List<Object> plain, Place position) {
     if (plain.size() == 1 && name.equals("append")) {
-      meter.make(1, at);
+      meter.reserve(1, position);
       of.add(plain.get(0));
       return None.NONE;
     }
     if (plain.size() == 1 && name.equals("extend")) {
-      of.addAll(values.elements(plain.get(0), at));
+      of.addAll(values.elements(plain.get(0), position));
       return None.NONE;
     }
     if (plain.size() == 1 && name.equals("index")) {
       for (int i = 0; i < of.size(); i++) {
-        if (values.equal(of.get(i), plain.get(0), 0, at)) {
+        if (values.equal(of.get(i), plain.get(0), 0, position)) {
           return (long) i;
         }
       }
-      throw new ScriptException(at, "the list has no such element");
+      throw new ScriptException(position, "the list has no such element");
     }
     if (plain.isEmpty() && name.equals("pop")) {
       if (of.isEmpty()) {
-        throw new ScriptException(at, "the list is empty");
+        throw new ScriptException(position, "the list is empty");
       }
       return of.remove(of.size() - 1);
     }
     return null;
   }
 
-  private Object dict(Map<Object, Object> of, String name, List<Object> plain, Place at) {
+  private Object dict(Map<Object, Object> of, String name, List<Object> plain, Place position) {
     if (plain.isEmpty()) {
-      meter.make(of.size(), at);
+      meter.reserve(of.size(), position);
       return switch (name) {
         case "keys" -> new ArrayList<>(of.keySet());
         case "values" -> new ArrayList<>(of.values());
         case "items" -> {
           List<Object> items = new ArrayList<>();
-          of.forEach((k, v) -> items.add(new Values.Tuple(List.of(k, v))));
+          of.forEach((k, value) -> items.add(new Values.Tuple(List.of(k, value))));
           yield items;
         }
         default -> null;
       };
     }
     if (name.equals("update") && plain.size() == 1 && plain.get(0) instanceof Map) {
-      meter.make(Values.dict(plain.get(0)).size(), at);
+      meter.reserve(Values.dict(plain.get(0)).size(), position);
       of.putAll(new LinkedHashMap<>(Values.dict(plain.get(0))));
       return None.NONE;
     }
-    Object key = values.key(plain.get(0), at);
+    Object key = values.key(plain.get(0), position);
     Object absent = plain.size() == 2 ? plain.get(1) : null;
     if (plain.size() > 2) {
       return null;
@@ -411,7 +430,7 @@
       }
       case "pop" -> {
         if (!of.containsKey(key) && absent == null) {
-          throw new ScriptException(at, "there is no key " + values.written(key, at));
+          throw new ScriptException(position, "there is no key " + values.literal(key, position));
         }
         yield of.containsKey(key) ? of.remove(key) : absent;
       }
--- a/src/main/java/bitternpulley/script/Host.java
+++ b/src/main/java/bitternpulley/script/Host.java
@@ -11,7 +11,7 @@
    * Calls a function with its arguments by name, each with its place; the result, None for null, is
    * the call's value. Throws {@link ScriptException} where it cannot be called so.
    */
-  Object call(String function, Map<String, Value> arguments, Place at);
+  Object call(String function, Map<String, Value> arguments, Place position);
 
   /** A value and where it stands. */
   record Value(Object value, Place at) {}
--- a/src/main/java/bitternpulley/script/Layout.java
+++ b/src/main/java/bitternpulley/script/IndentationLexer.java
@@ -14,7 +14,7 @@
  * Tells lines and blocks by their indentation, after the rules of Starlark's specification, and
  * keeps to the bounds on nesting before the parser, which recurses, gets to see them.
  */
-final class Layout {
+final class IndentationLexer {
   /** Columns that a tab stands for. */
   private static final int TAB = 8;
 
@@ -26,13 +26,13 @@
   private int prefixes;
   private boolean lineOpen;
 
-  private Layout(String file, int deepest) {
+  private IndentationLexer(String file, int deepest) {
     this.file = file;
     this.deepest = deepest;
   }
 
   static TokenSource of(Lexer lexer, String file, int deepest) {
-    Layout layout = new Layout(file, deepest);
+    IndentationLexer layout = new IndentationLexer(file, deepest);
     List<? extends Token> all = lexer.getAllTokens();
     for (int i = 0; i < all.size(); i++) {
       layout.take(all.get(i), i + 1 < all.size() ? all.get(i + 1) : null);
@@ -41,32 +41,32 @@
     return new ListTokenSource(layout.out, file);
   }
 
-  private void take(Token t, Token following) {
-    if (t.getType() == ScriptLexer.OTHER) {
-      throw new ScriptException(place(t), "'" + t.getText() + "' is not understood");
+  private void take(Token token, Token following) {
+    if (token.getType() == ScriptLexer.OTHER) {
+      throw new ScriptException(place(token), "'" + token.getText() + "' is not understood");
     }
-    if (t.getType() == ScriptLexer.NEWLINE) {
+    if (token.getType() == ScriptLexer.NEWLINE) {
       boolean blank = following == null || following.getType() == ScriptLexer.NEWLINE;
       if (brackets == 0 && lineOpen) {
-        add(t, ScriptLexer.NEWLINE);
+        add(token, ScriptLexer.NEWLINE);
         lineOpen = false;
         prefixes = 0;
       }
       if (brackets == 0 && !blank) {
-        indent(t);
+        indent(token);
       }
       return;
     }
-    if (out.isEmpty() && t.getCharPositionInLine() > 0) {
-      throw new ScriptException(place(t), "the first line is indented");
+    if (out.isEmpty() && token.getCharPositionInLine() > 0) {
+      throw new ScriptException(place(token), "the first line is indented");
     }
     lineOpen = true;
-    nest(t);
-    out.add(t);
+    nest(token);
+    out.add(token);
   }
 
-  private void nest(Token t) {
-    String text = t.getText();
+  private void nest(Token token) {
+    String text = token.getText();
     switch (text) {
       case "(", "[", "{" -> brackets++;
       case ")", "]", "}" -> brackets = Math.max(0, brackets - 1);
@@ -75,7 +75,7 @@
     }
     // Guards against a text on which a parser that recurses runs out of stack.
     if (brackets > deepest || prefixes > 4 * deepest) {
-      throw new ScriptException(place(t), "nested more than " + deepest + " deep");
+      throw new ScriptException(place(token), "nested more than " + deepest + " deep");
     }
   }
 
@@ -131,7 +131,7 @@
     out.add(made);
   }
 
-  private Place place(Token t) {
-    return new Place(file, t.getLine(), t.getCharPositionInLine() + 1);
+  private Place place(Token token) {
+    return new Place(file, token.getLine(), token.getCharPositionInLine() + 1);
   }
 }
--- a/src/main/java/bitternpulley/script/ScriptException.java
+++ b/src/main/java/bitternpulley/script/ScriptException.java
@@ -4,20 +4,20 @@
 public final class ScriptException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  private final transient Place place;
+  private final transient Place position;
 
   public ScriptException(Place place, String message) {
     super(message);
-    this.place = place;
+    this.position = place;
   }
 
   /** Null where the script as a whole is at fault. */
-  public Place place() {
-    return place;
+  public Place position() {
+    return position;
   }
 
   @Override
   public String toString() {
-    return place == null ? getMessage() : place + ": " + getMessage();
+    return position == null ? getMessage() : position + ": " + getMessage();
   }
 }
--- a/src/main/java/bitternpulley/script/ScriptRunner.java
+++ b/src/main/java/bitternpulley/script/ScriptRunner.java
@@ -22,10 +22,11 @@
    * used.
    */
   public String run(String file, String text) {
-    if (text.length() > bounds.text()) {
-      throw new ScriptException(null, file + " has more than " + bounds.text() + " characters");
+    if (text.length() > bounds.scriptLength()) {
+      throw new ScriptException(
+          null, file + " has more than " + bounds.scriptLength() + " characters");
     }
-    Meter meter = new Meter(bounds);
+    EvaluationBudget meter = new EvaluationBudget(bounds);
     try {
       new Statements(file, meter, host).run(parse(file, text));
     } catch (StackOverflowError e) {
@@ -58,7 +59,7 @@
     lexer.removeErrorListeners();
     lexer.addErrorListener(refuse);
     ScriptParser parser =
-        new ScriptParser(new CommonTokenStream(Layout.of(lexer, file, bounds.depth())));
+        new ScriptParser(new CommonTokenStream(IndentationLexer.of(lexer, file, bounds.depth())));
     parser.removeErrorListeners();
     parser.addErrorListener(refuse);
     return parser.file();
--- a/src/main/java/bitternpulley/script/Statements.java
+++ b/src/main/java/bitternpulley/script/Statements.java
@@ -10,171 +10,188 @@
 /** Carries out statements, one after the other. */
 final class Statements {
   /** How a statement ended: by itself, or by leaving what it stands in. */
-  private enum End {
+  private enum Completion {
     ON,
     NEXT,
     LEAVE,
     GIVE
   }
 
-  private final Meter meter;
+  private final EvaluationBudget meter;
   private final Expressions expressions;
   private final Scope global = new Scope(null);
   private Object given = None.NONE;
 
-  Statements(String file, Meter meter, Host host) {
+  Statements(String file, EvaluationBudget meter, Host host) {
     this.meter = meter;
     this.expressions = new Expressions(file, meter, host, this);
   }
 
   void run(ScriptParser.FileContext file) {
-    for (ScriptParser.StatementContext s : file.statement()) {
-      if (carryOut(s, global) != End.ON) {
-        throw new ScriptException(expressions.place(s), "there is nothing to leave here");
+    for (ScriptParser.StatementContext statement : file.statement()) {
+      if (execute(statement, global) != Completion.ON) {
+        throw new ScriptException(
+            expressions.position(statement), "there is nothing to leave here");
       }
     }
   }
 
   /** Calls a function of the script. */
-  Object call(Function f, List<Object> plain, Map<String, Host.Value> named, Place at) {
-    if (f.running) {
-      throw new ScriptException(at, "'" + f.name + "' calls itself, which is not allowed");
+  Object call(
+      Function function, List<Object> plain, Map<String, Host.Value> named, Place position) {
+    if (function.running) {
+      throw new ScriptException(
+          position, "'" + function.name + "' calls itself, which is not allowed");
     }
-    if (plain.size() > f.parameters.size()) {
+    if (plain.size() > function.parameters.size()) {
       throw new ScriptException(
-          at, f.name + "() takes " + f.parameters.size() + " arguments, not " + plain.size());
+          position,
+          function.name
+              + "() takes "
+              + function.parameters.size()
+              + " arguments, not "
+              + plain.size());
     }
-    Scope own = new Scope(f.scope);
+    Scope own = new Scope(function.scope);
     Map<String, Host.Value> left = new LinkedHashMap<>(named);
-    for (int i = 0; i < f.parameters.size(); i++) {
-      String parameter = f.parameters.get(i);
+    for (int i = 0; i < function.parameters.size(); i++) {
+      String parameter = function.parameters.get(i);
       Host.Value byName = left.remove(parameter);
       if (i < plain.size() && byName != null) {
         throw new ScriptException(byName.at(), "'" + parameter + "' is given twice");
       }
-      Object v =
-          i < plain.size() ? plain.get(i) : byName != null ? byName.value() : f.defaults.get(i);
-      if (v == null) {
-        throw new ScriptException(at, f.name + "() needs '" + parameter + "'");
+      Object value =
+          i < plain.size()
+              ? plain.get(i)
+              : byName != null ? byName.value() : function.defaults.get(i);
+      if (value == null) {
+        throw new ScriptException(position, function.name + "() needs '" + parameter + "'");
       }
-      own.set(parameter, v);
+      own.set(parameter, value);
     }
     for (Map.Entry<String, Host.Value> unknown : left.entrySet()) {
       throw new ScriptException(
-          unknown.getValue().at(), f.name + "() has no '" + unknown.getKey() + "'");
+          unknown.getValue().at(), function.name + "() has no '" + unknown.getKey() + "'");
     }
-    f.running = true;
-    meter.deeper(at);
+    function.running = true;
+    meter.enter(position);
     try {
       given = None.NONE;
-      End end = carryOut(f.body, own);
-      if (end == End.NEXT || end == End.LEAVE) {
-        throw new ScriptException(at, "there is no loop to leave in '" + f.name + "'");
+      Completion end = execute(function.body, own);
+      if (end == Completion.NEXT || end == Completion.LEAVE) {
+        throw new ScriptException(position, "there is no loop to leave in '" + function.name + "'");
       }
-      Object result = end == End.GIVE ? given : None.NONE;
+      Object result = end == Completion.GIVE ? given : None.NONE;
       given = None.NONE;
       return result;
     } finally {
-      meter.shallower();
-      f.running = false;
+      meter.leave();
+      function.running = false;
     }
   }
 
-  private End carryOut(ScriptParser.SuiteContext suite, Scope in) {
+  private Completion execute(ScriptParser.SuiteContext suite, Scope in) {
     if (suite.simpleLine() != null) {
-      return carryOut(suite.simpleLine(), in);
+      return execute(suite.simpleLine(), in);
     }
-    for (ScriptParser.StatementContext s : suite.statement()) {
-      End end = carryOut(s, in);
-      if (end != End.ON) {
+    for (ScriptParser.StatementContext statement : suite.statement()) {
+      Completion end = execute(statement, in);
+      if (end != Completion.ON) {
         return end;
       }
     }
-    return End.ON;
+    return Completion.ON;
   }
 
-  private End carryOut(ScriptParser.StatementContext s, Scope in) {
-    meter.step(expressions.place(s));
-    if (s.simpleLine() != null) {
-      return carryOut(s.simpleLine(), in);
+  private Completion execute(ScriptParser.StatementContext statement, Scope in) {
+    meter.recordStep(expressions.position(statement));
+    if (statement.simpleLine() != null) {
+      return execute(statement.simpleLine(), in);
     }
-    if (s.definition() != null) {
-      define(s.definition(), in);
-      return End.ON;
+    if (statement.definition() != null) {
+      define(statement.definition(), in);
+      return Completion.ON;
     }
-    return s.conditional() != null ? choose(s.conditional(), in) : loop(s.loop(), in);
+    return statement.conditional() != null
+        ? choose(statement.conditional(), in)
+        : loop(statement.loop(), in);
   }
 
-  private End carryOut(ScriptParser.SimpleLineContext line, Scope in) {
-    for (ScriptParser.SmallContext s : line.small()) {
-      End end = small(s, in);
-      if (end != End.ON) {
+  private Completion execute(ScriptParser.SimpleLineContext line, Scope in) {
+    for (ScriptParser.SmallContext statement : line.small()) {
+      Completion end = small(statement, in);
+      if (end != Completion.ON) {
         return end;
       }
     }
-    return End.ON;
+    return Completion.ON;
   }
 
-  private End small(ScriptParser.SmallContext s, Scope in) {
-    if (s instanceof ScriptParser.GiveContext g) {
+  private Completion small(ScriptParser.SmallContext statement, Scope in) {
+    if (statement instanceof ScriptParser.GiveContext g) {
       if (in == global) {
-        throw new ScriptException(expressions.place(s), "'return' stands in no function");
+        throw new ScriptException(
+            expressions.position(statement), "'return' stands in no function");
       }
-      given = g.tests() == null ? None.NONE : expressions.of(g.tests(), in);
-      return End.GIVE;
+      given = g.tests() == null ? None.NONE : expressions.evaluate(g.tests(), in);
+      return Completion.GIVE;
     }
-    if (s instanceof ScriptParser.LeaveContext) {
-      return End.LEAVE;
+    if (statement instanceof ScriptParser.LeaveContext) {
+      return Completion.LEAVE;
     }
-    if (s instanceof ScriptParser.NextContext) {
-      return End.NEXT;
+    if (statement instanceof ScriptParser.NextContext) {
+      return Completion.NEXT;
     }
-    if (s instanceof ScriptParser.AssignContext a) {
+    if (statement instanceof ScriptParser.AssignContext a) {
       assign(a, in);
-    } else if (s instanceof ScriptParser.EvaluateContext e) {
-      expressions.of(e.tests(), in);
+    } else if (statement instanceof ScriptParser.EvaluateContext e) {
+      expressions.evaluate(e.tests(), in);
     }
-    return End.ON;
+    return Completion.ON;
   }
 
-  private void define(ScriptParser.DefinitionContext d, Scope in) {
+  private void define(ScriptParser.DefinitionContext definition, Scope in) {
     List<String> parameters = new ArrayList<>();
     List<Object> defaults = new ArrayList<>();
     Set<String> seen = new HashSet<>();
-    for (ScriptParser.ParameterContext p : d.parameter()) {
+    for (ScriptParser.ParameterContext p : definition.parameter()) {
       if (!seen.add(p.NAME().getText())) {
-        throw new ScriptException(expressions.place(p), "the parameter comes twice");
+        throw new ScriptException(expressions.position(p), "the parameter comes twice");
       }
       parameters.add(p.NAME().getText());
-      defaults.add(p.test() == null ? null : expressions.of(p.test(), in));
+      defaults.add(p.test() == null ? null : expressions.evaluate(p.test(), in));
     }
     in.set(
-        d.NAME().getText(), new Function(d.NAME().getText(), parameters, defaults, d.suite(), in));
+        definition.NAME().getText(),
+        new Function(definition.NAME().getText(), parameters, defaults, definition.suite(), in));
   }
 
-  private End choose(ScriptParser.ConditionalContext c, Scope in) {
-    for (int i = 0; i < c.test().size(); i++) {
-      if (Values.truth(expressions.of(c.test(i), in))) {
-        return carryOut(c.suite(i), in);
+  private Completion choose(ScriptParser.ConditionalContext conditional, Scope in) {
+    for (int i = 0; i < conditional.test().size(); i++) {
+      if (Values.isTruthy(expressions.evaluate(conditional.test(i), in))) {
+        return execute(conditional.suite(i), in);
       }
     }
-    return c.suite().size() > c.test().size() ? carryOut(c.suite(c.test().size()), in) : End.ON;
+    return conditional.suite().size() > conditional.test().size()
+        ? execute(conditional.suite(conditional.test().size()), in)
+        : Completion.ON;
   }
 
-  private End loop(ScriptParser.LoopContext l, Scope in) {
-    Place at = expressions.place(l);
-    for (Object element : expressions.values().elements(expressions.of(l.tests(), in), at)) {
-      meter.step(at);
-      bind(l.names(), element, in);
-      End end = carryOut(l.suite(), in);
-      if (end == End.GIVE) {
+  private Completion loop(ScriptParser.LoopContext loop, Scope in) {
+    Place position = expressions.position(loop);
+    for (Object element :
+        expressions.values().elements(expressions.evaluate(loop.tests(), in), position)) {
+      meter.recordStep(position);
+      bind(loop.names(), element, in);
+      Completion end = execute(loop.suite(), in);
+      if (end == Completion.GIVE) {
         return end;
       }
-      if (end == End.LEAVE) {
+      if (end == Completion.LEAVE) {
         break;
       }
     }
-    return End.ON;
+    return Completion.ON;
   }
 
   // --- Names -------------------------------------------------------------------------------------
@@ -184,7 +201,7 @@
       bind(names.name(0), value, in);
       return;
     }
-    List<Object> elements = unpacked(value, names.name().size(), expressions.place(names));
+    List<Object> elements = unpacked(value, names.name().size(), expressions.position(names));
     for (int i = 0; i < elements.size(); i++) {
       bind(names.name(i), elements.get(i), in);
     }
@@ -198,72 +215,77 @@
     }
   }
 
-  private List<Object> unpacked(Object value, int count, Place at) {
-    List<Object> elements = expressions.values().elements(value, at);
+  private List<Object> unpacked(Object value, int count, Place position) {
+    List<Object> elements = expressions.values().elements(value, position);
     if (elements.size() != count) {
-      throw new ScriptException(at, elements.size() + " values for " + count + " names");
+      throw new ScriptException(position, elements.size() + " values for " + count + " names");
     }
     return elements;
   }
 
   private void assign(ScriptParser.AssignContext a, Scope in) {
-    Object value = expressions.of(a.value, in);
+    Object value = expressions.evaluate(a.value, in);
     String op = a.op.getText();
     if (!op.equals("=")) {
       if (a.target.test().size() != 1) {
-        throw new ScriptException(expressions.place(a.target), "'" + op + "' takes one name");
+        throw new ScriptException(expressions.position(a.target), "'" + op + "' takes one name");
       }
       value =
           expressions
               .values()
               .combine(
                   op.substring(0, op.length() - 1),
-                  expressions.of(a.target.test(0), in),
+                  expressions.evaluate(a.target.test(0), in),
                   value,
-                  expressions.place(a));
+                  expressions.position(a));
     }
     if (a.target.test().size() == 1 && a.target.getChildCount() == 1) {
       assign(a.target.test(0), value, in);
       return;
     }
-    assignAll(a.target.test(), value, in, expressions.place(a.target));
+    assignAll(a.target.test(), value, in, expressions.position(a.target));
   }
 
-  private void assignAll(List<ScriptParser.TestContext> targets, Object value, Scope in, Place at) {
-    List<Object> elements = unpacked(value, targets.size(), at);
+  private void assignAll(
+      List<ScriptParser.TestContext> targets, Object value, Scope in, Place position) {
+    List<Object> elements = unpacked(value, targets.size(), position);
     for (int i = 0; i < elements.size(); i++) {
       assign(targets.get(i), elements.get(i), in);
     }
   }
 
   private void assign(ScriptParser.TestContext target, Object value, Scope in) {
-    Place at = expressions.place(target);
+    Place position = expressions.position(target);
     if (target instanceof ScriptParser.PlainContext p
         && p.atom() instanceof ScriptParser.ReadContext r) {
       in.set(r.NAME().getText(), value);
     } else if (target instanceof ScriptParser.PlainContext p
         && p.atom() instanceof ScriptParser.TupleContext t) {
-      assignAll(t.test(), value, in, at);
+      assignAll(t.test(), value, in, position);
     } else if (target instanceof ScriptParser.ItemContext item) {
-      store(expressions.of(item.test(0), in), expressions.of(item.test(1), in), value, at);
+      store(
+          expressions.evaluate(item.test(0), in),
+          expressions.evaluate(item.test(1), in),
+          value,
+          position);
     } else {
-      throw new ScriptException(at, "nothing can be assigned to this");
+      throw new ScriptException(position, "nothing can be assigned to this");
     }
   }
 
-  private void store(Object to, Object key, Object value, Place at) {
+  private void store(Object to, Object key, Object value, Place position) {
     if (to instanceof Map) {
-      meter.make(1, at);
-      Values.dict(to).put(expressions.values().key(key, at), value);
+      meter.reserve(1, position);
+      Values.dict(to).put(expressions.values().key(key, position), value);
     } else if (to instanceof List && !(to instanceof Values.Tuple) && key instanceof Long i) {
       int size = Values.list(to).size();
       long index = i < 0 ? i + size : i;
       if (index < 0 || index >= size) {
-        throw new ScriptException(at, "there is no element " + i + " of " + size);
+        throw new ScriptException(position, "there is no element " + i + " of " + size);
       }
       Values.list(to).set((int) index, value);
     } else {
-      throw new ScriptException(at, "a " + Values.type(to) + " cannot be changed so");
+      throw new ScriptException(position, "a " + Values.typeName(to) + " cannot be changed so");
     }
   }
 }
--- a/src/main/java/bitternpulley/script/Values.java
+++ b/src/main/java/bitternpulley/script/Values.java
@@ -15,46 +15,46 @@
  */
 final class Values {
   /** Levels of lists in lists that are written out or compared. */
-  private static final int DEEPEST = 100;
+  private static final int MAX_VALUE_DEPTH = 100;
 
-  private final Meter meter;
+  private final EvaluationBudget meter;
 
-  Values(Meter meter) {
+  Values(EvaluationBudget meter) {
     this.meter = meter;
   }
 
-  static String type(Object v) {
-    return v instanceof Long
+  static String typeName(Object value) {
+    return value instanceof Long
         ? "int"
-        : v instanceof Double
+        : value instanceof Double
             ? "float"
-            : v instanceof Boolean
+            : value instanceof Boolean
                 ? "bool"
-                : v instanceof String
+                : value instanceof String
                     ? "string"
-                    : v instanceof Map
+                    : value instanceof Map
                         ? "dict"
-                        : v instanceof Tuple
+                        : value instanceof Tuple
                             ? "tuple"
-                            : v instanceof List
+                            : value instanceof List
                                 ? "list"
-                                : v instanceof Function
+                                : value instanceof Function
                                     ? "function"
-                                    : v instanceof None ? "NoneType" : "value";
+                                    : value instanceof None ? "NoneType" : "value";
   }
 
-  static boolean truth(Object v) {
-    return v instanceof Boolean b
+  static boolean isTruthy(Object value) {
+    return value instanceof Boolean b
         ? b
-        : v instanceof Long l
-            ? l != 0
-            : v instanceof Double d
-                ? d != 0
-                : v instanceof String s
-                    ? !s.isEmpty()
-                    : v instanceof Collection<?> c
+        : value instanceof Long integer
+            ? integer != 0
+            : value instanceof Double number
+                ? number != 0
+                : value instanceof String text
+                    ? !text.isEmpty()
+                    : value instanceof Collection<?> c
                         ? !c.isEmpty()
-                        : v instanceof Map<?, ?> m ? !m.isEmpty() : v != None.NONE;
+                        : value instanceof Map<?, ?> m ? !m.isEmpty() : value != None.NONE;
   }
 
   /** A list that cannot be changed. */
@@ -77,291 +77,300 @@
   }
 
   @SuppressWarnings("unchecked")
-  static List<Object> list(Object v) {
-    return (List<Object>) v;
+  static List<Object> list(Object value) {
+    return (List<Object>) value;
   }
 
   @SuppressWarnings("unchecked")
-  static Map<Object, Object> dict(Object v) {
-    return (Map<Object, Object>) v;
+  static Map<Object, Object> dict(Object value) {
+    return (Map<Object, Object>) value;
   }
 
   /** The elements of what a loop goes over, as they are now. */
-  List<Object> elements(Object v, Place at) {
-    if (v instanceof List) {
-      meter.make(list(v).size(), at);
-      return new ArrayList<>(list(v));
+  List<Object> elements(Object value, Place position) {
+    if (value instanceof List) {
+      meter.reserve(list(value).size(), position);
+      return new ArrayList<>(list(value));
     }
-    if (v instanceof Map) {
-      meter.make(dict(v).size(), at);
-      return new ArrayList<>(dict(v).keySet());
+    if (value instanceof Map) {
+      meter.reserve(dict(value).size(), position);
+      return new ArrayList<>(dict(value).keySet());
     }
-    throw new ScriptException(at, "a " + type(v) + " has no elements to go over");
+    throw new ScriptException(position, "a " + typeName(value) + " has no elements to go over");
   }
 
-  Object key(Object v, Place at) {
+  Object key(Object value, Place position) {
     boolean fits =
-        v instanceof String
-            || v instanceof Long
-            || v instanceof Boolean
-            || v instanceof Double
-            || v instanceof None
-            || v instanceof Tuple t
+        value instanceof String
+            || value instanceof Long
+            || value instanceof Boolean
+            || value instanceof Double
+            || value instanceof None
+            || value instanceof Tuple t
                 && t.stream().allMatch(e -> !(e instanceof List) || e instanceof Tuple);
     if (!fits) {
-      throw new ScriptException(at, "a " + type(v) + " cannot be a key");
+      throw new ScriptException(position, "a " + typeName(value) + " cannot be a key");
     }
-    return v instanceof Double d && d == Math.rint(d) && Math.abs(d) < 1e15
-        ? (Object) (long) (double) d
-        : v;
+    return value instanceof Double number && number == Math.rint(number) && Math.abs(number) < 1e15
+        ? (Object) (long) (double) number
+        : value;
   }
 
   // --- Arithmetic --------------------------------------------------------------------------------
 
-  Object combine(String op, Object a, Object b, Place at) {
-    if (a instanceof Long x && b instanceof Long y) {
-      return whole(op, x, y, at);
-    }
-    if (a instanceof Number x && b instanceof Number y) {
-      return real(op, x.doubleValue(), y.doubleValue(), at);
-    }
-    if (op.equals("+") && a instanceof String x && b instanceof String y) {
-      meter.make((long) x.length() + y.length(), at);
-      return x + y;
-    }
-    if (op.equals("+") && a instanceof List && b instanceof List && type(a).equals(type(b))) {
-      meter.make((long) list(a).size() + list(b).size(), at);
-      List<Object> joined = new ArrayList<>(list(a));
-      joined.addAll(list(b));
-      return a instanceof Tuple ? new Tuple(joined) : joined;
-    }
-    if (op.equals("|") && a instanceof Map && b instanceof Map) {
-      meter.make((long) dict(a).size() + dict(b).size(), at);
-      Map<Object, Object> joined = new LinkedHashMap<>(dict(a));
-      joined.putAll(dict(b));
+  Object combine(String op, Object left, Object right, Place position) {
+    if (left instanceof Long first && right instanceof Long second) {
+      return integerResult(op, first, second, position);
+    }
+    if (left instanceof Number first && right instanceof Number second) {
+      return floatResult(op, first.doubleValue(), second.doubleValue(), position);
+    }
+    if (op.equals("+") && left instanceof String first && right instanceof String second) {
+      meter.reserve((long) first.length() + second.length(), position);
+      return first + second;
+    }
+    if (op.equals("+")
+        && left instanceof List
+        && right instanceof List
+        && typeName(left).equals(typeName(right))) {
+      meter.reserve((long) list(left).size() + list(right).size(), position);
+      List<Object> joined = new ArrayList<>(list(left));
+      joined.addAll(list(right));
+      return left instanceof Tuple ? new Tuple(joined) : joined;
+    }
+    if (op.equals("|") && left instanceof Map && right instanceof Map) {
+      meter.reserve((long) dict(left).size() + dict(right).size(), position);
+      Map<Object, Object> joined = new LinkedHashMap<>(dict(left));
+      joined.putAll(dict(right));
       return joined;
     }
-    if (op.equals("*") && b instanceof Long n && (a instanceof String || a instanceof List)) {
-      return repeat(a, n, at);
+    if (op.equals("*")
+        && right instanceof Long times
+        && (left instanceof String || left instanceof List)) {
+      return repeat(left, times, position);
     }
-    if (op.equals("*") && a instanceof Long n && (b instanceof String || b instanceof List)) {
-      return repeat(b, n, at);
+    if (op.equals("*")
+        && left instanceof Long times
+        && (right instanceof String || right instanceof List)) {
+      return repeat(right, times, position);
     }
-    if (op.equals("%") && a instanceof String s) {
-      return percent(s, b, at);
+    if (op.equals("%") && left instanceof String text) {
+      return percent(text, right, position);
     }
     throw new ScriptException(
-        at, "'" + op + "' does not go with a " + type(a) + " and a " + type(b));
+        position,
+        "'" + op + "' does not go with a " + typeName(left) + " and a " + typeName(right));
   }
 
-  private Object whole(String op, long x, long y, Place at) {
+  private Object integerResult(String op, long first, long second, Place position) {
     try {
       return switch (op) {
-        case "+" -> Math.addExact(x, y);
-        case "-" -> Math.subtractExact(x, y);
-        case "*" -> Math.multiplyExact(x, y);
-        case "/" -> real(op, x, y, at);
-        case "//" -> Math.floorDiv(x, divisor(y, at));
-        case "%" -> Math.floorMod(x, divisor(y, at));
-        default -> throw new ScriptException(at, "'" + op + "' does not go with numbers");
+        case "+" -> Math.addExact(first, second);
+        case "-" -> Math.subtractExact(first, second);
+        case "*" -> Math.multiplyExact(first, second);
+        case "/" -> floatResult(op, first, second, position);
+        case "//" -> Math.floorDiv(first, divisor(second, position));
+        case "%" -> Math.floorMod(first, divisor(second, position));
+        default -> throw new ScriptException(position, "'" + op + "' does not go with numbers");
       };
     } catch (ArithmeticException e) {
-      throw new ScriptException(at, "the number is too large");
+      throw new ScriptException(position, "the number is too large");
     }
   }
 
-  private static long divisor(long y, Place at) {
-    if (y == 0) {
-      throw new ScriptException(at, "division by zero");
+  private static long divisor(long second, Place position) {
+    if (second == 0) {
+      throw new ScriptException(position, "division by zero");
     }
-    return y;
+    return second;
   }
 
-  private Object real(String op, double x, double y, Place at) {
-    if (y == 0 && !op.equals("+") && !op.equals("-") && !op.equals("*")) {
-      throw new ScriptException(at, "division by zero");
+  private Object floatResult(String op, double first, double second, Place position) {
+    if (second == 0 && !op.equals("+") && !op.equals("-") && !op.equals("*")) {
+      throw new ScriptException(position, "division by zero");
     }
     double made =
         switch (op) {
-          case "+" -> x + y;
-          case "-" -> x - y;
-          case "*" -> x * y;
-          case "/" -> x / y;
-          case "//" -> Math.floor(x / y);
-          case "%" -> x - y * Math.floor(x / y);
-          default -> throw new ScriptException(at, "'" + op + "' does not go with numbers");
+          case "+" -> first + second;
+          case "-" -> first - second;
+          case "*" -> first * second;
+          case "/" -> first / second;
+          case "//" -> Math.floor(first / second);
+          case "%" -> first - second * Math.floor(first / second);
+          default -> throw new ScriptException(position, "'" + op + "' does not go with numbers");
         };
     if (Double.isNaN(made) || Double.isInfinite(made)) {
-      throw new ScriptException(at, "the number is too large");
+      throw new ScriptException(position, "the number is too large");
     }
     return made;
   }
 
-  private Object repeat(Object a, long times, Place at) {
+  private Object repeat(Object left, long times, Place position) {
     long n = Math.max(0, times);
-    long size = a instanceof String s ? s.length() : list(a).size();
+    long size = left instanceof String text ? text.length() : list(left).size();
     if (size > 0 && n > Integer.MAX_VALUE / size) {
-      throw new ScriptException(at, "the value is too large");
+      throw new ScriptException(position, "the value is too large");
     }
-    meter.make(n * size, at);
-    if (a instanceof String s) {
-      return s.repeat((int) n);
+    meter.reserve(n * size, position);
+    if (left instanceof String text) {
+      return text.repeat((int) n);
     }
     List<Object> made = new ArrayList<>();
     for (int i = 0; i < n; i++) {
-      made.addAll(list(a));
+      made.addAll(list(left));
     }
-    return a instanceof Tuple ? new Tuple(made) : made;
+    return left instanceof Tuple ? new Tuple(made) : made;
   }
 
-  Object negative(Object v, Place at) {
-    return v instanceof Long l
-        ? whole("-", 0, l, at)
-        : v instanceof Double d ? (Object) (-d) : fail(at, "-", v);
+  Object negative(Object value, Place position) {
+    return value instanceof Long integer
+        ? integerResult("-", 0, integer, position)
+        : value instanceof Double number ? (Object) (-number) : fail(position, "-", value);
   }
 
-  private static Object fail(Place at, String op, Object v) {
-    throw new ScriptException(at, "'" + op + "' does not go with a " + type(v));
+  private static Object fail(Place position, String op, Object value) {
+    throw new ScriptException(position, "'" + op + "' does not go with a " + typeName(value));
   }
 
   // --- Comparisons -------------------------------------------------------------------------------
 
-  boolean compare(String op, Object a, Object b, Place at) {
+  boolean compare(String op, Object left, Object right, Place position) {
     return switch (op) {
-      case "==" -> equal(a, b, 0, at);
-      case "!=" -> !equal(a, b, 0, at);
-      case "in" -> contains(b, a, at);
-      case "<" -> order(a, b, 0, at) < 0;
-      case ">" -> order(a, b, 0, at) > 0;
-      case "<=" -> order(a, b, 0, at) <= 0;
-      default -> order(a, b, 0, at) >= 0;
+      case "==" -> equal(left, right, 0, position);
+      case "!=" -> !equal(left, right, 0, position);
+      case "in" -> contains(right, left, position);
+      case "<" -> order(left, right, 0, position) < 0;
+      case ">" -> order(left, right, 0, position) > 0;
+      case "<=" -> order(left, right, 0, position) <= 0;
+      default -> order(left, right, 0, position) >= 0;
     };
   }
 
-  private boolean contains(Object in, Object v, Place at) {
-    if (in instanceof String s && v instanceof String part) {
-      return s.contains(part);
+  private boolean contains(Object in, Object value, Place position) {
+    if (in instanceof String text && value instanceof String part) {
+      return text.contains(part);
     }
     if (in instanceof Map) {
-      return dict(in).containsKey(key(v, at));
+      return dict(in).containsKey(key(value, position));
     }
     if (in instanceof List) {
-      return list(in).stream().anyMatch(e -> equal(e, v, 0, at));
+      return list(in).stream().anyMatch(e -> equal(e, value, 0, position));
     }
-    throw new ScriptException(at, "'in' does not go with a " + type(in));
+    throw new ScriptException(position, "'in' does not go with a " + typeName(in));
   }
 
-  boolean equal(Object a, Object b, int depth, Place at) {
-    step(depth, at);
-    if (a instanceof Number x && b instanceof Number y) {
-      return a instanceof Long && b instanceof Long
-          ? a.equals(b)
-          : x.doubleValue() == y.doubleValue();
+  boolean equal(Object left, Object right, int depth, Place position) {
+    step(depth, position);
+    if (left instanceof Number first && right instanceof Number second) {
+      return left instanceof Long && right instanceof Long
+          ? left.equals(right)
+          : first.doubleValue() == second.doubleValue();
     }
-    if (a instanceof List && b instanceof List) {
-      Iterator<Object> x = list(a).iterator();
-      Iterator<Object> y = list(b).iterator();
+    if (left instanceof List && right instanceof List) {
+      Iterator<Object> x = list(left).iterator();
+      Iterator<Object> y = list(right).iterator();
       while (x.hasNext() && y.hasNext()) {
-        if (!equal(x.next(), y.next(), depth + 1, at)) {
+        if (!equal(x.next(), y.next(), depth + 1, position)) {
           return false;
         }
       }
-      return !x.hasNext() && !y.hasNext() && type(a).equals(type(b));
+      return !x.hasNext() && !y.hasNext() && typeName(left).equals(typeName(right));
     }
-    if (a instanceof Map && b instanceof Map) {
-      return dict(a).size() == dict(b).size()
-          && dict(a).entrySet().stream()
+    if (left instanceof Map && right instanceof Map) {
+      return dict(left).size() == dict(right).size()
+          && dict(left).entrySet().stream()
               .allMatch(
                   e ->
-                      dict(b).containsKey(e.getKey())
-                          && equal(e.getValue(), dict(b).get(e.getKey()), depth + 1, at));
+                      dict(right).containsKey(e.getKey())
+                          && equal(e.getValue(), dict(right).get(e.getKey()), depth + 1, position));
     }
-    return a.equals(b);
+    return left.equals(right);
   }
 
-  int order(Object a, Object b, int depth, Place at) {
-    step(depth, at);
-    if (a instanceof Long x && b instanceof Long y) {
-      return x.compareTo(y);
+  int order(Object left, Object right, int depth, Place position) {
+    step(depth, position);
+    if (left instanceof Long first && right instanceof Long second) {
+      return first.compareTo(second);
     }
-    if (a instanceof Number x && b instanceof Number y) {
-      return Double.compare(x.doubleValue(), y.doubleValue());
+    if (left instanceof Number first && right instanceof Number second) {
+      return Double.compare(first.doubleValue(), second.doubleValue());
     }
-    if (a instanceof String x && b instanceof String y) {
-      return x.compareTo(y);
+    if (left instanceof String first && right instanceof String second) {
+      return first.compareTo(second);
     }
-    if (a instanceof Boolean x && b instanceof Boolean y) {
-      return x.compareTo(y);
+    if (left instanceof Boolean first && right instanceof Boolean second) {
+      return first.compareTo(second);
     }
-    if (a instanceof List && b instanceof List) {
-      for (int i = 0; i < Math.min(list(a).size(), list(b).size()); i++) {
-        int here = order(list(a).get(i), list(b).get(i), depth + 1, at);
+    if (left instanceof List && right instanceof List) {
+      for (int i = 0; i < Math.min(list(left).size(), list(right).size()); i++) {
+        int here = order(list(left).get(i), list(right).get(i), depth + 1, position);
         if (here != 0) {
           return here;
         }
       }
-      return Integer.compare(list(a).size(), list(b).size());
+      return Integer.compare(list(left).size(), list(right).size());
     }
-    throw new ScriptException(at, "a " + type(a) + " and a " + type(b) + " have no order");
+    throw new ScriptException(
+        position, "a " + typeName(left) + " and a " + typeName(right) + " have no order");
   }
 
   /** Guards against a list that holds itself. */
-  private void step(int depth, Place at) {
-    meter.step(at);
-    if (depth > DEEPEST) {
-      throw new ScriptException(at, "nested more than " + DEEPEST + " deep");
+  private void step(int depth, Place position) {
+    meter.recordStep(position);
+    if (depth > MAX_VALUE_DEPTH) {
+      throw new ScriptException(position, "nested more than " + MAX_VALUE_DEPTH + " deep");
     }
   }
 
   // --- Text --------------------------------------------------------------------------------------
 
-  String text(Object v, Place at) {
-    return v instanceof String s ? s : written(v, at);
+  String text(Object value, Place position) {
+    return value instanceof String text ? text : literal(value, position);
   }
 
-  String written(Object v, Place at) {
+  String literal(Object value, Place position) {
     StringBuilder out = new StringBuilder();
-    write(v, out, 0, at);
+    write(value, out, 0, position);
     return out.toString();
   }
 
-  private void write(Object v, StringBuilder out, int depth, Place at) {
-    step(depth, at);
+  private void write(Object value, StringBuilder out, int depth, Place position) {
+    step(depth, position);
     int before = out.length();
-    if (v instanceof String s) {
+    if (value instanceof String text) {
       out.append('"')
-          .append(s.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n"))
+          .append(text.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n"))
           .append('"');
-    } else if (v instanceof Boolean b) {
+    } else if (value instanceof Boolean b) {
       out.append(b ? "True" : "False");
-    } else if (v instanceof List) {
-      out.append(v instanceof Tuple ? '(' : '[');
+    } else if (value instanceof List) {
+      out.append(value instanceof Tuple ? '(' : '[');
       String between = "";
-      for (Object e : list(v)) {
+      for (Object e : list(value)) {
         out.append(between);
-        write(e, out, depth + 1, at);
+        write(e, out, depth + 1, position);
         between = ", ";
       }
-      out.append(v instanceof Tuple ? list(v).size() == 1 ? ",)" : ")" : "]");
-    } else if (v instanceof Map) {
+      out.append(value instanceof Tuple ? list(value).size() == 1 ? ",)" : ")" : "]");
+    } else if (value instanceof Map) {
       out.append('{');
       String between = "";
-      for (Map.Entry<Object, Object> e : dict(v).entrySet()) {
+      for (Map.Entry<Object, Object> e : dict(value).entrySet()) {
         out.append(between);
-        write(e.getKey(), out, depth + 1, at);
+        write(e.getKey(), out, depth + 1, position);
         out.append(": ");
-        write(e.getValue(), out, depth + 1, at);
+        write(e.getValue(), out, depth + 1, position);
         between = ", ";
       }
       out.append('}');
     } else {
-      out.append(v);
+      out.append(value);
     }
-    meter.make(out.length() - before, at);
+    meter.reserve(out.length() - before, position);
   }
 
   /** {@code "%s of %d" % (a, b)}: the letters s, r, d, f and g, and the sign itself. */
-  private String percent(String form, Object given, Place at) {
+  private String percent(String form, Object given, Place position) {
     List<Object> values = given instanceof Tuple ? list(given) : List.of(given);
     StringBuilder out = new StringBuilder();
     int next = 0;
@@ -377,32 +386,35 @@
         continue;
       }
       if (next >= values.size()) {
-        throw new ScriptException(at, "there are fewer values than places in the text");
+        throw new ScriptException(position, "there are fewer values than places in the text");
       }
-      out.append(placed(letter, values.get(next++), at));
+      out.append(placed(letter, values.get(next++), position));
     }
     if (next < values.size()) {
-      throw new ScriptException(at, "there are more values than places in the text");
+      throw new ScriptException(position, "there are more values than places in the text");
     }
-    meter.make(out.length(), at);
+    meter.reserve(out.length(), position);
     return out.toString();
   }
 
-  private String placed(char letter, Object v, Place at) {
+  private String placed(char letter, Object value, Place position) {
     return switch (letter) {
-      case 's' -> text(v, at);
-      case 'r' -> written(v, at);
+      case 's' -> text(value, position);
+      case 'r' -> literal(value, position);
       case 'd' ->
-          v instanceof Number n
-              ? String.valueOf((long) n.doubleValue())
-              : (String) fail(at, "%d", v);
+          value instanceof Number number
+              ? String.valueOf((long) number.doubleValue())
+              : (String) fail(position, "%d", value);
       case 'f' ->
-          v instanceof Number n
-              ? String.format(Locale.ROOT, "%f", n.doubleValue())
-              : (String) fail(at, "%f", v);
+          value instanceof Number number
+              ? String.format(Locale.ROOT, "%f", number.doubleValue())
+              : (String) fail(position, "%f", value);
       case 'g' ->
-          v instanceof Number n ? String.valueOf(n.doubleValue()) : (String) fail(at, "%g", v);
-      default -> throw new ScriptException(at, "'%" + letter + "' is not one of %s %r %d %f %g %%");
+          value instanceof Number number
+              ? String.valueOf(number.doubleValue())
+              : (String) fail(position, "%g", value);
+      default ->
+          throw new ScriptException(position, "'%" + letter + "' is not one of %s %r %d %f %g %%");
     };
   }
 }
--- a/src/test/java/bitternpulley/script/ScriptRunnerTest.java
+++ b/src/test/java/bitternpulley/script/ScriptRunnerTest.java
@@ -33,9 +33,9 @@
               }
 
               @Override
-              public Object call(String function, Map<String, Value> arguments, Place at) {
+              public Object call(String function, Map<String, Value> arguments, Place position) {
                 arguments.forEach(
-                    (k, v) -> calls.add(at + " " + k + "=" + v.value() + " at " + v.at()));
+                    (k, v) -> calls.add(position + " " + k + "=" + v.value() + " at " + v.at()));
                 return null;
               }
             })
@@ -115,7 +115,7 @@
   void whatIsWrongHasItsPlace(String text, String place) {
     ScriptException e =
         assertThrows(ScriptException.class, () -> run(text.replace("\\n", "\n") + "\n"));
-    assertEquals("t.star:" + place, String.valueOf(e.place()), e.getMessage());
+    assertEquals("t.star:" + place, String.valueOf(e.position()), e.getMessage());
   }
 
   /**
