--- a/src/main/antlr4/bitternpulley/script/Script.g4
+++ b/src/main/antlr4/bitternpulley/script/Script.g4
@@ -1,5 +1,5 @@
-// The operators' script: expressions and statements after the Starlark language specification, without load, lambda and while.
-// Lines and blocks are told by NEWLINE, INDENT and DEDENT, which Layout makes of the lexer's tokens.
+// The operators' script: expressions and statements of the Starlark language specification, without load, lambda and while.
+// Ends of lines and blocks are the tokens NEWLINE, INDENT and DEDENT, which IndentationLexer adds to those of the lexer.
 grammar Script;
 
 tokens { INDENT, DEDENT }
--- /dev/null
+++ b/src/main/java/bitternpulley/script/Assignments.java
@@ -0,0 +1,76 @@
+package bitternpulley.script;
+
+import java.util.List;
+
+/** Assigns values to names and elements. */
+final class Assignments {
+  private final SourceFile source;
+  private final Expressions expressions;
+  private final Values values;
+  private final Arithmetic arithmetic;
+  private final Subscripts subscripts;
+
+  Assignments(
+      SourceFile source,
+      Expressions expressions,
+      Values values,
+      Arithmetic arithmetic,
+      Subscripts subscripts) {
+    this.source = source;
+    this.expressions = expressions;
+    this.values = values;
+    this.arithmetic = arithmetic;
+    this.subscripts = subscripts;
+  }
+
+  void assign(ScriptParser.AssignContext assignment, Scope scope) {
+    Object value = expressions.evaluate(assignment.value, scope);
+    if (!assignment.op.getText().equals("=")) {
+      value = augmented(assignment, value, scope);
+    }
+    List<ScriptParser.TestContext> targets = assignment.target.test();
+    boolean isSingleTarget = targets.size() == 1 && assignment.target.getChildCount() == 1;
+    if (isSingleTarget) {
+      assign(targets.get(0), value, scope);
+    } else {
+      assignAll(targets, value, scope, source.position(assignment.target));
+    }
+  }
+
+  /** The new value of the target of an augmented assignment such as {@code +=}. */
+  private Object augmented(ScriptParser.AssignContext assignment, Object value, Scope scope) {
+    String assignmentOperator = assignment.op.getText();
+    if (assignment.target.test().size() != 1) {
+      throw new ScriptException(
+          source.position(assignment.target), "'" + assignmentOperator + "' takes one name");
+    }
+    String operator = assignmentOperator.substring(0, assignmentOperator.length() - 1);
+    Object current = expressions.evaluate(assignment.target.test(0), scope);
+    return arithmetic.combine(operator, current, value, source.position(assignment));
+  }
+
+  private void assignAll(
+      List<ScriptParser.TestContext> targets, Object value, Scope scope, Place position) {
+    List<Object> elements = values.unpack(value, targets.size(), position);
+    for (int index = 0; index < elements.size(); index++) {
+      assign(targets.get(index), elements.get(index), scope);
+    }
+  }
+
+  private void assign(ScriptParser.TestContext target, Object value, Scope scope) {
+    Place position = source.position(target);
+    if (target instanceof ScriptParser.PlainContext plain
+        && plain.atom() instanceof ScriptParser.ReadContext name) {
+      scope.set(name.NAME().getText(), value);
+    } else if (target instanceof ScriptParser.PlainContext plain
+        && plain.atom() instanceof ScriptParser.TupleContext tuple) {
+      assignAll(tuple.test(), value, scope, position);
+    } else if (target instanceof ScriptParser.ItemContext item) {
+      Object container = expressions.evaluate(item.test(0), scope);
+      Object subscript = expressions.evaluate(item.test(1), scope);
+      subscripts.assign(container, subscript, value, position);
+    } else {
+      throw new ScriptException(position, "nothing can be assigned to this");
+    }
+  }
+}
--- a/src/main/java/bitternpulley/script/Bounds.java
+++ b/src/main/java/bitternpulley/script/Bounds.java
@@ -1,15 +1,16 @@
 package bitternpulley.script;
 
 /**
- * What one evaluation may take.
+ * What one evaluation may use.
  *
  * @param scriptLength characters of the script
- * @param depth of brackets, blocks, operators in a row, and calls within calls
- * @param steps statements and expressions evaluated
- * @param memory characters and elements of all values made
- * @param outputLength characters printed
+ * @param depth levels of brackets and blocks; operators in a row and nested calls are limited to a
+ *     multiple of it
+ * @param steps statements, expressions and comparisons
+ * @param memory characters and elements of all values that are created
+ * @param outputLength characters that are printed
  */
 public record Bounds(int scriptLength, int depth, long steps, long memory, int outputLength) {
-  /** Thousands of contracts, and an end within a second or so. */
+  /** Suffices for thousands of contracts; an evaluation at these limits ends within seconds. */
   public static final Bounds USUAL = new Bounds(1 << 20, 64, 5_000_000, 20_000_000, 64 * 1024);
 }
--- /dev/null
+++ b/src/main/java/bitternpulley/script/BuiltinFunctions.java
@@ -0,0 +1,165 @@
+package bitternpulley.script;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/** The functions of the language, by name. */
+final class BuiltinFunctions {
+  private static final String SORTED = "sorted";
+
+  /** The argument of {@code sorted()} by name, the only one that a function of the language has. */
+  private static final String REVERSE = "reverse";
+
+  /** A function of any number of arguments. */
+  private interface Implementation {
+    Object call(List<Object> arguments, Place position);
+  }
+
+  /** A function of one argument. */
+  private interface UnaryImplementation {
+    Object call(Object argument, Place position);
+  }
+
+  private final EvaluationBudget budget;
+  private final Values values;
+  private final ValueText valueText;
+  private final SequenceFunctions sequences;
+  private final Map<String, Implementation> implementations = new HashMap<>();
+
+  BuiltinFunctions(
+      EvaluationBudget budget,
+      Values values,
+      ValueText valueText,
+      SequenceFunctions sequences,
+      Conversions conversions) {
+    this.budget = budget;
+    this.values = values;
+    this.valueText = valueText;
+    this.sequences = sequences;
+    addOutput();
+    addConversions(conversions);
+    addSequences();
+  }
+
+  private void addOutput() {
+    implementations.put("print", this::print);
+    implementations.put("fail", this::fail);
+  }
+
+  private void addConversions(Conversions conversions) {
+    addUnary("str", valueText::text);
+    addUnary("repr", valueText::literal);
+    addUnary("int", conversions::toInteger);
+    addUnary("float", conversions::toFloat);
+    addUnary("bool", (value, position) -> Values.isTruthy(value));
+    addUnary("type", (value, position) -> Values.typeName(value));
+    addUnary("abs", Conversions::absolute);
+  }
+
+  private void addSequences() {
+    implementations.put("range", sequences::range);
+    implementations.put("min", sequences::min);
+    implementations.put("max", sequences::max);
+    implementations.put("zip", sequences::zip);
+    implementations.put("list", this::list);
+    implementations.put("tuple", this::tuple);
+    implementations.put("dict", this::dict);
+    addUnary("len", this::length);
+    addUnary(SORTED, sequences::sorted);
+    addUnary("reversed", sequences::reversed);
+    addUnary("enumerate", sequences::enumerate);
+    addUnary("any", this::any);
+    addUnary("all", this::all);
+  }
+
+  private void addUnary(String name, UnaryImplementation implementation) {
+    implementations.put(
+        name,
+        (arguments, position) ->
+            implementation.call(onlyArgument(name, arguments, position), position));
+  }
+
+  boolean contains(String name) {
+    return implementations.containsKey(name);
+  }
+
+  Object call(String name, Arguments arguments, Place position) {
+    Map<String, Host.Value> named = arguments.named();
+    if (named.isEmpty()) {
+      return implementations.get(name).call(arguments.positional(), position);
+    }
+    if (!name.equals(SORTED) || !named.keySet().equals(Set.of(REVERSE))) {
+      String unknown = named.keySet().iterator().next();
+      throw new ScriptException(position, name + "() has no '" + unknown + "'");
+    }
+    Object source = onlyArgument(name, arguments.positional(), position);
+    return Values.isTruthy(named.get(REVERSE).value())
+        ? sequences.sortedDescending(source, position)
+        : sequences.sorted(source, position);
+  }
+
+  private static Object onlyArgument(String name, List<Object> arguments, Place position) {
+    if (arguments.size() != 1) {
+      throw new ScriptException(position, name + "() takes one argument, not " + arguments.size());
+    }
+    return arguments.get(0);
+  }
+
+  /** The error of a function that does not accept the type of its argument. */
+  static ScriptException wrongType(String name, Object value, Place position) {
+    return new ScriptException(position, name + "() does not go with a " + Values.typeName(value));
+  }
+
+  private Object print(List<Object> arguments, Place position) {
+    budget.print(joined(arguments, position), position);
+    return None.NONE;
+  }
+
+  private Object fail(List<Object> arguments, Place position) {
+    throw new ScriptException(position, joined(arguments, position));
+  }
+
+  private String joined(List<Object> arguments, Place position) {
+    StringBuilder line = new StringBuilder();
+    for (Object argument : arguments) {
+      line.append(line.length() == 0 ? "" : " ").append(valueText.text(argument, position));
+    }
+    return line.toString();
+  }
+
+  private Object list(List<Object> arguments, Place position) {
+    return arguments.isEmpty()
+        ? new ArrayList<>()
+        : values.elements(onlyArgument("list", arguments, position), position);
+  }
+
+  private Object tuple(List<Object> arguments, Place position) {
+    return arguments.isEmpty()
+        ? new Tuple(List.of())
+        : new Tuple(values.elements(onlyArgument("tuple", arguments, position), position));
+  }
+
+  private Object dict(List<Object> arguments, Place position) {
+    return arguments.isEmpty()
+        ? new LinkedHashMap<>()
+        : sequences.dict(onlyArgument("dict", arguments, position), position);
+  }
+
+  private Object length(Object value, Place position) {
+    int length =
+        value instanceof String text ? text.length() : values.elements(value, position).size();
+    return (long) length;
+  }
+
+  private Object any(Object value, Place position) {
+    return values.elements(value, position).stream().anyMatch(Values::isTruthy);
+  }
+
+  private Object all(Object value, Place position) {
+    return values.elements(value, position).stream().allMatch(Values::isTruthy);
+  }
+}
--- /dev/null
+++ b/src/main/java/bitternpulley/script/Completion.java
@@ -0,0 +1,32 @@
+package bitternpulley.script;
+
+/**
+ * How the execution of a statement ended.
+ *
+ * @param value what a function returns; {@code None} unless the kind is {@code RETURN}
+ */
+record Completion(Kind kind, Object value) {
+  static final Completion NORMAL = new Completion(Kind.NORMAL, None.NONE);
+  static final Completion BREAK = new Completion(Kind.BREAK, None.NONE);
+  static final Completion CONTINUE = new Completion(Kind.CONTINUE, None.NONE);
+
+  /** Whether the next statement follows, or the loop or function is left. */
+  enum Kind {
+    NORMAL,
+    BREAK,
+    CONTINUE,
+    RETURN
+  }
+
+  static Completion returning(Object value) {
+    return new Completion(Kind.RETURN, value);
+  }
+
+  boolean isNormal() {
+    return kind == Kind.NORMAL;
+  }
+
+  boolean leavesLoop() {
+    return kind == Kind.BREAK || kind == Kind.RETURN;
+  }
+}
--- a/src/main/java/bitternpulley/script/EvaluationBudget.java
+++ b/src/main/java/bitternpulley/script/EvaluationBudget.java
@@ -1,24 +1,40 @@
 package bitternpulley.script;
 
-/** Counts what an evaluation takes, and ends one that takes too much. */
+/** Counts the steps, memory, nesting and output of one evaluation and stops it at its limits. */
 final class EvaluationBudget {
+  /** Levels of lists and dicts in each other that are compared or written out. */
+  private static final int MAX_VALUE_DEPTH = 100;
+
+  /** Nested evaluations for each level of nesting in the text: one level takes several of them. */
+  private static final int EVALUATIONS_PER_LEVEL = 8;
+
   private final Bounds limits;
+  private final StringBuilder output = new StringBuilder();
   private long steps;
   private long memory;
   private int depth;
-  private final StringBuilder output = new StringBuilder();
 
-  EvaluationBudget(Bounds bounds) {
-    this.limits = bounds;
+  EvaluationBudget(Bounds limits) {
+    this.limits = limits;
   }
 
+  /** Counts one statement, expression or comparison. */
   void recordStep(Place position) {
-    if (++steps > limits.steps()) {
+    steps++;
+    if (steps > limits.steps()) {
       throw new ScriptException(position, "took more than " + limits.steps() + " steps");
     }
   }
 
-  /** So many characters or elements are about to be made. */
+  /** Counts one step within a value at this depth, since a list may contain itself. */
+  void recordNestedStep(int valueDepth, Place position) {
+    recordStep(position);
+    if (valueDepth > MAX_VALUE_DEPTH) {
+      throw new ScriptException(position, "nested more than " + MAX_VALUE_DEPTH + " deep");
+    }
+  }
+
+  /** Counts characters or elements, before they are created. */
   void reserve(long amount, Place position) {
     memory += amount;
     if (amount < 0 || memory > limits.memory()) {
@@ -27,8 +43,10 @@
     }
   }
 
+  /** Begins a nested evaluation, which {@link #leave} ends. */
   void enter(Place position) {
-    if (++depth > 8 * limits.depth()) {
+    depth++;
+    if (depth > EVALUATIONS_PER_LEVEL * limits.depth()) {
       throw new ScriptException(position, "nested too deep");
     }
   }
@@ -37,6 +55,7 @@
     depth--;
   }
 
+  /** Appends a line to the output. */
   void print(String text, Place position) {
     if (output.length() + text.length() + 1 > limits.outputLength()) {
       throw new ScriptException(
--- a/src/main/java/bitternpulley/script/Expressions.java
+++ b/src/main/java/bitternpulley/script/Expressions.java
@@ -6,109 +6,117 @@
 import java.util.Map;
 import org.antlr.v4.runtime.ParserRuleContext;
 
-/** What an expression comes to. */
+/** Evaluates expressions. */
 final class Expressions extends ScriptBaseVisitor<Object> {
-  private final String file;
-  private final EvaluationBudget meter;
+  private final SourceFile source;
+  private final EvaluationBudget budget;
   private final Values values;
-  private final Builtins builtins;
-  private final Host host;
-  private final Statements statements;
+  private final Arithmetic arithmetic;
+  private final Comparisons comparisons;
+  private final Subscripts subscripts;
+  private final FunctionCalls functionCalls;
+  private final MethodCalls methodCalls;
+  private final NameBinding nameBinding;
+
+  /** The names that the expression being evaluated may read. */
   private Scope scope;
 
-  Expressions(String file, EvaluationBudget meter, Host host, Statements statements) {
-    this.file = file;
-    this.meter = meter;
-    this.host = host;
-    this.statements = statements;
-    this.values = new Values(meter);
-    this.builtins = new Builtins(meter, values);
-  }
-
-  Values values() {
-    return values;
-  }
-
-  Object evaluate(ParserRuleContext context, Scope in) {
-    Scope before = scope;
-    Place position = position(context);
-    meter.recordStep(position);
-    meter.enter(position);
-    scope = in;
+  Expressions(
+      SourceFile source,
+      EvaluationBudget budget,
+      Values values,
+      Arithmetic arithmetic,
+      Comparisons comparisons,
+      Subscripts subscripts,
+      FunctionCalls functionCalls,
+      MethodCalls methodCalls,
+      NameBinding nameBinding) {
+    this.source = source;
+    this.budget = budget;
+    this.values = values;
+    this.arithmetic = arithmetic;
+    this.comparisons = comparisons;
+    this.subscripts = subscripts;
+    this.functionCalls = functionCalls;
+    this.methodCalls = methodCalls;
+    this.nameBinding = nameBinding;
+  }
+
+  /** The value of an expression that reads names of the given scope. */
+  Object evaluate(ParserRuleContext expression, Scope names) {
+    Scope outerScope = scope;
+    Place position = source.position(expression);
+    budget.recordStep(position);
+    budget.enter(position);
+    scope = names;
     try {
-      return visit(context);
+      return visit(expression);
     } finally {
-      scope = before;
-      meter.leave();
+      scope = outerScope;
+      budget.leave();
     }
   }
 
-  private Object evaluate(ParserRuleContext context) {
-    return evaluate(context, scope);
+  private Object evaluate(ParserRuleContext expression) {
+    return evaluate(expression, scope);
   }
 
-  Place position(ParserRuleContext context) {
-    return new Place(
-        file, context.getStart().getLine(), context.getStart().getCharPositionInLine() + 1);
+  private List<Object> evaluateAll(List<ScriptParser.TestContext> expressions) {
+    List<Object> results = new ArrayList<>();
+    for (ScriptParser.TestContext expression : expressions) {
+      budget.reserve(1, source.position(expression));
+      results.add(evaluate(expression));
+    }
+    return results;
   }
 
   @Override
   public Object visitTests(ScriptParser.TestsContext context) {
-    boolean tuple = context.test().size() > 1 || context.getChildCount() > 1;
-    return tuple ? new Values.Tuple(evaluateAll(context.test())) : evaluate(context.test(0));
+    boolean isTuple = context.test().size() > 1 || context.getChildCount() > 1;
+    return isTuple ? new Tuple(evaluateAll(context.test())) : evaluate(context.test(0));
   }
 
-  private List<Object> evaluateAll(List<ScriptParser.TestContext> tests) {
-    List<Object> made = new ArrayList<>();
-    for (ScriptParser.TestContext t : tests) {
-      meter.reserve(1, position(t));
-      made.add(evaluate(t));
-    }
-    return made;
-  }
-
-  // --- Operators ---------------------------------------------------------------------------------
-
   @Override
   public Object visitSign(ScriptParser.SignContext context) {
-    Object value = evaluate(context.test());
-    return context.op.getText().equals("-") ? values.negative(value, position(context)) : value;
+    Object operand = evaluate(context.test());
+    return context.op.getText().equals("-")
+        ? arithmetic.negate(operand, source.position(context))
+        : operand;
   }
 
   @Override
   public Object visitProduct(ScriptParser.ProductContext context) {
-    return values.combine(
-        context.op.getText(),
-        evaluate(context.test(0)),
-        evaluate(context.test(1)),
-        position(context));
+    return combine(context.op.getText(), context.test(0), context.test(1), context);
   }
 
   @Override
   public Object visitSum(ScriptParser.SumContext context) {
-    return values.combine(
-        context.op.getText(),
-        evaluate(context.test(0)),
-        evaluate(context.test(1)),
-        position(context));
+    return combine(context.op.getText(), context.test(0), context.test(1), context);
   }
 
   @Override
   public Object visitJoin(ScriptParser.JoinContext context) {
-    return values.combine(
-        context.op.getText(),
-        evaluate(context.test(0)),
-        evaluate(context.test(1)),
-        position(context));
+    return combine(context.op.getText(), context.test(0), context.test(1), context);
+  }
+
+  private Object combine(
+      String operator,
+      ScriptParser.TestContext left,
+      ScriptParser.TestContext right,
+      ParserRuleContext context) {
+    Object leftOperand = evaluate(left);
+    Object rightOperand = evaluate(right);
+    return arithmetic.combine(operator, leftOperand, rightOperand, source.position(context));
   }
 
   @Override
   public Object visitCompare(ScriptParser.CompareContext context) {
     Object left = evaluate(context.test(0));
     Object right = evaluate(context.test(1));
+    Place position = source.position(context);
     return context.not == null
-        ? values.compare(context.op.getText(), left, right, position(context))
-        : !values.compare("in", left, right, position(context));
+        ? comparisons.compare(context.op.getText(), left, right, position)
+        : !comparisons.contains(right, left, position);
   }
 
   @Override
@@ -118,146 +126,106 @@
 
   @Override
   public Object visitBoth(ScriptParser.BothContext context) {
-    Object first = evaluate(context.test(0));
-    return Values.isTruthy(first) ? evaluate(context.test(1)) : first;
+    Object left = evaluate(context.test(0));
+    return Values.isTruthy(left) ? evaluate(context.test(1)) : left;
   }
 
   @Override
   public Object visitEither(ScriptParser.EitherContext context) {
-    Object first = evaluate(context.test(0));
-    return Values.isTruthy(first) ? first : evaluate(context.test(1));
+    Object left = evaluate(context.test(0));
+    return Values.isTruthy(left) ? left : evaluate(context.test(1));
   }
 
   @Override
   public Object visitChoose(ScriptParser.ChooseContext context) {
-    return Values.isTruthy(evaluate(context.test(1)))
-        ? evaluate(context.test(0))
-        : evaluate(context.test(2));
+    boolean condition = Values.isTruthy(evaluate(context.test(1)));
+    return evaluate(context.test(condition ? 0 : 2));
   }
 
-  // --- Parts of values ---------------------------------------------------------------------------
-
   @Override
   public Object visitItem(ScriptParser.ItemContext context) {
-    Object of = evaluate(context.test(0));
-    Object at = evaluate(context.test(1));
-    if (of instanceof Map) {
-      Object found = Values.dict(of).get(values.key(at, position(context)));
-      if (found == null) {
-        throw new ScriptException(
-            position(context), "there is no key " + values.literal(at, position(context)));
-      }
-      return found;
-    }
-    if (at instanceof Long i && (of instanceof List || of instanceof String)) {
-      int size = of instanceof String text ? text.length() : Values.list(of).size();
-      long index = i < 0 ? i + size : i;
-      if (index < 0 || index >= size) {
-        throw new ScriptException(position(context), "there is no element " + i + " of " + size);
-      }
-      return of instanceof String text
-          ? text.substring((int) index, (int) index + 1)
-          : Values.list(of).get((int) index);
-    }
-    throw new ScriptException(
-        position(context),
-        "a " + Values.typeName(of) + " has no elements by " + Values.typeName(at));
+    Object container = evaluate(context.test(0));
+    Object subscript = evaluate(context.test(1));
+    return subscripts.element(container, subscript, source.position(context));
   }
 
   @Override
   public Object visitSlice(ScriptParser.SliceContext context) {
-    Object of = evaluate(context.test(0));
-    int size =
-        of instanceof String text
-            ? text.length()
-            : of instanceof List ? Values.list(of).size() : -1;
-    if (size < 0) {
-      throw new ScriptException(position(context), "a " + Values.typeName(of) + " cannot be cut");
-    }
-    int low = bound(context.low, 0, size);
-    int high = Math.max(low, bound(context.high, size, size));
-    meter.reserve(high - low, position(context));
-    if (of instanceof String text) {
-      return text.substring(low, high);
-    }
-    List<Object> cut = new ArrayList<>(Values.list(of).subList(low, high));
-    return of instanceof Values.Tuple ? new Values.Tuple(cut) : cut;
+    Object sequence = evaluate(context.test(0));
+    Place position = source.position(context);
+    int length = Subscripts.length(sequence, position);
+    int start = context.low == null ? 0 : bound(context.low, length);
+    int end = context.high == null ? length : bound(context.high, length);
+    return subscripts.range(sequence, start, Math.max(start, end), position);
   }
 
-  private int bound(ScriptParser.TestContext context, int absent, int size) {
-    if (context == null) {
-      return absent;
+  private int bound(ScriptParser.TestContext expression, int length) {
+    if (!(evaluate(expression) instanceof Long bound)) {
+      throw new ScriptException(source.position(expression), "a bound is a whole number");
     }
-    if (!(evaluate(context) instanceof Long i)) {
-      throw new ScriptException(position(context), "a bound is a whole number");
-    }
-    return (int) Math.max(0, Math.min(size, i < 0 ? i + size : i));
+    long fromStart = bound < 0 ? bound + length : bound;
+    return (int) Math.max(0, Math.min(length, fromStart));
   }
 
-  // --- Calls -------------------------------------------------------------------------------------
-
   @Override
   public Object visitCall(ScriptParser.CallContext context) {
-    Place position = position(context);
-    List<Object> plain = new ArrayList<>();
-    Map<String, Host.Value> named = new LinkedHashMap<>();
-    Object receiver = null;
-    String name = null;
-    Object target = null;
-    if (context.test() instanceof ScriptParser.MemberContext m) {
-      receiver = evaluate(m.test());
-      name = m.NAME().getText();
-    } else if (context.test() instanceof ScriptParser.PlainContext p
-        && p.atom() instanceof ScriptParser.ReadContext r) {
-      name = r.NAME().getText();
-      target = scope.get(name);
-    } else {
-      target = evaluate(context.test());
+    Place position = source.position(context);
+    if (context.test() instanceof ScriptParser.MemberContext member) {
+      Object receiver = evaluate(member.test());
+      String method = member.NAME().getText();
+      return methodCalls.call(receiver, method, arguments(context), position);
     }
-    for (ScriptParser.ArgumentContext a : context.argument()) {
-      meter.reserve(1, position);
-      Object value = evaluate(a.test());
-      if (a.NAME() == null) {
-        if (!named.isEmpty()) {
-          throw new ScriptException(
-              position(a), "an argument without a name stands behind one with a name");
-        }
-        plain.add(value);
-      } else if (named.put(a.NAME().getText(), new Host.Value(value, position(a))) != null) {
-        throw new ScriptException(position(a), "'" + a.NAME().getText() + "' is given twice");
-      }
-    }
-    if (receiver != null) {
-      return builtins.method(receiver, name, plain, named, position);
+    if (context.test() instanceof ScriptParser.PlainContext plain
+        && plain.atom() instanceof ScriptParser.ReadContext read) {
+      return callName(read.NAME().getText(), context, position);
     }
-    if (target instanceof Function f) {
-      return statements.call(f, plain, named, position);
-    }
-    if (target == null && name != null && host.knows(name)) {
-      if (!plain.isEmpty()) {
-        throw new ScriptException(position, name + "() takes its arguments by name");
+    Object target = evaluate(context.test());
+    return functionCalls.callValue(target, arguments(context), position);
+  }
+
+  private Object callName(String name, ScriptParser.CallContext context, Place position) {
+    // Looked up before the arguments, whose evaluation might define a function of this name.
+    Object target = scope.get(name);
+    Arguments arguments = arguments(context);
+    return target == null
+        ? functionCalls.callByName(name, arguments, position)
+        : functionCalls.callValue(target, arguments, position);
+  }
+
+  private Arguments arguments(ScriptParser.CallContext context) {
+    Place position = source.position(context);
+    List<Object> positional = new ArrayList<>();
+    Map<String, Host.Value> named = new LinkedHashMap<>();
+    for (ScriptParser.ArgumentContext argument : context.argument()) {
+      budget.reserve(1, position);
+      Object value = evaluate(argument.test());
+      if (argument.NAME() != null) {
+        addNamed(named, argument, value);
+      } else if (named.isEmpty()) {
+        positional.add(value);
+      } else {
+        throw new ScriptException(
+            source.position(argument), "an argument without a name stands behind one with a name");
       }
-      Object result = host.call(name, named, position);
-      return result == null ? None.NONE : result;
     }
-    if (target == null && name != null && Builtins.knows(name)) {
-      return builtins.call(name, plain, named, position);
+    return new Arguments(positional, named);
+  }
+
+  private void addNamed(
+      Map<String, Host.Value> named, ScriptParser.ArgumentContext argument, Object value) {
+    String name = argument.NAME().getText();
+    Place position = source.position(argument);
+    if (named.put(name, new Host.Value(value, position)) != null) {
+      throw new ScriptException(position, "'" + name + "' is given twice");
     }
-    throw new ScriptException(
-        position,
-        target == null
-            ? "nothing is called '" + name + "'"
-            : "a " + Values.typeName(target) + " cannot be called");
   }
 
   @Override
   public Object visitMember(ScriptParser.MemberContext context) {
     throw new ScriptException(
-        position(context), "'." + context.NAME().getText() + "' can only be called");
+        source.position(context), "'." + context.NAME().getText() + "' can only be called");
   }
 
-  // --- Atoms -------------------------------------------------------------------------------------
-
   @Override
   public Object visitPlain(ScriptParser.PlainContext context) {
     return visit(context.atom());
@@ -266,73 +234,41 @@
   @Override
   public Object visitRead(ScriptParser.ReadContext context) {
     String name = context.NAME().getText();
-    Object found = scope.get(name);
-    if (found != null) {
-      return found;
+    Object value = scope.get(name);
+    if (value != null) {
+      return value;
     }
     return switch (name) {
       case "True" -> true;
       case "False" -> false;
       case "None" -> None.NONE;
-      default -> throw new ScriptException(position(context), "nothing is called '" + name + "'");
+      default ->
+          throw new ScriptException(source.position(context), "nothing is called '" + name + "'");
     };
   }
 
   @Override
   public Object visitInteger(ScriptParser.IntegerContext context) {
-    String text = context.INTEGER().getText().replace("_", "");
-    try {
-      return text.startsWith("0x") || text.startsWith("0X")
-          ? Long.parseLong(text.substring(2), 16)
-          : Long.parseLong(text);
-    } catch (NumberFormatException e) {
-      throw new ScriptException(position(context), "the number is too large");
-    }
+    return Literals.integer(context.INTEGER().getText(), source.position(context));
   }
 
   @Override
   public Object visitReal(ScriptParser.RealContext context) {
-    double v = Double.parseDouble(context.REAL().getText());
-    if (Double.isInfinite(v)) {
-      throw new ScriptException(position(context), "the number is too large");
-    }
-    return v;
+    return Literals.real(context.REAL().getText(), source.position(context));
   }
 
   @Override
   public Object visitText(ScriptParser.TextContext context) {
+    Place position = source.position(context);
     StringBuilder joined = new StringBuilder();
-    context.STRING().forEach(s -> joined.append(unquoted(s.getText(), position(context))));
-    meter.reserve(joined.length(), position(context));
+    context.STRING().forEach(part -> joined.append(Literals.text(part.getText(), position)));
+    budget.reserve(joined.length(), position);
     return joined.toString();
   }
 
-  private static String unquoted(String quoted, Place position) {
-    int marks = quoted.startsWith("\"\"\"") ? 3 : 1;
-    String raw = quoted.substring(marks, quoted.length() - marks);
-    StringBuilder out = new StringBuilder();
-    for (int i = 0; i < raw.length(); i++) {
-      char context = raw.charAt(i);
-      if (context != '\\') {
-        out.append(context);
-        continue;
-      }
-      char escaped = ++i < raw.length() ? raw.charAt(i) : ' ';
-      switch (escaped) {
-        case 'n' -> out.append('\n');
-        case 't' -> out.append('\t');
-        case 'r' -> out.append('\r');
-        case '\\', '"', '\'' -> out.append(escaped);
-        case '\n' -> {}
-        default -> throw new ScriptException(position, "'\\" + escaped + "' stands for nothing");
-      }
-    }
-    return out.toString();
-  }
-
   @Override
   public Object visitEmptyTuple(ScriptParser.EmptyTupleContext context) {
-    return new Values.Tuple(List.of());
+    return new Tuple(List.of());
   }
 
   @Override
@@ -342,7 +278,7 @@
 
   @Override
   public Object visitTuple(ScriptParser.TupleContext context) {
-    return new Values.Tuple(evaluateAll(context.test()));
+    return new Tuple(evaluateAll(context.test()));
   }
 
   @Override
@@ -352,67 +288,79 @@
 
   @Override
   public Object visitDict(ScriptParser.DictContext context) {
-    Map<Object, Object> made = new LinkedHashMap<>();
-    for (ScriptParser.EntryContext e : context.entry()) {
-      meter.reserve(1, position(e));
-      if (made.put(values.key(evaluate(e.key), position(e)), evaluate(e.value)) != null) {
-        throw new ScriptException(position(e), "the key comes twice");
+    Map<Object, Object> dict = new LinkedHashMap<>();
+    for (ScriptParser.EntryContext entry : context.entry()) {
+      Place position = source.position(entry);
+      budget.reserve(1, position);
+      Object key = Values.key(evaluate(entry.key), position);
+      if (dict.put(key, evaluate(entry.value)) != null) {
+        throw new ScriptException(position, "the key comes twice");
       }
     }
-    return made;
+    return dict;
   }
 
   @Override
   public Object visitListOf(ScriptParser.ListOfContext context) {
-    List<Object> made = new ArrayList<>();
+    List<Object> list = new ArrayList<>();
     comprehend(
         context.clause(),
-        0,
         new Scope(scope),
-        in -> {
-          meter.reserve(1, position(context));
-          made.add(evaluate(context.test(), in));
+        names -> {
+          budget.reserve(1, source.position(context));
+          list.add(evaluate(context.test(), names));
         });
-    return made;
+    return list;
   }
 
   @Override
   public Object visitDictOf(ScriptParser.DictOfContext context) {
-    Map<Object, Object> made = new LinkedHashMap<>();
+    Map<Object, Object> dict = new LinkedHashMap<>();
+    Place position = source.position(context);
     comprehend(
         context.clause(),
-        0,
         new Scope(scope),
-        in -> {
-          meter.reserve(1, position(context));
-          made.put(
-              values.key(evaluate(context.entry().key, in), position(context)),
-              evaluate(context.entry().value, in));
+        names -> {
+          budget.reserve(1, position);
+          Object key = Values.key(evaluate(context.entry().key, names), position);
+          dict.put(key, evaluate(context.entry().value, names));
         });
-    return made;
+    return dict;
   }
 
-  private interface Yield {
-    void in(Scope scope);
+  /** Adds an element of a comprehension, evaluated with the names of its clauses. */
+  private interface ElementAction {
+    void add(Scope names);
   }
 
-  private void comprehend(List<ScriptParser.ClauseContext> clauses, int at, Scope in, Yield yield) {
-    if (at == clauses.size()) {
-      yield.in(in);
+  /** Calls the action for each element that the clauses of a comprehension produce. */
+  private void comprehend(
+      List<ScriptParser.ClauseContext> clauses, Scope names, ElementAction action) {
+    if (clauses.isEmpty()) {
+      action.add(names);
       return;
     }
-    ScriptParser.ClauseContext clause = clauses.get(at);
-    Object value = evaluate(clause.test(), in);
-    if (clause.names() == null) {
-      if (Values.isTruthy(value)) {
-        comprehend(clauses, at + 1, in, yield);
-      }
-      return;
+    ScriptParser.ClauseContext clause = clauses.get(0);
+    List<ScriptParser.ClauseContext> innerClauses = clauses.subList(1, clauses.size());
+    Object value = evaluate(clause.test(), names);
+    if (clause.names() != null) {
+      comprehendLoop(clause, value, innerClauses, names, action);
+    } else if (Values.isTruthy(value)) {
+      comprehend(innerClauses, names, action);
     }
-    for (Object element : values.elements(value, position(clause))) {
-      meter.recordStep(position(clause));
-      statements.bind(clause.names(), element, in);
-      comprehend(clauses, at + 1, in, yield);
+  }
+
+  private void comprehendLoop(
+      ScriptParser.ClauseContext clause,
+      Object sequence,
+      List<ScriptParser.ClauseContext> innerClauses,
+      Scope names,
+      ElementAction action) {
+    Place position = source.position(clause);
+    for (Object element : values.elements(sequence, position)) {
+      budget.recordStep(position);
+      nameBinding.bind(clause.names(), element, names);
+      comprehend(innerClauses, names, action);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/bitternpulley/script/FormatArguments.java
@@ -0,0 +1,35 @@
+package bitternpulley.script;
+
+/** Finds the values for the replacement fields of one {@code format()} call. */
+final class FormatArguments {
+  private final Arguments arguments;
+  private final Place position;
+  private int nextIndex;
+
+  FormatArguments(Arguments arguments, Place position) {
+    this.arguments = arguments;
+    this.position = position;
+  }
+
+  /** The value for a field that is empty, an index or a name. */
+  Object value(String field) {
+    if (field.isEmpty()) {
+      return positional(nextIndex++);
+    }
+    if (field.matches("[0-9]{1,6}")) {
+      return positional(Integer.parseInt(field));
+    }
+    Host.Value named = arguments.named().get(field);
+    if (named == null) {
+      throw new ScriptException(position, "format() is not given '" + field + "'");
+    }
+    return named.value();
+  }
+
+  private Object positional(int index) {
+    if (index >= arguments.count()) {
+      throw new ScriptException(position, "there are fewer values than places in the text");
+    }
+    return arguments.positional().get(index);
+  }
+}
--- a/src/main/java/bitternpulley/script/Host.java
+++ b/src/main/java/bitternpulley/script/Host.java
@@ -2,17 +2,26 @@
 
 import java.util.Map;
 
-/** The functions of the program that a script may call. */
+/** The functions outside the language that a script may call. */
 public interface Host {
-  /** Whether there is a function of this name. */
+  /** Whether the host has a function of this name. */
   boolean knows(String function);
 
   /**
-   * Calls a function with its arguments by name, each with its place; the result, None for null, is
-   * the call's value. Throws {@link ScriptException} where it cannot be called so.
+   * Calls a function that the host has.
+   *
+   * @param arguments the arguments by name, in the order of the call
+   * @param position the position of the call
+   * @return the value of the call; null stands for {@code None}
+   * @throws ScriptException if the function cannot be called with these arguments
    */
   Object call(String function, Map<String, Value> arguments, Place position);
 
-  /** A value and where it stands. */
+  /**
+   * An argument.
+   *
+   * @param value its value
+   * @param at its position in the script
+   */
   record Value(Object value, Place at) {}
 }
--- a/src/main/java/bitternpulley/script/IndentationLexer.java
+++ b/src/main/java/bitternpulley/script/IndentationLexer.java
@@ -11,85 +11,101 @@
 import org.antlr.v4.runtime.TokenSource;
 
 /**
- * Tells lines and blocks by their indentation, after the rules of Starlark's specification, and
- * keeps to the bounds on nesting before the parser, which recurses, gets to see them.
+ * Adds tokens for the ends of lines and for blocks, by the indentation rules of Starlark's
+ * specification. Rejects texts that are nested too deep, as the parser is recursive.
  */
 final class IndentationLexer {
-  /** Columns that a tab stands for. */
-  private static final int TAB = 8;
+  /** Columns from one tab stop to the next. */
+  private static final int TAB_WIDTH = 8;
 
-  private final String file;
-  private final int deepest;
-  private final List<Token> out = new ArrayList<>();
+  /** Prefix operators and branches that a line may have for each permitted level of nesting. */
+  private static final int PREFIXES_PER_LEVEL = 4;
+
+  private final SourceFile source;
+  private final int maxDepth;
+  private final List<Token> output = new ArrayList<>();
+
+  /** Columns at which the open blocks begin, the innermost first. */
   private final Deque<Integer> indents = new ArrayDeque<>(List.of(0));
-  private int brackets;
+
+  private int openBrackets;
   private int prefixes;
-  private boolean lineOpen;
+  private boolean isLineOpen;
 
-  private IndentationLexer(String file, int deepest) {
-    this.file = file;
-    this.deepest = deepest;
+  private IndentationLexer(SourceFile source, int maxDepth) {
+    this.source = source;
+    this.maxDepth = maxDepth;
   }
 
-  static TokenSource of(Lexer lexer, String file, int deepest) {
-    IndentationLexer layout = new IndentationLexer(file, deepest);
-    List<? extends Token> all = lexer.getAllTokens();
-    for (int i = 0; i < all.size(); i++) {
-      layout.take(all.get(i), i + 1 < all.size() ? all.get(i + 1) : null);
+  /**
+   * The tokens of a script for its parser.
+   *
+   * @param maxDepth levels of brackets, and of blocks, that the script may have
+   */
+  static TokenSource tokens(Lexer lexer, SourceFile source, int maxDepth) {
+    IndentationLexer indentation = new IndentationLexer(source, maxDepth);
+    List<? extends Token> tokens = lexer.getAllTokens();
+    for (int index = 0; index < tokens.size(); index++) {
+      Token following = index + 1 < tokens.size() ? tokens.get(index + 1) : null;
+      indentation.accept(tokens.get(index), following);
     }
-    layout.end();
-    return new ListTokenSource(layout.out, file);
+    indentation.endFile();
+    return new ListTokenSource(indentation.output, source.name());
   }
 
-  private void take(Token token, Token following) {
+  private void accept(Token token, Token following) {
     if (token.getType() == ScriptLexer.OTHER) {
-      throw new ScriptException(place(token), "'" + token.getText() + "' is not understood");
+      throw new ScriptException(
+          source.position(token), "'" + token.getText() + "' is not understood");
     }
     if (token.getType() == ScriptLexer.NEWLINE) {
-      boolean blank = following == null || following.getType() == ScriptLexer.NEWLINE;
-      if (brackets == 0 && lineOpen) {
-        add(token, ScriptLexer.NEWLINE);
-        lineOpen = false;
-        prefixes = 0;
-      }
-      if (brackets == 0 && !blank) {
-        indent(token);
-      }
+      acceptNewline(token, following);
+      return;
+    }
+    if (output.isEmpty() && token.getCharPositionInLine() > 0) {
+      throw new ScriptException(source.position(token), "the first line is indented");
+    }
+    isLineOpen = true;
+    countNesting(token);
+    output.add(token);
+  }
+
+  private void acceptNewline(Token newline, Token following) {
+    if (openBrackets > 0) {
       return;
     }
-    if (out.isEmpty() && token.getCharPositionInLine() > 0) {
-      throw new ScriptException(place(token), "the first line is indented");
+    if (isLineOpen) {
+      add(newline, ScriptLexer.NEWLINE);
+      isLineOpen = false;
+      prefixes = 0;
+    }
+    boolean isNextLineBlank = following == null || following.getType() == ScriptLexer.NEWLINE;
+    if (!isNextLineBlank) {
+      indent(newline);
     }
-    lineOpen = true;
-    nest(token);
-    out.add(token);
   }
 
-  private void nest(Token token) {
-    String text = token.getText();
-    switch (text) {
-      case "(", "[", "{" -> brackets++;
-      case ")", "]", "}" -> brackets = Math.max(0, brackets - 1);
+  private void countNesting(Token token) {
+    switch (token.getText()) {
+      case "(", "[", "{" -> openBrackets++;
+      case ")", "]", "}" -> openBrackets = Math.max(0, openBrackets - 1);
       case "not", "-", "+", "else", "elif" -> prefixes++;
       default -> {}
     }
-    // Guards against a text on which a parser that recurses runs out of stack.
-    if (brackets > deepest || prefixes > 4 * deepest) {
-      throw new ScriptException(place(token), "nested more than " + deepest + " deep");
+    if (openBrackets > maxDepth || prefixes > PREFIXES_PER_LEVEL * maxDepth) {
+      throw new ScriptException(source.position(token), "nested more than " + maxDepth + " deep");
     }
   }
 
+  /** Begins or ends blocks by the indentation of the line that follows. */
   private void indent(Token newline) {
-    int width = 0;
-    String text = newline.getText();
-    for (int i = text.indexOf('\n') + 1; i < text.length(); i++) {
-      width = text.charAt(i) == '\t' ? (width / TAB + 1) * TAB : width + 1;
-    }
+    int width = indentation(newline.getText());
     if (width > indents.peek()) {
       indents.push(width);
       add(newline, ScriptParser.INDENT);
-      if (indents.size() > deepest) {
-        throw new ScriptException(place(newline), "blocks nested more than " + deepest + " deep");
+      if (indents.size() > maxDepth) {
+        throw new ScriptException(
+            source.position(newline), "blocks nested more than " + maxDepth + " deep");
       }
     }
     while (width < indents.peek()) {
@@ -98,15 +114,27 @@
     }
     if (width != indents.peek()) {
       throw new ScriptException(
-          new Place(file, newline.getLine() + 1, width + 1),
+          source.position(newline.getLine() + 1, width),
           "the line is indented like none of the blocks that it could belong to");
     }
   }
 
-  private void end() {
+  /** The columns of blanks behind the line feed. */
+  private static int indentation(String newline) {
+    int width = 0;
+    for (int index = newline.indexOf('\n') + 1; index < newline.length(); index++) {
+      boolean isTab = newline.charAt(index) == '\t';
+      width = isTab ? (width / TAB_WIDTH + 1) * TAB_WIDTH : width + 1;
+    }
+    return width;
+  }
+
+  private void endFile() {
     Token last =
-        out.isEmpty() ? new CommonToken(ScriptLexer.NEWLINE, "\n") : out.get(out.size() - 1);
-    if (lineOpen) {
+        output.isEmpty()
+            ? new CommonToken(ScriptLexer.NEWLINE, "\n")
+            : output.get(output.size() - 1);
+    if (isLineOpen) {
       add(last, ScriptLexer.NEWLINE);
     }
     while (indents.pop() > 0) {
@@ -115,23 +143,23 @@
     add(last, Token.EOF);
   }
 
-  private void add(Token at, int type) {
-    CommonToken made =
-        new CommonToken(
-            type,
-            type == ScriptLexer.NEWLINE
-                ? "end of line"
-                : type == Token.EOF
-                    ? "end of file"
-                    : type == ScriptParser.INDENT ? "indentation" : "end of block");
+  /** Adds a token that has no text of its own, near one that has. */
+  private void add(Token near, int type) {
+    CommonToken added = new CommonToken(type, displayName(type));
     // A block begins and ends where the next line does.
-    boolean nextLine = type == ScriptParser.INDENT || type == ScriptParser.DEDENT;
-    made.setLine(at.getLine() + (nextLine ? 1 : 0));
-    made.setCharPositionInLine(nextLine ? 0 : at.getCharPositionInLine());
-    out.add(made);
+    boolean isOnNextLine = type == ScriptParser.INDENT || type == ScriptParser.DEDENT;
+    added.setLine(isOnNextLine ? near.getLine() + 1 : near.getLine());
+    added.setCharPositionInLine(isOnNextLine ? 0 : near.getCharPositionInLine());
+    output.add(added);
   }
 
-  private Place place(Token token) {
-    return new Place(file, token.getLine(), token.getCharPositionInLine() + 1);
+  /** The text that syntax errors show for a token. */
+  private static String displayName(int type) {
+    return switch (type) {
+      case ScriptLexer.NEWLINE -> "end of line";
+      case Token.EOF -> "end of file";
+      case ScriptParser.INDENT -> "indentation";
+      default -> "end of block";
+    };
   }
 }
--- a/src/main/java/bitternpulley/script/None.java
+++ b/src/main/java/bitternpulley/script/None.java
@@ -1,7 +1,8 @@
 package bitternpulley.script;
 
-/** The value that is none. */
+/** The type of the language's {@code None}. */
 public enum None {
+  /** Its only value. */
   NONE;
 
   @Override
--- a/src/main/java/bitternpulley/script/Place.java
+++ b/src/main/java/bitternpulley/script/Place.java
@@ -1,6 +1,12 @@
 package bitternpulley.script;
 
-/** Where in a script something stands; lines and columns count from 1. */
+/**
+ * A position in a script.
+ *
+ * @param file name of the file
+ * @param line counted from 1
+ * @param column counted from 1
+ */
 public record Place(String file, int line, int column) {
   @Override
   public String toString() {
--- a/src/main/java/bitternpulley/script/Scope.java
+++ b/src/main/java/bitternpulley/script/Scope.java
@@ -3,22 +3,27 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Names and their values: a function's own, over the script's. */
+/** The variables of a script, function call or comprehension, and those of the scope around it. */
 final class Scope {
   private final Scope outer;
-  private final Map<String, Object> values = new HashMap<>();
+  private final Map<String, Object> variables = new HashMap<>();
 
+  /**
+   * A scope without variables of its own.
+   *
+   * @param outer null for the scope of the script
+   */
   Scope(Scope outer) {
     this.outer = outer;
   }
 
-  /** Null where nothing is called so. */
+  /** The value of a variable of this scope or of one around it; null if there is none. */
   Object get(String name) {
-    Object own = values.get(name);
-    return own == null && outer != null ? outer.get(name) : own;
+    Object value = variables.get(name);
+    return value == null && outer != null ? outer.get(name) : value;
   }
 
   void set(String name, Object value) {
-    values.put(name, value);
+    variables.put(name, value);
   }
 }
--- a/src/main/java/bitternpulley/script/ScriptException.java
+++ b/src/main/java/bitternpulley/script/ScriptException.java
@@ -1,17 +1,22 @@
 package bitternpulley.script;
 
-/** A script that cannot be used: where and why. */
+/** A script that is invalid, failed or exceeded a limit, with the position of the fault. */
 public final class ScriptException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   private final transient Place position;
 
-  public ScriptException(Place place, String message) {
+  /**
+   * An error at a position.
+   *
+   * @param position null if the script as a whole is at fault
+   */
+  public ScriptException(Place position, String message) {
     super(message);
-    this.position = place;
+    this.position = position;
   }
 
-  /** Null where the script as a whole is at fault. */
+  /** The position of the fault, or null if the script as a whole is at fault. */
   public Place position() {
     return position;
   }
--- a/src/main/java/bitternpulley/script/ScriptRunner.java
+++ b/src/main/java/bitternpulley/script/ScriptRunner.java
@@ -1,67 +1,52 @@
 package bitternpulley.script;
 
-import org.antlr.v4.runtime.BaseErrorListener;
 import org.antlr.v4.runtime.CharStreams;
 import org.antlr.v4.runtime.CommonTokenStream;
-import org.antlr.v4.runtime.RecognitionException;
-import org.antlr.v4.runtime.Recognizer;
-import org.antlr.v4.runtime.Token;
+import org.antlr.v4.runtime.TokenSource;
 
-/** Parses and evaluates one script. */
+/** Parses and evaluates scripts within limits. */
 public final class ScriptRunner {
-  private final Bounds bounds;
+  private final Bounds limits;
   private final Host host;
 
-  public ScriptRunner(Bounds bounds, Host host) {
-    this.bounds = bounds;
+  /** A runner whose scripts may call the functions of the host. */
+  public ScriptRunner(Bounds limits, Host host) {
+    this.limits = limits;
     this.host = host;
   }
 
   /**
-   * Evaluates a text and returns what it printed; throws {@link ScriptException} where it cannot be
-   * used.
+   * Evaluates a script and returns what it printed.
+   *
+   * @param file name of the file, as positions in errors show it
+   * @param text the script
+   * @throws ScriptException if the script is invalid, fails or exceeds a limit
    */
   public String run(String file, String text) {
-    if (text.length() > bounds.scriptLength()) {
+    if (text.length() > limits.scriptLength()) {
       throw new ScriptException(
-          null, file + " has more than " + bounds.scriptLength() + " characters");
+          null, file + " has more than " + limits.scriptLength() + " characters");
     }
-    EvaluationBudget meter = new EvaluationBudget(bounds);
+    SourceFile source = new SourceFile(file);
+    EvaluationBudget budget = new EvaluationBudget(limits);
     try {
-      new Statements(file, meter, host).run(parse(file, text));
-    } catch (StackOverflowError e) {
-      // The bounds on nesting keep well within any usual stack; a caller with a small one is told
-      // all the same.
+      new ScriptEvaluator(source, budget, host).run(parse(source, text));
+    } catch (StackOverflowError overflow) {
+      // The limits on nesting suffice for stacks of the default size; the caller's may be smaller.
       throw new ScriptException(null, file + ": nested too deep");
     }
-    return meter.output();
+    return budget.output();
   }
 
-  private ScriptParser.FileContext parse(String file, String text) {
-    BaseErrorListener refuse =
-        new BaseErrorListener() {
-          @Override
-          public void syntaxError(
-              Recognizer<?, ?> recognizer,
-              Object offending,
-              int line,
-              int column,
-              String message,
-              RecognitionException e) {
-            String found =
-                offending instanceof Token t
-                    ? "'" + t.getText() + "' does not belong here"
-                    : message;
-            throw new ScriptException(new Place(file, line, column + 1), found);
-          }
-        };
-    ScriptLexer lexer = new ScriptLexer(CharStreams.fromString(text, file));
+  private ScriptParser.FileContext parse(SourceFile source, String text) {
+    SyntaxErrors syntaxErrors = new SyntaxErrors(source);
+    ScriptLexer lexer = new ScriptLexer(CharStreams.fromString(text, source.name()));
     lexer.removeErrorListeners();
-    lexer.addErrorListener(refuse);
-    ScriptParser parser =
-        new ScriptParser(new CommonTokenStream(IndentationLexer.of(lexer, file, bounds.depth())));
+    lexer.addErrorListener(syntaxErrors);
+    TokenSource tokens = IndentationLexer.tokens(lexer, source, limits.depth());
+    ScriptParser parser = new ScriptParser(new CommonTokenStream(tokens));
     parser.removeErrorListeners();
-    parser.addErrorListener(refuse);
+    parser.addErrorListener(syntaxErrors);
     return parser.file();
   }
 }
--- /dev/null
+++ b/src/main/java/bitternpulley/script/StringMethods.java
@@ -0,0 +1,103 @@
+package bitternpulley.script;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Locale;
+import java.util.regex.Pattern;
+
+/** The methods of texts. */
+final class StringMethods {
+  private final EvaluationBudget budget;
+  private final Values values;
+  private final StringFormatting formatting;
+
+  StringMethods(EvaluationBudget budget, Values values, StringFormatting formatting) {
+    this.budget = budget;
+    this.values = values;
+    this.formatting = formatting;
+  }
+
+  String format(String form, Arguments arguments, Place position) {
+    return formatting.format(form, arguments, position);
+  }
+
+  Object call(String text, String name, List<Object> arguments, Place position) {
+    budget.reserve(text.length(), position);
+    if (arguments.isEmpty()) {
+      return call(text, name, position);
+    }
+    if (name.equals("join") && arguments.size() == 1) {
+      return join(text, arguments.get(0), position);
+    }
+    boolean areTexts = arguments.stream().allMatch(String.class::isInstance);
+    if (areTexts && arguments.size() == 1) {
+      return call(text, name, (String) arguments.get(0), position);
+    }
+    if (areTexts && arguments.size() == 2 && name.equals("replace")) {
+      return replace(text, (String) arguments.get(0), (String) arguments.get(1), position);
+    }
+    throw MethodCalls.noSuchMethod(text, name, arguments.size(), position);
+  }
+
+  private static Object call(String text, String name, Place position) {
+    return switch (name) {
+      case "upper" -> text.toUpperCase(Locale.ROOT);
+      case "lower" -> text.toLowerCase(Locale.ROOT);
+      case "strip" -> text.strip();
+      case "split" -> splitAtBlanks(text);
+      default -> throw MethodCalls.noSuchMethod(text, name, 0, position);
+    };
+  }
+
+  private static Object call(String text, String name, String argument, Place position) {
+    return switch (name) {
+      case "startswith" -> text.startsWith(argument);
+      case "endswith" -> text.endsWith(argument);
+      case "count" -> occurrences(text, argument);
+      case "find" -> (long) text.indexOf(argument);
+      case "split" -> split(text, argument, position);
+      default -> throw MethodCalls.noSuchMethod(text, name, 1, position);
+    };
+  }
+
+  private static List<Object> splitAtBlanks(String text) {
+    if (text.isBlank()) {
+      return new ArrayList<>();
+    }
+    return new ArrayList<>(Arrays.asList(text.strip().split("\\s+")));
+  }
+
+  private static List<Object> split(String text, String separator, Place position) {
+    if (separator.isEmpty()) {
+      throw new ScriptException(position, "split() by nothing");
+    }
+    return new ArrayList<>(Arrays.asList(text.split(Pattern.quote(separator), -1)));
+  }
+
+  private static long occurrences(String text, String part) {
+    if (part.isEmpty()) {
+      return text.length() + 1L;
+    }
+    return text.split(Pattern.quote(part), -1).length - 1L;
+  }
+
+  private String replace(String text, String part, String replacement, Place position) {
+    long added = occurrences(text, part) * replacement.length();
+    budget.reserve(text.length() + added, position);
+    return text.replace(part, replacement);
+  }
+
+  private String join(String separator, Object parts, Place position) {
+    StringBuilder joined = new StringBuilder();
+    for (Object element : values.elements(parts, position)) {
+      if (!(element instanceof String part)) {
+        throw new ScriptException(
+            position, "join() takes texts, not a " + Values.typeName(element));
+      }
+      budget.reserve((long) part.length() + separator.length(), position);
+      joined.append(joined.length() == 0 ? "" : separator).append(part);
+    }
+    return joined.toString();
+  }
+}
--- /dev/null
+++ b/src/main/java/bitternpulley/script/SyntaxErrors.java
@@ -0,0 +1,30 @@
+package bitternpulley.script;
+
+import org.antlr.v4.runtime.BaseErrorListener;
+import org.antlr.v4.runtime.RecognitionException;
+import org.antlr.v4.runtime.Recognizer;
+import org.antlr.v4.runtime.Token;
+
+/** Throws a {@link ScriptException} at the first syntax error. */
+final class SyntaxErrors extends BaseErrorListener {
+  private final SourceFile source;
+
+  SyntaxErrors(SourceFile source) {
+    this.source = source;
+  }
+
+  @Override
+  public void syntaxError(
+      Recognizer<?, ?> recognizer,
+      Object offending,
+      int line,
+      int column,
+      String message,
+      RecognitionException cause) {
+    String text =
+        offending instanceof Token token
+            ? "'" + token.getText() + "' does not belong here"
+            : message;
+    throw new ScriptException(source.position(line, column), text);
+  }
+}
--- /dev/null
+++ b/src/main/java/bitternpulley/script/Tuple.java
@@ -0,0 +1,23 @@
+package bitternpulley.script;
+
+import java.util.AbstractList;
+import java.util.List;
+
+/** A list that a script cannot change. */
+final class Tuple extends AbstractList<Object> {
+  private final List<Object> elements;
+
+  Tuple(List<Object> elements) {
+    this.elements = List.copyOf(elements);
+  }
+
+  @Override
+  public Object get(int index) {
+    return elements.get(index);
+  }
+
+  @Override
+  public int size() {
+    return elements.size();
+  }
+}
--- /dev/null
+++ b/src/main/java/bitternpulley/script/ValueText.java
@@ -0,0 +1,75 @@
+package bitternpulley.script;
+
+import java.util.List;
+import java.util.Map;
+
+/** Converts values to text. */
+final class ValueText {
+  private final EvaluationBudget budget;
+
+  ValueText(EvaluationBudget budget) {
+    this.budget = budget;
+  }
+
+  /** A text as it is, and any other value as a literal. */
+  String text(Object value, Place position) {
+    return value instanceof String text ? text : literal(value, position);
+  }
+
+  /** The value as a script would write it. */
+  String literal(Object value, Place position) {
+    StringBuilder literal = new StringBuilder();
+    append(value, literal, 0, position);
+    return literal.toString();
+  }
+
+  private void append(Object value, StringBuilder literal, int depth, Place position) {
+    budget.recordNestedStep(depth, position);
+    int before = literal.length();
+    if (value instanceof String text) {
+      literal.append('"').append(escaped(text)).append('"');
+    } else if (value instanceof Boolean flag) {
+      literal.append(flag ? "True" : "False");
+    } else if (value instanceof List) {
+      appendList(value, literal, depth, position);
+    } else if (value instanceof Map) {
+      appendDict(Values.dict(value), literal, depth, position);
+    } else {
+      literal.append(value);
+    }
+    budget.reserve(literal.length() - before, position);
+  }
+
+  private static String escaped(String text) {
+    return text.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
+  }
+
+  private void appendList(Object value, StringBuilder literal, int depth, Place position) {
+    boolean isTuple = value instanceof Tuple;
+    literal.append(isTuple ? '(' : '[');
+    String separator = "";
+    for (Object element : Values.list(value)) {
+      literal.append(separator);
+      append(element, literal, depth + 1, position);
+      separator = ", ";
+    }
+    if (isTuple && Values.list(value).size() == 1) {
+      literal.append(',');
+    }
+    literal.append(isTuple ? ')' : ']');
+  }
+
+  private void appendDict(
+      Map<Object, Object> dict, StringBuilder literal, int depth, Place position) {
+    literal.append('{');
+    String separator = "";
+    for (Map.Entry<Object, Object> entry : dict.entrySet()) {
+      literal.append(separator);
+      append(entry.getKey(), literal, depth + 1, position);
+      literal.append(": ");
+      append(entry.getValue(), literal, depth + 1, position);
+      separator = ", ";
+    }
+    literal.append('}');
+  }
+}
