--- a/src/test/java/bitternpulley/script/ScriptRunnerTest.java
+++ b/src/test/java/bitternpulley/script/ScriptRunnerTest.java
@@ -17,15 +17,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ScriptRunnerTest {
+  private static final String FILE = "t.star";
+
+  /** How long a script of {@link #endsEveryScriptWithinItsLimits} may run, in nanoseconds. */
+  private static final double MAX_RUN_NANOS = 20e9;
+
   private final List<String> calls = new ArrayList<>();
 
   private String run(String text) {
     return run(text, Bounds.USUAL);
   }
 
-  private String run(String text, Bounds bounds) {
+  private String run(String text, Bounds limits) {
     return new ScriptRunner(
-            bounds,
+            limits,
             new Host() {
               @Override
               public boolean knows(String function) {
@@ -35,23 +40,28 @@
               @Override
               public Object call(String function, Map<String, Value> arguments, Place position) {
                 arguments.forEach(
-                    (k, v) -> calls.add(position + " " + k + "=" + v.value() + " at " + v.at()));
+                    (name, argument) ->
+                        calls.add(
+                            position
+                                + " "
+                                + name
+                                + "="
+                                + argument.value()
+                                + " at "
+                                + argument.at()));
                 return null;
               }
             })
-        .run("t.star", text);
+        .run(FILE, text);
   }
 
   @Test
-  void functionsLoopsAndTextsDoWhatStarlarkSays() {
+  void evaluatesFunctionsLoopsAndTextsLikeStarlark() {
     String text =
         """
         # two teams of equal shares
-        def team(name, share = 0.5, *_):
+        def team(name, share = 0.5):
           return name
-        """
-                .replace(", *_", "")
-            + """
         names = ["%s-%d" % (n, i) for n in ["a", "b"] for i in range(3) if i != 1]
         total = 0
         for i, n in enumerate(names):
@@ -76,7 +86,7 @@
   }
 
   @Test
-  void theHostHearsOfArgumentsAndWhereTheyStand() {
+  void passesArgumentsWithTheirPositionsToTheHost() {
     run("x = 3\nnote(a = x,\n     b = [x] * 2)\n");
     assertEquals(
         List.of("t.star:2:1 a=3 at t.star:2:6", "t.star:2:1 b=[3, 3] at t.star:3:6"), calls);
@@ -112,17 +122,15 @@
         "def f(a, a):\\n  pass|1:10",
         "x = 1 < 'a'|1:5"
       })
-  void whatIsWrongHasItsPlace(String text, String place) {
-    ScriptException e =
+  void reportsThePositionOfAnError(String text, String position) {
+    ScriptException error =
         assertThrows(ScriptException.class, () -> run(text.replace("\\n", "\n") + "\n"));
-    assertEquals("t.star:" + place, String.valueOf(e.position()), e.getMessage());
+    assertEquals(FILE + ":" + position, String.valueOf(error.position()), error.getMessage());
   }
 
-  /**
-   * Guards against texts that take all time, memory or stack: each of these has an end of its own.
-   */
+  /** Each of these texts would use unbounded time, memory or stack if there were no limit. */
   @Test
-  void everyTextComesToAnEnd() {
+  void endsEveryScriptWithinItsLimits() {
     for (String text :
         List.of(
             "x = [0] * 100000000000\n",
@@ -146,36 +154,29 @@
       try {
         run(text, new Bounds(1 << 20, 64, 200_000, 1_000_000, 10_000));
         throw new AssertionError("has no bound: " + text.substring(0, Math.min(60, text.length())));
-      } catch (ScriptException e) {
+      } catch (ScriptException error) {
         assertTrue(
-            System.nanoTime() - before < 20e9,
+            System.nanoTime() - before < MAX_RUN_NANOS,
             "took long: " + text.substring(0, Math.min(60, text.length())));
       }
     }
   }
 
   @Property(tries = 300)
-  void arithmeticIsThatOfWholeNumbers(@ForAll int a, @ForAll int b, @ForAll int c) {
-    String by = c == 0 ? "1" : "(" + c + ")";
-    long d = c == 0 ? 1 : c;
+  void evaluatesIntegerArithmeticWithFlooredDivision(
+      @ForAll int first, @ForAll int second, @ForAll int anyDivisor) {
+    long divisor = anyDivisor == 0 ? 1 : anyDivisor;
     long expected =
-        (long) a - (long) b * 3 + Math.floorDiv((long) a, d) - Math.floorMod((long) b, d);
-    assertEquals(
-        expected + "\n",
-        run(
-            "print(("
-                + a
-                + ") - ("
-                + b
-                + ") * 3 + ("
-                + a
-                + ") // "
-                + by
-                + " - ("
-                + b
-                + ") % "
-                + by
-                + ")\n"));
+        (long) first
+            - (long) second * 3
+            + Math.floorDiv((long) first, divisor)
+            - Math.floorMod((long) second, divisor);
+    String text =
+        "print((FIRST) - (SECOND) * 3 + (FIRST) // (DIVISOR) - (SECOND) % (DIVISOR))\n"
+            .replace("FIRST", String.valueOf(first))
+            .replace("SECOND", String.valueOf(second))
+            .replace("DIVISOR", String.valueOf(divisor));
+    assertEquals(expected + "\n", run(text));
   }
 
   @Provide
@@ -222,19 +223,15 @@
             "==",
             "note(",
             "a=");
-    return words.list().ofMaxSize(40).map(l -> String.join("", l));
+    return words.list().ofMaxSize(40).map(parts -> String.join("", parts));
   }
 
-  /**
-   * Guards against a text that the reader breaks on in any other way than by saying what is wrong
-   * with it.
-   */
   @Property(tries = 3000)
-  void whateverTheTextNothingElseIsThrown(@ForAll("texts") String text) {
+  void throwsOnlyScriptExceptionsForAnyText(@ForAll("texts") String text) {
     try {
       run(text, new Bounds(1000, 16, 10_000, 10_000, 1000));
-    } catch (ScriptException e) {
-      assertTrue(!e.toString().isEmpty());
+    } catch (ScriptException error) {
+      assertTrue(!error.toString().isEmpty());
     }
   }
 }
