--- a/src/main/java/bitternpulley/script/ScriptException.java
+++ b/src/main/java/bitternpulley/script/ScriptException.java
@@ -21,8 +21,15 @@
     return position;
   }
 
+  /** The message, behind the position where there is one. */
+  @Override
+  public String getMessage() {
+    return position == null ? super.getMessage() : position + ": " + super.getMessage();
+  }
+
+  /** The message without the name of this class, as operators see it. */
   @Override
   public String toString() {
-    return position == null ? getMessage() : position + ": " + getMessage();
+    return getMessage();
   }
 }
