--- a/src/main/java/bitternpulley/script/SequenceFunctions.java
+++ b/src/main/java/bitternpulley/script/SequenceFunctions.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.Collections;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -114,16 +115,20 @@
 
   List<Object> sorted(Object source, Place position) {
     List<Object> elements = values.elements(source, position);
-    elements.sort((left, right) -> comparisons.order(left, right, position));
+    elements.sort(ascending(position));
     return elements;
   }
 
   List<Object> sortedDescending(Object source, Place position) {
     List<Object> elements = values.elements(source, position);
-    elements.sort((left, right) -> comparisons.order(right, left, position));
+    elements.sort(ascending(position).reversed());
     return elements;
   }
 
+  private Comparator<Object> ascending(Place position) {
+    return (left, right) -> comparisons.order(left, right, position);
+  }
+
   List<Object> reversed(Object source, Place position) {
     List<Object> elements = values.elements(source, position);
     Collections.reverse(elements);
