--- a/src/test/java/bitternpulley/script/ScriptRunnerTest.java
+++ b/src/test/java/bitternpulley/script/ScriptRunnerTest.java
@@ -22,6 +22,50 @@
   /** How long a script of {@link #endsEveryScriptWithinItsLimits} may run, in nanoseconds. */
   private static final double MAX_RUN_NANOS = 20e9;
 
+  /** What random texts consist of. */
+  private static final List<String> WORDS =
+      List.of(
+          "x",
+          " = ",
+          "1",
+          "(",
+          ")",
+          "[",
+          "]",
+          "{",
+          "}",
+          ":",
+          ",",
+          "\n",
+          "\n  ",
+          "\n    ",
+          "if ",
+          "else",
+          "for ",
+          " in ",
+          "def f",
+          "return ",
+          "'a'",
+          "%",
+          "*",
+          "+",
+          "-",
+          "not ",
+          ".get",
+          "range(9)",
+          "\\",
+          "\"",
+          "#",
+          "\t",
+          "é",
+          "\u0000",
+          "lambda",
+          "and ",
+          "|",
+          "==",
+          "note(",
+          "a=");
+
   private final List<String> calls = new ArrayList<>();
 
   private String run(String text) {
@@ -74,7 +118,8 @@
         d = {"k": 1, "l": [1, 2]} | {"m": (1,)}
         d["l"][0] += 5
         print(d, "k" in d, "z" not in d, d.get("z"), [1, 2, 3][-2:], "{} of {t}".format(1, t = 3))
-        print(sorted([3, 1, 2], reverse = True), max(4, 2), len("abc"), not [] and True, 1 if 0 else 2)
+        print(sorted([3, 1, 2], reverse = True), max(4, 2), len("abc"),\
+         not [] and True, 1 if 0 else 2)
         """;
     assertEquals(
         """
@@ -181,49 +226,7 @@
 
   @Provide
   Arbitrary<String> texts() {
-    Arbitrary<String> words =
-        Arbitraries.of(
-            "x",
-            " = ",
-            "1",
-            "(",
-            ")",
-            "[",
-            "]",
-            "{",
-            "}",
-            ":",
-            ",",
-            "\n",
-            "\n  ",
-            "\n    ",
-            "if ",
-            "else",
-            "for ",
-            " in ",
-            "def f",
-            "return ",
-            "'a'",
-            "%",
-            "*",
-            "+",
-            "-",
-            "not ",
-            ".get",
-            "range(9)",
-            "\\",
-            "\"",
-            "#",
-            "\t",
-            "é",
-            "\u0000",
-            "lambda",
-            "and ",
-            "|",
-            "==",
-            "note(",
-            "a=");
-    return words.list().ofMaxSize(40).map(parts -> String.join("", parts));
+    return Arbitraries.of(WORDS).list().ofMaxSize(40).map(parts -> String.join("", parts));
   }
 
   @Property(tries = 3000)
