--- a/src/main/java/bitternpulley/script/Expressions.java
+++ b/src/main/java/bitternpulley/script/Expressions.java
@@ -6,391 +6,361 @@
 import java.util.Map;
 import org.antlr.v4.runtime.ParserRuleContext;
 
-/** What an expression comes to. */
+/** Evaluates expressions. */
 final class Expressions extends ScriptBaseVisitor<Object> {
-  private final String file;
-  private final Meter meter;
+  private final SourceFile source;
+  private final EvaluationBudget budget;
   private final Values values;
-  private final Builtins builtins;
-  private final Host host;
-  private final Statements statements;
+  private final Arithmetic arithmetic;
+  private final Comparisons comparisons;
+  private final Subscripts subscripts;
+  private final FunctionCalls functionCalls;
+  private final MethodCalls methodCalls;
+  private final NameBinding nameBinding;
+
+  /** The names that the expression being evaluated may read. */
   private Scope scope;
 
-  Expressions(String file, Meter meter, Host host, Statements statements) {
-    this.file = file;
-    this.meter = meter;
-    this.host = host;
-    this.statements = statements;
-    this.values = new Values(meter);
-    this.builtins = new Builtins(meter, values);
-  }
-
-  Values values() {
-    return values;
-  }
-
-  Object of(ParserRuleContext c, Scope in) {
-    Scope before = scope;
-    Place at = place(c);
-    meter.step(at);
-    meter.deeper(at);
-    scope = in;
+  Expressions(
+      SourceFile source,
+      EvaluationBudget budget,
+      Values values,
+      Arithmetic arithmetic,
+      Comparisons comparisons,
+      Subscripts subscripts,
+      FunctionCalls functionCalls,
+      MethodCalls methodCalls,
+      NameBinding nameBinding) {
+    this.source = source;
+    this.budget = budget;
+    this.values = values;
+    this.arithmetic = arithmetic;
+    this.comparisons = comparisons;
+    this.subscripts = subscripts;
+    this.functionCalls = functionCalls;
+    this.methodCalls = methodCalls;
+    this.nameBinding = nameBinding;
+  }
+
+  /** The value of an expression that reads names of the given scope. */
+  Object evaluate(ParserRuleContext expression, Scope names) {
+    Scope outerScope = scope;
+    Place position = source.position(expression);
+    budget.recordStep(position);
+    budget.enter(position);
+    scope = names;
     try {
-      return visit(c);
+      return visit(expression);
     } finally {
-      scope = before;
-      meter.shallower();
+      scope = outerScope;
+      budget.leave();
     }
   }
 
-  private Object of(ParserRuleContext c) {
-    return of(c, scope);
+  private Object evaluate(ParserRuleContext expression) {
+    return evaluate(expression, scope);
   }
 
-  Place place(ParserRuleContext c) {
-    return new Place(file, c.getStart().getLine(), c.getStart().getCharPositionInLine() + 1);
+  private List<Object> evaluateAll(List<ScriptParser.TestContext> expressions) {
+    List<Object> results = new ArrayList<>();
+    for (ScriptParser.TestContext expression : expressions) {
+      budget.reserve(1, source.position(expression));
+      results.add(evaluate(expression));
+    }
+    return results;
   }
 
   @Override
-  public Object visitTests(ScriptParser.TestsContext c) {
-    boolean tuple = c.test().size() > 1 || c.getChildCount() > 1;
-    return tuple ? new Values.Tuple(all(c.test())) : of(c.test(0));
+  public Object visitTests(ScriptParser.TestsContext context) {
+    boolean isTuple = context.test().size() > 1 || context.getChildCount() > 1;
+    return isTuple ? new Tuple(evaluateAll(context.test())) : evaluate(context.test(0));
   }
 
-  private List<Object> all(List<ScriptParser.TestContext> tests) {
-    List<Object> made = new ArrayList<>();
-    for (ScriptParser.TestContext t : tests) {
-      meter.make(1, place(t));
-      made.add(of(t));
-    }
-    return made;
+  @Override
+  public Object visitSign(ScriptParser.SignContext context) {
+    Object operand = evaluate(context.test());
+    return context.op.getText().equals("-")
+        ? arithmetic.negate(operand, source.position(context))
+        : operand;
   }
 
-  // --- Operators ---------------------------------------------------------------------------------
-
   @Override
-  public Object visitSign(ScriptParser.SignContext c) {
-    Object v = of(c.test());
-    return c.op.getText().equals("-") ? values.negative(v, place(c)) : v;
+  public Object visitProduct(ScriptParser.ProductContext context) {
+    return combine(context.op.getText(), context.test(0), context.test(1), context);
   }
 
   @Override
-  public Object visitProduct(ScriptParser.ProductContext c) {
-    return values.combine(c.op.getText(), of(c.test(0)), of(c.test(1)), place(c));
+  public Object visitSum(ScriptParser.SumContext context) {
+    return combine(context.op.getText(), context.test(0), context.test(1), context);
   }
 
   @Override
-  public Object visitSum(ScriptParser.SumContext c) {
-    return values.combine(c.op.getText(), of(c.test(0)), of(c.test(1)), place(c));
+  public Object visitJoin(ScriptParser.JoinContext context) {
+    return combine(context.op.getText(), context.test(0), context.test(1), context);
   }
 
-  @Override
-  public Object visitJoin(ScriptParser.JoinContext c) {
-    return values.combine(c.op.getText(), of(c.test(0)), of(c.test(1)), place(c));
+  private Object combine(
+      String operator,
+      ScriptParser.TestContext left,
+      ScriptParser.TestContext right,
+      ParserRuleContext context) {
+    Object leftOperand = evaluate(left);
+    Object rightOperand = evaluate(right);
+    return arithmetic.combine(operator, leftOperand, rightOperand, source.position(context));
   }
 
   @Override
-  public Object visitCompare(ScriptParser.CompareContext c) {
-    Object a = of(c.test(0));
-    Object b = of(c.test(1));
-    return c.not == null
-        ? values.compare(c.op.getText(), a, b, place(c))
-        : !values.compare("in", a, b, place(c));
+  public Object visitCompare(ScriptParser.CompareContext context) {
+    Object left = evaluate(context.test(0));
+    Object right = evaluate(context.test(1));
+    Place position = source.position(context);
+    return context.not == null
+        ? comparisons.compare(context.op.getText(), left, right, position)
+        : !comparisons.contains(right, left, position);
   }
 
   @Override
-  public Object visitNegate(ScriptParser.NegateContext c) {
-    return !Values.truth(of(c.test()));
+  public Object visitNegate(ScriptParser.NegateContext context) {
+    return !Values.isTruthy(evaluate(context.test()));
   }
 
   @Override
-  public Object visitBoth(ScriptParser.BothContext c) {
-    Object first = of(c.test(0));
-    return Values.truth(first) ? of(c.test(1)) : first;
+  public Object visitBoth(ScriptParser.BothContext context) {
+    Object left = evaluate(context.test(0));
+    return Values.isTruthy(left) ? evaluate(context.test(1)) : left;
   }
 
   @Override
-  public Object visitEither(ScriptParser.EitherContext c) {
-    Object first = of(c.test(0));
-    return Values.truth(first) ? first : of(c.test(1));
+  public Object visitEither(ScriptParser.EitherContext context) {
+    Object left = evaluate(context.test(0));
+    return Values.isTruthy(left) ? left : evaluate(context.test(1));
   }
 
   @Override
-  public Object visitChoose(ScriptParser.ChooseContext c) {
-    return Values.truth(of(c.test(1))) ? of(c.test(0)) : of(c.test(2));
+  public Object visitChoose(ScriptParser.ChooseContext context) {
+    boolean condition = Values.isTruthy(evaluate(context.test(1)));
+    return evaluate(context.test(condition ? 0 : 2));
   }
 
-  // --- Parts of values ---------------------------------------------------------------------------
-
   @Override
-  public Object visitItem(ScriptParser.ItemContext c) {
-    Object of = of(c.test(0));
-    Object at = of(c.test(1));
-    if (of instanceof Map) {
-      Object found = Values.dict(of).get(values.key(at, place(c)));
-      if (found == null) {
-        throw new ScriptException(place(c), "there is no key " + values.written(at, place(c)));
-      }
-      return found;
-    }
-    if (at instanceof Long i && (of instanceof List || of instanceof String)) {
-      int size = of instanceof String s ? s.length() : Values.list(of).size();
-      long index = i < 0 ? i + size : i;
-      if (index < 0 || index >= size) {
-        throw new ScriptException(place(c), "there is no element " + i + " of " + size);
-      }
-      return of instanceof String s
-          ? s.substring((int) index, (int) index + 1)
-          : Values.list(of).get((int) index);
-    }
-    throw new ScriptException(
-        place(c), "a " + Values.type(of) + " has no elements by " + Values.type(at));
+  public Object visitItem(ScriptParser.ItemContext context) {
+    Object container = evaluate(context.test(0));
+    Object subscript = evaluate(context.test(1));
+    return subscripts.element(container, subscript, source.position(context));
   }
 
   @Override
-  public Object visitSlice(ScriptParser.SliceContext c) {
-    Object of = of(c.test(0));
-    int size =
-        of instanceof String s ? s.length() : of instanceof List ? Values.list(of).size() : -1;
-    if (size < 0) {
-      throw new ScriptException(place(c), "a " + Values.type(of) + " cannot be cut");
-    }
-    int low = bound(c.low, 0, size);
-    int high = Math.max(low, bound(c.high, size, size));
-    meter.make(high - low, place(c));
-    if (of instanceof String s) {
-      return s.substring(low, high);
+  public Object visitSlice(ScriptParser.SliceContext context) {
+    Object sequence = evaluate(context.test(0));
+    Place position = source.position(context);
+    int length = Subscripts.length(sequence, position);
+    int start = context.low == null ? 0 : bound(context.low, length);
+    int end = context.high == null ? length : bound(context.high, length);
+    return subscripts.range(sequence, start, Math.max(start, end), position);
+  }
+
+  private int bound(ScriptParser.TestContext expression, int length) {
+    if (!(evaluate(expression) instanceof Long bound)) {
+      throw new ScriptException(source.position(expression), "a bound is a whole number");
     }
-    List<Object> cut = new ArrayList<>(Values.list(of).subList(low, high));
-    return of instanceof Values.Tuple ? new Values.Tuple(cut) : cut;
+    long fromStart = bound < 0 ? bound + length : bound;
+    return (int) Math.max(0, Math.min(length, fromStart));
   }
 
-  private int bound(ScriptParser.TestContext c, int absent, int size) {
-    if (c == null) {
-      return absent;
+  @Override
+  public Object visitCall(ScriptParser.CallContext context) {
+    Place position = source.position(context);
+    if (context.test() instanceof ScriptParser.MemberContext member) {
+      Object receiver = evaluate(member.test());
+      String method = member.NAME().getText();
+      return methodCalls.call(receiver, method, arguments(context), position);
     }
-    if (!(of(c) instanceof Long i)) {
-      throw new ScriptException(place(c), "a bound is a whole number");
+    if (context.test() instanceof ScriptParser.PlainContext plain
+        && plain.atom() instanceof ScriptParser.ReadContext read) {
+      return callName(read.NAME().getText(), context, position);
     }
-    return (int) Math.max(0, Math.min(size, i < 0 ? i + size : i));
+    Object target = evaluate(context.test());
+    return functionCalls.callValue(target, arguments(context), position);
   }
 
-  // --- Calls -------------------------------------------------------------------------------------
+  private Object callName(String name, ScriptParser.CallContext context, Place position) {
+    // Looked up before the arguments, whose evaluation might define a function of this name.
+    Object target = scope.get(name);
+    Arguments arguments = arguments(context);
+    return target == null
+        ? functionCalls.callByName(name, arguments, position)
+        : functionCalls.callValue(target, arguments, position);
+  }
 
-  @Override
-  public Object visitCall(ScriptParser.CallContext c) {
-    Place at = place(c);
-    List<Object> plain = new ArrayList<>();
+  private Arguments arguments(ScriptParser.CallContext context) {
+    Place position = source.position(context);
+    List<Object> positional = new ArrayList<>();
     Map<String, Host.Value> named = new LinkedHashMap<>();
-    Object receiver = null;
-    String name = null;
-    Object target = null;
-    if (c.test() instanceof ScriptParser.MemberContext m) {
-      receiver = of(m.test());
-      name = m.NAME().getText();
-    } else if (c.test() instanceof ScriptParser.PlainContext p
-        && p.atom() instanceof ScriptParser.ReadContext r) {
-      name = r.NAME().getText();
-      target = scope.get(name);
-    } else {
-      target = of(c.test());
-    }
-    for (ScriptParser.ArgumentContext a : c.argument()) {
-      meter.make(1, at);
-      Object v = of(a.test());
-      if (a.NAME() == null) {
-        if (!named.isEmpty()) {
-          throw new ScriptException(
-              place(a), "an argument without a name stands behind one with a name");
-        }
-        plain.add(v);
-      } else if (named.put(a.NAME().getText(), new Host.Value(v, place(a))) != null) {
-        throw new ScriptException(place(a), "'" + a.NAME().getText() + "' is given twice");
+    for (ScriptParser.ArgumentContext argument : context.argument()) {
+      budget.reserve(1, position);
+      Object value = evaluate(argument.test());
+      if (argument.NAME() != null) {
+        addNamed(named, argument, value);
+      } else if (named.isEmpty()) {
+        positional.add(value);
+      } else {
+        throw new ScriptException(
+            source.position(argument), "an argument without a name stands behind one with a name");
       }
     }
-    if (receiver != null) {
-      return builtins.method(receiver, name, plain, named, at);
-    }
-    if (target instanceof Function f) {
-      return statements.call(f, plain, named, at);
-    }
-    if (target == null && name != null && host.knows(name)) {
-      if (!plain.isEmpty()) {
-        throw new ScriptException(at, name + "() takes its arguments by name");
-      }
-      Object result = host.call(name, named, at);
-      return result == null ? None.NONE : result;
-    }
-    if (target == null && name != null && Builtins.knows(name)) {
-      return builtins.call(name, plain, named, at);
+    return new Arguments(positional, named);
+  }
+
+  private void addNamed(
+      Map<String, Host.Value> named, ScriptParser.ArgumentContext argument, Object value) {
+    String name = argument.NAME().getText();
+    Place position = source.position(argument);
+    if (named.put(name, new Host.Value(value, position)) != null) {
+      throw new ScriptException(position, "'" + name + "' is given twice");
     }
-    throw new ScriptException(
-        at,
-        target == null
-            ? "nothing is called '" + name + "'"
-            : "a " + Values.type(target) + " cannot be called");
   }
 
   @Override
-  public Object visitMember(ScriptParser.MemberContext c) {
-    throw new ScriptException(place(c), "'." + c.NAME().getText() + "' can only be called");
+  public Object visitMember(ScriptParser.MemberContext context) {
+    throw new ScriptException(
+        source.position(context), "'." + context.NAME().getText() + "' can only be called");
   }
 
-  // --- Atoms -------------------------------------------------------------------------------------
-
   @Override
-  public Object visitPlain(ScriptParser.PlainContext c) {
-    return visit(c.atom());
+  public Object visitPlain(ScriptParser.PlainContext context) {
+    return visit(context.atom());
   }
 
   @Override
-  public Object visitRead(ScriptParser.ReadContext c) {
-    String name = c.NAME().getText();
-    Object found = scope.get(name);
-    if (found != null) {
-      return found;
+  public Object visitRead(ScriptParser.ReadContext context) {
+    String name = context.NAME().getText();
+    Object value = scope.get(name);
+    if (value != null) {
+      return value;
     }
     return switch (name) {
       case "True" -> true;
       case "False" -> false;
       case "None" -> None.NONE;
-      default -> throw new ScriptException(place(c), "nothing is called '" + name + "'");
+      default ->
+          throw new ScriptException(source.position(context), "nothing is called '" + name + "'");
     };
   }
 
   @Override
-  public Object visitInteger(ScriptParser.IntegerContext c) {
-    String text = c.INTEGER().getText().replace("_", "");
-    try {
-      return text.startsWith("0x") || text.startsWith("0X")
-          ? Long.parseLong(text.substring(2), 16)
-          : Long.parseLong(text);
-    } catch (NumberFormatException e) {
-      throw new ScriptException(place(c), "the number is too large");
-    }
+  public Object visitInteger(ScriptParser.IntegerContext context) {
+    return Literals.integer(context.INTEGER().getText(), source.position(context));
   }
 
   @Override
-  public Object visitReal(ScriptParser.RealContext c) {
-    double v = Double.parseDouble(c.REAL().getText());
-    if (Double.isInfinite(v)) {
-      throw new ScriptException(place(c), "the number is too large");
-    }
-    return v;
+  public Object visitReal(ScriptParser.RealContext context) {
+    return Literals.real(context.REAL().getText(), source.position(context));
   }
 
   @Override
-  public Object visitText(ScriptParser.TextContext c) {
+  public Object visitText(ScriptParser.TextContext context) {
+    Place position = source.position(context);
     StringBuilder joined = new StringBuilder();
-    c.STRING().forEach(s -> joined.append(unquoted(s.getText(), place(c))));
-    meter.make(joined.length(), place(c));
+    context.STRING().forEach(part -> joined.append(Literals.text(part.getText(), position)));
+    budget.reserve(joined.length(), position);
     return joined.toString();
   }
 
-  private static String unquoted(String quoted, Place at) {
-    int marks = quoted.startsWith("\"\"\"") ? 3 : 1;
-    String raw = quoted.substring(marks, quoted.length() - marks);
-    StringBuilder out = new StringBuilder();
-    for (int i = 0; i < raw.length(); i++) {
-      char c = raw.charAt(i);
-      if (c != '\\') {
-        out.append(c);
-        continue;
-      }
-      char escaped = ++i < raw.length() ? raw.charAt(i) : ' ';
-      switch (escaped) {
-        case 'n' -> out.append('\n');
-        case 't' -> out.append('\t');
-        case 'r' -> out.append('\r');
-        case '\\', '"', '\'' -> out.append(escaped);
-        case '\n' -> {}
-        default -> throw new ScriptException(at, "'\\" + escaped + "' stands for nothing");
-      }
-    }
-    return out.toString();
-  }
-
   @Override
-  public Object visitEmptyTuple(ScriptParser.EmptyTupleContext c) {
-    return new Values.Tuple(List.of());
+  public Object visitEmptyTuple(ScriptParser.EmptyTupleContext context) {
+    return new Tuple(List.of());
   }
 
   @Override
-  public Object visitGroup(ScriptParser.GroupContext c) {
-    return of(c.test());
+  public Object visitGroup(ScriptParser.GroupContext context) {
+    return evaluate(context.test());
   }
 
   @Override
-  public Object visitTuple(ScriptParser.TupleContext c) {
-    return new Values.Tuple(all(c.test()));
+  public Object visitTuple(ScriptParser.TupleContext context) {
+    return new Tuple(evaluateAll(context.test()));
   }
 
   @Override
-  public Object visitList(ScriptParser.ListContext c) {
-    return all(c.test());
+  public Object visitList(ScriptParser.ListContext context) {
+    return evaluateAll(context.test());
   }
 
   @Override
-  public Object visitDict(ScriptParser.DictContext c) {
-    Map<Object, Object> made = new LinkedHashMap<>();
-    for (ScriptParser.EntryContext e : c.entry()) {
-      meter.make(1, place(e));
-      if (made.put(values.key(of(e.key), place(e)), of(e.value)) != null) {
-        throw new ScriptException(place(e), "the key comes twice");
+  public Object visitDict(ScriptParser.DictContext context) {
+    Map<Object, Object> dict = new LinkedHashMap<>();
+    for (ScriptParser.EntryContext entry : context.entry()) {
+      Place position = source.position(entry);
+      budget.reserve(1, position);
+      Object key = Values.key(evaluate(entry.key), position);
+      if (dict.put(key, evaluate(entry.value)) != null) {
+        throw new ScriptException(position, "the key comes twice");
       }
     }
-    return made;
+    return dict;
   }
 
   @Override
-  public Object visitListOf(ScriptParser.ListOfContext c) {
-    List<Object> made = new ArrayList<>();
+  public Object visitListOf(ScriptParser.ListOfContext context) {
+    List<Object> list = new ArrayList<>();
     comprehend(
-        c.clause(),
-        0,
+        context.clause(),
         new Scope(scope),
-        in -> {
-          meter.make(1, place(c));
-          made.add(of(c.test(), in));
+        names -> {
+          budget.reserve(1, source.position(context));
+          list.add(evaluate(context.test(), names));
         });
-    return made;
+    return list;
   }
 
   @Override
-  public Object visitDictOf(ScriptParser.DictOfContext c) {
-    Map<Object, Object> made = new LinkedHashMap<>();
+  public Object visitDictOf(ScriptParser.DictOfContext context) {
+    Map<Object, Object> dict = new LinkedHashMap<>();
+    Place position = source.position(context);
     comprehend(
-        c.clause(),
-        0,
+        context.clause(),
         new Scope(scope),
-        in -> {
-          meter.make(1, place(c));
-          made.put(values.key(of(c.entry().key, in), place(c)), of(c.entry().value, in));
+        names -> {
+          budget.reserve(1, position);
+          Object key = Values.key(evaluate(context.entry().key, names), position);
+          dict.put(key, evaluate(context.entry().value, names));
         });
-    return made;
+    return dict;
   }
 
-  private interface Yield {
-    void in(Scope scope);
+  /** Adds an element of a comprehension, evaluated with the names of its clauses. */
+  private interface ElementAction {
+    void add(Scope names);
   }
 
-  private void comprehend(List<ScriptParser.ClauseContext> clauses, int at, Scope in, Yield yield) {
-    if (at == clauses.size()) {
-      yield.in(in);
+  /** Calls the action for each element that the clauses of a comprehension produce. */
+  private void comprehend(
+      List<ScriptParser.ClauseContext> clauses, Scope names, ElementAction action) {
+    if (clauses.isEmpty()) {
+      action.add(names);
       return;
     }
-    ScriptParser.ClauseContext clause = clauses.get(at);
-    Object v = of(clause.test(), in);
-    if (clause.names() == null) {
-      if (Values.truth(v)) {
-        comprehend(clauses, at + 1, in, yield);
-      }
-      return;
+    ScriptParser.ClauseContext clause = clauses.get(0);
+    List<ScriptParser.ClauseContext> innerClauses = clauses.subList(1, clauses.size());
+    Object value = evaluate(clause.test(), names);
+    if (clause.names() != null) {
+      comprehendLoop(clause, value, innerClauses, names, action);
+    } else if (Values.isTruthy(value)) {
+      comprehend(innerClauses, names, action);
     }
-    for (Object element : values.elements(v, place(clause))) {
-      meter.step(place(clause));
-      statements.bind(clause.names(), element, in);
-      comprehend(clauses, at + 1, in, yield);
+  }
+
+  private void comprehendLoop(
+      ScriptParser.ClauseContext clause,
+      Object sequence,
+      List<ScriptParser.ClauseContext> innerClauses,
+      Scope names,
+      ElementAction action) {
+    Place position = source.position(clause);
+    for (Object element : values.elements(sequence, position)) {
+      budget.recordStep(position);
+      nameBinding.bind(clause.names(), element, names);
+      comprehend(innerClauses, names, action);
     }
   }
 }
--- a/src/main/java/bitternpulley/script/ScriptException.java
+++ b/src/main/java/bitternpulley/script/ScriptException.java
@@ -1,23 +1,35 @@
 package bitternpulley.script;
 
-/** A script that cannot be used: where and why. */
+/** A script that is invalid, failed or exceeded a limit, with the position of the fault. */
 public final class ScriptException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  private final transient Place place;
+  private final transient Place position;
 
-  public ScriptException(Place place, String message) {
+  /**
+   * An error at a position.
+   *
+   * @param position null if the script as a whole is at fault
+   */
+  public ScriptException(Place position, String message) {
     super(message);
-    this.place = place;
+    this.position = position;
   }
 
-  /** Null where the script as a whole is at fault. */
-  public Place place() {
-    return place;
+  /** The position of the fault, or null if the script as a whole is at fault. */
+  public Place position() {
+    return position;
   }
 
+  /** The message, behind the position where there is one. */
+  @Override
+  public String getMessage() {
+    return position == null ? super.getMessage() : position + ": " + super.getMessage();
+  }
+
+  /** The message without the name of this class, as operators see it. */
   @Override
   public String toString() {
-    return place == null ? getMessage() : place + ": " + getMessage();
+    return getMessage();
   }
 }
