--- a/src/main/java/bitternpulley/config/BrokerScript.java
+++ b/src/main/java/bitternpulley/config/BrokerScript.java
@@ -1,9 +1,9 @@
 package bitternpulley.config;
 
-import bitternpulley.script.Bounds;
-import bitternpulley.script.Place;
+import bitternpulley.script.EvaluationLimits;
 import bitternpulley.script.ScriptException;
 import bitternpulley.script.ScriptRunner;
+import bitternpulley.script.SourcePosition;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Map;
 
@@ -15,11 +15,11 @@
   private final ObjectNode document;
 
   /** By JSON pointer; a deeper key has the position of the nearest one above it. */
-  private final Map<String, Place> positions;
+  private final Map<String, SourcePosition> positions;
 
   private final String printed;
 
-  private BrokerScript(ObjectNode document, Map<String, Place> positions, String printed) {
+  private BrokerScript(ObjectNode document, Map<String, SourcePosition> positions, String printed) {
     this.document = document;
     this.positions = positions;
     this.printed = printed;
@@ -33,7 +33,7 @@
   static BrokerScript evaluate(String file, String text) {
     BrokerScriptFunctions functions = new BrokerScriptFunctions();
     try {
-      String printed = new ScriptRunner(Bounds.USUAL, functions).run(file, text);
+      String printed = new ScriptRunner(EvaluationLimits.DEFAULT, functions).run(file, text);
       return new BrokerScript(functions.document(), functions.positions(), printed);
     } catch (ScriptException error) {
       throw ConfigurationException.ofFile(file, error.toString());
@@ -55,7 +55,7 @@
     while (!positions.containsKey(nearest) && nearest.lastIndexOf('/') > 0) {
       nearest = nearest.substring(0, nearest.lastIndexOf('/'));
     }
-    Place position = positions.get(nearest);
+    SourcePosition position = positions.get(nearest);
     String key = pointer.startsWith("/") ? pointer.substring(1).replace('/', '.') : pointer;
     String text = "'" + key + "' " + message;
     return position == null
--- a/src/main/java/bitternpulley/config/BrokerScriptFunctions.java
+++ b/src/main/java/bitternpulley/config/BrokerScriptFunctions.java
@@ -1,9 +1,9 @@
 package bitternpulley.config;
 
-import bitternpulley.script.Host;
 import bitternpulley.script.None;
-import bitternpulley.script.Place;
 import bitternpulley.script.ScriptException;
+import bitternpulley.script.ScriptHost;
+import bitternpulley.script.SourcePosition;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -16,7 +16,7 @@
  * The functions that the operators' script may call. All but {@code terms()} add their arguments to
  * a document, which the schema checks later.
  */
-final class BrokerScriptFunctions implements Host {
+final class BrokerScriptFunctions implements ScriptHost {
   private static final String CONTRACT = "contract";
   private static final String CONTRACTS = "contracts";
   private static final String TERMS = "terms";
@@ -26,7 +26,7 @@
       Set.of("opensearch", "accounts", "membership", "leases");
 
   private final ObjectNode document = JsonNodeFactory.instance.objectNode();
-  private final Map<String, Place> positions = new HashMap<>();
+  private final Map<String, SourcePosition> positions = new HashMap<>();
 
   /** What was set so far. */
   ObjectNode document() {
@@ -34,17 +34,17 @@
   }
 
   /** Where each key was set, by JSON pointer. */
-  Map<String, Place> positions() {
+  Map<String, SourcePosition> positions() {
     return positions;
   }
 
   @Override
-  public boolean knows(String function) {
+  public boolean hasFunction(String function) {
     return function.equals(CONTRACT) || function.equals(TERMS) || SECTIONS.contains(function);
   }
 
   @Override
-  public Object call(String function, Map<String, Value> arguments, Place position) {
+  public Object call(String function, Map<String, Argument> arguments, SourcePosition position) {
     if (function.equals(TERMS)) {
       return terms(arguments);
     }
@@ -57,32 +57,32 @@
   }
 
   /** A dict of the arguments; its keys are checked where it is used. */
-  private static Map<Object, Object> terms(Map<String, Value> arguments) {
+  private static Map<Object, Object> terms(Map<String, Argument> arguments) {
     Map<Object, Object> terms = new LinkedHashMap<>();
     arguments.forEach((key, argument) -> terms.put(key, argument.value()));
     return terms;
   }
 
-  private void addSection(String name, Map<String, Value> arguments, Place position) {
+  private void addSection(String name, Map<String, Argument> arguments, SourcePosition position) {
     if (document.has(name)) {
       throw new ScriptException(position, name + "() is called a second time");
     }
     set(document.putObject(name), "/" + name, arguments, position);
   }
 
-  private void addContract(Map<String, Value> arguments, Place position) {
+  private void addContract(Map<String, Argument> arguments, SourcePosition position) {
     ArrayNode contracts = document.withArray("/" + CONTRACTS);
     String pointer = "/" + CONTRACTS + "/" + contracts.size();
     set(contracts.addObject(), pointer, arguments, position);
   }
 
   private void set(
-      ObjectNode object, String pointer, Map<String, Value> arguments, Place position) {
+      ObjectNode object, String pointer, Map<String, Argument> arguments, SourcePosition position) {
     positions.put(pointer, position);
     arguments.forEach(
         (key, argument) -> {
-          positions.put(pointer + "/" + key, argument.at());
-          object.set(key, ScriptValues.toJson(argument.value(), argument.at()));
+          positions.put(pointer + "/" + key, argument.position());
+          object.set(key, ScriptValues.toJson(argument.value(), argument.position()));
         });
   }
 }
--- a/src/main/java/bitternpulley/config/ScriptValues.java
+++ b/src/main/java/bitternpulley/config/ScriptValues.java
@@ -1,8 +1,8 @@
 package bitternpulley.config;
 
 import bitternpulley.script.None;
-import bitternpulley.script.Place;
 import bitternpulley.script.ScriptException;
+import bitternpulley.script.SourcePosition;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -20,11 +20,11 @@
   private ScriptValues() {}
 
   /** The JSON of an argument, which stands at a position of the script. */
-  static JsonNode toJson(Object value, Place position) {
+  static JsonNode toJson(Object value, SourcePosition position) {
     return toJson(value, position, 0);
   }
 
-  private static JsonNode toJson(Object value, Place position, int depth) {
+  private static JsonNode toJson(Object value, SourcePosition position, int depth) {
     if (depth > MAX_DEPTH) {
       throw new ScriptException(position, "nested more than " + MAX_DEPTH + " deep");
     }
@@ -37,7 +37,7 @@
     return scalar(value, position);
   }
 
-  private static JsonNode scalar(Object value, Place position) {
+  private static JsonNode scalar(Object value, SourcePosition position) {
     if (value instanceof String text) {
       return NODES.textNode(text);
     }
@@ -60,13 +60,13 @@
     return value == (int) value ? NODES.numberNode((int) value) : NODES.numberNode(value);
   }
 
-  private static ArrayNode array(List<?> list, Place position, int depth) {
+  private static ArrayNode array(List<?> list, SourcePosition position, int depth) {
     ArrayNode array = NODES.arrayNode();
     list.forEach(element -> array.add(toJson(element, position, depth + 1)));
     return array;
   }
 
-  private static ObjectNode object(Map<?, ?> dict, Place position, int depth) {
+  private static ObjectNode object(Map<?, ?> dict, SourcePosition position, int depth) {
     ObjectNode object = NODES.objectNode();
     dict.forEach(
         (key, value) -> {
--- a/src/main/java/bitternpulley/script/Arguments.java
+++ b/src/main/java/bitternpulley/script/Arguments.java
@@ -9,7 +9,7 @@
  * @param positional those without a name, in order
  * @param named those with a name, in order
  */
-record Arguments(List<Object> positional, Map<String, Host.Value> named) {
+record Arguments(List<Object> positional, Map<String, ScriptHost.Argument> named) {
   int count() {
     return positional.size();
   }
--- a/src/main/java/bitternpulley/script/Arithmetic.java
+++ b/src/main/java/bitternpulley/script/Arithmetic.java
@@ -16,7 +16,7 @@
   }
 
   /** The result of a binary operator: {@code + - * / // %} or {@code |}. */
-  Object combine(String operator, Object left, Object right, Place position) {
+  Object combine(String operator, Object left, Object right, SourcePosition position) {
     if (left instanceof Long first && right instanceof Long second) {
       return combineIntegers(operator, first, second, position);
     }
@@ -45,7 +45,7 @@
     return result;
   }
 
-  private Object combineIntegers(String operator, long left, long right, Place position) {
+  private Object combineIntegers(String operator, long left, long right, SourcePosition position) {
     try {
       return switch (operator) {
         case "+" -> Math.addExact(left, right);
@@ -61,14 +61,15 @@
     }
   }
 
-  private static long nonZero(long divisor, Place position) {
+  private static long nonZero(long divisor, SourcePosition position) {
     if (divisor == 0) {
       throw new ScriptException(position, "division by zero");
     }
     return divisor;
   }
 
-  private static Object combineFloats(String operator, double left, double right, Place position) {
+  private static Object combineFloats(
+      String operator, double left, double right, SourcePosition position) {
     boolean isDivision = !operator.equals("+") && !operator.equals("-") && !operator.equals("*");
     if (right == 0 && isDivision) {
       throw new ScriptException(position, "division by zero");
@@ -89,16 +90,16 @@
     return result;
   }
 
-  private static ScriptException notForNumbers(String operator, Place position) {
+  private static ScriptException notForNumbers(String operator, SourcePosition position) {
     return new ScriptException(position, "'" + operator + "' does not go with numbers");
   }
 
-  private static ScriptException tooLarge(Place position) {
+  private static ScriptException tooLarge(SourcePosition position) {
     return new ScriptException(position, "the number is too large");
   }
 
   /** Null where the values cannot be concatenated. */
-  private Object concatenate(Object left, Object right, Place position) {
+  private Object concatenate(Object left, Object right, SourcePosition position) {
     if (left instanceof String first && right instanceof String second) {
       budget.reserve((long) first.length() + second.length(), position);
       return first + second;
@@ -115,7 +116,7 @@
   }
 
   /** Null where a value is no dict. */
-  private Object union(Object left, Object right, Place position) {
+  private Object union(Object left, Object right, SourcePosition position) {
     if (!(left instanceof Map) || !(right instanceof Map)) {
       return null;
     }
@@ -126,7 +127,7 @@
   }
 
   /** Null where not exactly one value is an integer and the other a text or list. */
-  private Object multiply(Object left, Object right, Place position) {
+  private Object multiply(Object left, Object right, SourcePosition position) {
     if (right instanceof Long times && isRepeatable(left)) {
       return repeat(left, times, position);
     }
@@ -140,7 +141,7 @@
     return value instanceof String || value instanceof List;
   }
 
-  private Object repeat(Object value, long times, Place position) {
+  private Object repeat(Object value, long times, SourcePosition position) {
     long count = Math.max(0, times);
     long size = value instanceof String text ? text.length() : Values.list(value).size();
     if (size > 0 && count > Integer.MAX_VALUE / size) {
@@ -158,7 +159,7 @@
   }
 
   /** The value with the opposite sign. */
-  Object negate(Object value, Place position) {
+  Object negate(Object value, SourcePosition position) {
     if (value instanceof Long integer) {
       return combineIntegers("-", 0, integer, position);
     }
--- a/src/main/java/bitternpulley/script/Assignments.java
+++ b/src/main/java/bitternpulley/script/Assignments.java
@@ -50,7 +50,7 @@
   }
 
   private void assignAll(
-      List<ScriptParser.TestContext> targets, Object value, Scope scope, Place position) {
+      List<ScriptParser.TestContext> targets, Object value, Scope scope, SourcePosition position) {
     List<Object> elements = values.unpack(value, targets.size(), position);
     for (int index = 0; index < elements.size(); index++) {
       assign(targets.get(index), elements.get(index), scope);
@@ -58,7 +58,7 @@
   }
 
   private void assign(ScriptParser.TestContext target, Object value, Scope scope) {
-    Place position = source.position(target);
+    SourcePosition position = source.position(target);
     if (target instanceof ScriptParser.PlainContext plain
         && plain.atom() instanceof ScriptParser.ReadContext name) {
       scope.set(name.NAME().getText(), value);
--- a/src/main/java/bitternpulley/script/BuiltinFunctions.java
+++ b/src/main/java/bitternpulley/script/BuiltinFunctions.java
@@ -16,12 +16,12 @@
 
   /** A function of any number of arguments. */
   private interface Implementation {
-    Object call(List<Object> arguments, Place position);
+    Object call(List<Object> arguments, SourcePosition position);
   }
 
   /** A function of one argument. */
   private interface UnaryImplementation {
-    Object call(Object argument, Place position);
+    Object call(Object argument, SourcePosition position);
   }
 
   private final EvaluationBudget budget;
@@ -87,8 +87,8 @@
     return implementations.containsKey(name);
   }
 
-  Object call(String name, Arguments arguments, Place position) {
-    Map<String, Host.Value> named = arguments.named();
+  Object call(String name, Arguments arguments, SourcePosition position) {
+    Map<String, ScriptHost.Argument> named = arguments.named();
     if (named.isEmpty()) {
       return implementations.get(name).call(arguments.positional(), position);
     }
@@ -102,7 +102,7 @@
         : sequences.sorted(source, position);
   }
 
-  private static Object onlyArgument(String name, List<Object> arguments, Place position) {
+  private static Object onlyArgument(String name, List<Object> arguments, SourcePosition position) {
     if (arguments.size() != 1) {
       throw new ScriptException(position, name + "() takes one argument, not " + arguments.size());
     }
@@ -110,20 +110,20 @@
   }
 
   /** The error of a function that does not accept the type of its argument. */
-  static ScriptException wrongType(String name, Object value, Place position) {
+  static ScriptException wrongType(String name, Object value, SourcePosition position) {
     return new ScriptException(position, name + "() does not go with a " + Values.typeName(value));
   }
 
-  private Object print(List<Object> arguments, Place position) {
+  private Object print(List<Object> arguments, SourcePosition position) {
     budget.print(joined(arguments, position), position);
     return None.NONE;
   }
 
-  private Object fail(List<Object> arguments, Place position) {
+  private Object fail(List<Object> arguments, SourcePosition position) {
     throw new ScriptException(position, joined(arguments, position));
   }
 
-  private String joined(List<Object> arguments, Place position) {
+  private String joined(List<Object> arguments, SourcePosition position) {
     StringBuilder line = new StringBuilder();
     for (Object argument : arguments) {
       line.append(line.length() == 0 ? "" : " ").append(valueText.text(argument, position));
@@ -131,35 +131,35 @@
     return line.toString();
   }
 
-  private Object list(List<Object> arguments, Place position) {
+  private Object list(List<Object> arguments, SourcePosition position) {
     return arguments.isEmpty()
         ? new ArrayList<>()
         : values.elements(onlyArgument("list", arguments, position), position);
   }
 
-  private Object tuple(List<Object> arguments, Place position) {
+  private Object tuple(List<Object> arguments, SourcePosition position) {
     return arguments.isEmpty()
         ? new Tuple(List.of())
         : new Tuple(values.elements(onlyArgument("tuple", arguments, position), position));
   }
 
-  private Object dict(List<Object> arguments, Place position) {
+  private Object dict(List<Object> arguments, SourcePosition position) {
     return arguments.isEmpty()
         ? new LinkedHashMap<>()
         : sequences.dict(onlyArgument("dict", arguments, position), position);
   }
 
-  private Object length(Object value, Place position) {
+  private Object length(Object value, SourcePosition position) {
     int length =
         value instanceof String text ? text.length() : values.elements(value, position).size();
     return (long) length;
   }
 
-  private Object any(Object value, Place position) {
+  private Object any(Object value, SourcePosition position) {
     return values.elements(value, position).stream().anyMatch(Values::isTruthy);
   }
 
-  private Object all(Object value, Place position) {
+  private Object all(Object value, SourcePosition position) {
     return values.elements(value, position).stream().allMatch(Values::isTruthy);
   }
 }
--- a/src/main/java/bitternpulley/script/Comparisons.java
+++ b/src/main/java/bitternpulley/script/Comparisons.java
@@ -13,7 +13,7 @@
   }
 
   /** The result of a comparison operator: {@code == != < > <= >=} or {@code in}. */
-  boolean compare(String operator, Object left, Object right, Place position) {
+  boolean compare(String operator, Object left, Object right, SourcePosition position) {
     return switch (operator) {
       case "==" -> areEqual(left, right, position);
       case "!=" -> !areEqual(left, right, position);
@@ -26,7 +26,7 @@
   }
 
   /** Whether a text, dict or list contains a value. */
-  boolean contains(Object container, Object value, Place position) {
+  boolean contains(Object container, Object value, SourcePosition position) {
     if (container instanceof String text && value instanceof String part) {
       return text.contains(part);
     }
@@ -40,11 +40,11 @@
     throw new ScriptException(position, "'in' does not go with a " + Values.typeName(container));
   }
 
-  boolean areEqual(Object left, Object right, Place position) {
+  boolean areEqual(Object left, Object right, SourcePosition position) {
     return areEqual(left, right, 0, position);
   }
 
-  private boolean areEqual(Object left, Object right, int depth, Place position) {
+  private boolean areEqual(Object left, Object right, int depth, SourcePosition position) {
     budget.recordNestedStep(depth, position);
     if (left instanceof Long && right instanceof Long) {
       return left.equals(right);
@@ -61,7 +61,7 @@
     return left.equals(right);
   }
 
-  private boolean areListsEqual(Object left, Object right, int depth, Place position) {
+  private boolean areListsEqual(Object left, Object right, int depth, SourcePosition position) {
     Iterator<Object> first = Values.list(left).iterator();
     Iterator<Object> second = Values.list(right).iterator();
     while (first.hasNext() && second.hasNext()) {
@@ -75,7 +75,7 @@
   }
 
   private boolean areDictsEqual(
-      Map<Object, Object> left, Map<Object, Object> right, int depth, Place position) {
+      Map<Object, Object> left, Map<Object, Object> right, int depth, SourcePosition position) {
     if (left.size() != right.size()) {
       return false;
     }
@@ -89,11 +89,11 @@
   }
 
   /** Negative, zero or positive, as the left value comes before, with or after the right one. */
-  int order(Object left, Object right, Place position) {
+  int order(Object left, Object right, SourcePosition position) {
     return order(left, right, 0, position);
   }
 
-  private int order(Object left, Object right, int depth, Place position) {
+  private int order(Object left, Object right, int depth, SourcePosition position) {
     budget.recordNestedStep(depth, position);
     if (left instanceof Long first && right instanceof Long second) {
       return first.compareTo(second);
@@ -115,7 +115,8 @@
         "a " + Values.typeName(left) + " and a " + Values.typeName(right) + " have no order");
   }
 
-  private int orderLists(List<Object> left, List<Object> right, int depth, Place position) {
+  private int orderLists(
+      List<Object> left, List<Object> right, int depth, SourcePosition position) {
     for (int index = 0; index < Math.min(left.size(), right.size()); index++) {
       int order = order(left.get(index), right.get(index), depth + 1, position);
       if (order != 0) {
--- a/src/main/java/bitternpulley/script/Conversions.java
+++ b/src/main/java/bitternpulley/script/Conversions.java
@@ -11,7 +11,7 @@
     this.valueText = valueText;
   }
 
-  Object toInteger(Object value, Place position) {
+  Object toInteger(Object value, SourcePosition position) {
     if (value instanceof Long) {
       return value;
     }
@@ -27,7 +27,7 @@
     throw BuiltinFunctions.wrongType("int", value, position);
   }
 
-  private long parseInteger(String text, Place position) {
+  private long parseInteger(String text, SourcePosition position) {
     try {
       return Long.parseLong(text.strip());
     } catch (NumberFormatException invalid) {
@@ -36,7 +36,7 @@
     }
   }
 
-  Object toFloat(Object value, Place position) {
+  Object toFloat(Object value, SourcePosition position) {
     double number = number(value, position);
     if (Double.isNaN(number) || Double.isInfinite(number)) {
       throw new ScriptException(position, "a number that is not finite");
@@ -44,7 +44,7 @@
     return number;
   }
 
-  private double number(Object value, Place position) {
+  private double number(Object value, SourcePosition position) {
     if (value instanceof Number number) {
       return number.doubleValue();
     }
@@ -54,7 +54,7 @@
     throw BuiltinFunctions.wrongType("float", value, position);
   }
 
-  private double parseFloat(String text, Place position) {
+  private double parseFloat(String text, SourcePosition position) {
     try {
       return Double.parseDouble(text.strip());
     } catch (NumberFormatException invalid) {
@@ -62,7 +62,7 @@
     }
   }
 
-  static Object absolute(Object value, Place position) {
+  static Object absolute(Object value, SourcePosition position) {
     if (value instanceof Long integer && integer != Long.MIN_VALUE) {
       return Math.abs(integer);
     }
--- a/src/main/java/bitternpulley/script/DictMethods.java
+++ b/src/main/java/bitternpulley/script/DictMethods.java
@@ -15,7 +15,8 @@
     this.valueText = valueText;
   }
 
-  Object call(Map<Object, Object> dict, String name, List<Object> arguments, Place position) {
+  Object call(
+      Map<Object, Object> dict, String name, List<Object> arguments, SourcePosition position) {
     if (arguments.isEmpty()) {
       return call(dict, name, position);
     }
@@ -30,7 +31,7 @@
     };
   }
 
-  private Object call(Map<Object, Object> dict, String name, Place position) {
+  private Object call(Map<Object, Object> dict, String name, SourcePosition position) {
     budget.reserve(dict.size(), position);
     return switch (name) {
       case "keys" -> new ArrayList<>(dict.keySet());
@@ -40,7 +41,7 @@
     };
   }
 
-  private Object call(Map<Object, Object> dict, String name, Object key, Place position) {
+  private Object call(Map<Object, Object> dict, String name, Object key, SourcePosition position) {
     return switch (name) {
       case "get" -> dict.getOrDefault(key, None.NONE);
       case "setdefault" -> setDefault(dict, key, None.NONE);
@@ -50,7 +51,11 @@
   }
 
   private static Object call(
-      Map<Object, Object> dict, String name, Object key, Object defaultValue, Place position) {
+      Map<Object, Object> dict,
+      String name,
+      Object key,
+      Object defaultValue,
+      SourcePosition position) {
     return switch (name) {
       case "get" -> dict.getOrDefault(key, defaultValue);
       case "setdefault" -> setDefault(dict, key, defaultValue);
@@ -65,7 +70,8 @@
     return items;
   }
 
-  private None update(Map<Object, Object> dict, Map<Object, Object> added, Place position) {
+  private None update(
+      Map<Object, Object> dict, Map<Object, Object> added, SourcePosition position) {
     budget.reserve(added.size(), position);
     // The copy allows a dict to be updated with itself.
     dict.putAll(new LinkedHashMap<>(added));
@@ -77,7 +83,7 @@
     return dict.get(key);
   }
 
-  private Object pop(Map<Object, Object> dict, Object key, Place position) {
+  private Object pop(Map<Object, Object> dict, Object key, SourcePosition position) {
     if (!dict.containsKey(key)) {
       throw new ScriptException(position, "there is no key " + valueText.literal(key, position));
     }
--- a/src/main/java/bitternpulley/script/EvaluationBudget.java
+++ b/src/main/java/bitternpulley/script/EvaluationBudget.java
@@ -8,18 +8,18 @@
   /** Nested evaluations for each level of nesting in the text: one level takes several of them. */
   private static final int EVALUATIONS_PER_LEVEL = 8;
 
-  private final Bounds limits;
+  private final EvaluationLimits limits;
   private final StringBuilder output = new StringBuilder();
   private long steps;
   private long memory;
   private int depth;
 
-  EvaluationBudget(Bounds limits) {
+  EvaluationBudget(EvaluationLimits limits) {
     this.limits = limits;
   }
 
   /** Counts one statement, expression or comparison. */
-  void recordStep(Place position) {
+  void recordStep(SourcePosition position) {
     steps++;
     if (steps > limits.steps()) {
       throw new ScriptException(position, "took more than " + limits.steps() + " steps");
@@ -27,7 +27,7 @@
   }
 
   /** Counts one step within a value at this depth, since a list may contain itself. */
-  void recordNestedStep(int valueDepth, Place position) {
+  void recordNestedStep(int valueDepth, SourcePosition position) {
     recordStep(position);
     if (valueDepth > MAX_VALUE_DEPTH) {
       throw new ScriptException(position, "nested more than " + MAX_VALUE_DEPTH + " deep");
@@ -35,7 +35,7 @@
   }
 
   /** Counts characters or elements, before they are created. */
-  void reserve(long amount, Place position) {
+  void reserve(long amount, SourcePosition position) {
     memory += amount;
     if (amount < 0 || memory > limits.memory()) {
       throw new ScriptException(
@@ -44,7 +44,7 @@
   }
 
   /** Begins a nested evaluation, which {@link #leave} ends. */
-  void enter(Place position) {
+  void enter(SourcePosition position) {
     depth++;
     if (depth > EVALUATIONS_PER_LEVEL * limits.depth()) {
       throw new ScriptException(position, "nested too deep");
@@ -56,7 +56,7 @@
   }
 
   /** Appends a line to the output. */
-  void print(String text, Place position) {
+  void print(String text, SourcePosition position) {
     if (output.length() + text.length() + 1 > limits.outputLength()) {
       throw new ScriptException(
           position, "prints more than " + limits.outputLength() + " characters");
--- a/src/main/java/bitternpulley/script/Bounds.java
+++ b/src/main/java/bitternpulley/script/EvaluationLimits.java
@@ -10,7 +10,9 @@
  * @param memory characters and elements of all values that are created
  * @param outputLength characters that are printed
  */
-public record Bounds(int scriptLength, int depth, long steps, long memory, int outputLength) {
+public record EvaluationLimits(
+    int scriptLength, int depth, long steps, long memory, int outputLength) {
   /** Suffices for thousands of contracts; an evaluation at these limits ends within seconds. */
-  public static final Bounds USUAL = new Bounds(1 << 20, 64, 5_000_000, 20_000_000, 64 * 1024);
+  public static final EvaluationLimits DEFAULT =
+      new EvaluationLimits(1 << 20, 64, 5_000_000, 20_000_000, 64 * 1024);
 }
--- a/src/main/java/bitternpulley/script/Expressions.java
+++ b/src/main/java/bitternpulley/script/Expressions.java
@@ -45,7 +45,7 @@
   /** The value of an expression that reads names of the given scope. */
   Object evaluate(ParserRuleContext expression, Scope names) {
     Scope outerScope = scope;
-    Place position = source.position(expression);
+    SourcePosition position = source.position(expression);
     budget.recordStep(position);
     budget.enter(position);
     scope = names;
@@ -113,7 +113,7 @@
   public Object visitCompare(ScriptParser.CompareContext context) {
     Object left = evaluate(context.test(0));
     Object right = evaluate(context.test(1));
-    Place position = source.position(context);
+    SourcePosition position = source.position(context);
     return context.not == null
         ? comparisons.compare(context.op.getText(), left, right, position)
         : !comparisons.contains(right, left, position);
@@ -152,7 +152,7 @@
   @Override
   public Object visitSlice(ScriptParser.SliceContext context) {
     Object sequence = evaluate(context.test(0));
-    Place position = source.position(context);
+    SourcePosition position = source.position(context);
     int length = Subscripts.length(sequence, position);
     int start = context.low == null ? 0 : bound(context.low, length);
     int end = context.high == null ? length : bound(context.high, length);
@@ -169,7 +169,7 @@
 
   @Override
   public Object visitCall(ScriptParser.CallContext context) {
-    Place position = source.position(context);
+    SourcePosition position = source.position(context);
     if (context.test() instanceof ScriptParser.MemberContext member) {
       Object receiver = evaluate(member.test());
       String method = member.NAME().getText();
@@ -183,7 +183,7 @@
     return functionCalls.callValue(target, arguments(context), position);
   }
 
-  private Object callName(String name, ScriptParser.CallContext context, Place position) {
+  private Object callName(String name, ScriptParser.CallContext context, SourcePosition position) {
     // Looked up before the arguments, whose evaluation might define a function of this name.
     Object target = scope.get(name);
     Arguments arguments = arguments(context);
@@ -193,9 +193,9 @@
   }
 
   private Arguments arguments(ScriptParser.CallContext context) {
-    Place position = source.position(context);
+    SourcePosition position = source.position(context);
     List<Object> positional = new ArrayList<>();
-    Map<String, Host.Value> named = new LinkedHashMap<>();
+    Map<String, ScriptHost.Argument> named = new LinkedHashMap<>();
     for (ScriptParser.ArgumentContext argument : context.argument()) {
       budget.reserve(1, position);
       Object value = evaluate(argument.test());
@@ -212,10 +212,10 @@
   }
 
   private void addNamed(
-      Map<String, Host.Value> named, ScriptParser.ArgumentContext argument, Object value) {
+      Map<String, ScriptHost.Argument> named, ScriptParser.ArgumentContext argument, Object value) {
     String name = argument.NAME().getText();
-    Place position = source.position(argument);
-    if (named.put(name, new Host.Value(value, position)) != null) {
+    SourcePosition position = source.position(argument);
+    if (named.put(name, new ScriptHost.Argument(value, position)) != null) {
       throw new ScriptException(position, "'" + name + "' is given twice");
     }
   }
@@ -259,7 +259,7 @@
 
   @Override
   public Object visitText(ScriptParser.TextContext context) {
-    Place position = source.position(context);
+    SourcePosition position = source.position(context);
     StringBuilder joined = new StringBuilder();
     context.STRING().forEach(part -> joined.append(Literals.text(part.getText(), position)));
     budget.reserve(joined.length(), position);
@@ -290,7 +290,7 @@
   public Object visitDict(ScriptParser.DictContext context) {
     Map<Object, Object> dict = new LinkedHashMap<>();
     for (ScriptParser.EntryContext entry : context.entry()) {
-      Place position = source.position(entry);
+      SourcePosition position = source.position(entry);
       budget.reserve(1, position);
       Object key = Values.key(evaluate(entry.key), position);
       if (dict.put(key, evaluate(entry.value)) != null) {
@@ -316,7 +316,7 @@
   @Override
   public Object visitDictOf(ScriptParser.DictOfContext context) {
     Map<Object, Object> dict = new LinkedHashMap<>();
-    Place position = source.position(context);
+    SourcePosition position = source.position(context);
     comprehend(
         context.clause(),
         new Scope(scope),
@@ -356,7 +356,7 @@
       List<ScriptParser.ClauseContext> innerClauses,
       Scope names,
       ElementAction action) {
-    Place position = source.position(clause);
+    SourcePosition position = source.position(clause);
     for (Object element : values.elements(sequence, position)) {
       budget.recordStep(position);
       nameBinding.bind(clause.names(), element, names);
--- a/src/main/java/bitternpulley/script/FormatArguments.java
+++ b/src/main/java/bitternpulley/script/FormatArguments.java
@@ -3,10 +3,10 @@
 /** Finds the values for the replacement fields of one {@code format()} call. */
 final class FormatArguments {
   private final Arguments arguments;
-  private final Place position;
+  private final SourcePosition position;
   private int nextIndex;
 
-  FormatArguments(Arguments arguments, Place position) {
+  FormatArguments(Arguments arguments, SourcePosition position) {
     this.arguments = arguments;
     this.position = position;
   }
@@ -19,7 +19,7 @@
     if (field.matches("[0-9]{1,6}")) {
       return positional(Integer.parseInt(field));
     }
-    Host.Value named = arguments.named().get(field);
+    ScriptHost.Argument named = arguments.named().get(field);
     if (named == null) {
       throw new ScriptException(position, "format() is not given '" + field + "'");
     }
--- a/src/main/java/bitternpulley/script/ListMethods.java
+++ b/src/main/java/bitternpulley/script/ListMethods.java
@@ -14,7 +14,7 @@
     this.comparisons = comparisons;
   }
 
-  Object call(List<Object> list, String name, List<Object> arguments, Place position) {
+  Object call(List<Object> list, String name, List<Object> arguments, SourcePosition position) {
     if (arguments.isEmpty() && name.equals("pop")) {
       return pop(list, position);
     }
@@ -30,18 +30,18 @@
     };
   }
 
-  private None append(List<Object> list, Object element, Place position) {
+  private None append(List<Object> list, Object element, SourcePosition position) {
     budget.reserve(1, position);
     list.add(element);
     return None.NONE;
   }
 
-  private None extend(List<Object> list, Object added, Place position) {
+  private None extend(List<Object> list, Object added, SourcePosition position) {
     list.addAll(values.elements(added, position));
     return None.NONE;
   }
 
-  private long index(List<Object> list, Object element, Place position) {
+  private long index(List<Object> list, Object element, SourcePosition position) {
     for (int index = 0; index < list.size(); index++) {
       if (comparisons.areEqual(list.get(index), element, position)) {
         return index;
@@ -50,7 +50,7 @@
     throw new ScriptException(position, "the list has no such element");
   }
 
-  private static Object pop(List<Object> list, Place position) {
+  private static Object pop(List<Object> list, SourcePosition position) {
     if (list.isEmpty()) {
       throw new ScriptException(position, "the list is empty");
     }
--- a/src/main/java/bitternpulley/script/Literals.java
+++ b/src/main/java/bitternpulley/script/Literals.java
@@ -7,7 +7,7 @@
 
   private Literals() {}
 
-  static long integer(String literal, Place position) {
+  static long integer(String literal, SourcePosition position) {
     String digits = literal.replace("_", "");
     try {
       return digits.startsWith("0x") || digits.startsWith("0X")
@@ -18,7 +18,7 @@
     }
   }
 
-  static double real(String literal, Place position) {
+  static double real(String literal, SourcePosition position) {
     double number = Double.parseDouble(literal);
     if (Double.isInfinite(number)) {
       throw tooLarge(position);
@@ -26,12 +26,12 @@
     return number;
   }
 
-  private static ScriptException tooLarge(Place position) {
+  private static ScriptException tooLarge(SourcePosition position) {
     return new ScriptException(position, "the number is too large");
   }
 
   /** The text of a literal without its quotes and with its escapes replaced. */
-  static String text(String literal, Place position) {
+  static String text(String literal, SourcePosition position) {
     int quotes = literal.startsWith(LONG_QUOTES) ? LONG_QUOTES.length() : 1;
     String raw = literal.substring(quotes, literal.length() - quotes);
     StringBuilder text = new StringBuilder();
@@ -48,7 +48,7 @@
     return text.toString();
   }
 
-  private static String unescaped(char escape, Place position) {
+  private static String unescaped(char escape, SourcePosition position) {
     return switch (escape) {
       case 'n' -> "\n";
       case 't' -> "\t";
--- a/src/main/java/bitternpulley/script/MethodCalls.java
+++ b/src/main/java/bitternpulley/script/MethodCalls.java
@@ -14,7 +14,7 @@
     this.dicts = dicts;
   }
 
-  Object call(Object receiver, String name, Arguments arguments, Place position) {
+  Object call(Object receiver, String name, Arguments arguments, SourcePosition position) {
     if (receiver instanceof String form && name.equals("format")) {
       return strings.format(form, arguments, position);
     }
@@ -35,7 +35,7 @@
 
   /** The error of a call of a method that the receiver does not have. */
   static ScriptException noSuchMethod(
-      Object receiver, String name, int argumentCount, Place position) {
+      Object receiver, String name, int argumentCount, SourcePosition position) {
     String type = Values.typeName(receiver);
     return new ScriptException(
         position, "a " + type + " has no ." + name + "() of " + argumentCount + " arguments");
--- a/src/main/java/bitternpulley/script/ScriptEvaluator.java
+++ b/src/main/java/bitternpulley/script/ScriptEvaluator.java
@@ -4,7 +4,7 @@
 final class ScriptEvaluator {
   private final Statements statements;
 
-  ScriptEvaluator(SourceFile source, EvaluationBudget budget, Host host) {
+  ScriptEvaluator(SourceFile source, EvaluationBudget budget, ScriptHost host) {
     Values values = new Values(budget);
     ValueText valueText = new ValueText(budget);
     Comparisons comparisons = new Comparisons(budget);
--- a/src/main/java/bitternpulley/script/ScriptException.java
+++ b/src/main/java/bitternpulley/script/ScriptException.java
@@ -4,20 +4,20 @@
 public final class ScriptException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  private final transient Place position;
+  private final transient SourcePosition position;
 
   /**
    * An error at a position.
    *
    * @param position null if the script as a whole is at fault
    */
-  public ScriptException(Place position, String message) {
+  public ScriptException(SourcePosition position, String message) {
     super(message);
     this.position = position;
   }
 
   /** The position of the fault, or null if the script as a whole is at fault. */
-  public Place position() {
+  public SourcePosition position() {
     return position;
   }
 
--- a/src/main/java/bitternpulley/script/ScriptFunction.java
+++ b/src/main/java/bitternpulley/script/ScriptFunction.java
@@ -14,7 +14,7 @@
   /** Executes the statements of a function. */
   interface Body {
     /** Returns the function's result, given its local variables and the position of the call. */
-    Object execute(Scope locals, Place callPosition);
+    Object execute(Scope locals, SourcePosition callPosition);
   }
 
   private final String name;
@@ -44,7 +44,7 @@
   }
 
   /** Begins a call, which {@link #end} ends. Recursion is rejected, so that each script ends. */
-  void begin(Place position) {
+  void begin(SourcePosition position) {
     if (isRunning) {
       throw new ScriptException(position, "'" + name + "' calls itself, which is not allowed");
     }
@@ -55,7 +55,7 @@
     isRunning = false;
   }
 
-  Object execute(Scope locals, Place callPosition) {
+  Object execute(Scope locals, SourcePosition callPosition) {
     return body.execute(locals, callPosition);
   }
 
--- a/src/main/java/bitternpulley/script/Host.java
+++ b/src/main/java/bitternpulley/script/ScriptHost.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 
 /** The functions outside the language that a script may call. */
-public interface Host {
+public interface ScriptHost {
   /** Whether the host has a function of this name. */
-  boolean knows(String function);
+  boolean hasFunction(String function);
 
   /**
    * Calls a function that the host has.
@@ -15,13 +15,13 @@
    * @return the value of the call; null stands for {@code None}
    * @throws ScriptException if the function cannot be called with these arguments
    */
-  Object call(String function, Map<String, Value> arguments, Place position);
+  Object call(String function, Map<String, Argument> arguments, SourcePosition position);
 
   /**
    * An argument.
    *
    * @param value its value
-   * @param at its position in the script
+   * @param position its position in the script
    */
-  record Value(Object value, Place at) {}
+  record Argument(Object value, SourcePosition position) {}
 }
--- a/src/main/java/bitternpulley/script/ScriptRunner.java
+++ b/src/main/java/bitternpulley/script/ScriptRunner.java
@@ -6,11 +6,11 @@
 
 /** Parses and evaluates scripts within limits. */
 public final class ScriptRunner {
-  private final Bounds limits;
-  private final Host host;
+  private final EvaluationLimits limits;
+  private final ScriptHost host;
 
   /** A runner whose scripts may call the functions of the host. */
-  public ScriptRunner(Bounds limits, Host host) {
+  public ScriptRunner(EvaluationLimits limits, ScriptHost host) {
     this.limits = limits;
     this.host = host;
   }
--- a/src/main/java/bitternpulley/script/SequenceFunctions.java
+++ b/src/main/java/bitternpulley/script/SequenceFunctions.java
@@ -24,7 +24,7 @@
   }
 
   /** The integers of {@code range(end)}, {@code range(start, end)} or with a step as well. */
-  List<Object> range(List<Object> arguments, Place position) {
+  List<Object> range(List<Object> arguments, SourcePosition position) {
     if (arguments.isEmpty()
         || arguments.size() > 3
         || !arguments.stream().allMatch(Long.class::isInstance)) {
@@ -40,7 +40,7 @@
     return range(start, end, step, position);
   }
 
-  private List<Object> range(long start, long end, long step, Place position) {
+  private List<Object> range(long start, long end, long step, SourcePosition position) {
     List<Object> integers = new ArrayList<>();
     long next = start;
     while (step > 0 ? next < end : next > end) {
@@ -58,16 +58,16 @@
     return step > 0 ? value > Long.MAX_VALUE - step : value < Long.MIN_VALUE - step;
   }
 
-  Object min(List<Object> arguments, Place position) {
+  Object min(List<Object> arguments, SourcePosition position) {
     return extreme("min", arguments, order -> order < 0, position);
   }
 
-  Object max(List<Object> arguments, Place position) {
+  Object max(List<Object> arguments, SourcePosition position) {
     return extreme("max", arguments, order -> order > 0, position);
   }
 
   private Object extreme(
-      String name, List<Object> arguments, IntPredicate isPreferred, Place position) {
+      String name, List<Object> arguments, IntPredicate isPreferred, SourcePosition position) {
     List<Object> candidates =
         arguments.size() == 1 ? values.elements(arguments.get(0), position) : arguments;
     if (candidates.isEmpty()) {
@@ -83,7 +83,7 @@
   }
 
   /** Tuples of the elements at the same index, as many as the shortest argument has. */
-  List<Object> zip(List<Object> arguments, Place position) {
+  List<Object> zip(List<Object> arguments, SourcePosition position) {
     List<List<Object>> columns =
         arguments.stream().map(argument -> values.elements(argument, position)).toList();
     int rowCount = columns.stream().mapToInt(List::size).min().orElse(0);
@@ -97,7 +97,7 @@
   }
 
   /** A dict of the entries of a dict or of the pairs of a list. */
-  Map<Object, Object> dict(Object source, Place position) {
+  Map<Object, Object> dict(Object source, SourcePosition position) {
     if (source instanceof Map) {
       budget.reserve(Values.dict(source).size(), position);
       return new LinkedHashMap<>(Values.dict(source));
@@ -113,30 +113,30 @@
     return dict;
   }
 
-  List<Object> sorted(Object source, Place position) {
+  List<Object> sorted(Object source, SourcePosition position) {
     List<Object> elements = values.elements(source, position);
     elements.sort(ascending(position));
     return elements;
   }
 
-  List<Object> sortedDescending(Object source, Place position) {
+  List<Object> sortedDescending(Object source, SourcePosition position) {
     List<Object> elements = values.elements(source, position);
     elements.sort(ascending(position).reversed());
     return elements;
   }
 
-  private Comparator<Object> ascending(Place position) {
+  private Comparator<Object> ascending(SourcePosition position) {
     return (left, right) -> comparisons.order(left, right, position);
   }
 
-  List<Object> reversed(Object source, Place position) {
+  List<Object> reversed(Object source, SourcePosition position) {
     List<Object> elements = values.elements(source, position);
     Collections.reverse(elements);
     return elements;
   }
 
   /** Tuples of index and element. */
-  List<Object> enumerate(Object source, Place position) {
+  List<Object> enumerate(Object source, SourcePosition position) {
     List<Object> indexed = new ArrayList<>();
     for (Object element : values.elements(source, position)) {
       budget.reserve(INDEXED_ELEMENT_SIZE, position);
--- a/src/main/java/bitternpulley/script/SourceFile.java
+++ b/src/main/java/bitternpulley/script/SourceFile.java
@@ -6,16 +6,16 @@
 /** The file that a script was read from; gives positions in it. */
 record SourceFile(String name) {
   /** The position at which an expression or statement starts. */
-  Place position(ParserRuleContext context) {
+  SourcePosition position(ParserRuleContext context) {
     return position(context.getStart());
   }
 
-  Place position(Token token) {
+  SourcePosition position(Token token) {
     return position(token.getLine(), token.getCharPositionInLine());
   }
 
   /** A position by line, counted from 1, and column as ANTLR counts it, from 0. */
-  Place position(int line, int zeroBasedColumn) {
-    return new Place(name, line, zeroBasedColumn + 1);
+  SourcePosition position(int line, int zeroBasedColumn) {
+    return new SourcePosition(name, line, zeroBasedColumn + 1);
   }
 }
--- a/src/main/java/bitternpulley/script/Place.java
+++ b/src/main/java/bitternpulley/script/SourcePosition.java
@@ -7,7 +7,7 @@
  * @param line counted from 1
  * @param column counted from 1
  */
-public record Place(String file, int line, int column) {
+public record SourcePosition(String file, int line, int column) {
   @Override
   public String toString() {
     return file + ":" + line + ":" + column;
--- a/src/main/java/bitternpulley/script/Statements.java
+++ b/src/main/java/bitternpulley/script/Statements.java
@@ -121,7 +121,7 @@
   }
 
   private Object executeBody(
-      String name, ScriptParser.SuiteContext body, Scope locals, Place callPosition) {
+      String name, ScriptParser.SuiteContext body, Scope locals, SourcePosition callPosition) {
     Completion completion = execute(body, locals);
     return switch (completion.kind()) {
       case NORMAL, RETURN -> completion.value();
@@ -142,7 +142,7 @@
   }
 
   private Completion executeLoop(ScriptParser.LoopContext loop, Scope scope) {
-    Place position = source.position(loop);
+    SourcePosition position = source.position(loop);
     Object sequence = expressions.evaluate(loop.tests(), scope);
     for (Object element : values.elements(sequence, position)) {
       budget.recordStep(position);
--- a/src/main/java/bitternpulley/script/StringFormatting.java
+++ b/src/main/java/bitternpulley/script/StringFormatting.java
@@ -14,7 +14,7 @@
   }
 
   /** The result of {@code "%s of %d" % (first, second)}. */
-  String percent(String form, Object given, Place position) {
+  String percent(String form, Object given, SourcePosition position) {
     List<Object> values = given instanceof Tuple ? Values.list(given) : List.of(given);
     StringBuilder result = new StringBuilder();
     int nextValue = 0;
@@ -44,7 +44,7 @@
     return result.toString();
   }
 
-  private String convert(char conversion, Object value, Place position) {
+  private String convert(char conversion, Object value, SourcePosition position) {
     return switch (conversion) {
       case 's' -> valueText.text(value, position);
       case 'r' -> valueText.literal(value, position);
@@ -57,7 +57,7 @@
     };
   }
 
-  private static double number(char conversion, Object value, Place position) {
+  private static double number(char conversion, Object value, SourcePosition position) {
     if (value instanceof Number number) {
       return number.doubleValue();
     }
@@ -66,7 +66,7 @@
   }
 
   /** The result of {@code "{} of {total}".format(1, total = 3)}. */
-  String format(String form, Arguments given, Place position) {
+  String format(String form, Arguments given, SourcePosition position) {
     FormatArguments arguments = new FormatArguments(given, position);
     StringBuilder result = new StringBuilder();
     int index = 0;
@@ -95,7 +95,7 @@
     return index + 1 < form.length() && form.charAt(index + 1) == form.charAt(index);
   }
 
-  private static int fieldEnd(String form, int start, Place position) {
+  private static int fieldEnd(String form, int start, SourcePosition position) {
     int end = form.indexOf('}', start);
     if (form.charAt(start) == '}' || end < 0) {
       throw new ScriptException(position, "a bracket in the text has no other");
--- a/src/main/java/bitternpulley/script/StringMethods.java
+++ b/src/main/java/bitternpulley/script/StringMethods.java
@@ -18,11 +18,11 @@
     this.formatting = formatting;
   }
 
-  String format(String form, Arguments arguments, Place position) {
+  String format(String form, Arguments arguments, SourcePosition position) {
     return formatting.format(form, arguments, position);
   }
 
-  Object call(String text, String name, List<Object> arguments, Place position) {
+  Object call(String text, String name, List<Object> arguments, SourcePosition position) {
     budget.reserve(text.length(), position);
     if (arguments.isEmpty()) {
       return call(text, name, position);
@@ -40,7 +40,7 @@
     throw MethodCalls.noSuchMethod(text, name, arguments.size(), position);
   }
 
-  private static Object call(String text, String name, Place position) {
+  private static Object call(String text, String name, SourcePosition position) {
     return switch (name) {
       case "upper" -> text.toUpperCase(Locale.ROOT);
       case "lower" -> text.toLowerCase(Locale.ROOT);
@@ -50,7 +50,7 @@
     };
   }
 
-  private static Object call(String text, String name, String argument, Place position) {
+  private static Object call(String text, String name, String argument, SourcePosition position) {
     return switch (name) {
       case "startswith" -> text.startsWith(argument);
       case "endswith" -> text.endsWith(argument);
@@ -68,7 +68,7 @@
     return new ArrayList<>(Arrays.asList(text.strip().split("\\s+")));
   }
 
-  private static List<Object> split(String text, String separator, Place position) {
+  private static List<Object> split(String text, String separator, SourcePosition position) {
     if (separator.isEmpty()) {
       throw new ScriptException(position, "split() by nothing");
     }
@@ -82,13 +82,13 @@
     return text.split(Pattern.quote(part), -1).length - 1L;
   }
 
-  private String replace(String text, String part, String replacement, Place position) {
+  private String replace(String text, String part, String replacement, SourcePosition position) {
     long added = occurrences(text, part) * replacement.length();
     budget.reserve(text.length() + added, position);
     return text.replace(part, replacement);
   }
 
-  private String join(String separator, Object parts, Place position) {
+  private String join(String separator, Object parts, SourcePosition position) {
     StringBuilder joined = new StringBuilder();
     for (Object element : values.elements(parts, position)) {
       if (!(element instanceof String part)) {
--- a/src/main/java/bitternpulley/script/Subscripts.java
+++ b/src/main/java/bitternpulley/script/Subscripts.java
@@ -14,7 +14,7 @@
     this.valueText = valueText;
   }
 
-  Object element(Object container, Object subscript, Place position) {
+  Object element(Object container, Object subscript, SourcePosition position) {
     if (container instanceof Map) {
       return entry(Values.dict(container), subscript, position);
     }
@@ -31,7 +31,7 @@
         "a " + Values.typeName(container) + " has no elements by " + Values.typeName(subscript));
   }
 
-  private Object entry(Map<Object, Object> dict, Object subscript, Place position) {
+  private Object entry(Map<Object, Object> dict, Object subscript, SourcePosition position) {
     Object value = dict.get(Values.key(subscript, position));
     if (value == null) {
       throw new ScriptException(
@@ -41,7 +41,7 @@
   }
 
   /** The length of a text or list. */
-  static int length(Object sequence, Place position) {
+  static int length(Object sequence, SourcePosition position) {
     if (sequence instanceof String text) {
       return text.length();
     }
@@ -52,7 +52,7 @@
   }
 
   /** The part of a text or list from {@code start} to before {@code end}. */
-  Object range(Object sequence, int start, int end, Place position) {
+  Object range(Object sequence, int start, int end, SourcePosition position) {
     budget.reserve(end - start, position);
     if (sequence instanceof String text) {
       return text.substring(start, end);
@@ -60,7 +60,7 @@
     return Values.listLike(sequence, new ArrayList<>(Values.list(sequence).subList(start, end)));
   }
 
-  void assign(Object container, Object subscript, Object value, Place position) {
+  void assign(Object container, Object subscript, Object value, SourcePosition position) {
     if (container instanceof Map) {
       budget.reserve(1, position);
       Values.dict(container).put(Values.key(subscript, position), value);
--- a/src/main/java/bitternpulley/script/ValueText.java
+++ b/src/main/java/bitternpulley/script/ValueText.java
@@ -12,18 +12,18 @@
   }
 
   /** A text as it is, and any other value as a literal. */
-  String text(Object value, Place position) {
+  String text(Object value, SourcePosition position) {
     return value instanceof String text ? text : literal(value, position);
   }
 
   /** The value as a script would write it. */
-  String literal(Object value, Place position) {
+  String literal(Object value, SourcePosition position) {
     StringBuilder literal = new StringBuilder();
     append(value, literal, 0, position);
     return literal.toString();
   }
 
-  private void append(Object value, StringBuilder literal, int depth, Place position) {
+  private void append(Object value, StringBuilder literal, int depth, SourcePosition position) {
     budget.recordNestedStep(depth, position);
     int before = literal.length();
     if (value instanceof String text) {
@@ -44,7 +44,7 @@
     return text.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
   }
 
-  private void appendList(Object value, StringBuilder literal, int depth, Place position) {
+  private void appendList(Object value, StringBuilder literal, int depth, SourcePosition position) {
     boolean isTuple = value instanceof Tuple;
     literal.append(isTuple ? '(' : '[');
     String separator = "";
@@ -60,7 +60,7 @@
   }
 
   private void appendDict(
-      Map<Object, Object> dict, StringBuilder literal, int depth, Place position) {
+      Map<Object, Object> dict, StringBuilder literal, int depth, SourcePosition position) {
     literal.append('{');
     String separator = "";
     for (Map.Entry<Object, Object> entry : dict.entrySet()) {
--- a/src/main/java/bitternpulley/script/Values.java
+++ b/src/main/java/bitternpulley/script/Values.java
@@ -93,7 +93,7 @@
   }
 
   /** A copy of the elements that a loop over the value visits. */
-  List<Object> elements(Object value, Place position) {
+  List<Object> elements(Object value, SourcePosition position) {
     if (value instanceof List) {
       budget.reserve(list(value).size(), position);
       return new ArrayList<>(list(value));
@@ -106,7 +106,7 @@
   }
 
   /** The elements of a value that has as many as there are names for them. */
-  List<Object> unpack(Object value, int nameCount, Place position) {
+  List<Object> unpack(Object value, int nameCount, SourcePosition position) {
     List<Object> elements = elements(value, position);
     if (elements.size() != nameCount) {
       throw new ScriptException(position, elements.size() + " values for " + nameCount + " names");
@@ -115,7 +115,7 @@
   }
 
   /** The value as key of a dict, in which 1 and 1.0 are the same key. */
-  static Object key(Object value, Place position) {
+  static Object key(Object value, SourcePosition position) {
     if (!isKey(value)) {
       throw new ScriptException(position, "a " + typeName(value) + " cannot be a key");
     }
@@ -143,7 +143,7 @@
    *
    * @throws ScriptException where there is no such element
    */
-  static int index(long given, int size, Place position) {
+  static int index(long given, int size, SourcePosition position) {
     long index = given < 0 ? given + size : given;
     if (index < 0 || index >= size) {
       throw new ScriptException(position, "there is no element " + given + " of " + size);
--- a/src/test/java/bitternpulley/script/ScriptRunnerTest.java
+++ b/src/test/java/bitternpulley/script/ScriptRunnerTest.java
@@ -69,20 +69,21 @@
   private final List<String> calls = new ArrayList<>();
 
   private String run(String text) {
-    return run(text, Bounds.USUAL);
+    return run(text, EvaluationLimits.DEFAULT);
   }
 
-  private String run(String text, Bounds limits) {
+  private String run(String text, EvaluationLimits limits) {
     return new ScriptRunner(
             limits,
-            new Host() {
+            new ScriptHost() {
               @Override
-              public boolean knows(String function) {
+              public boolean hasFunction(String function) {
                 return function.equals("note");
               }
 
               @Override
-              public Object call(String function, Map<String, Value> arguments, Place position) {
+              public Object call(
+                  String function, Map<String, Argument> arguments, SourcePosition position) {
                 arguments.forEach(
                     (name, argument) ->
                         calls.add(
@@ -92,7 +93,7 @@
                                 + "="
                                 + argument.value()
                                 + " at "
-                                + argument.at()));
+                                + argument.position()));
                 return null;
               }
             })
@@ -197,7 +198,7 @@
             "x = 1" + " and 1".repeat(100000) + "\n")) {
       long before = System.nanoTime();
       try {
-        run(text, new Bounds(1 << 20, 64, 200_000, 1_000_000, 10_000));
+        run(text, new EvaluationLimits(1 << 20, 64, 200_000, 1_000_000, 10_000));
         throw new AssertionError("has no bound: " + text.substring(0, Math.min(60, text.length())));
       } catch (ScriptException error) {
         assertTrue(
@@ -232,7 +233,7 @@
   @Property(tries = 3000)
   void throwsOnlyScriptExceptionsForAnyText(@ForAll("texts") String text) {
     try {
-      run(text, new Bounds(1000, 16, 10_000, 10_000, 1000));
+      run(text, new EvaluationLimits(1000, 16, 10_000, 10_000, 1000));
     } catch (ScriptException error) {
       assertTrue(!error.toString().isEmpty());
     }
