--- a/src/main/java/bitternpulley/policy/AlarmTokens.java
+++ b/src/main/java/bitternpulley/policy/AlarmTokens.java
@@ -3,7 +3,7 @@
 /** Names of the alarms that the policy schedules. */
 final class AlarmTokens {
   /** The next attempt to watch the endpoint list. */
-  static final String WATCH = "watch";
+  static final String WATCH_ENDPOINTS = "watch";
 
   private static final String QUERY_PREFIX = "q";
 
@@ -14,7 +14,7 @@
     return QUERY_PREFIX + queryId;
   }
 
-  static boolean isOfQuery(String token) {
+  static boolean isQueryToken(String token) {
     return token.startsWith(QUERY_PREFIX);
   }
 
--- a/src/main/java/bitternpulley/policy/ArrivalRecord.java
+++ b/src/main/java/bitternpulley/policy/ArrivalRecord.java
@@ -34,7 +34,7 @@
   }
 
   /** Drops steps that are too old; returns whether enough steps with arrivals are left. */
-  boolean hasSteps(double now, int minimum) {
+  boolean hasEnoughSteps(double now, int minimum) {
     while (!steps.isEmpty() && steps.peekFirst().startedAt() < now - maxAgeMs) {
       steps.removeFirst();
     }
--- a/src/main/java/bitternpulley/policy/AttemptDispatcher.java
+++ b/src/main/java/bitternpulley/policy/AttemptDispatcher.java
@@ -62,7 +62,7 @@
     }
     QueryState query = part.query();
     part.setAvailableAt(selector.nextAvailableAt(part, query.answerDeadline(), now));
-    query.wakeAt(now + ReviewScheduler.RECHECK_INTERVAL_MS, out);
+    query.scheduleAlarm(now + ReviewScheduler.RECHECK_INTERVAL_MS, out);
   }
 
   private void superviseAttempts(PartState part, double now, Router.Actions out) {
@@ -81,7 +81,7 @@
   }
 
   private void hedge(PartState part, double now, Router.Actions out) {
-    TrackedServer server = hedging.selectHedge(part, now);
+    TrackedServer server = hedging.selectServerForHedge(part, now);
     if (server != null) {
       send(part, server, now, out);
     }
--- a/src/main/java/bitternpulley/policy/EndpointWatch.java
+++ b/src/main/java/bitternpulley/policy/EndpointWatch.java
@@ -27,7 +27,7 @@
   /** Schedules another request after the last one failed. */
   void recordFailure(double now, Router.Actions out) {
     if (settings.endpointsOnRequest()) {
-      out.scheduleAlarm(now + backoffMs * (1 + random.nextDouble()), AlarmTokens.WATCH);
+      out.scheduleAlarm(now + backoffMs * (1 + random.nextDouble()), AlarmTokens.WATCH_ENDPOINTS);
       backoffMs = Math.min(2 * backoffMs, MAX_BACKOFF_MS);
     }
   }
--- a/src/main/java/bitternpulley/policy/HedgingPolicy.java
+++ b/src/main/java/bitternpulley/policy/HedgingPolicy.java
@@ -53,7 +53,7 @@
     }
     QueryState query = part.query();
     double lateAt = attempt.sentAt() + latencies.lateAfter();
-    double beforeWaitEnds = query.waitUntil() - LEAD_MULTIPLE * latencies.baseline();
+    double beforeWaitEnds = query.baseWaitEnd() - LEAD_MULTIPLE * latencies.baseline();
     if (!settings.rules().retriesBudgeted()) {
       return Math.max(lateAt, beforeWaitEnds);
     }
@@ -66,7 +66,7 @@
   }
 
   /** The server for a hedged request of a part whose hedge is due, or null. */
-  TrackedServer selectHedge(PartState part, double now) {
+  TrackedServer selectServerForHedge(PartState part, double now) {
     TrackedServer server = selector.selectAlternative(part, now);
     if (server == null || !isStraggler(part, now) || outliers.isEjected(server, now)) {
       return null;
@@ -76,7 +76,7 @@
 
   private boolean isStraggler(PartState part, double now) {
     return outliers.isOutlier(part.lastInFlight().server(), now)
-        || part.query().arrivedWeight() >= STRAGGLER_WEIGHT;
+        || part.query().answeredWeight() >= STRAGGLER_WEIGHT;
   }
 
   /** Whether the attempts of a part are cancelled instead, where hedging is not allowed. */
--- a/src/main/java/bitternpulley/policy/LatencyTracker.java
+++ b/src/main/java/bitternpulley/policy/LatencyTracker.java
@@ -71,7 +71,7 @@
     server.latency().record(latency, zone.latency());
     zone.recordLatency(latency);
     updateBaseline();
-    server.latency().compareTo(baseline);
+    server.latency().updateSlowOutlier(baseline);
   }
 
   private void updateBaseline() {
--- a/src/main/java/bitternpulley/policy/LoadShedder.java
+++ b/src/main/java/bitternpulley/policy/LoadShedder.java
@@ -68,7 +68,7 @@
     for (QueryState query : ordered) {
       // Deciding on every pending query at each event would be quadratic.
       if (!limiter.isReached(load) || query.isAdmissionDue(now)) {
-        load += decide(query, load, now, out);
+        load += decideAdmission(query, load, now, out);
       }
     }
     shedExcess(ordered, out);
@@ -84,7 +84,7 @@
   }
 
   /** Admits, rejects or postpones a query; returns the parts that it adds to the load. */
-  private int decide(QueryState query, int load, double now, Router.Actions out) {
+  private int decideAdmission(QueryState query, int load, double now, Router.Actions out) {
     query.decideAdmissionAt(now + ReviewScheduler.RECHECK_INTERVAL_MS);
     if (!forecast.isAnswerable(query, now)) {
       completion.giveUp(query, out);
@@ -93,7 +93,7 @@
     if (limiter.isReached(load)) {
       double recheckAt =
           Math.max(now + ReviewScheduler.RECHECK_INTERVAL_MS, forecast.latestStartOf(query));
-      query.wakeAt(Math.min(query.objectiveDeadline(), recheckAt), out);
+      query.scheduleAlarm(Math.min(query.objectiveDeadline(), recheckAt), out);
       return 0;
     }
     registry.removePending(query);
--- a/src/main/java/bitternpulley/policy/OutcomeRecorder.java
+++ b/src/main/java/bitternpulley/policy/OutcomeRecorder.java
@@ -74,10 +74,10 @@
     outliers.recordAnswer(now);
     if (limiter.isTimely(attempt, elapsed)) {
       server.concurrencyLimit().recordTimelyAnswer(attempt.sentAt(), server.inFlightCount());
-    } else if (outliers.ranDuring(attempt)) {
+    } else if (outliers.processRanDuring(attempt)) {
       server.concurrencyLimit().recordLateAnswer(attempt.sentAt(), now);
     }
-    if (outliers.ranDuring(attempt)) {
+    if (outliers.processRanDuring(attempt)) {
       latencies.recordLatency(server, elapsed);
       latencies.recordWork(attempt, elapsed);
       recordAnswerGap(attempt, now);
@@ -108,7 +108,7 @@
   private void recordUnanswered(AttemptState attempt, double elapsed, double now) {
     TrackedServer server = attempt.server();
     server.concurrencyLimit().recordCancelled(attempt.sentAt());
-    if (outliers.ranDuring(attempt) && elapsed > latencies.expectedLatencyOf(server, now)) {
+    if (outliers.processRanDuring(attempt) && elapsed > latencies.expectedLatencyOf(server, now)) {
       latencies.recordLatency(server, elapsed);
     }
     outliers.recordUnanswered(attempt, elapsed, now);
--- a/src/main/java/bitternpulley/policy/OutlierDetector.java
+++ b/src/main/java/bitternpulley/policy/OutlierDetector.java
@@ -76,13 +76,14 @@
    * would explain its latency.
    */
   boolean isUnaffectedByStall(AttemptState attempt) {
-    return stall.stallAdjustedTime(attempt.sentAt()) <= attempt.sentAt() && ranDuring(attempt);
+    return stall.stallAdjustedTime(attempt.sentAt()) <= attempt.sentAt()
+        && processRanDuring(attempt);
   }
 
   /**
    * Whether this process ran all the time since an attempt was sent, so that its latency counts.
    */
-  boolean ranDuring(AttemptState attempt) {
+  boolean processRanDuring(AttemptState attempt) {
     return pauses.ranSince(attempt.sentAt());
   }
 
@@ -106,7 +107,7 @@
       return;
     }
     if (server.lastAnswerAt() <= attempt.sentAt()) {
-      server.failures().raiseSuspicion();
+      server.failures().markOneFailureFromOutlier();
     }
     recordFailure(server, now);
   }
--- a/src/main/java/bitternpulley/policy/PartState.java
+++ b/src/main/java/bitternpulley/policy/PartState.java
@@ -107,10 +107,10 @@
   }
 
   /** Records its value at this time, which counts in the record even if the query is finished. */
-  void recordArrival(double now) {
+  void recordAnswer(double now) {
     arrivals.add(now, weight());
     isSettled = true;
-    query.addArrived(this);
+    query.addAnswered(this);
   }
 
   /** Records it as expected at this time, since its query is answered without it. */
--- a/src/main/java/bitternpulley/policy/ProcessShare.java
+++ b/src/main/java/bitternpulley/policy/ProcessShare.java
@@ -5,7 +5,7 @@
 /** This process's share of the instance's limits, which two processes divide at a hot restart. */
 final class ProcessShare {
   /** Share of a process whose successor has taken over. */
-  private static final double LEAVING = 0.2;
+  private static final double PREDECESSOR_SHARE = 0.2;
 
   private double value = 1;
 
@@ -15,12 +15,12 @@
   }
 
   /** Sets the share by the role of the other process. */
-  void divideWith(Router.HotRestartRole other) {
+  void setOtherProcess(Router.HotRestartRole otherRole) {
     value =
-        switch (other) {
+        switch (otherRole) {
           case NONE -> 1;
-          case SUCCESSOR -> LEAVING;
-          case PREDECESSOR -> 1 - LEAVING;
+          case SUCCESSOR -> PREDECESSOR_SHARE;
+          case PREDECESSOR -> 1 - PREDECESSOR_SHARE;
         };
   }
 }
--- a/src/main/java/bitternpulley/policy/QueryCompletion.java
+++ b/src/main/java/bitternpulley/policy/QueryCompletion.java
@@ -51,7 +51,7 @@
   }
 
   private boolean isPartialAnswerDue(QueryState query, double now) {
-    return query.reachesMinimum(query.arrivedWeight())
+    return query.reachesMinimum(query.answeredWeight())
         && query.queryClass().allowsPartialAnswer()
         && (now >= query.answerDeadline() || waits.isWaitOver(query, now));
   }
@@ -59,7 +59,7 @@
   private static boolean mustGiveUp(QueryState query, double now) {
     return now >= query.attemptDeadline()
         || now >= query.answerDeadline()
-        || query.isSuspectedPoison();
+        || query.isSuspectedQueryOfDeath();
   }
 
   /** Whether the parts that can still arrive are too few for an answer. */
@@ -68,11 +68,11 @@
         query.queryClass().allowsPartialAnswer()
             ? query.queryClass().minimumShare()
             : query.requiredWeight();
-    double dispensable = 1 + QueryState.WEIGHT_TOLERANCE - needed;
+    double spareWeight = 1 + QueryState.WEIGHT_TOLERANCE - needed;
     for (PartState part : query.missing()) {
-      dispensable -= retries.isUnattainable(part, now) ? part.weight() : 0;
+      spareWeight -= retries.isUnattainable(part, now) ? part.weight() : 0;
     }
-    return dispensable < 0;
+    return spareWeight < 0;
   }
 
   private void answerCompletely(QueryState query, Router.Actions out) {
@@ -94,12 +94,12 @@
     }
     dispatcher.release(query, out);
     query.startSecondStep(isComplete);
-    query.wakeAt(query.answerDeadline(), out);
+    query.scheduleAlarm(query.answerDeadline(), out);
   }
 
   /** Rejects a query where a client's retry is known to be harmless, otherwise fails it. */
   void giveUp(QueryState query, Router.Actions out) {
-    if (isRetryHarmless(query)) {
+    if (isSafeToRetry(query)) {
       out.reject(query.id(), retryAfter());
     } else {
       out.fail(query.id());
@@ -110,7 +110,7 @@
     end(query, out);
   }
 
-  private static boolean isRetryHarmless(QueryState query) {
+  private static boolean isSafeToRetry(QueryState query) {
     return query.queryClass().idempotency() == Settings.Idempotency.IDEMPOTENT
         || query.parts().stream().noneMatch(PartState::mayHaveRun);
   }
--- a/src/main/java/bitternpulley/policy/QueryState.java
+++ b/src/main/java/bitternpulley/policy/QueryState.java
@@ -24,16 +24,16 @@
   private final Set<PartState> missing = new LinkedHashSet<>();
   private final Set<PartState> missingView = Collections.unmodifiableSet(missing);
   private QueryPhase phase = QueryPhase.AWAITING_PARTS;
-  private double arrivedWeight;
+  private double answeredWeight;
   private boolean isFirstStep = true;
   private boolean isFirstStepComplete = true;
   private double stepStartedAt;
   private double stepObjective;
-  private double waitUntil;
+  private double baseWaitEnd;
   private double extendedUntil = NO_EXTENSION;
   private StepArrivals arrivals = new StepArrivals();
   private boolean hasConnectionReset;
-  private boolean isSuspectedPoison;
+  private boolean isSuspectedQueryOfDeath;
   private double nextReviewAt = Double.NEGATIVE_INFINITY;
   private double nextAdmissionAt = Double.NEGATIVE_INFINITY;
   private double alarmAt = Double.POSITIVE_INFINITY;
@@ -95,13 +95,13 @@
   }
 
   /** Weight of the parts of the current step that have arrived. */
-  double arrivedWeight() {
-    return arrivedWeight;
+  double answeredWeight() {
+    return answeredWeight;
   }
 
   /** Weight of the parts that have arrived or are in flight. */
   double attainableWeight() {
-    double weight = arrivedWeight;
+    double weight = answeredWeight;
     for (PartState part : missing) {
       weight += part.hasAttemptInFlight() ? part.weight() : 0;
     }
@@ -125,7 +125,7 @@
 
   /** Whether what has arrived is a complete answer to the current step. */
   boolean isStepComplete() {
-    return missing.isEmpty() || (isFirstStep && reachesComplete(arrivedWeight));
+    return missing.isEmpty() || (isFirstStep && reachesComplete(answeredWeight));
   }
 
   boolean isAwaitingParts() {
@@ -160,8 +160,8 @@
   }
 
   /** The end of the base wait T* of the current step. */
-  double waitUntil() {
-    return waitUntil;
+  double baseWaitEnd() {
+    return baseWaitEnd;
   }
 
   boolean isExtended() {
@@ -184,13 +184,13 @@
   }
 
   /** Whether it probably crashes the servers that begin it. */
-  boolean isSuspectedPoison() {
-    return isSuspectedPoison;
+  boolean isSuspectedQueryOfDeath() {
+    return isSuspectedQueryOfDeath;
   }
 
   /** Records a reset; one of a retry, with no part arrived, makes the query the likely cause. */
   void recordConnectionReset(AttemptState attempt) {
-    isSuspectedPoison |= attempt.number() > 0 && arrivedWeight == 0;
+    isSuspectedQueryOfDeath |= attempt.number() > 0 && answeredWeight == 0;
     hasConnectionReset = true;
   }
 
@@ -201,8 +201,8 @@
   }
 
   /** Counts a part that has arrived; called by the part, which may be of an earlier step. */
-  void addArrived(PartState part) {
-    arrivedWeight += missing.remove(part) ? part.weight() : 0;
+  void addAnswered(PartState part) {
+    answeredWeight += missing.remove(part) ? part.weight() : 0;
   }
 
   /** Admits the current step. */
@@ -218,8 +218,8 @@
   }
 
   /** Sets the end of the base wait. */
-  void waitUntil(double time) {
-    waitUntil = time;
+  void setBaseWaitEnd(double time) {
+    baseWaitEnd = time;
     extendedUntil = NO_EXTENSION;
   }
 
@@ -232,7 +232,7 @@
   void startSecondStep(boolean firstStepComplete) {
     parts.clear();
     missing.clear();
-    arrivedWeight = 0;
+    answeredWeight = 0;
     nextReviewAt = Double.NEGATIVE_INFINITY;
     arrivals = new StepArrivals();
     isFirstStep = false;
@@ -269,7 +269,7 @@
   }
 
   /** Schedules an alarm unless an earlier one is set. */
-  void wakeAt(double time, Router.Actions out) {
+  void scheduleAlarm(double time, Router.Actions out) {
     if (time < alarmAt) {
       alarmAt = time;
       out.scheduleAlarm(time, AlarmTokens.forQuery(id()));
--- a/src/main/java/bitternpulley/policy/ReplicaSelector.java
+++ b/src/main/java/bitternpulley/policy/ReplicaSelector.java
@@ -57,7 +57,7 @@
     TrackedServer best = null;
     double bestCost = 0;
     Rank bestRank = Rank.PREFERRED;
-    for (TrackedServer server : fleet.holders(part.shard())) {
+    for (TrackedServer server : fleet.serversForShard(part.shard())) {
       if (!canTake(part, server, purpose, now)) {
         continue;
       }
@@ -142,7 +142,7 @@
    */
   double nextAvailableAt(PartState part, double until, double now) {
     double earliest = Double.POSITIVE_INFINITY;
-    for (TrackedServer server : fleet.holders(part.shard())) {
+    for (TrackedServer server : fleet.serversForShard(part.shard())) {
       double time = capacityAt(part, server, now);
       if (server.isLive() && time < earliest) {
         double allowedAt =
--- a/src/main/java/bitternpulley/policy/RetryPolicy.java
+++ b/src/main/java/bitternpulley/policy/RetryPolicy.java
@@ -40,7 +40,7 @@
    * connection is reset as well, the query is the common cause.
    */
   private static boolean mayCrashAnotherServer(QueryState query) {
-    return query.hasConnectionReset() && query.arrivedWeight() <= 0 && hasAttemptInFlight(query);
+    return query.hasConnectionReset() && query.answeredWeight() <= 0 && hasAttemptInFlight(query);
   }
 
   private static boolean hasAttemptInFlight(QueryState query) {
--- a/src/main/java/bitternpulley/policy/ReviewScheduler.java
+++ b/src/main/java/bitternpulley/policy/ReviewScheduler.java
@@ -27,7 +27,7 @@
       next = query.objectiveDeadline();
     }
     if (!query.isAwaitingParts()) {
-      next = earlier(next, query.waitUntil(), now);
+      next = earlier(next, query.baseWaitEnd(), now);
       next = earlier(next, query.extendedUntil(), now);
       next = earlier(next, query.stepObjective(), now);
       for (PartState part : query.missing()) {
@@ -35,7 +35,7 @@
       }
     }
     query.reviewAt(Math.min(next, now + RECHECK_INTERVAL_MS));
-    query.wakeAt(next, out);
+    query.scheduleAlarm(next, out);
   }
 
   /** When the state of a missing part changes next, or a time passed where that is unknown. */
--- a/src/main/java/bitternpulley/policy/RoutingPolicy.java
+++ b/src/main/java/bitternpulley/policy/RoutingPolicy.java
@@ -94,8 +94,8 @@
       watch.recordSuccess();
     }
     if (kind != ListKind.CHANGES) {
-      Set<String> named = entries.stream().map(Endpoint::server).collect(Collectors.toSet());
-      fleet.markGoneExcept(named);
+      Set<String> listedIds = entries.stream().map(Endpoint::server).collect(Collectors.toSet());
+      fleet.markGoneExcept(listedIds);
     }
     fleet.prune();
   }
@@ -115,7 +115,7 @@
 
   @Override
   public void onHotRestart(HotRestartRole role) {
-    processShare.divideWith(role);
+    processShare.setOtherProcess(role);
   }
 
   @Override
@@ -161,7 +161,7 @@
     outcomes.record(attempt, ended, now);
     if (ended.outcome() == Outcome.OK) {
       reviewOvertakenBy(attempt);
-      recordArrival(part, now, out);
+      recordAnswer(part, now, out);
     }
     reviewQueryOf(part);
   }
@@ -175,9 +175,9 @@
     }
   }
 
-  private void recordArrival(PartState part, double now, Actions out) {
+  private void recordAnswer(PartState part, double now, Actions out) {
     if (!part.isSettled()) {
-      part.recordArrival(now);
+      part.recordAnswer(now);
       dispatcher.cancelAll(part, out);
     }
   }
@@ -202,9 +202,9 @@
 
   @Override
   public void onAlarm(String token, double now, Actions out) {
-    if (token.equals(AlarmTokens.WATCH)) {
+    if (token.equals(AlarmTokens.WATCH_ENDPOINTS)) {
       out.watchEndpoints();
-    } else if (AlarmTokens.isOfQuery(token)) {
+    } else if (AlarmTokens.isQueryToken(token)) {
       QueryState query = registry.query(AlarmTokens.queryId(token));
       if (query != null) {
         // An alarm may ring slightly early, since its time is rounded by the caller.
--- a/src/main/java/bitternpulley/policy/ServerFailures.java
+++ b/src/main/java/bitternpulley/policy/ServerFailures.java
@@ -17,8 +17,8 @@
   /** Baseline latencies between two trial requests, at most. */
   private static final double MAX_TRIAL_INTERVAL = 16;
 
-  private double rate;
-  private int consecutive;
+  private double failureRate;
+  private int consecutiveFailures;
   private boolean refusesConnections;
   private double ejectedUntil;
   private double trialInterval = INITIAL_TRIAL_INTERVAL;
@@ -26,7 +26,7 @@
 
   /** The share of attempts that succeed, at least a fifth. */
   double successRate() {
-    return 1 - Math.min(rate, MAX_RATE);
+    return 1 - Math.min(failureRate, MAX_RATE);
   }
 
   boolean refusesConnections() {
@@ -35,7 +35,7 @@
 
   /** Whether it refuses connections or has failed several times in a row. */
   boolean indicateOutlier() {
-    return refusesConnections || consecutive >= OUTLIER_FAILURES;
+    return refusesConnections || consecutiveFailures >= OUTLIER_FAILURES;
   }
 
   /** From when on an outlier may receive a trial request. */
@@ -49,20 +49,20 @@
   }
 
   void recordSuccess() {
-    rate *= 1 - SMOOTHING;
+    failureRate *= 1 - SMOOTHING;
     refusesConnections = false;
-    consecutive = 0;
+    consecutiveFailures = 0;
     trialInterval = INITIAL_TRIAL_INTERVAL;
   }
 
   void recordFailure() {
-    rate += SMOOTHING * (1 - rate);
-    consecutive++;
+    failureRate += SMOOTHING * (1 - failureRate);
+    consecutiveFailures++;
   }
 
   /** Makes the next failure one too many. */
-  void raiseSuspicion() {
-    consecutive = Math.max(consecutive, OUTLIER_FAILURES - 1);
+  void markOneFailureFromOutlier() {
+    consecutiveFailures = Math.max(consecutiveFailures, OUTLIER_FAILURES - 1);
   }
 
   void recordRefusedConnection() {
@@ -86,8 +86,8 @@
 
   /** Forgets the failures of a previous process; an ejection stays. */
   void reset() {
-    rate = 0;
-    consecutive = 0;
+    failureRate = 0;
+    consecutiveFailures = 0;
     refusesConnections = false;
   }
 }
--- a/src/main/java/bitternpulley/policy/ServerFleet.java
+++ b/src/main/java/bitternpulley/policy/ServerFleet.java
@@ -70,9 +70,9 @@
   }
 
   /** Marks every server as gone that a complete endpoint list does not name. */
-  void markGoneExcept(Set<String> named) {
+  void markGoneExcept(Set<String> listedIds) {
     for (TrackedServer server : serversById.values()) {
-      if (!named.contains(server.id())) {
+      if (!listedIds.contains(server.id())) {
         server.markGone();
       }
     }
@@ -81,16 +81,16 @@
   /** Drops the servers that are gone and have nothing in flight. */
   void prune() {
     for (List<TrackedServer> cell : serversByCell) {
-      cell.removeIf(server -> server.isForgettable() && serversById.remove(server.id()) != null);
+      cell.removeIf(server -> server.isRemovable() && serversById.remove(server.id()) != null);
     }
   }
 
   /** The servers that hold a shard, in the order of their cells. */
-  List<TrackedServer> holders(int shard) {
-    List<TrackedServer> holders = new ArrayList<>();
+  List<TrackedServer> serversForShard(int shard) {
+    List<TrackedServer> servers = new ArrayList<>();
     for (int replica = 0; replica < layout.replicas(); replica++) {
-      holders.addAll(serversByCell.get(Math.floorMod(shard + replica, layout.cells())));
+      servers.addAll(serversByCell.get(Math.floorMod(shard + replica, layout.cells())));
     }
-    return holders;
+    return servers;
   }
 }
--- a/src/main/java/bitternpulley/policy/ServerLatency.java
+++ b/src/main/java/bitternpulley/policy/ServerLatency.java
@@ -39,7 +39,7 @@
   }
 
   /** Decides whether the server is a slow outlier. */
-  void compareTo(double baselineLatency) {
+  void updateSlowOutlier(double baselineLatency) {
     double multiple = isSlowOutlier ? STILL_SLOW_MULTIPLE : SLOW_MULTIPLE;
     isSlowOutlier = smoothed > multiple * baselineLatency;
   }
--- a/src/main/java/bitternpulley/policy/TrackedServer.java
+++ b/src/main/java/bitternpulley/policy/TrackedServer.java
@@ -68,7 +68,7 @@
   }
 
   /** Whether it is gone and nothing is in flight there. */
-  boolean isForgettable() {
+  boolean isRemovable() {
     return state == Router.ServerState.GONE && inFlight.isEmpty();
   }
 
@@ -78,11 +78,11 @@
     if (endpoint.startedAt() > startedAt) {
       startedAt = endpoint.startedAt();
       slowStart.recordStart(startedAt);
-      forgetPreviousProcess();
+      resetForNewProcess();
     }
   }
 
-  private void forgetPreviousProcess() {
+  private void resetForNewProcess() {
     latency.reset();
     failures.reset();
     queueFullUntil = Double.NEGATIVE_INFINITY;
--- a/src/main/java/bitternpulley/policy/WaitTimePolicy.java
+++ b/src/main/java/bitternpulley/policy/WaitTimePolicy.java
@@ -69,13 +69,13 @@
   void startStep(QueryState query, double now) {
     double reserved = query.hasSecondStepAhead() ? SECOND_STEP_MULTIPLE * latencies.baseline() : 0;
     query.startStep(now, Math.max(query.objectiveDeadline() - reserved, now));
-    query.waitUntil(query.stepStartedAt() + baseWait(query, now));
+    query.setBaseWaitEnd(query.stepStartedAt() + baseWait(query, now));
   }
 
   private double baseWait(QueryState query, double now) {
     double untilObjective = query.stepObjective() - query.stepStartedAt();
     ArrivalRecord record = recordOf(query);
-    if (!record.hasSteps(now, MINIMUM_RECORD_STEPS)) {
+    if (!record.hasEnoughSteps(now, MINIMUM_RECORD_STEPS)) {
       return untilObjective;
     }
     double best =
@@ -109,8 +109,8 @@
 
   /** T*, or the end of the extension while any of the heaviest parts is missing. */
   private double waitEnd(QueryState query, double now) {
-    if (now < query.waitUntil() || heaviestHaveArrived(query, EXTENSION_SHARE)) {
-      return query.waitUntil();
+    if (now < query.baseWaitEnd() || heaviestAreAnswered(query, EXTENSION_SHARE)) {
+      return query.baseWaitEnd();
     }
     if (!query.isExtended()) {
       double extension = extension(query, now);
@@ -118,16 +118,16 @@
     }
     // A late complete answer that pays less than what has arrived is not worth waiting for.
     boolean mayBeLate =
-        weightPayoff(query, query.arrivedWeight()) < query.queryClass().latePriorityWeight();
+        weightPayoff(query, query.answeredWeight()) < query.queryClass().latePriorityWeight();
     double extendedUntil =
         mayBeLate ? query.extendedUntil() : Math.min(query.extendedUntil(), query.stepObjective());
-    return Math.max(query.waitUntil(), extendedUntil);
+    return Math.max(query.baseWaitEnd(), extendedUntil);
   }
 
   /** The extended wait in ms; without a record, up to half the slack after the objective. */
   private double extension(QueryState query, double now) {
     ArrivalRecord record = recordOf(query);
-    if (!record.hasSteps(now, MINIMUM_RECORD_STEPS)) {
+    if (!record.hasEnoughSteps(now, MINIMUM_RECORD_STEPS)) {
       return query.stepObjective()
           + (query.answerDeadline() - query.stepObjective()) / 2
           - query.stepStartedAt();
@@ -141,15 +141,15 @@
   /** Whether the heaviest parts have arrived and each missing one is expected after T*. */
   private boolean endsEarly(QueryState query, double now) {
     for (PartState part : query.missing()) {
-      if (expectedAt(part, now) <= query.waitUntil()) {
+      if (expectedAt(part, now) <= query.baseWaitEnd()) {
         return false;
       }
     }
-    return heaviestHaveArrived(query, EARLY_END_SHARE);
+    return heaviestAreAnswered(query, EARLY_END_SHARE);
   }
 
   /** Of equal weights, the parts expected first count as the heaviest. */
-  private static boolean heaviestHaveArrived(QueryState query, double share) {
+  private static boolean heaviestAreAnswered(QueryState query, double share) {
     return query.parts().stream()
         .sorted(
             Comparator.<PartState>comparingDouble(part -> -part.weight())
--- a/src/test/java/bitternpulley/policy/ServerFleetTest.java
+++ b/src/test/java/bitternpulley/policy/ServerFleetTest.java
@@ -21,7 +21,7 @@
     busy.addInFlight(new AttemptState(null, busy, 0, 0));
     fleet.prune();
     assertEquals(List.of(busy), List.copyOf(fleet.servers()));
-    assertEquals(List.of(busy), fleet.holders(0));
+    assertEquals(List.of(busy), fleet.serversForShard(0));
   }
 
   @Test
