--- a/src/main/java/bitternpulley/policy/AlarmTokens.java
+++ b/src/main/java/bitternpulley/policy/AlarmTokens.java
@@ -1,8 +1,8 @@
 package bitternpulley.policy;
 
-/** Names of the alarms that the policy schedules. */
+/** Tokens that identify the alarms of the routing policy. */
 final class AlarmTokens {
-  /** The next attempt to watch the endpoint list. */
+  /** The alarm that repeats a failed request for the endpoint list. */
   static final String WATCH_ENDPOINTS = "watch";
 
   private static final String QUERY_PREFIX = "q";
@@ -18,7 +18,7 @@
     return token.startsWith(QUERY_PREFIX);
   }
 
-  /** The query of a token of {@link #forQuery}. */
+  /** The id of the query for which {@link #forQuery} made this token. */
   static long queryId(String token) {
     return Long.parseLong(token.substring(QUERY_PREFIX.length()));
   }
--- a/src/main/java/bitternpulley/policy/AttemptState.java
+++ b/src/main/java/bitternpulley/policy/AttemptState.java
@@ -2,9 +2,11 @@
 
 import bitternpulley.routing.Router;
 
-/** One attempt of a part at one server. */
+/** An attempt to have a part answered by one server. */
 final class AttemptState {
-  /** Answers to later parts of the same server after which an attempt counts as lost there. */
+  /**
+   * Number of later parts that the server must answer for an unanswered attempt to count as lost.
+   */
   private static final int OVERTAKEN_LIMIT = 8;
 
   private final PartState part;
@@ -38,7 +40,7 @@
     return server;
   }
 
-  /** Position among the attempts of its part, from 0. */
+  /** Index among the attempts of the part, from 0. */
   int number() {
     return number;
   }
@@ -51,27 +53,30 @@
     return isInFlight;
   }
 
-  /** Whether its outcome proves that the server never began the part. */
+  /** Whether the outcome proves that the server never started to process the part. */
   boolean isProvenNotRun() {
     return isProvenNotRun;
   }
 
-  /** Whether it was found late while in flight. */
+  /** Whether the attempt was found to be late while it was in flight. */
   boolean isLate() {
     return isLate;
   }
 
-  /** Whether idle connections were closed for it, so that it opened a new one. */
+  /** Whether idle connections to the server were closed so that the attempt opened a new one. */
   boolean usesNewConnection() {
     return usesNewConnection;
   }
 
-  /** Whether it was sent to a warm server that is no slow outlier and had nothing else of ours. */
+  /**
+   * Whether the attempt was sent to a warm server that is not a slow outlier and had no other
+   * attempt of this instance in flight.
+   */
   boolean isSoleRequest() {
     return isSoleRequest;
   }
 
-  /** Whether enough later parts of the same server were answered for it to count as lost. */
+  /** Whether the server has answered so many later parts that the attempt counts as lost. */
   boolean isOvertaken() {
     return overtakenCount >= OVERTAKEN_LIMIT;
   }
@@ -88,13 +93,15 @@
     isLate = true;
   }
 
-  /** Records the answer to a later part; returns whether the attempt counts as lost from now on. */
+  /**
+   * Records that a later part was answered; returns whether this makes the attempt count as lost.
+   */
   boolean recordOvertaken() {
     overtakenCount++;
     return overtakenCount == OVERTAKEN_LIMIT;
   }
 
-  /** Marks an attempt in flight as cancelled; returns whether it was not cancelled before. */
+  /** Marks the attempt as cancelled; returns false if it has ended or was cancelled before. */
   boolean cancel() {
     if (!isInFlight || isCancelled) {
       return false;
@@ -103,7 +110,7 @@
     return true;
   }
 
-  /** Ends the attempt; called by its part, which counts the attempts in flight. */
+  /** Ends the attempt. Called by the part, which counts its attempts in flight. */
   void end(Router.Outcome outcome) {
     isInFlight = false;
     isProvenNotRun = outcome.neverRan();
--- a/src/main/java/bitternpulley/policy/PartState.java
+++ b/src/main/java/bitternpulley/policy/PartState.java
@@ -17,7 +17,7 @@
   private int inFlightCount;
   private double availableAt;
 
-  /** A part of the query's current step. */
+  /** Creates a part of the query's current step. */
   PartState(Router.Part part, QueryState query) {
     this.part = part;
     this.query = query;
@@ -32,12 +32,12 @@
     return part.shard();
   }
 
-  /** Its share of the weight of the complete answer. */
+  /** The part's share of the weight of the complete answer. */
   double weight() {
     return part.weight();
   }
 
-  /** Its work in ms as the query states it, or 0. */
+  /** The work of the part in ms as stated by the query, or 0 if not stated. */
   double estimatedWork() {
     return part.estimatedWork();
   }
@@ -46,7 +46,7 @@
     return query;
   }
 
-  /** Whether its query has not gone on to another step since the part arrived. */
+  /** Whether the query is still at the step to which the part belongs. */
   boolean isOfCurrentStep() {
     return arrivals == query.arrivals();
   }
@@ -72,17 +72,23 @@
     return inFlightCount > 0;
   }
 
-  /** Whether its value has arrived, or its query was answered without it. */
+  /** Whether the part was answered, or its query was answered without it. */
   boolean isSettled() {
     return isSettled;
   }
 
-  /** Earliest time at which an attempt was expected to be answered when it was sent. */
+  /**
+   * The earliest time at which an attempt was expected to be answered, as estimated when it was
+   * sent.
+   */
   double expectedAt() {
     return expectedAt;
   }
 
-  /** From when on a server could take it, as found when none could; else a time passed. */
+  /**
+   * When a server is expected to accept the part, as determined when none could be selected;
+   * otherwise a time in the past.
+   */
   double availableAt() {
     return availableAt;
   }
@@ -106,14 +112,17 @@
     inFlightCount--;
   }
 
-  /** Records its value at this time, which counts in the record even if the query is finished. */
+  /**
+   * Records that the part was answered at this time. The arrival is recorded even if the query is
+   * finished.
+   */
   void recordAnswer(double now) {
     arrivals.add(now, weight());
     isSettled = true;
     query.addAnswered(this);
   }
 
-  /** Records it as expected at this time, since its query is answered without it. */
+  /** Records an assumed arrival time of the part, since its query is answered without it. */
   void recordCensored(double time) {
     isSettled = true;
     arrivals.add(time, weight());
@@ -162,8 +171,8 @@
   }
 
   /**
-   * Until when it avoids a server that ended an attempt without running it; the backoff grows with
-   * the square of the attempts so far.
+   * Until when the part is not sent again to a server that ended an attempt without running it. The
+   * backoff grows with the square of the number of attempts so far.
    *
    * @param unit backoff after one attempt in ms
    */
@@ -178,7 +187,7 @@
     return until;
   }
 
-  /** Whether a server may have begun it. */
+  /** Whether any server may have started to process the part. */
   boolean mayHaveRun() {
     for (AttemptState attempt : attempts) {
       if (attempt.isInFlight() || !attempt.isProvenNotRun()) {
--- a/src/main/java/bitternpulley/policy/ProcessShare.java
+++ b/src/main/java/bitternpulley/policy/ProcessShare.java
@@ -2,9 +2,12 @@
 
 import bitternpulley.routing.Router;
 
-/** This process's share of the instance's limits, which two processes divide at a hot restart. */
+/**
+ * This process's share of the limits of its instance. During a hot restart, the old and the new
+ * process divide the limits between them.
+ */
 final class ProcessShare {
-  /** Share of a process whose successor has taken over. */
+  /** Share of the old process once its successor has taken over. */
   private static final double PREDECESSOR_SHARE = 0.2;
 
   private double value = 1;
@@ -14,7 +17,7 @@
     return value;
   }
 
-  /** Sets the share by the role of the other process. */
+  /** Sets the share by the role of the other process, if there is one. */
   void setOtherProcess(Router.HotRestartRole otherRole) {
     value =
         switch (otherRole) {
--- a/src/main/java/bitternpulley/policy/QueryCompletion.java
+++ b/src/main/java/bitternpulley/policy/QueryCompletion.java
@@ -3,7 +3,7 @@
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
 
-/** Decides whether a query is answered, rejected or failed now, and does so. */
+/** Decides whether a query is answered, rejected or failed now, and carries this out. */
 final class QueryCompletion {
   /** Multiple of the baseline latency after which a rejected client may retry. */
   private static final double RETRY_AFTER_MULTIPLE = 2;
@@ -30,7 +30,7 @@
     this.dispatcher = dispatcher;
   }
 
-  /** Ends a query or its step if it is time; returns whether it did. */
+  /** Ends a query or its current step if due; returns whether it did. */
   boolean completeIfDue(QueryState query, double now, Router.Actions out) {
     if (query.isAwaitingParts() && now < query.answerDeadline()) {
       return false;
@@ -62,7 +62,7 @@
         || query.isSuspectedQueryOfDeath();
   }
 
-  /** Whether the parts that can still arrive are too few for an answer. */
+  /** Whether the parts that can still be answered are too few for an answer to the query. */
   boolean isUnattainable(QueryState query, double now) {
     double needed =
         query.queryClass().allowsPartialAnswer()
@@ -97,7 +97,7 @@
     query.scheduleAlarm(query.answerDeadline(), out);
   }
 
-  /** Rejects a query where a client's retry is known to be harmless, otherwise fails it. */
+  /** Rejects a query if its client can safely retry it, otherwise fails it. */
   void giveUp(QueryState query, Router.Actions out) {
     if (isSafeToRetry(query)) {
       out.reject(query.id(), retryAfter());
@@ -115,7 +115,10 @@
         || query.parts().stream().noneMatch(PartState::mayHaveRun);
   }
 
-  /** Ms after which what is in flight now should have been answered; 0 where not permitted. */
+  /**
+   * The retry delay in ms for a rejected client, by which the parts now in flight should have been
+   * answered; 0 if such a delay is not permitted.
+   */
   double retryAfter() {
     Settings.Limits limits = settings.limits();
     return limits.retryAfterAllowed()
@@ -123,7 +126,7 @@
         : 0;
   }
 
-  /** Ends a query without an answer, or after its last one. */
+  /** Ends a query that gets no further answer, and releases its parts. */
   void end(QueryState query, Router.Actions out) {
     query.finish();
     dispatcher.release(query, out);
--- a/src/main/java/bitternpulley/policy/QueryIntake.java
+++ b/src/main/java/bitternpulley/policy/QueryIntake.java
@@ -6,9 +6,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Derives the deadlines of a query that arrives. */
+/** Creates the state of a query that arrives, with its deadlines. */
 final class QueryIntake {
-  /** Ticks by which an answer leaves ahead of a deadline: to decide and to travel. */
+  /**
+   * Ticks before a deadline at which an answer is sent, to allow for the decision and for the way
+   * to the client.
+   */
   private static final double LEAD_TICKS = 3;
 
   private final Settings settings;
--- a/src/main/java/bitternpulley/policy/QueryPhase.java
+++ b/src/main/java/bitternpulley/policy/QueryPhase.java
@@ -1,11 +1,11 @@
 package bitternpulley.policy;
 
-/** Where a query stands between its arrival and its final answer. */
+/** The phase of a query between its arrival and its final answer. */
 enum QueryPhase {
-  /** Its parts are still to arrive, or it waits to be admitted. */
+  /** The query waits for its parts to arrive or to be admitted. */
   AWAITING_PARTS,
-  /** The parts of its current step are being answered. */
+  /** The parts of the current step are being answered. */
   ADMITTED,
-  /** Its final answer is given, or its client is disconnected. */
+  /** The query was answered, rejected or failed, or its client has disconnected. */
   FINISHED
 }
--- a/src/main/java/bitternpulley/policy/QueryRegistry.java
+++ b/src/main/java/bitternpulley/policy/QueryRegistry.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The queries that are not finished, their parts, and which queries wait to be admitted. */
+/** The unfinished queries, their parts, and which of the queries wait to be admitted. */
 final class QueryRegistry {
   private final Map<Long, QueryState> queriesById = new HashMap<>();
   private final Map<Long, QueryState> queriesByNumber = new HashMap<>();
@@ -35,24 +35,27 @@
     return queriesByNumber.get(number);
   }
 
-  /** The part with this id, or null; those of finished queries are kept while in flight. */
+  /**
+   * The part with this id, or null. Parts of finished queries are kept while an attempt is in
+   * flight.
+   */
   PartState part(long id) {
     return parts.get(id);
   }
 
-  /** Removes a part that has no attempt in flight and serves no query. */
+  /** Removes a part that has no attempt in flight and is no longer needed for a query. */
   void removePart(PartState part) {
     parts.remove(part.id());
   }
 
-  /** Removes a finished query; its parts are removed one at a time. */
+  /** Removes a finished query. Its parts are removed separately, by {@link #removePart}. */
   void remove(QueryState query) {
     pending.remove(query);
     queriesById.remove(query.id());
     queriesByNumber.remove(query.query().number());
   }
 
-  /** All queries that are not finished, in no order. */
+  /** All unfinished queries, in no particular order. */
   Collection<QueryState> queries() {
     return queriesById.values();
   }
--- a/src/main/java/bitternpulley/policy/QueryState.java
+++ b/src/main/java/bitternpulley/policy/QueryState.java
@@ -10,7 +10,7 @@
 
 /** A query from its arrival to its final answer. Times are ms of the caller's clock. */
 final class QueryState {
-  /** Rounding error that sums of weights may have; half of what the rules tolerate. */
+  /** Rounding error allowed in sums of weights; half of the error that the rules tolerate. */
   static final double WEIGHT_TOLERANCE = 5e-5;
 
   private static final double NO_EXTENSION = -1;
@@ -59,22 +59,22 @@
     return query;
   }
 
-  /** Its class, as its terms modify it. */
+  /** The query class, as modified by the terms of the query. */
   Settings.QueryClass queryClass() {
     return queryClass;
   }
 
-  /** Up to when an answer has the full payoff. */
+  /** The latest time at which an answer has the full payoff. */
   double objectiveDeadline() {
     return objectiveDeadline;
   }
 
-  /** When the last answer has to leave. */
+  /** The time by which the final answer has to be sent. */
   double answerDeadline() {
     return answerDeadline;
   }
 
-  /** When an attempt is of no use any more. */
+  /** The time from which an attempt is no longer useful. */
   double attemptDeadline() {
     return queryClass.latePriorityWeight() > 0 ? answerDeadline : objectiveDeadline;
   }
@@ -84,22 +84,22 @@
     return partsView;
   }
 
-  /** The parts of the current step that have not arrived, in their order. */
+  /** The parts of the current step that are not answered yet, in the order of their arrival. */
   Set<PartState> missing() {
     return missingView;
   }
 
-  /** Places that it takes of the limit on queries and missing parts. */
+  /** How much the query takes of the limit on queries and missing parts. */
   int pendingCount() {
     return 1 + missing.size();
   }
 
-  /** Weight of the parts of the current step that have arrived. */
+  /** Weight of the answered parts of the current step. */
   double answeredWeight() {
     return answeredWeight;
   }
 
-  /** Weight of the parts that have arrived or are in flight. */
+  /** Weight of the parts of the current step that are answered or in flight. */
   double attainableWeight() {
     double weight = answeredWeight;
     for (PartState part : missing) {
@@ -113,7 +113,7 @@
     return isFirstStep ? queryClass.completeShare() : 1;
   }
 
-  /** Whether this weight suffices for a partial answer, should the class allow one. */
+  /** Whether this weight suffices for a partial answer, if the class allows one. */
   boolean reachesMinimum(double weight) {
     return weight >= queryClass.minimumShare() - WEIGHT_TOLERANCE;
   }
@@ -123,7 +123,7 @@
     return weight >= requiredWeight() - WEIGHT_TOLERANCE;
   }
 
-  /** Whether what has arrived is a complete answer to the current step. */
+  /** Whether the answered parts make a complete answer to the current step. */
   boolean isStepComplete() {
     return missing.isEmpty() || (isFirstStep && reachesComplete(answeredWeight));
   }
@@ -145,7 +145,10 @@
     return isFirstStep && queryClass.secondStepParts() > 0;
   }
 
-  /** Whether an answer from every part of the current step is complete as a whole. */
+  /**
+   * Whether the first step was answered completely; true until it ends. Only then can an answer to
+   * the second step be complete.
+   */
   boolean isFirstStepComplete() {
     return isFirstStepComplete;
   }
@@ -154,7 +157,7 @@
     return stepStartedAt;
   }
 
-  /** Up to when an answer to the current step has the full payoff. */
+  /** The latest time at which an answer to the current step has the full payoff. */
   double stepObjective() {
     return stepObjective;
   }
@@ -168,27 +171,30 @@
     return extendedUntil >= 0;
   }
 
-  /** The end of the extension of the current step, negative where there is none. */
+  /** The end of the extended wait of the current step; negative if the wait is not extended. */
   double extendedUntil() {
     return extendedUntil;
   }
 
-  /** The arrivals of the current step. */
+  /** The arrivals of the answers to the parts of the current step. */
   StepArrivals arrivals() {
     return arrivals;
   }
 
-  /** Whether a connection that carried one of its parts was reset. */
+  /** Whether a connection that carried a part of the query was reset. */
   boolean hasConnectionReset() {
     return hasConnectionReset;
   }
 
-  /** Whether it probably crashes the servers that begin it. */
+  /** Whether the query probably crashes the servers that process it. */
   boolean isSuspectedQueryOfDeath() {
     return isSuspectedQueryOfDeath;
   }
 
-  /** Records a reset; one of a retry, with no part arrived, makes the query the likely cause. */
+  /**
+   * Records a connection reset. If a retry is reset and no part has been answered, the query is the
+   * likely cause.
+   */
   void recordConnectionReset(AttemptState attempt) {
     isSuspectedQueryOfDeath |= attempt.number() > 0 && answeredWeight == 0;
     hasConnectionReset = true;
@@ -200,7 +206,10 @@
     missing.add(part);
   }
 
-  /** Counts a part that has arrived; called by the part, which may be of an earlier step. */
+  /**
+   * Adds the weight of an answered part. Called by the part; a part of an earlier step adds
+   * nothing.
+   */
   void addAnswered(PartState part) {
     answeredWeight += missing.remove(part) ? part.weight() : 0;
   }
@@ -210,14 +219,14 @@
     phase = QueryPhase.ADMITTED;
   }
 
-  /** Begins to wait for the parts of the current step. */
+  /** Starts to wait for the answers to the parts of the current step. */
   void startStep(double now, double objective) {
     stepStartedAt = now;
     arrivals.start(now);
     stepObjective = objective;
   }
 
-  /** Sets the end of the base wait. */
+  /** Sets the end of the base wait T* of the current step, which is not extended at first. */
   void setBaseWaitEnd(double time) {
     baseWaitEnd = time;
     extendedUntil = NO_EXTENSION;
@@ -228,7 +237,7 @@
     extendedUntil = time;
   }
 
-  /** Ends the first step and waits for the parts of the second. */
+  /** Ends the first step and waits for the parts of the second one. */
   void startSecondStep(boolean firstStepComplete) {
     parts.clear();
     missing.clear();
@@ -244,7 +253,7 @@
     phase = QueryPhase.FINISHED;
   }
 
-  /** From when on all its missing parts are to be reviewed. */
+  /** Whether all missing parts are due for a review. */
   boolean isReviewDue(double now) {
     return now >= nextReviewAt;
   }
@@ -253,13 +262,13 @@
     nextReviewAt = time;
   }
 
-  /** Requests a review of all missing parts with the next batch. */
+  /** Makes all missing parts due for a review. */
   QueryState requestReview() {
     nextReviewAt = Double.NEGATIVE_INFINITY;
     return this;
   }
 
-  /** Whether its admission is to be decided again even without capacity. */
+  /** Whether the admission of the query is to be decided again even without capacity. */
   boolean isAdmissionDue(double now) {
     return now >= nextAdmissionAt;
   }
@@ -276,7 +285,7 @@
     }
   }
 
-  /** Forgets an alarm that has rung, so that it can be set again. */
+  /** Clears an alarm that was due by {@code latest}, so that another one can be scheduled. */
   void clearAlarm(double latest) {
     if (alarmAt <= latest) {
       alarmAt = Double.POSITIVE_INFINITY;
--- a/src/main/java/bitternpulley/policy/StepArrivals.java
+++ b/src/main/java/bitternpulley/policy/StepArrivals.java
@@ -4,9 +4,15 @@
 import java.util.Collections;
 import java.util.List;
 
-/** The arrivals of one step in their order; parts that never arrived are absent. */
+/**
+ * The answers to the parts of one step in the order of their arrival, without the parts that were
+ * never answered.
+ */
 final class StepArrivals {
-  /** One arrival: ms since the start of the step, and the weight of the part. */
+  /**
+   * The answer to one part: its arrival in ms since the start of the step, and the weight of the
+   * part.
+   */
   record Arrival(double elapsed, double weight) {}
 
   private final List<Arrival> arrivals = new ArrayList<>();
