--- a/src/main/java/bitternpulley/policy/EndpointWatch.java
+++ b/src/main/java/bitternpulley/policy/EndpointWatch.java
@@ -4,7 +4,10 @@
 import bitternpulley.routing.Settings;
 import java.util.Random;
 
-/** Watches the endpoint list where it is sent on request only, with a backoff after failures. */
+/**
+ * Requests the endpoint list from discovery where it is sent on request only. A failed request is
+ * repeated with exponential backoff.
+ */
 final class EndpointWatch {
   private static final double INITIAL_BACKOFF_MS = 500;
   private static final double MAX_BACKOFF_MS = 4000;
@@ -32,7 +35,7 @@
     }
   }
 
-  /** Records a list that discovery has sent. */
+  /** Resets the backoff after a list from discovery. */
   void recordSuccess() {
     backoffMs = INITIAL_BACKOFF_MS;
   }
--- a/src/main/java/bitternpulley/policy/InFlightLimiter.java
+++ b/src/main/java/bitternpulley/policy/InFlightLimiter.java
@@ -4,8 +4,8 @@
 import bitternpulley.health.ProcessPauses;
 
 /**
- * Limits the parts that this instance has in flight at all servers together. Attempts that are late
- * do not count: an unresponsive server tells nothing of the load of the others.
+ * Limits the number of parts that this instance has in flight at all servers together. Late
+ * attempts do not count, since an unresponsive server says nothing about the load of the others.
  */
 final class InFlightLimiter {
   private final LatencyTracker latencies;
@@ -39,7 +39,10 @@
     inFlight++;
   }
 
-  /** Marks an attempt in flight as late if it is, which counts against its zone at once. */
+  /**
+   * Marks an attempt in flight as late if it is, and records this for its zone without waiting for
+   * the end of the attempt.
+   */
   void markIfLate(AttemptState attempt, double now) {
     double sentAt = attempt.sentAt();
     if (!attempt.isLate() && now >= sentAt + latencies.lateAfter() + pauses.pausedSince(sentAt)) {
@@ -53,15 +56,16 @@
     inFlight -= attempt.isLate() ? 0 : 1;
   }
 
-  /** Whether an attempt that took {@code elapsed} ms is timely for its class. */
+  /** Whether an attempt that took {@code elapsed} ms was fast enough for its query class. */
   boolean isTimely(AttemptState attempt, double elapsed) {
     double latencyObjective = attempt.query().queryClass().latencyObjective();
     return elapsed <= limit.timelyLatency(latencyObjective, latencies.workOf(attempt.part()));
   }
 
   /**
-   * Adjusts the limit to an attempt that took {@code elapsed} ms. Lateness caused by a slow outlier
-   * or by a stall does not count, since fewer parts in flight would not help.
+   * Adjusts the limit after an attempt that took {@code elapsed} ms. A delay caused by a slow
+   * outlier, a stall or a pause of this process does not count, since fewer parts in flight would
+   * not have prevented it.
    */
   void adjust(AttemptState attempt, double elapsed) {
     if (isTimely(attempt, elapsed)) {
--- a/src/main/java/bitternpulley/policy/LatencyTracker.java
+++ b/src/main/java/bitternpulley/policy/LatencyTracker.java
@@ -8,9 +8,9 @@
 import java.util.List;
 
 /**
- * The latencies of servers and zones, the baseline latency derived from them, and the work of a
- * part. The times after which something is late are multiples of the baseline, so they adapt to the
- * work of a deployment.
+ * Tracks the latencies of servers and zones, the baseline latency derived from them, and the work
+ * of a part. Delays after which something counts as late are multiples of the baseline latency, so
+ * they adapt to the work of a deployment.
  */
 final class LatencyTracker {
   /** Baseline latency before the first answer, as a share of the shortest latency objective. */
@@ -19,10 +19,13 @@
   /** Multiple of the baseline latency after which an attempt is late. */
   private static final double LATE_MULTIPLE = 4;
 
-  /** Multiple of the baseline latency after which a full queue has moved on. */
+  /** Multiple of the baseline latency after which a full queue is expected to have room again. */
   private static final double QUEUE_FULL_MULTIPLE = 2;
 
-  /** Ms without an answer in which the deviation of a server's latency from its zone's halves. */
+  /**
+   * Half-life in ms, without answers, of the difference between the latency of a server and the
+   * latency of its zone.
+   */
   private static final double DEVIATION_HALF_LIFE_MS = 4000;
 
   private final ProcessPauses pauses;
@@ -42,7 +45,7 @@
     baseline = initialLatency;
   }
 
-  /** The latency of the fastest zone in ms, which no slow server or zone can raise. */
+  /** The latency of the fastest zone in ms, which slow servers or zones cannot raise. */
   double baseline() {
     return baseline;
   }
@@ -57,7 +60,7 @@
     return QUEUE_FULL_MULTIPLE * baseline;
   }
 
-  /** The network path to the servers of a zone. */
+  /** The statistics of the network path to the servers of a zone. */
   ZoneLatency zone(int zone) {
     while (zones.size() <= zone) {
       zones.add(new ZoneLatency(initialLatency));
@@ -65,7 +68,7 @@
     return zones.get(zone);
   }
 
-  /** Records how long a server took in ms, answered or not. */
+  /** Records how long an attempt at a server took in ms, whether it was answered or not. */
   void recordLatency(TrackedServer server, double latency) {
     ZoneLatency zone = zone(server.zone());
     server.latency().record(latency, zone.latency());
@@ -82,7 +85,7 @@
     baseline = least;
   }
 
-  /** Records an answer as an observation of the work of parts. */
+  /** Updates the estimated work of parts from the latency of an answer. */
   void recordWork(AttemptState attempt, double latency) {
     if (attempt.isSoleRequest()) {
       workEstimate.recordSoleRequestAnswer(latency);
@@ -91,14 +94,15 @@
     }
   }
 
-  /** The work of a part in ms: as stated, otherwise as estimated from answers. */
+  /** The work of a part in ms, as stated by the query or else as estimated from answers. */
   double workOf(PartState part) {
     return part.estimatedWork() > 0 ? part.estimatedWork() : workEstimate.estimate(baseline);
   }
 
   /**
-   * The latency of a server in ms: its smoothed one, which approaches that of its zone while it is
-   * idle, but at least the time for which its oldest attempt has waited without any answer.
+   * The latency of a server in ms: its smoothed latency, which approaches that of its zone while
+   * the server is idle, but at least the time for which its oldest attempt has waited without any
+   * answer from the server.
    */
   double latencyOf(TrackedServer server, double now) {
     double latency = zone(server.zone()).latency() / server.slowStart().warmupFraction(now);
@@ -107,13 +111,13 @@
       double idle = server.isIdle() ? now - Math.max(server.lastAnswerAt(), 0) : 0;
       latency += (smoothed - latency) * Math.pow(0.5, idle / DEVIATION_HALF_LIFE_MS);
     }
-    // A single unanswered part does not make a server slow that answers all others.
+    // A server that answers all other parts is not slow because of a single unanswered one.
     double waited = server.oldestAge(now) - pauses.pausedSince(now - server.oldestAge(now));
     double unanswered = Math.min(waited, now - server.lastAnswerAt());
     return Math.max(latency, unanswered);
   }
 
-  /** The expected time in ms until a server succeeds, which includes repeated attempts. */
+  /** The expected time in ms until a server answers successfully, including repeated attempts. */
   double expectedLatencyOf(TrackedServer server, double now) {
     double successRate = server.failures().successRate();
     return latencyOf(server, now) / (successRate * successRate);
--- a/src/main/java/bitternpulley/policy/OutcomeRecorder.java
+++ b/src/main/java/bitternpulley/policy/OutcomeRecorder.java
@@ -4,9 +4,9 @@
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
 
-/** Updates what is known of servers, zones and load by the outcome of each attempt. */
+/** Updates the state of servers, zones and limits by the outcome of each attempt. */
 final class OutcomeRecorder {
-  /** Ticks that a part's work must last for the gap between two answers to be measurable. */
+  /** Least work of a part, in ticks, for which the gap between two answers is measurable. */
   private static final double MEASURABLE_WORK_TICKS = 4;
 
   private final Settings settings;
@@ -47,12 +47,15 @@
         outliers.recordConnectionReset(attempt, now);
       }
       case NOT_SENT -> {
-        // The attempt never left this instance, so it tells nothing of its server.
+        // The attempt never left this instance, so it says nothing about the server.
       }
     }
   }
 
-  /** A dead process refuses at once; what takes longer is the network or the handshake. */
+  /**
+   * Distinguishes a connect timeout from a refused connection: a dead process refuses at once, a
+   * longer delay comes from the network or the handshake.
+   */
   private boolean isConnectTimeout(Router.Outcome outcome, double elapsed) {
     return outcome == Router.Outcome.UNREACHABLE
         && elapsed > settings.limits().connectTimeout() / 2;
@@ -86,13 +89,17 @@
       latencies.zone(server.zone()).recordInTime();
     }
     if (server.failures().refusesConnections()) {
-      // A server that refused connections has restarted, whatever the endpoint list says.
+      // A server that refused connections and now answers has restarted, even if the endpoint list
+      // does not say so.
       server.slowStart().recordStart(now);
     }
     server.recordAnswer(now);
   }
 
-  /** Two answers of a warm server to parts in flight together tell of its cores. */
+  /**
+   * Estimates the cores of a server from the time between two answers to parts that were in flight
+   * together. The server must be warm and not a slow outlier.
+   */
   private void recordAnswerGap(AttemptState attempt, double now) {
     TrackedServer server = attempt.server();
     double work = latencies.workOf(attempt.part());
@@ -115,8 +122,9 @@
   }
 
   /**
-   * A full server is healthy, but sending more would only keep its queue full of parts that are
-   * cancelled before their turn. A longer pause would leave it idle.
+   * Pauses sending to a server whose queue was full. The server is healthy, but further parts would
+   * only keep its queue full and be cancelled before they run. A longer pause would leave the
+   * server idle.
    */
   private void recordRejection(TrackedServer server, double now) {
     server.markQueueFull(now + latencies.queueFullPause());
--- a/src/main/java/bitternpulley/policy/OutlierDetector.java
+++ b/src/main/java/bitternpulley/policy/OutlierDetector.java
@@ -5,14 +5,17 @@
 
 /**
  * Decides which servers are outliers: those that refuse connections, fail several times in a row or
- * do not respond. An outlier is ejected: it is chosen only where nothing else is left, apart from
- * trial requests at growing intervals.
+ * do not respond. An outlier is ejected: apart from trial requests at growing intervals, it
+ * receives parts only if no other server can take them.
  */
 final class OutlierDetector {
-  /** Multiple of a latency after which a server that answers nothing is unresponsive. */
+  /** Multiple of the latency after which a server that answers nothing is unresponsive. */
   private static final double UNRESPONSIVE_MULTIPLE = 4;
 
-  /** Multiple of the baseline latency that a server's own counts as in that, at most. */
+  /**
+   * Upper bound of the server latency that {@link #unresponsiveAfter} uses, as a multiple of the
+   * baseline latency.
+   */
   private static final double MAX_LATENCY_MULTIPLE = 1.5;
 
   /** Ms within which resets of several connections count as one failure. */
@@ -33,17 +36,17 @@
     return server.failures().indicateOutlier() || isUnresponsive(server, now);
   }
 
-  /** Whether it is an outlier that may receive a trial request. */
+  /** Whether the server is an outlier that may receive a trial request now. */
   boolean isTrialDue(TrackedServer server, double now) {
     return isOutlier(server, now) && now >= server.failures().ejectedUntil();
   }
 
-  /** Whether it is an outlier that may not receive a trial request yet. */
+  /** Whether the server is an outlier that may not receive a trial request yet. */
   boolean isEjected(TrackedServer server, double now) {
     return isOutlier(server, now) && now < server.failures().ejectedUntil();
   }
 
-  /** Whether it refuses connections and its next trial request is not due. */
+  /** Whether the server refuses connections and its next trial request is not due yet. */
   boolean isUnreachable(TrackedServer server, double now) {
     return server.failures().refusesConnections() && now < server.failures().ejectedUntil();
   }
@@ -55,14 +58,14 @@
         && !stall.isStalled(now, latencies.baseline(), fleet.servers());
   }
 
-  /** Ms since then in which this process ran and could have read an answer. */
+  /** Ms since {@code since} in which this process ran and could have read an answer. */
   private double runningTime(double since, double now) {
     return now - since - pauses.pausedSince(since);
   }
 
   /**
-   * Ms without an answer after which a server is unresponsive. Its own latency counts up to a bound
-   * only, since attempts that it does not answer raise that latency.
+   * Ms without an answer after which a server is unresponsive. The server's own latency counts only
+   * up to a bound, since unanswered attempts raise it.
    */
   double unresponsiveAfter(TrackedServer server) {
     double baseline = latencies.baseline();
@@ -72,8 +75,8 @@
   }
 
   /**
-   * Whether neither a stall nor a pause of this process has ended since an attempt was sent, which
-   * would explain its latency.
+   * Whether no stall of the servers and no pause of this process has ended since an attempt was
+   * sent. Either of them would explain a long latency.
    */
   boolean isUnaffectedByStall(AttemptState attempt) {
     return stall.stallAdjustedTime(attempt.sentAt()) <= attempt.sentAt()
@@ -81,18 +84,22 @@
   }
 
   /**
-   * Whether this process ran all the time since an attempt was sent, so that its latency counts.
+   * Whether this process ran without a pause since an attempt was sent, so that the measured
+   * latency is valid.
    */
   boolean processRanDuring(AttemptState attempt) {
     return pauses.ranSince(attempt.sentAt());
   }
 
-  /** Records the arrival of an answer, before the server's state takes account of it. */
+  /** Records the arrival of an answer. Must be called before the state of the server is updated. */
   void recordAnswer(double now) {
     stall.recordAnswer(now, latencies.baseline(), fleet.servers());
   }
 
-  /** Records a failure; it tells nothing of speed, so fast errors make no server look fast. */
+  /**
+   * Records a failure. Its latency is not recorded, so that fast errors do not make a server look
+   * fast.
+   */
   void recordFailure(TrackedServer server, double now) {
     server.failures().recordFailure();
     if (isOutlier(server, now)) {
@@ -113,8 +120,9 @@
   }
 
   /**
-   * Records a connection that was reset. The resets of several attempts on one connection count
-   * once, and not against a server that answers over other connections.
+   * Records a connection that was reset. The resets of several attempts on one connection count as
+   * one failure. A reset does not count against a server that has answered since over another
+   * connection.
    */
   void recordConnectionReset(AttemptState attempt, double now) {
     TrackedServer server = attempt.server();
--- a/src/main/java/bitternpulley/policy/ServerFailures.java
+++ b/src/main/java/bitternpulley/policy/ServerFailures.java
@@ -1,20 +1,23 @@
 package bitternpulley.policy;
 
-/** The recent failures of one server and its ejection; {@link OutlierDetector} decides on them. */
+/**
+ * The recent failures of one server and its ejection. {@link OutlierDetector} makes the decisions
+ * based on them.
+ */
 final class ServerFailures {
   /** Weight of one outcome in the failure rate. */
   private static final double SMOOTHING = 0.15;
 
-  /** Largest failure rate that counts. */
+  /** Upper bound of the failure rate that is taken into account. */
   private static final double MAX_RATE = 0.8;
 
   /** Consecutive failures that make a server an outlier; a single one may be chance. */
   private static final int OUTLIER_FAILURES = 2;
 
-  /** Baseline latencies until the first trial request, doubled with each further one. */
+  /** Time until the first trial request in baseline latencies; doubled after each trial request. */
   private static final double INITIAL_TRIAL_INTERVAL = 4;
 
-  /** Baseline latencies between two trial requests, at most. */
+  /** Longest time between two trial requests in baseline latencies. */
   private static final double MAX_TRIAL_INTERVAL = 16;
 
   private double failureRate;
@@ -33,17 +36,17 @@
     return refusesConnections;
   }
 
-  /** Whether it refuses connections or has failed several times in a row. */
+  /** Whether the server refuses connections or has failed several times in a row. */
   boolean indicateOutlier() {
     return refusesConnections || consecutiveFailures >= OUTLIER_FAILURES;
   }
 
-  /** From when on an outlier may receive a trial request. */
+  /** The time from which an outlier may receive a trial request. */
   double ejectedUntil() {
     return ejectedUntil;
   }
 
-  /** When a connection to it was last reset, or negative infinity. */
+  /** When a connection to the server was last reset, or negative infinity. */
   double connectionResetAt() {
     return connectionResetAt;
   }
@@ -60,7 +63,7 @@
     consecutiveFailures++;
   }
 
-  /** Makes the next failure one too many. */
+  /** Raises the number of failures so that the next one makes the server an outlier. */
   void markOneFailureFromOutlier() {
     consecutiveFailures = Math.max(consecutiveFailures, OUTLIER_FAILURES - 1);
   }
@@ -84,7 +87,7 @@
     trialInterval = Math.min(2 * trialInterval, MAX_TRIAL_INTERVAL);
   }
 
-  /** Forgets the failures of a previous process; an ejection stays. */
+  /** Clears the failures of a previous server process. An ejection stays in force. */
   void reset() {
     failureRate = 0;
     consecutiveFailures = 0;
--- a/src/main/java/bitternpulley/policy/ServerFleet.java
+++ b/src/main/java/bitternpulley/policy/ServerFleet.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** The servers known, by id and by the shards they hold. */
+/** The known servers, by id and by cell. */
 final class ServerFleet {
   private final Settings settings;
   private final Settings.Layout layout;
@@ -39,12 +39,12 @@
     return serversView;
   }
 
-  /** The estimate of a server's cores, which all servers share. */
+  /** The estimated number of cores of a server, which is the same for all servers. */
   CoreEstimate cores() {
     return cores;
   }
 
-  /** Sets this instance's quota of what all instances may send together. */
+  /** Sets this instance's quota of the work that all instances together may send. */
   void useQuota(Router.QuotaShare newQuota) {
     quota = newQuota;
   }
@@ -69,7 +69,7 @@
     return server;
   }
 
-  /** Marks every server as gone that a complete endpoint list does not name. */
+  /** Marks every server as gone that is absent from a complete endpoint list. */
   void markGoneExcept(Set<String> listedIds) {
     for (TrackedServer server : serversById.values()) {
       if (!listedIds.contains(server.id())) {
@@ -78,14 +78,14 @@
     }
   }
 
-  /** Drops the servers that are gone and have nothing in flight. */
+  /** Removes the servers that are gone and have no attempt in flight. */
   void prune() {
     for (List<TrackedServer> cell : serversByCell) {
       cell.removeIf(server -> server.isRemovable() && serversById.remove(server.id()) != null);
     }
   }
 
-  /** The servers that hold a shard, in the order of their cells. */
+  /** The servers that hold a replica of a shard, in the order of their cells. */
   List<TrackedServer> serversForShard(int shard) {
     List<TrackedServer> servers = new ArrayList<>();
     for (int replica = 0; replica < layout.replicas(); replica++) {
--- a/src/main/java/bitternpulley/policy/ServerLatency.java
+++ b/src/main/java/bitternpulley/policy/ServerLatency.java
@@ -2,16 +2,16 @@
 
 /** The smoothed latency of one server, and whether it is slow compared with the fleet. */
 final class ServerLatency {
-  /** Weight of a new latency: the smoothed one reflects about the last five answers. */
+  /** Weight of a new latency; the smoothed latency reflects about the last five answers. */
   private static final double SMOOTHING = 0.2;
 
   /** Multiple of the baseline latency above which a server is a slow outlier. */
   private static final double SLOW_MULTIPLE = 3;
 
-  /** Multiple of the baseline latency above which a slow outlier stays one. */
+  /** Multiple of the baseline latency above which a slow outlier remains one. */
   private static final double STILL_SLOW_MULTIPLE = 1.5;
 
-  /** In ms; 0 until the first one is recorded. */
+  /** Smoothed latency in ms; 0 until a latency is recorded. */
   private double smoothed;
 
   private boolean isSlowOutlier;
@@ -25,12 +25,14 @@
     return isSlowOutlier;
   }
 
-  /** Whether its latency is not so far above the baseline that it must be the server's own. */
+  /**
+   * Whether the latency is not so far above the baseline that this server alone must be the cause.
+   */
   boolean isComparableTo(double baselineLatency) {
     return smoothed <= SLOW_MULTIPLE * baselineLatency;
   }
 
-  /** Records a latency in ms; the first one is smoothed with an assumed one. */
+  /** Records a latency in ms. The first one is smoothed with an assumed latency. */
   void record(double latency, double assumedLatency) {
     if (smoothed == 0) {
       smoothed = assumedLatency;
@@ -44,7 +46,7 @@
     isSlowOutlier = smoothed > multiple * baselineLatency;
   }
 
-  /** Forgets all latencies. */
+  /** Clears all recorded latencies. */
   void reset() {
     smoothed = 0;
     isSlowOutlier = false;
--- a/src/main/java/bitternpulley/policy/TrackedServer.java
+++ b/src/main/java/bitternpulley/policy/TrackedServer.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** A server as this instance knows it: its state, its health and what is in flight there. */
+/** A server as this instance knows it: its state, its health and its attempts in flight. */
 final class TrackedServer implements StallDetector.Awaited {
   private final String id;
   private final int zone;
@@ -42,7 +42,7 @@
     return zone;
   }
 
-  /** Decides between servers of equal cost: the least one is chosen. */
+  /** Decides between servers of equal cost: the server with the lowest value is chosen. */
   double tieBreaker() {
     return tieBreaker;
   }
@@ -67,7 +67,7 @@
     return state == Router.ServerState.LIVE;
   }
 
-  /** Whether it is gone and nothing is in flight there. */
+  /** Whether the server is gone and has no attempt in flight. */
   boolean isRemovable() {
     return state == Router.ServerState.GONE && inFlight.isEmpty();
   }
@@ -89,12 +89,12 @@
     concurrencyLimit.reset();
   }
 
-  /** Applies its absence from a complete endpoint list. */
+  /** Marks the server as gone, since it is absent from a complete endpoint list. */
   void markGone() {
     state = Router.ServerState.GONE;
   }
 
-  /** Whether it needs its first request after an operator readmitted it. */
+  /** Whether the server still needs its first request after an operator readmitted it. */
   boolean needsTrialRequest() {
     return needsTrialRequest;
   }
@@ -103,7 +103,7 @@
     needsTrialRequest = true;
   }
 
-  /** Until when its queue counts as full. */
+  /** The time until which the queue of the server counts as full. */
   double queueFullUntil() {
     return queueFullUntil;
   }
@@ -112,12 +112,12 @@
     queueFullUntil = until;
   }
 
-  /** When its last answer arrived, or negative infinity. */
+  /** When the last answer from the server arrived, or negative infinity. */
   double lastAnswerAt() {
     return lastAnswerAt;
   }
 
-  /** Records an answer, after which it counts as reachable. */
+  /** Records an answer, after which the server counts as reachable. */
   void recordAnswer(double now) {
     failures.recordSuccess();
     lastAnswerAt = now;
@@ -136,7 +136,7 @@
     return inFlight.isEmpty();
   }
 
-  /** Adds an attempt, which joins the call that is forming or starts a new one. */
+  /** Adds an attempt. It joins the call that is being assembled, or starts a new one. */
   void addInFlight(AttemptState attempt) {
     needsTrialRequest = false;
     inFlight.add(attempt);
@@ -148,7 +148,7 @@
     inFlight.remove(attempt);
   }
 
-  /** Whether a call to it that is forming at this very time accepts another part. */
+  /** Whether a call to the server is being assembled right now and accepts another part. */
   boolean acceptsPartInCall(double now, int maxPartsPerCall) {
     return callStartedAt == now && partsInCall % maxPartsPerCall != 0;
   }
