--- a/src/main/java/bitternpulley/policy/AttemptDispatcher.java
+++ b/src/main/java/bitternpulley/policy/AttemptDispatcher.java
@@ -3,7 +3,7 @@
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
 
-/** Sends and cancels the attempts of parts, as the policies of replicas and retries decide. */
+/** Sends and cancels attempts as the replica selector and the retry and hedging policies decide. */
 final class AttemptDispatcher {
   /** Ms without an answer after which an idle connection may have died silently. */
   private static final double MAX_IDLE_MS = 700;
@@ -39,7 +39,7 @@
     this.hedging = hedging;
   }
 
-  /** Does for each missing part of an admitted query what is due. */
+  /** Sends, hedges or cancels attempts of the missing parts of an admitted query, as far as due. */
   void dispatch(QueryState query, double now, Router.Actions out) {
     for (PartState part : query.missing()) {
       if (part.hasAttemptInFlight()) {
@@ -109,8 +109,9 @@
   }
 
   /**
-   * Whether a part goes over a new connection: an idle one may have died silently and would lose
-   * the part. Existing ones are kept where new ones fail or handshakes are charged for.
+   * Whether to send a part over a new connection, since an idle one may have died silently and
+   * would lose the part. Idle connections are kept if new ones to the zone tend to fail or if
+   * handshakes are charged for.
    */
   private boolean needsNewConnection(TrackedServer server, double now) {
     return server.isIdle()
@@ -125,7 +126,10 @@
         && !server.latency().isSlowOutlier();
   }
 
-  /** Cancels all attempts of the current step of a query and forgets its parts. */
+  /**
+   * Cancels all attempts of the current step of a query and removes its parts that have none in
+   * flight from the registry.
+   */
   void release(QueryState query, Router.Actions out) {
     for (PartState part : query.parts()) {
       cancelAll(part, out);
--- a/src/main/java/bitternpulley/policy/HedgingPolicy.java
+++ b/src/main/java/bitternpulley/policy/HedgingPolicy.java
@@ -3,8 +3,8 @@
 import bitternpulley.routing.Settings;
 
 /**
- * Decides when a part whose attempt is late is sent to a second server, or, where hedging is not
- * allowed, when its attempt is cancelled so that it can be sent elsewhere.
+ * Decides when a part whose attempt is late is sent to a second server or, if hedging is not
+ * allowed, when its attempt is cancelled so that the part can be sent to another server.
  */
 final class HedgingPolicy {
   /** Multiple of the baseline latency after which an attempt at an outlier is late. */
@@ -16,10 +16,16 @@
    */
   private static final double CANCEL_MULTIPLE = 16;
 
-  /** Multiple of the baseline latency before the end of the wait at which a hedge is sent. */
+  /**
+   * A hedged request is due at the latest this multiple of the baseline latency before the base
+   * wait ends, but not before the attempt is late.
+   */
   private static final double LEAD_MULTIPLE = 3;
 
-  /** Weight that must have arrived before merely late parts are hedged: else all are late. */
+  /**
+   * Weight that must have been answered before a part is hedged only because it is late. With less,
+   * all parts are late, not just this one.
+   */
   private static final double STRAGGLER_WEIGHT = 0.6;
 
   private final Settings settings;
@@ -44,11 +50,14 @@
     this.budget = budget;
   }
 
-  /** When a part with an attempt in flight should have another. */
+  /**
+   * When a part with an attempt in flight is due for a hedged request or, if hedging is not
+   * allowed, for cancellation.
+   */
   double hedgeDueAt(PartState part, double now) {
     AttemptState attempt = part.lastInFlight();
     if (outliers.isOutlier(attempt.server(), now) || attempt.isOvertaken()) {
-      // An outlier's own latency is stretched by its failures, so the baseline is used.
+      // Failures distort the latency of an outlier, so the baseline is used.
       return attempt.sentAt() + LATE_MULTIPLE_OUTLIER * latencies.baseline();
     }
     QueryState query = part.query();
@@ -57,7 +66,7 @@
     if (!settings.rules().retriesBudgeted()) {
       return Math.max(lateAt, beforeWaitEnds);
     }
-    // After its window the query itself no longer adds to the retry budget.
+    // After the budget window, this query itself no longer adds to the retry budget.
     double whileBudgeted =
         query.stepStartedAt()
             + settings.rules().retryBudgetWindow()
@@ -65,7 +74,7 @@
     return Math.max(lateAt, Math.min(beforeWaitEnds, whileBudgeted));
   }
 
-  /** The server for a hedged request of a part whose hedge is due, or null. */
+  /** The server for a hedged request of a part that is due for one, or null if none may be sent. */
   TrackedServer selectServerForHedge(PartState part, double now) {
     TrackedServer server = selector.selectAlternative(part, now);
     if (server == null || !isStraggler(part, now) || outliers.isEjected(server, now)) {
@@ -79,7 +88,10 @@
         || part.query().answeredWeight() >= STRAGGLER_WEIGHT;
   }
 
-  /** Whether the attempts of a part are cancelled instead, where hedging is not allowed. */
+  /**
+   * Whether to cancel the attempts of a part that is due for a hedged request, if hedging is not
+   * allowed.
+   */
   boolean shouldCancel(PartState part, double now) {
     if (part.query().queryClass().idempotency() == Settings.Idempotency.NON_IDEMPOTENT
         || !budget.allowsHedge(now)) {
--- a/src/main/java/bitternpulley/policy/ReplicaSelector.java
+++ b/src/main/java/bitternpulley/policy/ReplicaSelector.java
@@ -4,14 +4,15 @@
 import bitternpulley.routing.Settings;
 
 /**
- * Chooses the server of a part: the holder with the least expected latency times its parts in
- * flight plus one. Outliers and servers that the part was sent to before come last.
+ * Chooses the server for a part: of the servers that hold its shard, the one with the least
+ * expected latency times its number of parts in flight plus one. Outliers and servers to which the
+ * part was sent before are the last resort.
  */
 final class ReplicaSelector {
   /** Cost factor per unit of the configured cost of crossing zones. */
   private static final double CROSS_ZONE_FACTOR = 5;
 
-  /** What the selected server is for. */
+  /** The purpose for which a server is selected. */
   private enum Purpose {
     /** The part has no attempt in flight. */
     ATTEMPT,
@@ -48,7 +49,10 @@
     return select(part, Purpose.ATTEMPT, now);
   }
 
-  /** The server that could take a part whose attempt is late, or null. It is no trial request. */
+  /**
+   * The server for a part whose attempt is late, or null if none can take it. Servers due for a
+   * trial request are not preferred.
+   */
   TrackedServer selectAlternative(PartState part, double now) {
     return select(part, Purpose.ALTERNATIVE, now);
   }
@@ -61,8 +65,8 @@
       if (!canTake(part, server, purpose, now)) {
         continue;
       }
-      // A trial costs nothing: a server that is warming up or has failed looks slow, and would
-      // otherwise never be chosen again.
+      // A trial request has no cost: a server that is warming up or has failed looks slow, and
+      // would otherwise never be chosen again.
       boolean isTrial = purpose == Purpose.ATTEMPT && isTrialDue(server, now);
       Rank rank = rank(part, server, isTrial, now);
       double cost = isTrial ? 0 : cost(part, server, now);
@@ -93,7 +97,7 @@
             .allows(latencies.workOf(part), priority(part.query(), now), processShare.value(), now);
   }
 
-  /** Whether a slow outlier has capacity for a part; other servers always do. */
+  /** Whether a server has capacity for a part; only slow outliers are limited. */
   private boolean hasCapacity(PartState part, TrackedServer server, double now) {
     return !server.latency().isSlowOutlier()
         || server
@@ -121,7 +125,10 @@
         / (inTimeShare * inTimeShare);
   }
 
-  /** The cost of a new call in parts; a call that is forming accepts parts at no further cost. */
+  /**
+   * The cost of a new call, expressed in parts. Adding a part to a call that is still being
+   * assembled costs nothing.
+   */
   private double callCost(PartState part, TrackedServer server, double now) {
     Settings.Layout layout = settings.layout();
     return server.acceptsPartInCall(now, layout.maxPartsPerCall())
@@ -135,10 +142,10 @@
   }
 
   /**
-   * When a holder can take a part that none can take now, as far as its state tells: at a trial
-   * request, once its queue has moved on, or as its slow-start budget allows.
+   * Estimates when a server can take a part that no server can take now: at its next trial request,
+   * once its queue has room again, or when its slow-start budget allows.
    *
-   * @return infinity where none can by {@code until}
+   * @return infinity if no server can take the part by {@code until}
    */
   double nextAvailableAt(PartState part, double until, double now) {
     double earliest = Double.POSITIVE_INFINITY;
@@ -160,7 +167,9 @@
     return earliest;
   }
 
-  /** When a server is reachable and has capacity for a part, whatever its slow-start budget. */
+  /**
+   * When a server is reachable and has capacity for a part, regardless of its slow-start budget.
+   */
   private double capacityAt(PartState part, TrackedServer server, double now) {
     double backoffUntil = part.backoffUntil(server, latencies.queueFullPause());
     double time = Math.max(now, Math.max(server.queueFullUntil(), backoffUntil));
@@ -178,9 +187,9 @@
   }
 
   /**
-   * How urgently the parts of a query need capacity that is scarce. They are deferrable where they
-   * only serve a late answer, or where a partial answer is possible without those not yet sent; the
-   * latter is checked only once the step has lasted for a while.
+   * How urgently the parts of a query need scarce capacity. They are deferrable if they only serve
+   * a late answer, or if a partial answer is possible without the parts not yet sent. Early in a
+   * step, the latter is assumed for every class that allows partial answers.
    */
   PartPriority priority(QueryState query, double now) {
     if (now >= query.objectiveDeadline()) {
--- a/src/main/java/bitternpulley/policy/RetryBudget.java
+++ b/src/main/java/bitternpulley/policy/RetryBudget.java
@@ -5,14 +5,20 @@
 
 /** Limits retries and hedged requests to a share of the requests within a sliding window. */
 final class RetryBudget {
-  /** Share of the budget for hedged requests; the rest is for parts without attempt in flight. */
+  /**
+   * Share of the budget that hedged requests may use; the rest is reserved for parts without an
+   * attempt in flight.
+   */
   private static final double HEDGING_SHARE = 0.7;
 
   private final Settings.Rules rules;
   private final SlidingWindowSum requests;
   private final SlidingWindowSum retries;
 
-  /** The windows differ by a tick each, so that rounding of times never exceeds the budget. */
+  /**
+   * Requests are counted over a window that is one tick shorter, and retries over one that is one
+   * tick longer, so that rounded times never exceed the budget.
+   */
   RetryBudget(Settings settings) {
     rules = settings.rules();
     requests = new SlidingWindowSum(rules.retryBudgetWindow() - settings.tick());
--- a/src/main/java/bitternpulley/policy/RetryPolicy.java
+++ b/src/main/java/bitternpulley/policy/RetryPolicy.java
@@ -35,9 +35,9 @@
   }
 
   /**
-   * Whether a further attempt is withheld since the query may crash the servers that begin it. Of a
-   * query with a connection reset and no answer, one part at a time is sent again; if its
-   * connection is reset as well, the query is the common cause.
+   * Whether a further attempt is withheld because the query may crash the servers that process it.
+   * After a connection reset without any answer, only one part at a time is sent again; if its
+   * connection is reset as well, the query is the likely cause.
    */
   private static boolean mayCrashAnotherServer(QueryState query) {
     return query.hasConnectionReset() && query.answeredWeight() <= 0 && hasAttemptInFlight(query);
@@ -52,7 +52,10 @@
     return false;
   }
 
-  /** Whether a part has no attempt in flight and may not, or cannot in time, have another. */
+  /**
+   * Whether a part has no attempt in flight and cannot have another, because that is not allowed or
+   * would be too late.
+   */
   boolean isUnattainable(PartState part, double now) {
     if (part.hasAttemptInFlight()) {
       return false;
@@ -67,7 +70,7 @@
         || (part.mayHaveRun() && !mayRunAgain(part, now));
   }
 
-  /** Whether the class permits a part to run twice. */
+  /** Whether the query class permits a part that may have run to run again. */
   private boolean mayRunAgain(PartState part, double now) {
     Settings.QueryClass queryClass = part.query().queryClass();
     return switch (queryClass.idempotency()) {
