--- a/src/main/java/bitternpulley/policy/AnswerForecast.java
+++ b/src/main/java/bitternpulley/policy/AnswerForecast.java
@@ -2,7 +2,10 @@
 
 /** Estimates whether a query that waits to be admitted can still be answered in time. */
 final class AnswerForecast {
-  /** Multiple of the expected latency that must fit: a query waits for the last of its parts. */
+  /**
+   * Multiple of the expected latency that must fit into the time left, since a query waits for its
+   * slowest part.
+   */
   private static final double TAIL_MULTIPLE = 1.5;
 
   private final LatencyTracker latencies;
@@ -21,10 +24,11 @@
     this.selector = selector;
   }
 
-  /** Whether enough parts can be answered by the objective for an answer. */
+  /** Whether enough parts can be answered by the objective deadline for an answer to the query. */
   boolean isAnswerable(QueryState query, double now) {
     double timeLeft = query.objectiveDeadline() - now;
-    // With nothing in flight the estimates are old, so one query is admitted to renew them.
+    // With nothing in flight the latency estimates are outdated, so one query is admitted to
+    // refresh them.
     double tailMultiple = limiter.inFlight() == 0 ? 0 : TAIL_MULTIPLE;
     double reachable = 0;
     for (PartState part : query.parts()) {
@@ -46,7 +50,10 @@
         || outliers.isTrialDue(server, now);
   }
 
-  /** When a query has to be sent at the latest for an answer by its objective to be usual. */
+  /**
+   * The latest time at which the parts of a query can be sent so that they are usually answered by
+   * the objective deadline.
+   */
   double latestStartOf(QueryState query) {
     return query.objectiveDeadline() - latencies.baseline();
   }
--- a/src/main/java/bitternpulley/policy/ArrivalRecord.java
+++ b/src/main/java/bitternpulley/policy/ArrivalRecord.java
@@ -7,14 +7,15 @@
 import java.util.function.DoubleUnaryOperator;
 
 /**
- * When the parts of past steps of one class arrived, and their weights, bounded in count and age.
- * It finds the best waits of these steps; the payoff functions are parameters.
+ * Arrival times and weights of the answered parts in past steps of one query class. The number and
+ * the age of the recorded steps are limited. The record finds the wait times that would have been
+ * best for these steps; the payoff functions are parameters.
  */
 final class ArrivalRecord {
-  /** Difference of payoffs that is rounding error. */
+  /** Payoffs that differ by less count as equal, to allow for rounding errors. */
   private static final double PAYOFF_TOLERANCE = 1e-9;
 
-  /** An arrival with the position of its step among those searched. */
+  /** An arrival with the index of its step among the steps searched. */
   private record IndexedArrival(double elapsed, double weight, int step) {}
 
   private final int maxSteps;
@@ -33,7 +34,10 @@
     }
   }
 
-  /** Drops steps that are too old; returns whether enough steps with arrivals are left. */
+  /**
+   * Removes steps that are too old; returns whether at least {@code minimum} steps with arrivals
+   * remain.
+   */
   boolean hasEnoughSteps(double now, int minimum) {
     while (!steps.isEmpty() && steps.peekFirst().startedAt() < now - maxAgeMs) {
       steps.removeFirst();
@@ -42,17 +46,18 @@
   }
 
   /**
-   * The recorded arrival time, in ms since the start of a step, with the best mean payoff; of equal
-   * ones the latest.
+   * The recorded arrival time, in ms since the start of a step, that gives the best mean payoff
+   * when used as the wait time; the latest of several equally good ones.
    *
-   * @param timePayoff share of the payoff that is left after a wait in ms
-   * @param weightPayoff payoff of an answer of a given weight, as a share of a complete one's
+   * @param timePayoff share of the payoff that remains after a wait in ms
+   * @param weightPayoff payoff of an answer of a given weight, as a share of the payoff of a
+   *     complete answer
    */
   double bestWait(DoubleUnaryOperator timePayoff, DoubleUnaryOperator weightPayoff) {
     return bestWait(steps, timePayoff, weightPayoff);
   }
 
-  /** The best waits of the single steps in hindsight, ascending. */
+  /** The wait that would have been best for each step by itself, in ascending order. */
   double[] bestWaitsOfSteps(DoubleUnaryOperator timePayoff, DoubleUnaryOperator weightPayoff) {
     return steps.stream()
         .filter(step -> !step.isEmpty())
@@ -61,7 +66,7 @@
         .toArray();
   }
 
-  /** The value that this share of the sorted ones does not exceed. */
+  /** The smallest of the sorted values that is not exceeded by the given share of them. */
   static double percentile(double[] sorted, double share) {
     return sorted[Math.max(0, Math.min(sorted.length, (int) Math.ceil(share * sorted.length)) - 1)];
   }
@@ -86,7 +91,10 @@
     }
   }
 
-  /** Sweeps over all arrivals in order of time, with the weight of each step so far. */
+  /**
+   * Goes through all arrivals in order of time and tracks the weight that each step has received so
+   * far.
+   */
   private static double bestWait(
       List<IndexedArrival> arrivals,
       double[] weightOfStep,
--- a/src/main/java/bitternpulley/policy/LoadShedder.java
+++ b/src/main/java/bitternpulley/policy/LoadShedder.java
@@ -9,12 +9,12 @@
 import java.util.OptionalDouble;
 
 /**
- * Admits pending queries while the limit of parts in flight permits, by priority weight per work.
- * It rejects those that cannot be answered by their objective, and the least valuable ones where
- * too many are pending.
+ * Admits pending queries by priority weight per work, as long as the limit on parts in flight
+ * permits. Rejects queries that cannot be answered by their objective deadline, and the least
+ * valuable ones if too many are pending.
  */
 final class LoadShedder {
-  /** Share of the limit on queries and missing parts beyond which pending ones are rejected. */
+  /** Share of the limit on queries and missing parts above which pending queries are rejected. */
   private static final double PENDING_SHARE = 0.8;
 
   private final Settings settings;
@@ -48,7 +48,10 @@
     this.processShare = processShare;
   }
 
-  /** The delay in ms advised to a client that is rejected unread, or empty where it is not. */
+  /**
+   * The retry delay in ms for a client whose request is rejected unread, or empty if the request is
+   * to be read.
+   */
   OptionalDouble rejectionDelay(int pending) {
     return pending < processShare.value() * settings.limits().maxPending()
         ? OptionalDouble.empty()
@@ -66,7 +69,7 @@
             .thenComparingDouble(QueryState::objectiveDeadline));
     int load = limiter.inFlight();
     for (QueryState query : ordered) {
-      // Deciding on every pending query at each event would be quadratic.
+      // Deciding on every pending query at each event would take quadratic time.
       if (!limiter.isReached(load) || query.isAdmissionDue(now)) {
         load += decideAdmission(query, load, now, out);
       }
@@ -83,7 +86,7 @@
     return false;
   }
 
-  /** Admits, rejects or postpones a query; returns the parts that it adds to the load. */
+  /** Admits, rejects or postpones a query; returns the number of parts that it adds to the load. */
   private int decideAdmission(QueryState query, int load, double now, Router.Actions out) {
     query.decideAdmissionAt(now + ReviewScheduler.RECHECK_INTERVAL_MS);
     if (!forecast.isAnswerable(query, now)) {
@@ -103,7 +106,7 @@
     return query.parts().size();
   }
 
-  /** Rejects the least valuable pending queries while too many queries and parts are pending. */
+  /** Rejects the least valuable pending queries until few enough queries and parts are pending. */
   private void shedExcess(List<QueryState> ordered, Router.Actions out) {
     int pending = 0;
     for (QueryState query : registry.queries()) {
--- a/src/main/java/bitternpulley/policy/ReviewQueue.java
+++ b/src/main/java/bitternpulley/policy/ReviewQueue.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** The queries to review at the end of the batch, each once, in order of their first request. */
+/**
+ * The queries to review at the end of the batch, without duplicates and in the order in which they
+ * were added.
+ */
 final class ReviewQueue {
   private final Set<QueryState> queries = new LinkedHashSet<>();
 
--- a/src/main/java/bitternpulley/policy/ReviewScheduler.java
+++ b/src/main/java/bitternpulley/policy/ReviewScheduler.java
@@ -2,12 +2,14 @@
 
 import bitternpulley.routing.Router;
 
-/** Schedules the next review of a query, for what changes with time and without an event. */
+/** Schedules the next review of a query, for changes that come with time and not with an event. */
 final class ReviewScheduler {
   /** Longest time in ms between two reviews of all missing parts of a query. */
   static final double RECHECK_INTERVAL_MS = 50;
 
-  /** Ms after a deadline at which it certainly has passed, whatever the rounding of alarms. */
+  /**
+   * Margin in ms after a deadline, so that the deadline has passed even if alarm times are rounded.
+   */
   private static final double DEADLINE_MARGIN_MS = 1;
 
   private final LatencyTracker latencies;
@@ -38,7 +40,7 @@
     query.scheduleAlarm(next, out);
   }
 
-  /** When the state of a missing part changes next, or a time passed where that is unknown. */
+  /** When the state of a missing part may change next; infinity if the part was never sent. */
   private double nextChangeOf(PartState part, double now) {
     double recheckAt = now + RECHECK_INTERVAL_MS;
     if (part.attemptCount() == 0) {
--- a/src/main/java/bitternpulley/policy/RoutingPolicy.java
+++ b/src/main/java/bitternpulley/policy/RoutingPolicy.java
@@ -11,9 +11,9 @@
 import java.util.stream.Collectors;
 
 /**
- * The decisions of one aggregator instance. It takes the events, applies them to the state, and
- * reviews at the end of each batch the queries that the events concern. What is decided, and on
- * what, is up to the policies that it assembles.
+ * Makes the decisions of one aggregator instance. It applies each event to the state and, at the
+ * end of each batch, reviews the queries that the events affect. The decisions themselves are left
+ * to the policy classes that it creates.
  */
 public final class RoutingPolicy implements Router {
   private final Settings settings;
@@ -38,10 +38,10 @@
   private boolean hasFreedCapacity;
 
   /**
-   * Creates a policy that knows its settings and nothing else.
+   * Creates a policy that knows no server and no query yet.
    *
-   * @param seed of the random numbers that break ties between servers and spread retries of
-   *     discovery
+   * @param seed seed of the random numbers that break ties between servers and spread repeated
+   *     requests to discovery
    */
   public RoutingPolicy(Settings settings, long seed, double now, Actions out) {
     this.settings = settings;
@@ -100,7 +100,7 @@
     fleet.prune();
   }
 
-  /** The server counts as started now, and receives a trial request as soon as it may. */
+  /** Treats the server as started now, and sends it a trial request as soon as possible. */
   @Override
   public void onServerReadmitted(Endpoint server, double now, Actions out) {
     Endpoint restarted =
@@ -166,7 +166,10 @@
     reviewQueryOf(part);
   }
 
-  /** Reviews the queries whose parts are lost at the server, since later ones were answered. */
+  /**
+   * Counts an answer against the earlier attempts at the same server, and reviews the queries whose
+   * attempts thereby count as lost.
+   */
   private void reviewOvertakenBy(AttemptState answered) {
     for (AttemptState other : answered.server().inFlight()) {
       if (other.sentAt() < answered.sentAt() && other.recordOvertaken()) {
@@ -207,7 +210,7 @@
     } else if (AlarmTokens.isQueryToken(token)) {
       QueryState query = registry.query(AlarmTokens.queryId(token));
       if (query != null) {
-        // An alarm may ring slightly early, since its time is rounded by the caller.
+        // An alarm may fire slightly early, since its time is rounded by the caller.
         query.clearAlarm(now + settings.tick());
         reviews.add(query.requestReview());
       }
@@ -237,7 +240,8 @@
       query.admit();
       waits.startStep(query, now);
     }
-    // An answer alone only adds up: reviewing all missing parts at each answer would be quadratic.
+    // An answer by itself needs no review of the other missing parts: reviewing them all at each
+    // answer would take quadratic time.
     if (!completion.completeIfDue(query, now, out) && query.isReviewDue(now)) {
       dispatchOrGiveUp(query, now, out);
     }
--- a/src/main/java/bitternpulley/policy/WaitTimePolicy.java
+++ b/src/main/java/bitternpulley/policy/WaitTimePolicy.java
@@ -6,47 +6,47 @@
 import java.util.List;
 
 /**
- * Decides when the wait for a query's parts ends, after the model of optimal wait time in
+ * Decides when the wait for the parts of a query ends, after the model of optimal wait time in
  * utility-theoretic distributed retrieval. Each step of a query has
  *
  * <ul>
- *   <li>a base wait T*: the recorded arrival time with the best mean payoff in the past steps of
- *       its class;
- *   <li>an early end: the heaviest parts have arrived, and each missing one is expected after T*
- *       only;
- *   <li>an extension: one of the heaviest parts is missing at T*, so the wait is prolonged to a
- *       percentile of the best waits that past steps had in hindsight.
+ *   <li>a base wait T*: the recorded arrival time with the best mean payoff over the past steps of
+ *       the query class;
+ *   <li>an early end, if the heaviest parts have been answered and each missing part is expected
+ *       only after T*;
+ *   <li>an extension, if one of the heaviest parts is missing at T*: the wait is prolonged to a
+ *       percentile of the waits that would have been best for the past steps.
  * </ul>
  *
- * <p>The payoff of an answer is that of its weight times that of its time, which is full up to the
- * latency objective.
+ * <p>The payoff of an answer is the payoff of its weight times the payoff of its time. The latter
+ * is full up to the latency objective.
  */
 final class WaitTimePolicy {
-  /** The share s of a step's parts, heaviest first, that must have arrived for an early end. */
+  /** The share s of a step's parts, heaviest first, that must be answered for an early end. */
   private static final double EARLY_END_SHARE = 0.75;
 
   /** The share t of a step's parts, heaviest first, of which a missing one extends the wait. */
   private static final double EXTENSION_SHARE = 0.5;
 
-  /** The percentile u of the best waits of past steps up to which the wait is extended. */
+  /** The percentile u of the best waits of past steps to which the wait is extended. */
   private static final double EXTENSION_PERCENTILE = 0.9;
 
-  /** Steps in the record of a class. */
+  /** Largest number of steps in the arrival record of a query class. */
   private static final int RECORD_STEPS = 60;
 
   /** Age in ms up to which a step stays in the record. */
   private static final double RECORD_AGE_MS = 60_000;
 
-  /** Steps below which a record counts as empty. */
+  /** Number of steps below which a record counts as empty. */
   private static final int MINIMUM_RECORD_STEPS = 20;
 
-  /** Share of the time to the objective at which a part that did not arrive is recorded. */
+  /** Share of the time to the objective that is recorded as the arrival of an unanswered part. */
   private static final double CENSORED_SHARE = 0.9;
 
   /** Multiple of the baseline latency reserved for the second step of a query. */
   private static final double SECOND_STEP_MULTIPLE = 3;
 
-  /** The records of one class: the arrivals in first steps differ from those in second steps. */
+  /** The records of one query class. Arrivals in first steps differ from those in second steps. */
   private record ClassRecords(ArrivalRecord firstStep, ArrivalRecord secondStep) {
     static ClassRecords empty() {
       return new ClassRecords(
@@ -65,7 +65,7 @@
     settings.classes().forEach(queryClass -> records.add(ClassRecords.empty()));
   }
 
-  /** Begins the current step of a query and sets its base wait T*. */
+  /** Starts the current step of a query and sets its base wait T*. */
   void startStep(QueryState query, double now) {
     double reserved = query.hasSecondStepAhead() ? SECOND_STEP_MULTIPLE * latencies.baseline() : 0;
     query.startStep(now, Math.max(query.objectiveDeadline() - reserved, now));
@@ -83,7 +83,9 @@
     return query.queryClass().latePriorityWeight() > 0 ? best : Math.min(best, untilObjective);
   }
 
-  /** The share of the payoff that an answer after this wait has: less after the objective. */
+  /**
+   * The share of the payoff that remains for an answer after this wait: less after the objective.
+   */
   private static double timePayoff(QueryState query, double wait) {
     double time = query.stepStartedAt() + wait;
     if (time <= query.stepObjective()) {
@@ -92,7 +94,7 @@
     return time <= query.answerDeadline() ? query.queryClass().latePriorityWeight() : 0;
   }
 
-  /** The payoff of an answer of this weight, as a share of a complete one's. */
+  /** The payoff of an answer of this weight, as a share of the payoff of a complete answer. */
   private static double weightPayoff(QueryState query, double weight) {
     if (query.reachesComplete(weight)) {
       return 1;
@@ -107,7 +109,9 @@
     return now >= waitEnd(query, now) || endsEarly(query, now);
   }
 
-  /** T*, or the end of the extension while any of the heaviest parts is missing. */
+  /**
+   * The end of the base wait T*, or of the extension while any of the heaviest parts is missing.
+   */
   private double waitEnd(QueryState query, double now) {
     if (now < query.baseWaitEnd() || heaviestAreAnswered(query, EXTENSION_SHARE)) {
       return query.baseWaitEnd();
@@ -116,7 +120,8 @@
       double extension = extension(query, now);
       query.extendUntil(Math.min(query.stepStartedAt() + extension, query.answerDeadline()));
     }
-    // A late complete answer that pays less than what has arrived is not worth waiting for.
+    // Waiting past the objective does not pay if a late complete answer is worth less than an
+    // answer from the parts that have arrived.
     boolean mayBeLate =
         weightPayoff(query, query.answeredWeight()) < query.queryClass().latePriorityWeight();
     double extendedUntil =
@@ -124,7 +129,10 @@
     return Math.max(query.baseWaitEnd(), extendedUntil);
   }
 
-  /** The extended wait in ms; without a record, up to half the slack after the objective. */
+  /**
+   * The extended wait in ms. Without a record, it ends halfway from the objective to the answer
+   * deadline.
+   */
   private double extension(QueryState query, double now) {
     ArrivalRecord record = recordOf(query);
     if (!record.hasEnoughSteps(now, MINIMUM_RECORD_STEPS)) {
@@ -138,7 +146,7 @@
     return ArrivalRecord.percentile(bestWaits, EXTENSION_PERCENTILE);
   }
 
-  /** Whether the heaviest parts have arrived and each missing one is expected after T*. */
+  /** Whether the heaviest parts are answered and each missing part is expected only after T*. */
   private boolean endsEarly(QueryState query, double now) {
     for (PartState part : query.missing()) {
       if (expectedAt(part, now) <= query.baseWaitEnd()) {
@@ -148,7 +156,10 @@
     return heaviestAreAnswered(query, EARLY_END_SHARE);
   }
 
-  /** Of equal weights, the parts expected first count as the heaviest. */
+  /**
+   * Whether this share of the parts, heaviest first, has been answered. Of parts with equal
+   * weights, those expected first come first.
+   */
   private static boolean heaviestAreAnswered(QueryState query, double share) {
     return query.parts().stream()
         .sorted(
@@ -158,7 +169,7 @@
         .allMatch(PartState::isSettled);
   }
 
-  /** When a missing part is expected; an overdue one may arrive at any moment. */
+  /** When a missing part is expected to be answered; an overdue one may be at any moment. */
   private double expectedAt(PartState part, double now) {
     double earliest = Double.POSITIVE_INFINITY;
     for (AttemptState attempt : part.attempts()) {
@@ -181,9 +192,10 @@
   }
 
   /**
-   * Records the current step of a query that is answered in part. A part that is cut off by the
-   * answer is censored, not absent: it is recorded as if it came shortly before the objective.
-   * Otherwise short waits would cut off parts, and the record without them would shorten the waits.
+   * Records the current step of a query that is answered in part. A part without an answer is a
+   * censored observation: it is recorded as if it were answered shortly before the objective. If it
+   * were left out, short waits would cut off parts, and the record without these parts would
+   * shorten the waits further.
    */
   void recordPartialStep(QueryState query, double now) {
     double untilObjective = query.stepObjective() - query.stepStartedAt();
