--- a/src/test/java/bitternpulley/policy/PolicyHarness.java
+++ b/src/test/java/bitternpulley/policy/PolicyHarness.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A policy with a virtual clock and a record of its actions. */
+/** Runs a routing policy on a virtual clock and records its actions. */
 final class PolicyHarness implements Router.Actions {
   /** An attempt that was sent. */
   record Send(long part, String server, double sentAt, double timeout) {}
@@ -15,10 +15,13 @@
   final RoutingPolicy policy;
   final List<Send> sends = new ArrayList<>();
 
-  /** Ends of queries and steps, as {@code "complete 1 @50"}: how, which query, when. */
+  /**
+   * Results of queries and steps, such as {@code "complete 1 @50"}: the result, the query and the
+   * time.
+   */
   final List<String> results = new ArrayList<>();
 
-  /** Attempts cancelled, as {@code "10/0"}: part and number. */
+  /** Cancelled attempts, such as {@code "10/0"}: the part and the number of the attempt. */
   final List<String> cancellations = new ArrayList<>();
 
   /** Servers to which idle connections were closed. */
@@ -43,7 +46,7 @@
     return new Router.Endpoint(id, cell % 2, cell, state, startedAt);
   }
 
-  /** Adds one server in each of four cells, s0 to s3, all long warm. */
+  /** Adds one server in each of four cells, s0 to s3, all warmed up. */
   PolicyHarness addFourServers() {
     updateEndpoints(
         Router.ListKind.REMEMBERED,
@@ -60,8 +63,8 @@
   }
 
   /**
-   * Shows that servers process two parts of so many ms at once, at one that holds the last shard
-   * alone.
+   * Lets the policy observe that a server processes two parts of {@code workMs} each in parallel.
+   * The parts go to the only server of the last shard, so there must be one replica.
    */
   void observeTwoCores(double workMs) {
     for (int i = 0; i < 40; i++) {
@@ -78,7 +81,10 @@
     results.clear();
   }
 
-  /** Answers a query with a part of each of the four shards after so many ms. */
+  /**
+   * Sends a query with one part for each of the four shards, and answers all parts after {@code
+   * latencyMs}.
+   */
   void answerQuery(long id, double latencyMs) {
     query(id, 3000, shards(0, 1, 2, 3));
     advanceBy(latencyMs);
@@ -87,7 +93,7 @@
     }
   }
 
-  /** Answers several such queries, one after the other. */
+  /** Sends and answers {@code count} such queries, one after the other. */
   void answerQueries(int count, double latencyMs) {
     for (int i = 0; i < count; i++) {
       answerQuery(1000 + i, latencyMs);
@@ -95,8 +101,8 @@
   }
 
   /**
-   * A query whose parts, numbered from 10 times its id, lie on the given shards with the given
-   * weights; equal ones where none are given.
+   * Sends a query with one part for each of the given shards, with the given weights or with equal
+   * ones if none are given. The part ids start at 10 times the query id.
    */
   void query(long id, double timeLeft, int[] shards, double... weights) {
     policy.onQuery(new Router.Query(id, id, 0, shards.length, 0, false, timeLeft, 0), now, this);
@@ -124,7 +130,7 @@
     advanceTo(now + durationMs);
   }
 
-  /** Moves the clock and delivers the alarms on the way. */
+  /** Advances the clock and delivers the alarms that become due on the way. */
   void advanceTo(double time) {
     for (Alarm alarm = nextAlarm(time); alarm != null; alarm = nextAlarm(time)) {
       alarms.remove(alarm);
@@ -135,7 +141,10 @@
     now = time;
   }
 
-  /** The earliest alarm up to a time, of equal ones the first scheduled, or null. */
+  /**
+   * The earliest alarm due by {@code until}, or null; of several due at once, the one scheduled
+   * first.
+   */
   private Alarm nextAlarm(double until) {
     Alarm next = null;
     for (Alarm alarm : alarms) {
@@ -146,7 +155,7 @@
     return next;
   }
 
-  /** Moves the clock and delivers every alarm scheduled so far, though some are not yet due. */
+  /** Sets the clock and delivers every alarm scheduled so far, even those not due yet. */
   void deliverAllAlarmsAt(double time) {
     List<Alarm> due = List.copyOf(alarms);
     alarms.clear();
@@ -155,7 +164,7 @@
     policy.completeBatch(now, this);
   }
 
-  /** Attempts of a part that were sent. */
+  /** Number of attempts of a part that were sent. */
   long sentCount(long part) {
     return sends.stream().filter(send -> send.part == part).count();
   }
--- a/src/test/java/bitternpulley/policy/PolicyHarnessBuilder.java
+++ b/src/test/java/bitternpulley/policy/PolicyHarnessBuilder.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * Settings of a policy under test. Unless set otherwise there are four cells and two replicas, two
- * instances, no hedging, no retry budget, and one class: idempotent, objective 1,000 ms, deadline
- * 3,000 ms, complete answers in time only.
+ * Builds a policy under test from settings. The defaults are four cells and two replicas, two
+ * instances, no hedging, no retry budget, and one query class: idempotent, with an objective of
+ * 1,000 ms and a deadline of 3,000 ms, where only complete answers by the objective have a payoff.
  */
 final class PolicyHarnessBuilder {
   private static final int CELLS = 4;
@@ -66,12 +66,12 @@
         .build();
   }
 
-  /** A policy that knows no server. */
+  /** Builds a policy that knows no server. */
   PolicyHarness buildWithoutServers() {
     return new PolicyHarness(buildSettings());
   }
 
-  /** A policy that knows one warm server in each of four cells, s0 to s3. */
+  /** Builds a policy that knows one warm server in each of four cells, s0 to s3. */
   PolicyHarness build() {
     return buildWithoutServers().addFourServers();
   }
