--- a/src/test/java/bitternpulley/policy/AttemptDispatcherTest.java
+++ b/src/test/java/bitternpulley/policy/AttemptDispatcherTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which connections attempts use, and how attempts end with their query. */
+/** Which connections attempts use, and what becomes of attempts when their query ends. */
 class AttemptDispatcherTest {
   @Test
   void opensANewConnectionToALongIdleServer() {
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void keepsIdleConnectionsWhereHandshakesAreCharged() {
+  void keepsIdleConnectionsWhenHandshakesAreCharged() {
     PolicyHarness harness =
         PolicyHarness.builder()
             .hedgingAllowed()
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void keepsIdleConnectionsWhereNewOnesFail() {
+  void keepsIdleConnectionsWhenNewConnectionsFail() {
     PolicyHarness harness = PolicyHarness.builder().replicas(1).build();
     harness.answerQuery(1, 20);
     for (int i = 0; i < 4; i++) {
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void givesADisconnectedClientNoAnswer() {
+  void doesNotAnswerADisconnectedClient() {
     PolicyHarness harness = PolicyHarness.builder().hedgingAllowed().build();
     harness.query(1, 3000, shards(0));
     harness.policy.onClientDisconnected(1, 10, harness);
--- a/src/test/java/bitternpulley/policy/HedgingPolicyTest.java
+++ b/src/test/java/bitternpulley/policy/HedgingPolicyTest.java
@@ -14,7 +14,7 @@
 /** What happens to a part whose attempt is late. */
 class HedgingPolicyTest {
   @Test
-  void cancelsBeforeRetryingWhereHedgingIsNotAllowed() {
+  void cancelsBeforeRetryingWhenHedgingIsNotAllowed() {
     PolicyHarness harness = PolicyHarness.builder().build();
     harness.answerQuery(1, 20);
     harness.query(2, 3000, shards(0));
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void hedgesAPartOfAnUnresponsiveServer() {
+  void hedgesAPartAtAnUnresponsiveServer() {
     PolicyHarness harness = PolicyHarness.builder().hedgingAllowed().build();
     harness.answerQuery(1, 20);
     harness.query(2, 3000, shards(0));
@@ -66,10 +66,10 @@
   }
 
   @Test
-  void hedgesAPartOfASlowZoneByTheBaseline() {
+  void hedgesAPartInASlowZoneByTheBaselineLatency() {
     PolicyHarness harness = PolicyHarness.builder().hedgingAllowed().retryBudget(20, 0).build();
     for (int i = 0; i < 20; i++) {
-      // Shard 1 lies at s1, in the other zone, and s2: both are slow for this instance.
+      // Shard 1 is held by s1, which is in the other zone, and s2: both are slow for this instance.
       harness.query(100 + i, 3000, shards(0, 1));
       double start = harness.now;
       harness.advanceTo(start + 20);
@@ -88,18 +88,18 @@
   }
 
   @Test
-  void cancelsAnAttemptAtTheOnlyHolderAfterALongTimeOnly() {
+  void cancelsAnAttemptAtTheOnlyReplicaOnlyAfterALongTime() {
     PolicyHarness harness = PolicyHarness.builder().hedgingAllowed().build();
     harness.updateEndpoints(Router.ListKind.CHANGES, endpoint("s1", 1, Router.ServerState.GONE, 0));
     harness.query(1, 3000, shards(0));
     harness.advanceTo(900);
     assertEquals(List.of(), harness.cancellations);
     harness.advanceTo(2000);
-    assertEquals(List.of("10/0"), harness.cancellations, "cancelled in the end");
+    assertEquals(List.of("10/0"), harness.cancellations, "cancelled after a long time");
   }
 
   @Test
-  void cancelsAnAttemptAtAnOutlierByTheBaseline() {
+  void cancelsAnAttemptAtAnOutlierAfterTwiceTheBaselineLatency() {
     PolicyHarness harness =
         PolicyHarness.builder()
             .queryClass(queryClass -> queryClass.deadline(9000).latePriorityWeight(0.3))
@@ -128,13 +128,13 @@
   }
 
   @Test
-  void cancelsAPartThatLaterPartsHaveOvertaken() {
+  void cancelsAnAttemptAfterEightLaterPartsWereAnswered() {
     PolicyHarness harness = PolicyHarness.builder().replicas(1).build();
     harness.answerQueries(4, 20);
     harness.query(90, 3000, shards(0));
     harness.advanceBy(1);
     for (int i = 0; i < 8; i++) {
-      assertFalse(harness.cancellations.contains("900/0"), "after " + i);
+      assertFalse(harness.cancellations.contains("900/0"), i + " later answers");
       harness.query(100 + i, 3000, shards(0));
       assertEquals(1, harness.sentCount(10L * (100 + i)));
       harness.advanceBy(50);
--- a/src/test/java/bitternpulley/policy/RetryPolicyTest.java
+++ b/src/test/java/bitternpulley/policy/RetryPolicyTest.java
@@ -54,7 +54,7 @@
     assertEquals(1, harness.results.size());
   }
 
-  /** The window of the class is 400 ms. */
+  /** The idempotency window of the class is 400 ms. */
   private static PolicyHarness keyedPartThatFailsAfter(double elapsedMs) {
     PolicyHarness harness =
         PolicyHarness.builder()
@@ -83,34 +83,34 @@
   @EnumSource(
       value = Router.Outcome.class,
       names = {"UNREACHABLE", "REJECTED"})
-  void spreadsRetriesOverTimeAfterRejections(Router.Outcome outcome) {
+  void backsOffAfterAllReplicasWereTried(Router.Outcome outcome) {
     PolicyHarness harness = PolicyHarness.builder().hedgingAllowed().build();
     harness.query(1, 3000, shards(0));
     harness.endAttempt(10, 0, outcome);
     harness.endAttempt(10, 1, outcome);
-    assertEquals(2, harness.sentCount(10), "both holders were tried");
+    assertEquals(2, harness.sentCount(10), "both replicas were tried");
     harness.advanceTo(150);
     assertEquals(2, harness.sentCount(10));
     harness.advanceTo(900);
-    assertEquals(3, harness.sentCount(10), "one is tried again after a pause");
+    assertEquals(3, harness.sentCount(10), "one replica is tried again after a pause");
     harness.endAttempt(10, 2, Router.Outcome.OK);
     assertEquals(List.of("complete 1 @900"), harness.results);
   }
 
   @Test
-  void stopsAQueryThatResetsEveryConnection() {
+  void rejectsAQueryThatResetsEveryConnection() {
     PolicyHarness harness = PolicyHarness.builder().hedgingAllowed().build();
     harness.query(1, 3000, shards(0, 1, 2, 3));
     for (int i = 0; i < 4; i++) {
       harness.advanceTo(10 + i);
       harness.endAttempt(10 + i, 0, Router.Outcome.RESET);
     }
-    // With every connection reset and no answer, one part is sent again; the query ends when its
-    // connection is reset as well.
+    // After every connection was reset without any answer, one part is sent again; the query ends
+    // when the connection of that part is reset as well.
     assertEquals(5, harness.sends.size());
-    long again = harness.sends.get(4).part();
+    long retriedPart = harness.sends.get(4).part();
     harness.advanceTo(20);
-    harness.endAttempt(again, 1, Router.Outcome.RESET);
+    harness.endAttempt(retriedPart, 1, Router.Outcome.RESET);
     assertEquals(List.of("reject 1 @20"), harness.results);
     harness.advanceTo(2000);
     assertEquals(5, harness.sends.size());
