--- a/src/test/java/bitternpulley/policy/OutlierDetectorTest.java
+++ b/src/test/java/bitternpulley/policy/OutlierDetectorTest.java
@@ -47,18 +47,18 @@
   }
 
   @Test
-  void doesNotChargeAPauseOfThisProcessToTheServers() {
+  void treatsNoServerAsUnresponsiveAfterAPauseOfThisProcess() {
     PolicyHarness harness = PolicyHarness.builder().build();
     harness.answerQueries(30, 20);
     harness.query(50, 3000, shards(0, 1));
     double resumedAt = harness.now + PAUSE_MS;
     harness.policy.onPause(PAUSE_MS, resumedAt);
     harness.deliverAllAlarmsAt(resumedAt);
-    assertEquals(List.of(), harness.cancellations, "the answers may wait to be read");
+    assertEquals(List.of(), harness.cancellations, "answers may be waiting to be read");
   }
 
   @Test
-  void keepsTheShortQueueOfASlowOutlierUntilItRecovers() {
+  void limitsThePartsAtASlowOutlierUntilItRecovers() {
     PolicyHarness harness =
         PolicyHarness.builder()
             .queryClass(queryClass -> queryClass.latePriorityWeight(0.3))
@@ -77,13 +77,13 @@
     for (int i = 0; i < 20; i++) {
       harness.query(100 + i, 3000, shards(0));
     }
-    // Its last ten answers took 200 ms, so that it is below 3 times the others' 100, but not below
-    // 1.5 times.
+    // The last ten answers of s0 took 200 ms. That is below 3 times the 100 ms of the other
+    // servers, but not below 1.5 times, so s0 remains a slow outlier.
     assertTrue(harness.sends.size() < 7, harness.sends.size() + " parts at once");
   }
 
   @Test
-  void sendsASlowOutlierNoMoreThanItsCapacityAfterARejection() {
+  void lowersTheCapacityOfASlowOutlierAfterARejection() {
     PolicyHarness harness = PolicyHarness.builder().hedgingAllowed().replicas(1).build();
     for (int i = 1; i < 40; i++) {
       harness.query(i, 3000, shards(i % 4 == 0 ? 0 : 1));
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void usesAnOutlierWhereAllHoldersAreOutliers() {
+  void usesAnOutlierWhenAllReplicasAreOutliers() {
     PolicyHarness harness = PolicyHarness.builder().hedgingAllowed().build();
     harness.query(1, 3000, shards(0));
     for (int i = 0; i < 4; i++) {
@@ -139,13 +139,13 @@
   }
 
   @Test
-  void triesAFullServerAgainAfterAPause() {
+  void triesAServerWithAFullQueueAgainAfterAPause() {
     PolicyHarness harness = PolicyHarness.builder().replicas(1).build();
     harness.answerQueries(4, 20);
     harness.query(90, 3000, shards(0));
     harness.endAttempt(900, 0, Router.Outcome.REJECTED);
     harness.query(91, 3000, shards(0));
-    assertEquals(0, harness.sentCount(910), "not at once");
+    assertEquals(0, harness.sentCount(910), "must not be sent at once");
     harness.advanceBy(250);
     assertEquals(1, harness.sentCount(910));
     assertTrue(
@@ -161,7 +161,7 @@
     harness.endAttempt(900, 0, Router.Outcome.RESET);
     harness.query(91, 3000, shards(0));
     assertEquals(1, harness.sentCount(910));
-    assertEquals(2, harness.sentCount(900), "and the part is sent again");
+    assertEquals(2, harness.sentCount(900), "the reset part is sent again");
   }
 
   @Test
@@ -176,11 +176,13 @@
     }
     harness.query(95, 3000, shards(0));
     harness.advanceBy(45);
-    assertFalse(harness.cancellations.contains("950/0"), "cancelled as at an outlier");
+    assertFalse(
+        harness.cancellations.contains("950/0"),
+        "one reset connection must not make the server an outlier");
   }
 
   @Test
-  void measuresUnresponsivenessByTheBaseline() {
+  void boundsTheUnresponsiveTimeByTheBaselineLatency() {
     PolicyHarness harness =
         PolicyHarness.builder()
             .queryClass(queryClass -> queryClass.deadline(9000).latePriorityWeight(0.3))
--- a/src/test/java/bitternpulley/policy/ReplicaSelectorTest.java
+++ b/src/test/java/bitternpulley/policy/ReplicaSelectorTest.java
@@ -15,30 +15,31 @@
 /** Which server a part is sent to. */
 class ReplicaSelectorTest {
   @Test
-  void selectsTheLeastLatencyTimesPartsInFlightPlusOne() {
+  void spreadsPartsOverServersOfEqualLatency() {
     PolicyHarness harness = PolicyHarness.builder().hedgingAllowed().build();
     for (int i = 0; i < 4; i++) {
       harness.answerQuery(10 + i, 100);
     }
-    // Shard 0 lies on s0 and s1, which are equal by now: each gets one part.
+    // Shard 0 is held by s0 and s1, which have equal latencies by now, so each of them gets one
+    // part.
     harness.sends.clear();
     harness.query(50, 3000, shards(0, 0));
     assertEquals(2, harness.sends.stream().map(PolicyHarness.Send::server).distinct().count());
   }
 
   @Test
-  void addsAPartToAFormingCallAtNoCost() {
-    assertEquals(2, serversOfTwoParts(16, 0));
-    assertEquals(1, serversOfTwoParts(16, 150));
+  void addsAPartAtNoCostToACallBeingAssembled() {
+    assertEquals(2, serversUsedByTwoParts(16, 0));
+    assertEquals(1, serversUsedByTwoParts(16, 150));
   }
 
   @Test
-  void sharesNoCallThatHoldsOnePart() {
-    assertEquals(2, serversOfTwoParts(1, 150));
+  void doesNotAddAPartToAFullCall() {
+    assertEquals(2, serversUsedByTwoParts(1, 150));
   }
 
-  /** Servers to which two simultaneous parts of a shard are sent. */
-  private static long serversOfTwoParts(int maxPartsPerCall, double callWork) {
+  /** Number of servers to which two simultaneous parts of a shard are sent. */
+  private static long serversUsedByTwoParts(int maxPartsPerCall, double callWork) {
     PolicyHarness harness =
         PolicyHarness.builder()
             .hedgingAllowed()
@@ -65,7 +66,8 @@
     harness.advanceBy(150);
     harness.query(61, 3000, shards(0));
     harness.query(62, 3000, shards(0));
-    // 150 x 2 against 100 x 1, then 150 x 2 against 100 x 2: both go to the other one.
+    // The costs are 150 x 2 against 100 x 1, then 150 x 2 against 100 x 2: both parts go to the
+    // other server.
     assertFalse(harness.sends.get(1).server().equals(first));
     assertFalse(harness.sends.get(2).server().equals(first));
   }
@@ -80,7 +82,7 @@
     harness.updateEndpoints(
         Router.ListKind.COMPLETE, endpoint("s0", 0, Router.ServerState.LIVE, 0));
     harness.query(2, 3000, shards(0, 1));
-    // Shard 1 has no holder, so nothing is sent for a query that cannot be complete.
+    // No server holds shard 1, so nothing is sent for a query that cannot be complete.
     assertEquals(List.of("reject 2 @0"), harness.results);
     harness.query(3, 3000, shards(0));
     assertEquals("s0", harness.sends.get(1).server());
@@ -90,16 +92,16 @@
   @Test
   void assumesTheLatencyOfTheZoneForANewServer() {
     PolicyHarness harness = PolicyHarness.builder().replicas(4).build();
-    // The servers of its own zone, s0 and s2, answer late.
+    // The servers of this instance's zone, s0 and s2, answer late.
     for (int i = 0; i < 30; i++) {
       long id = 100L + i;
       harness.query(id, 3000, shards(0, 0, 0, 0));
-      List<PolicyHarness.Send> round =
+      List<PolicyHarness.Send> attempts =
           harness.sends.stream().filter(send -> send.part() / 10 == id).toList();
       harness.advanceBy(20);
-      answerFrom(harness, round, Set.of("s1", "s3"));
+      answerFrom(harness, attempts, Set.of("s1", "s3"));
       harness.advanceBy(40);
-      answerFrom(harness, round, Set.of("s0", "s2"));
+      answerFrom(harness, attempts, Set.of("s0", "s2"));
     }
     harness.updateEndpoints(
         Router.ListKind.CHANGES,
--- a/src/test/java/bitternpulley/policy/ServerFleetTest.java
+++ b/src/test/java/bitternpulley/policy/ServerFleetTest.java
@@ -9,10 +9,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Which servers are known. */
+/** Which servers the fleet keeps, and whether a server that returns is used. */
 class ServerFleetTest {
   @Test
-  void forgetsGoneServersWithoutAttemptsInFlight() {
+  void removesGoneServersWithoutAttemptsInFlight() {
     ServerFleet fleet = new ServerFleet(PolicyHarness.builder().buildSettings(), new Random(7));
     for (int i = 0; i < 100; i++) {
       fleet.update(endpoint("n" + i, i, Router.ServerState.GONE, 0));
--- a/src/test/java/bitternpulley/policy/SlowStartTest.java
+++ b/src/test/java/bitternpulley/policy/SlowStartTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How much a server that has just started is sent. */
+/** How much work is sent to a server that has just started. */
 class SlowStartTest {
   private static void restartFirstServer(PolicyHarness harness) {
     harness.updateEndpoints(
@@ -28,11 +28,15 @@
     for (int i = 0; i < 20; i++) {
       harness.query(100 + i, 3000, shards(0));
     }
-    // 2 x 0.2 x 1.8 cores x 1000 ms for two instances: 360 ms, three parts of 100 ms.
+    // The budget is 2 x 0.2 x 1.8 cores x 1000 ms for two instances: 360 ms for each, three parts
+    // of 100 ms.
     assertEquals(3, harness.sends.size());
   }
 
-  /** The whole budget is 2 x 0.2 x 1.8 cores x 1000 ms for two instances: 6 parts of 60 ms. */
+  /**
+   * The undivided budget is 2 x 0.2 x 1.8 cores x 1000 ms for two instances: 6 parts of 60 ms for
+   * each.
+   */
   @ParameterizedTest
   @CsvSource({"NONE, 6, false, false", "PREDECESSOR, 4, false, true", "SUCCESSOR, 1, true, true"})
   void dividesLimitsBetweenTheProcessesOfAHotRestart(
@@ -71,12 +75,13 @@
     assertEquals(
         2,
         harness.sends.stream().filter(send -> send.server().equals("s0")).count(),
-        "fewer than the three of urgent parts");
+        "fewer than the three parts allowed if they are urgent");
   }
 
   /**
-   * The budget of the first window is 2 x 0.2 x 1.8 cores x 1000 ms, seven parts of 100 ms. As the
-   * server warms up nine turns come, of which the first one has just passed at 1000 ms.
+   * All instances together may send 2 x 0.2 x 1.8 cores x 1000 ms in the first window, which is
+   * seven parts of 100 ms. Since the server warms up meanwhile, nine turns come, of which the first
+   * one has just passed at 1000 ms.
    */
   @Test
   void letsInstancesTakeTurnsAtAStartingServer() {
@@ -89,7 +94,9 @@
     assertEquals(4, instancesThatSendAtAge(1000, false));
   }
 
-  /** Of 60 instances with a part each for a server of this age, those that send it. */
+  /**
+   * Number of instances that send their part, if each of 60 has one part for a server of this age.
+   */
   private static int instancesThatSendAtAge(double ageMs, boolean hasTwoCores) {
     int senders = 0;
     for (int self = 0; self < 60; self++) {
@@ -125,13 +132,14 @@
   }
 
   /**
-   * Parts sent to the only holder of a shard at once, after an unreachable attempt of so many ms.
+   * Number of parts sent at once to the only server of a shard, after an attempt that ended as
+   * unreachable after {@code elapsedMs}.
    */
-  private static long sentAfterUnreachable(double after) {
+  private static long sentAfterUnreachable(double elapsedMs) {
     PolicyHarness harness = PolicyHarness.builder().replicas(1).build();
     harness.answerQuery(1, 100);
     harness.query(2, 3000, shards(0));
-    harness.advanceBy(after);
+    harness.advanceBy(elapsedMs);
     harness.endAttempt(20, 0, Router.Outcome.UNREACHABLE);
     harness.advanceBy(100);
     harness.endAttempt(20, 1, Router.Outcome.OK);
