--- a/src/test/java/bitternpulley/policy/LoadShedderTest.java
+++ b/src/test/java/bitternpulley/policy/LoadShedderTest.java
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void keepsTheLimitForASlowOutlier() {
+  void keepsTheLimitAfterLateAnswersOfASlowOutlier() {
     PolicyHarness harness =
         PolicyHarness.builder()
             .queryClass(queryClass -> queryClass.deadline(9000).latePriorityWeight(0.3))
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void admitsOneQueryWithNothingInFlightWhateverTheEstimates() {
+  void admitsOneQueryRegardlessOfEstimatesWhenNothingIsInFlight() {
     PolicyHarness harness = PolicyHarness.builder().build();
     harness.answerQueries(30, 900);
     harness.query(1, 3000, shards(0));
--- a/src/test/java/bitternpulley/policy/ManyPartsTest.java
+++ b/src/test/java/bitternpulley/policy/ManyPartsTest.java
@@ -12,18 +12,18 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Queries with a part of every shard of a large fleet. */
+/** Queries with one part for each shard of a large fleet. */
 class ManyPartsTest {
-  /** Rounds of which the cheapest counts, so that other load on the machine does not. */
+  /** Number of measurements; the cheapest counts, so that other load on the machine does not. */
   private static final int ROUNDS = 20;
 
   /**
-   * Largest cost of a part of a large query, as a multiple of one of a small query. Reviewing all
-   * parts at each answer would make it 8.
+   * Upper bound of the cost per part of a large query, as a multiple of the cost per part of a
+   * small query. Reviewing all parts at each answer would make it 8.
    */
   private static final double MAX_COST_RATIO = 4;
 
-  private static PolicyHarness fleet(int cells) {
+  private static PolicyHarness harnessWithFleet(int cells) {
     PolicyHarness harness =
         PolicyHarness.builder()
             .layout(new Settings.Layout(cells, cells, 2, 1))
@@ -37,24 +37,24 @@
     return harness;
   }
 
-  private static PolicyHarness fleetWithQueryOfAllShards(int cells) {
-    PolicyHarness harness = fleet(cells);
+  private static PolicyHarness harnessWithQueryOfAllShards(int cells) {
+    PolicyHarness harness = harnessWithFleet(cells);
     harness.query(1, 3000, IntStream.range(0, cells).toArray());
     return harness;
   }
 
-  /** Processor time in ns per part of the answers to a query with a part of every shard. */
-  private static double costOfPart(int parts) {
+  /** CPU time in ns, per part, to handle the answers to a query with one part for each shard. */
+  private static double costPerPart(int parts) {
     double least = Double.POSITIVE_INFINITY;
     for (int round = 0; round < ROUNDS; round++) {
-      least = Math.min(least, (double) costOfAnswers(parts));
+      least = Math.min(least, (double) costOfAllAnswers(parts));
     }
     return least / parts;
   }
 
-  private static long costOfAnswers(int parts) {
+  private static long costOfAllAnswers(int parts) {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    PolicyHarness harness = fleetWithQueryOfAllShards(parts);
+    PolicyHarness harness = harnessWithQueryOfAllShards(parts);
     List<PolicyHarness.Send> sends = List.copyOf(harness.sends);
     assertEquals(parts, sends.size());
     harness.now = 20;
@@ -72,17 +72,19 @@
   }
 
   @Test
-  void costOfAnAnswerDoesNotGrowWithThePartsOfTheQuery() {
-    costOfPart(1000);
-    costOfPart(2000);
-    double small = costOfPart(250);
-    double large = costOfPart(2000);
-    assertTrue(large < MAX_COST_RATIO * small, large + " ns a part of 2,000, " + small + " of 250");
+  void costPerAnswerDoesNotGrowWithTheNumberOfParts() {
+    costPerPart(1000);
+    costPerPart(2000);
+    double small = costPerPart(250);
+    double large = costPerPart(2000);
+    assertTrue(
+        large < MAX_COST_RATIO * small,
+        large + " ns per part of 2,000 parts, " + small + " ns per part of 250 parts");
   }
 
   @Test
-  void retriesAFailedPartOfManyAtOnce() {
-    PolicyHarness harness = fleetWithQueryOfAllShards(60);
+  void retriesAFailedPartOfALargeQueryAtOnce() {
+    PolicyHarness harness = harnessWithQueryOfAllShards(60);
     harness.advanceTo(5);
     harness.endAttempt(11, 0, Router.Outcome.OK);
     harness.endAttempt(17, 0, Router.Outcome.ERROR);
--- a/src/test/java/bitternpulley/policy/RoutingPolicyTest.java
+++ b/src/test/java/bitternpulley/policy/RoutingPolicyTest.java
@@ -11,10 +11,10 @@
 /** The handling of single events. */
 class RoutingPolicyTest {
   @Test
-  void reschedulesAnAlarmThatRingsEarly() {
+  void reschedulesAnAlarmThatFiresEarly() {
     PolicyHarness harness = PolicyHarness.builder().hedgingAllowed().build();
     harness.query(1, 500.0005, shards(0));
-    // All alarms ring slightly early once; one that is scheduled again rings in time.
+    // All alarms fire slightly early once; an alarm that is scheduled again fires on time.
     harness.advanceTo(496.9);
     harness.deliverAllAlarmsAt(497.0);
     assertTrue(harness.results.isEmpty());
--- a/src/test/java/bitternpulley/policy/UnattainableQueryTest.java
+++ b/src/test/java/bitternpulley/policy/UnattainableQueryTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A query with a part that no holder can take in time is given up at once; it waits while a known
- * event may change that.
+ * A query is rejected or failed at once if no server can take one of its parts in time. It waits if
+ * a known event may change that.
  */
 class UnattainableQueryTest {
-  /** An objective of 2,000 ms and a deadline of 6,000 ms, where late answers pay. */
+  /** An objective of 2,000 ms and a deadline of 6,000 ms, with a payoff for late answers. */
   private static PolicyHarnessBuilder builder(Consumer<QueryClassBuilder> changes) {
     return PolicyHarness.builder()
         .queryClass(
@@ -28,7 +28,7 @@
         .queryClass(changes);
   }
 
-  /** A policy with answers from the holders of shard 2, and no results yet. */
+  /** A policy that has received answers from the servers of shard 2, and has no results yet. */
   private static PolicyHarness harness(Consumer<QueryClassBuilder> changes) {
     PolicyHarness harness = builder(changes).build();
     for (int i = 0; i < 30; i++) {
@@ -44,13 +44,13 @@
     return harness(queryClass -> {});
   }
 
-  /** Changes the state of both holders of shard 0. */
-  private static void setHolders(PolicyHarness harness, Router.ServerState state) {
+  /** Changes the state of both servers of shard 0. */
+  private static void setStateOfShard0Servers(PolicyHarness harness, Router.ServerState state) {
     harness.updateEndpoints(
         Router.ListKind.CHANGES, endpoint("s0", 0, state, 0), endpoint("s1", 1, state, 0));
   }
 
-  private static void removeSecondHolder(PolicyHarness harness) {
+  private static void removeSecondServerOfShard0(PolicyHarness harness) {
     harness.updateEndpoints(Router.ListKind.CHANGES, endpoint("s1", 1, Router.ServerState.GONE, 0));
   }
 
@@ -60,10 +60,10 @@
 
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.3})
-  void rejectsAtOnceWhileBothHoldersAreDraining(double latePriorityWeight) {
+  void rejectsAtOnceWhileBothReplicasAreDraining(double latePriorityWeight) {
     PolicyHarness harness =
         harness(queryClass -> queryClass.latePriorityWeight(latePriorityWeight));
-    setHolders(harness, Router.ServerState.DRAINING);
+    setStateOfShard0Servers(harness, Router.ServerState.DRAINING);
     harness.query(1, 6000, shards(0));
     assertEquals(List.of(rejectedNow(harness, 1)), harness.results);
     harness.query(2, 1586, shards(0, 2));
@@ -72,43 +72,43 @@
 
   /** A new instance cannot distinguish a client's retry from a first attempt. */
   @Test
-  void rejectsAtOnceAsANewInstance() {
+  void rejectsAtOnceOnANewInstance() {
     PolicyHarness harness = builder(queryClass -> {}).build();
-    setHolders(harness, Router.ServerState.GONE);
+    setStateOfShard0Servers(harness, Router.ServerState.GONE);
     harness.query(1, 1586, shards(0, 2));
     assertEquals(List.of("reject 1 @0"), harness.results);
   }
 
   @Test
-  void rejectsAnAdmittedQueryOnceItsLastHolderIsDraining() {
+  void rejectsAnAdmittedQueryOnceItsLastReplicaIsDraining() {
     PolicyHarness harness = harness();
     harness.query(1, 6000, shards(0, 2));
     double drainedAt = harness.now;
-    setHolders(harness, Router.ServerState.DRAINING);
+    setStateOfShard0Servers(harness, Router.ServerState.DRAINING);
     harness.endAttempt(10, 0, Router.Outcome.REJECTED);
     harness.advanceTo(drainedAt + 50);
     assertEquals(1, harness.results.size());
     assertTrue(harness.results.get(0).startsWith("reject 1 @"), harness.results.toString());
-    assertTrue(harness.cancellations.contains("11/0"), "its other part is cancelled");
+    assertTrue(harness.cancellations.contains("11/0"), "the other part of the query is cancelled");
   }
 
-  /** A retry of a keyed part that may have run is not known to be harmless. */
+  /** It is not known to be safe to retry a keyed part that may have run. */
   @Test
-  void failsAtOnceWhereAPartMayHaveRun() {
+  void failsAtOnceWhenAPartMayHaveRun() {
     PolicyHarness harness =
         harness(queryClass -> queryClass.idempotency(Settings.Idempotency.KEYED));
     harness.query(1, 6000, shards(0));
     double drainedAt = harness.now;
-    setHolders(harness, Router.ServerState.DRAINING);
+    setStateOfShard0Servers(harness, Router.ServerState.DRAINING);
     harness.endAttempt(10, 0, Router.Outcome.ERROR);
     harness.advanceTo(drainedAt + 50);
     assertTrue(harness.results.get(0).startsWith("fail 1 @"), harness.results.toString());
   }
 
   @Test
-  void waitsForTheTrialRequestToAnUnreachableHolder() {
+  void waitsForTheTrialRequestToAnUnreachableReplica() {
     PolicyHarness harness = harness();
-    removeSecondHolder(harness);
+    removeSecondServerOfShard0(harness);
     harness.query(1, 6000, shards(0));
     harness.endAttempt(10, 0, Router.Outcome.UNREACHABLE);
     harness.query(2, 6000, shards(0));
@@ -118,9 +118,9 @@
   }
 
   @Test
-  void waitsForAHolderWithAFullQueue() {
+  void waitsForAReplicaWithAFullQueue() {
     PolicyHarness harness = harness();
-    removeSecondHolder(harness);
+    removeSecondServerOfShard0(harness);
     harness.query(1, 6000, shards(0));
     harness.endAttempt(10, 0, Router.Outcome.REJECTED);
     harness.advanceBy(600);
@@ -130,7 +130,7 @@
 
   /** Other queries use up the slow-start budget, which grows again as its window passes. */
   @Test
-  void waitsForTheSlowStartBudgetOfAHolder() {
+  void waitsForTheSlowStartBudgetOfAReplica() {
     PolicyHarness harness = harness();
     harness.updateEndpoints(
         Router.ListKind.CHANGES,
@@ -151,9 +151,9 @@
   }
 
   @Test
-  void answersInPartWhereTheAttainablePartsSuffice() {
+  void answersInPartWhenTheAttainablePartsSuffice() {
     PolicyHarness harness = harness(queryClass -> queryClass.minimumShare(0.7));
-    setHolders(harness, Router.ServerState.DRAINING);
+    setStateOfShard0Servers(harness, Router.ServerState.DRAINING);
     harness.query(1, 6000, shards(0, 2), 0.2, 0.8);
     assertEquals(List.of(), harness.results);
     harness.advanceBy(100);
@@ -164,7 +164,7 @@
   }
 
   @Test
-  void endsByTheClientTimeoutLessTheDelayOfThisInstance() {
+  void endsAtTheClientTimeoutMinusTheDelayOfThisInstance() {
     PolicyHarness harness = harness();
     double receivedAt = harness.now;
     harness.policy.onQuery(
--- a/src/test/java/bitternpulley/policy/WaitTimePolicyTest.java
+++ b/src/test/java/bitternpulley/policy/WaitTimePolicyTest.java
@@ -14,7 +14,7 @@
     return PolicyHarness.builder().queryClass(queryClass -> queryClass.minimumShare(0.5)).build();
   }
 
-  private static void queryWithTwoHeaviestPartsAfter50Ms(PolicyHarness harness, long id) {
+  private static void sendQueryAndAnswerTwoHeaviestPartsAfter50Ms(PolicyHarness harness, long id) {
     harness.query(id, 3000, shards(0, 1, 2, 3), 0.4, 0.3, 0.2, 0.1);
     harness.advanceBy(50);
     harness.endAttempt(10 * id, 0, Router.Outcome.OK);
@@ -26,7 +26,7 @@
     PolicyHarness harness = harnessWithPartialAnswers();
     harness.answerQueries(19, 100);
     double start = harness.now;
-    queryWithTwoHeaviestPartsAfter50Ms(harness, 2);
+    sendQueryAndAnswerTwoHeaviestPartsAfter50Ms(harness, 2);
     harness.advanceTo(start + 900);
     assertEquals(19, harness.results.size());
     harness.advanceTo(start + 1000);
@@ -49,10 +49,10 @@
     harness.answerQuery(1, 300);
     harness.answerQueries(19, 100);
     double start = harness.now;
-    queryWithTwoHeaviestPartsAfter50Ms(harness, 3);
+    sendQueryAndAnswerTwoHeaviestPartsAfter50Ms(harness, 3);
     harness.advanceTo(start + 299);
     assertEquals(20, harness.results.size());
-    // T* is 300: the two heaviest of four have arrived, so nothing is extended.
+    // T* is 300 ms. The two heaviest of the four parts are answered, so the wait is not extended.
     harness.advanceTo(start + 301);
     assertEquals("partial 3 @" + (long) (start + 300), harness.results.get(20));
   }
@@ -66,23 +66,23 @@
     harness.endAttempt(32, 0, Router.Outcome.OK);
     harness.advanceTo(900);
     assertTrue(harness.results.isEmpty());
-    // With an empty record it waits for the objective, after which an answer pays nothing.
+    // With an empty record the query waits for the objective, after which an answer has no payoff.
     harness.advanceTo(1200);
     assertEquals(List.of("partial 3 @997"), harness.results);
   }
 
   @Test
-  void extendsToHalfTheSlackWithAnEmptyRecord() {
+  void extendsHalfwayToTheDeadlineWithAnEmptyRecord() {
     // The objective is at 997 and the deadline at 2997, so the extension ends at 1997.
-    assertEquals(List.of("partial 3 @1997"), resultsWithSixTenthsArrived(0.6));
+    assertEquals(List.of("partial 3 @1997"), resultsWithSixTenthsAnswered(0.6));
   }
 
   @Test
   void doesNotExtendPastTheObjectiveForALowerPayoff() {
-    assertEquals(List.of("partial 3 @997"), resultsWithSixTenthsArrived(0.3));
+    assertEquals(List.of("partial 3 @997"), resultsWithSixTenthsAnswered(0.3));
   }
 
-  private static List<String> resultsWithSixTenthsArrived(double latePriorityWeight) {
+  private static List<String> resultsWithSixTenthsAnswered(double latePriorityWeight) {
     PolicyHarness harness =
         PolicyHarness.builder()
             .queryClass(
@@ -97,16 +97,16 @@
   }
 
   @Test
-  void recordsACutOffPartShortlyBeforeTheObjective() {
+  void recordsAnUnansweredPartShortlyBeforeTheObjective() {
     PolicyHarness harness = harnessWithPartialAnswers();
     harness.answerQueries(20, 100);
     double start = harness.now;
-    queryWithTwoHeaviestPartsAfter50Ms(harness, 2);
+    sendQueryAndAnswerTwoHeaviestPartsAfter50Ms(harness, 2);
     harness.advanceTo(start + 150);
     assertEquals(21, harness.results.size());
-    // The next query waits for its objective, not for 100 ms again.
+    // The next query waits until its objective, not for 100 ms as before.
     start = harness.now;
-    queryWithTwoHeaviestPartsAfter50Ms(harness, 3);
+    sendQueryAndAnswerTwoHeaviestPartsAfter50Ms(harness, 3);
     harness.advanceTo(start + 800);
     assertEquals(21, harness.results.size());
   }
