--- a/src/main/java/bitternpulley/policy/WaitTimePolicy.java
+++ b/src/main/java/bitternpulley/policy/WaitTimePolicy.java
@@ -121,7 +121,7 @@
       query.extendUntil(Math.min(query.stepStartedAt() + extension, query.answerDeadline()));
     }
     // Waiting past the objective does not pay if a late complete answer is worth less than an
-    // answer from the parts that have arrived.
+    // answer from the parts answered so far.
     boolean mayBeLate =
         weightPayoff(query, query.answeredWeight()) < query.queryClass().latePriorityWeight();
     double extendedUntil =
@@ -169,7 +169,7 @@
         .allMatch(PartState::isSettled);
   }
 
-  /** When a missing part is expected to be answered; an overdue one may be at any moment. */
+  /** When the answer to a missing part is expected; an overdue answer may arrive at any moment. */
   private double expectedAt(PartState part, double now) {
     double earliest = Double.POSITIVE_INFINITY;
     for (AttemptState attempt : part.attempts()) {
