--- a/src/main/java/bitternpulley/policy/ProcessShare.java
+++ b/src/main/java/bitternpulley/policy/ProcessShare.java
@@ -2,10 +2,13 @@
 
 import bitternpulley.routing.Router;
 
-/** This process's share of the instance's limits, which two processes divide at a hot restart. */
+/**
+ * This process's share of the limits of its instance. During a hot restart, the old and the new
+ * process divide the limits between them.
+ */
 final class ProcessShare {
-  /** Share of a process whose successor has taken over. */
-  private static final double LEAVING = 0.2;
+  /** Share of the old process once its successor has taken over. */
+  private static final double PREDECESSOR_SHARE = 0.2;
 
   private double value = 1;
 
@@ -14,13 +17,13 @@
     return value;
   }
 
-  /** Sets the share by the role of the other process. */
-  void divideWith(Router.HotRestartRole other) {
+  /** Sets the share by the role of the other process, if there is one. */
+  void setOtherProcess(Router.HotRestartRole otherRole) {
     value =
-        switch (other) {
+        switch (otherRole) {
           case NONE -> 1;
-          case SUCCESSOR -> LEAVING;
-          case PREDECESSOR -> 1 - LEAVING;
+          case SUCCESSOR -> PREDECESSOR_SHARE;
+          case PREDECESSOR -> 1 - PREDECESSOR_SHARE;
         };
   }
 }
--- a/src/test/java/bitternpulley/policy/ServerFleetTest.java
+++ b/src/test/java/bitternpulley/policy/ServerFleetTest.java
@@ -9,10 +9,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Which servers are known. */
+/** Which servers the fleet keeps, and whether a server that returns is used. */
 class ServerFleetTest {
   @Test
-  void forgetsGoneServersWithoutAttemptsInFlight() {
+  void removesGoneServersWithoutAttemptsInFlight() {
     ServerFleet fleet = new ServerFleet(PolicyHarness.builder().buildSettings(), new Random(7));
     for (int i = 0; i < 100; i++) {
       fleet.update(endpoint("n" + i, i, Router.ServerState.GONE, 0));
@@ -21,7 +21,7 @@
     busy.addInFlight(new AttemptState(null, busy, 0, 0));
     fleet.prune();
     assertEquals(List.of(busy), List.copyOf(fleet.servers()));
-    assertEquals(List.of(busy), fleet.holders(0));
+    assertEquals(List.of(busy), fleet.serversForShard(0));
   }
 
   @Test
