--- a/src/main/java/bitternpulley/health/PartPriority.java
+++ b/src/main/java/bitternpulley/health/PartPriority.java
@@ -4,6 +4,6 @@
 public enum PartPriority {
   /** The query cannot be answered in time without the part. */
   URGENT,
-  /** The part serves a late answer only, or a partial answer is possible without it. */
+  /** The part can only contribute to a late answer, or a partial answer is possible without it. */
   DEFERRABLE
 }
--- a/src/main/java/bitternpulley/health/ServerConcurrencyLimit.java
+++ b/src/main/java/bitternpulley/health/ServerConcurrencyLimit.java
@@ -3,24 +3,24 @@
 import java.util.ArrayDeque;
 
 /**
- * How many parts of this instance a server has capacity for. A server goes on processing a part
- * whose attempt was cancelled, so a cancelled attempt occupies capacity until a part that was sent
- * later is answered.
+ * Limits the parts that this instance may have in flight at one server. A server continues to
+ * process a part after its attempt was cancelled, so a cancelled attempt occupies capacity until a
+ * part that was sent later is answered.
  */
 public final class ServerConcurrencyLimit {
-  private static final double INITIAL = 32;
-  private static final double MINIMUM = 1;
+  private static final double INITIAL_LIMIT = 32;
+  private static final double MIN_LIMIT = 1;
 
-  /** Share of the limit left by a rejection for a full queue. */
+  /** Factor applied to the limit after a rejection for a full queue. */
   private static final double REJECTION_FACTOR = 0.5;
 
-  /** Share of the limit left by a late answer. */
+  /** Factor applied to the limit after a late answer. */
   private static final double LATE_FACTOR = 0.9;
 
   /** Parts that a timely answer adds to the limit. */
   private static final double INCREASE = 0.25;
 
-  /** Ms between two decreases: parts sent together are rejected together. */
+  /** Minimum ms between two decreases, since parts that are sent together are rejected together. */
   private static final double DECREASE_INTERVAL_MS = 50;
 
   /** Ms after which a cancelled attempt no longer counts. */
@@ -28,13 +28,13 @@
 
   private static final int MAX_CANCELLED = 64;
 
-  /** Share of the limit available to deferrable parts. */
+  /** Share of the limit that is available to deferrable parts. */
   private static final double DEFERRABLE_SHARE = 0.5;
 
   /** Send times of cancelled attempts, in order of cancellation. */
   private final ArrayDeque<Double> cancelledSentAt = new ArrayDeque<>();
 
-  private double limit = INITIAL;
+  private double limit = INITIAL_LIMIT;
   private double decreasedAt = Double.NEGATIVE_INFINITY;
 
   /** Whether one more part may be sent in addition to those in flight. */
@@ -42,8 +42,8 @@
     while (!cancelledSentAt.isEmpty() && cancelledSentAt.peek() < now - CANCELLED_TTL_MS) {
       cancelledSentAt.poll();
     }
-    // With nothing in flight no later answer can clear the cancelled attempts, so an urgent part
-    // is sent all the same.
+    // While no part is in flight, no later answer can clear the cancelled attempts, so an urgent
+    // part is sent regardless of them.
     return (inFlight == 0 && priority == PartPriority.URGENT)
         || inFlight + cancelledSentAt.size() < limitFor(priority);
   }
@@ -53,8 +53,9 @@
   }
 
   /**
-   * When there may be capacity next: at any moment while parts are in flight, since each answer
-   * frees some; otherwise once the oldest cancelled attempt expires, or never (infinity).
+   * The earliest time at which there may be capacity: {@code now} while parts are in flight, since
+   * each answer frees capacity; otherwise the time at which the oldest cancelled attempt expires,
+   * or infinity if the limit is too low for any deferrable part.
    */
   public double nextCapacityAt(int inFlight, PartPriority priority, double now) {
     if (inFlight > 0 || hasCapacity(inFlight, priority, now)) {
@@ -72,7 +73,7 @@
 
   /** Records a timely answer to a part sent at {@code sentAt}. */
   public void recordTimelyAnswer(double sentAt, int inFlight) {
-    clearCancelledUntil(sentAt);
+    clearCancelledSentUntil(sentAt);
     if (2 * (inFlight + cancelledSentAt.size() + 1) >= limit) {
       limit += INCREASE;
     }
@@ -80,12 +81,15 @@
 
   /** Records a late answer to a part sent at {@code sentAt}. */
   public void recordLateAnswer(double sentAt, double now) {
-    clearCancelledUntil(sentAt);
+    clearCancelledSentUntil(sentAt);
     decreaseTo(limit * LATE_FACTOR, now);
   }
 
-  /** A server's queue is first in, first out: parts sent before an answered one are finished. */
-  private void clearCancelledUntil(double sentAt) {
+  /**
+   * Removes the cancelled attempts sent up to {@code sentAt}. A server's queue is first in, first
+   * out, so parts sent before an answered part are finished.
+   */
+  private void clearCancelledSentUntil(double sentAt) {
     cancelledSentAt.removeIf(time -> time <= sentAt);
   }
 
@@ -100,13 +104,13 @@
   private void decreaseTo(double newLimit, double now) {
     if (now >= decreasedAt + DECREASE_INTERVAL_MS) {
       decreasedAt = now;
-      limit = Math.max(MINIMUM, newLimit);
+      limit = Math.max(MIN_LIMIT, newLimit);
     }
   }
 
-  /** Returns to the initial limit: a new process has nothing of the previous one's queue. */
+  /** Resets the limit for a new server process, which has none of the previous process's queue. */
   public void reset() {
     cancelledSentAt.clear();
-    limit = INITIAL;
+    limit = INITIAL_LIMIT;
   }
 }
