--- a/src/main/java/bitternpulley/health/SlidingWindowSum.java
+++ b/src/main/java/bitternpulley/health/SlidingWindowSum.java
@@ -15,30 +15,30 @@
     this.windowMs = windowMs;
   }
 
-  /** Adds an amount; times do not decrease from call to call. */
+  /** Adds an amount; {@code now} must not decrease from call to call. */
   public void add(double now, double amount) {
     entries.addLast(new Entry(now, amount));
     sum += amount;
   }
 
-  /** The sum of what was added within the window that ends now, both ends included. */
+  /** The sum of the amounts in the window that ends at {@code now}, both ends included. */
   public double sum(double now) {
     while (!entries.isEmpty() && entries.peekFirst().time < now - windowMs) {
       sum -= entries.pollFirst().amount;
     }
     if (entries.isEmpty()) {
-      // Differences of rounding must not accumulate.
+      // Prevents rounding errors from accumulating.
       sum = 0;
     }
     return sum;
   }
 
-  /** The sum at a later time if nothing is added until then. */
-  public double sumAt(double later) {
-    double remaining = 0;
+  /** The sum at {@code laterTime} if nothing is added until then. */
+  public double projectedSum(double laterTime) {
+    double remainingSum = 0;
     for (Entry entry : entries) {
-      remaining += entry.time < later - windowMs ? 0 : entry.amount;
+      remainingSum += entry.time < laterTime - windowMs ? 0 : entry.amount;
     }
-    return remaining;
+    return remainingSum;
   }
 }
