--- a/src/main/java/bitternpulley/health/ProcessPauses.java
+++ b/src/main/java/bitternpulley/health/ProcessPauses.java
@@ -4,40 +4,40 @@
 import java.util.Deque;
 
 /**
- * The latest times in which this process did not run. What it waited for then may have happened
- * long before it could notice, so these times tell nothing of the servers. Times are ms of the
- * caller's clock.
+ * Recent pauses, in which this process did not run. An event that occurred during a pause is
+ * noticed only after it, so waiting times that include a pause say nothing about the servers. Times
+ * are ms of the caller's clock.
  */
 public final class ProcessPauses {
-  /** Pauses remembered: more than fit into the time for which an attempt is in flight. */
+  /** Number of pauses kept, which is more than can occur while one attempt is in flight. */
   private static final int MAX_PAUSES = 32;
 
-  private record Pause(double from, double until) {}
+  private record Pause(double start, double end) {}
 
-  private final Deque<Pause> latest = new ArrayDeque<>();
+  private final Deque<Pause> recentPauses = new ArrayDeque<>();
 
-  /** Records that the process did not run for {@code pausedMs} until now. */
+  /** Records that the process did not run for the {@code pausedMs} before {@code now}. */
   public void record(double pausedMs, double now) {
-    latest.addFirst(new Pause(now - pausedMs, now));
-    if (latest.size() > MAX_PAUSES) {
-      latest.removeLast();
+    recentPauses.addFirst(new Pause(now - pausedMs, now));
+    if (recentPauses.size() > MAX_PAUSES) {
+      recentPauses.removeLast();
     }
   }
 
-  /** Ms since that time in which the process did not run. */
+  /** For how many ms since {@code time} the process did not run. */
   public double pausedSince(double time) {
     double paused = 0;
-    for (Pause pause : latest) {
-      if (pause.until() <= time) {
+    for (Pause pause : recentPauses) {
+      if (pause.end() <= time) {
         break;
       }
-      paused += pause.until() - Math.max(pause.from(), time);
+      paused += pause.end() - Math.max(pause.start(), time);
     }
     return paused;
   }
 
-  /** Whether the process ran all the time since then. */
+  /** Whether the process has run without a pause since {@code time}. */
   public boolean ranSince(double time) {
-    return latest.isEmpty() || latest.getFirst().until() <= time;
+    return recentPauses.isEmpty() || recentPauses.getFirst().end() <= time;
   }
 }
--- a/src/main/java/bitternpulley/health/WorkEstimate.java
+++ b/src/main/java/bitternpulley/health/WorkEstimate.java
@@ -1,30 +1,33 @@
 package bitternpulley.health;
 
 /**
- * Estimate of a part's work where none is given. Load stretches every observed latency, so the
- * estimate is the least of several: the slow-start budget, counted in parts, must not shrink while
- * the fleet is loaded.
+ * Estimates the work of a part whose query does not state it. Load increases every observed
+ * latency, so the estimate is the lowest of several: the slow-start budget, counted in parts, must
+ * not shrink while the fleet is loaded.
  */
 public final class WorkEstimate {
-  /** Multiple of a quick answer's latency that a part's work counts as. */
-  private static final double QUICK_MULTIPLE = 2;
+  /** Estimated work of a part, as a multiple of the quick latency. */
+  private static final double QUICK_LATENCY_MULTIPLE = 2;
 
-  /** Weight of an answer quicker than the quick latency. */
-  private static final double QUICK_FALL = 0.1;
+  /** Weight of an answer faster than the quick latency. */
+  private static final double QUICK_LATENCY_FALL = 0.1;
 
   /** Weight of an answer slower than the quick latency. */
-  private static final double QUICK_RISE = 0.01;
+  private static final double QUICK_LATENCY_RISE = 0.01;
 
-  /** Answers to sole requests over which their mean is taken. */
+  /** Number of answers to sole requests over which their mean latency is taken. */
   private static final int SOLE_REQUEST_SPAN = 20;
 
-  /** Multiple of the mean that one answer to a sole request counts as, at most. */
+  /** One answer to a sole request counts as at most this multiple of the mean. */
   private static final double MAX_SOLE_REQUEST_MULTIPLE = 3;
 
-  /** Relative rise of the least mean per answer: slower than any overload lasts. */
+  /**
+   * Relative increase of the least mean per answer, which is too slow to matter during any
+   * overload.
+   */
   private static final double LEAST_MEAN_RISE = 0.0002;
 
-  /** About the latency that one answer in ten stays below, in ms. */
+  /** Approximately the latency in ms that one answer in ten stays below. */
   private double quickLatency = Double.POSITIVE_INFINITY;
 
   private double soleRequestMean;
@@ -36,26 +39,27 @@
     if (quickLatency == Double.POSITIVE_INFINITY) {
       quickLatency = latency;
     } else if (latency < quickLatency) {
-      quickLatency = quickLatency + QUICK_FALL * (latency - quickLatency);
+      quickLatency = quickLatency + QUICK_LATENCY_FALL * (latency - quickLatency);
     } else {
-      quickLatency = quickLatency + QUICK_RISE * Math.min(latency - quickLatency, quickLatency);
+      quickLatency =
+          quickLatency + QUICK_LATENCY_RISE * Math.min(latency - quickLatency, quickLatency);
     }
   }
 
   /**
-   * Records the latency in ms of an answer to a sole request: none of this instance's was before
-   * it, at a warm server that is no outlier.
+   * Records the latency in ms of an answer to a sole request: when it was sent, its server was
+   * warm, was no outlier and had no other request of this instance in flight.
    */
   public void recordSoleRequestAnswer(double latency) {
     recordAnswer(latency);
-    double counted =
+    double limitedLatency =
         soleRequests == 0
             ? latency
             : Math.min(latency, MAX_SOLE_REQUEST_MULTIPLE * soleRequestMean);
     soleRequests = Math.min(soleRequests + 1, SOLE_REQUEST_SPAN);
-    soleRequestMean += (counted - soleRequestMean) / soleRequests;
-    // Overload stretches sole requests as well, since other instances' parts are queued before
-    // them. The least loaded period is nearest to the true work.
+    soleRequestMean += (limitedLatency - soleRequestMean) / soleRequests;
+    // Overload also increases the latency of sole requests, since other instances' parts are queued
+    // ahead of them. The mean of the least loaded period is closest to the true work.
     if (soleRequests >= SOLE_REQUEST_SPAN) {
       leastSoleRequestMean =
           Math.min(soleRequestMean, leastSoleRequestMean * (1 + LEAST_MEAN_RISE));
@@ -64,6 +68,7 @@
 
   /** The estimated work of a part in ms, at most the baseline latency. */
   public double estimate(double baselineLatency) {
-    return Math.min(baselineLatency, Math.min(quickLatency * QUICK_MULTIPLE, leastSoleRequestMean));
+    return Math.min(
+        baselineLatency, Math.min(quickLatency * QUICK_LATENCY_MULTIPLE, leastSoleRequestMean));
   }
 }
--- a/src/main/java/bitternpulley/health/ZoneLatency.java
+++ b/src/main/java/bitternpulley/health/ZoneLatency.java
@@ -1,29 +1,29 @@
 package bitternpulley.health;
 
 /**
- * What is known of the network path to the servers of one zone: the latency of parts, the share
- * that is late, the share of new connections that fail.
+ * Measurements of the network path to the servers of one zone: the latency of parts, the share of
+ * late parts and the share of new connections that fail.
  */
 public final class ZoneLatency {
-  /** Weight of a new latency. */
+  /** Weight of a new latency in the smoothed latency. */
   private static final double SMOOTHING = 0.05;
 
-  /** Weight of a part that was late or in time. */
+  /** Weight of one part in the share of late parts. */
   private static final double LATE_SMOOTHING = 0.1;
 
-  /** Multiple of the smoothed latency that one answer counts as, at most. */
+  /** One answer counts as at most this multiple of the smoothed latency. */
   private static final double MAX_LATENCY_MULTIPLE = 4;
 
-  /** Upper bound of the share of parts that counts as late. */
+  /** Upper bound of the share of late parts in {@link #inTimeShare}. */
   private static final double MAX_LATE_SHARE = 0.8;
 
   /** Share of failed new connections up to which new connections are opened. */
   private static final double MAX_CONNECTION_FAILURE_SHARE = 0.25;
 
-  /** Weight of one new connection. */
+  /** Weight of one new connection in the share of failed connections. */
   private static final double CONNECTION_SMOOTHING = 0.15;
 
-  /** Share of the connection failures that each part sent forgets. */
+  /** Fraction by which each part sent reduces the share of failed connections. */
   private static final double CONNECTION_DECAY = 0.02;
 
   private double latency;
@@ -31,7 +31,7 @@
   private double lateShare;
   private double connectionFailureShare;
 
-  /** A zone of which nothing is known but an assumed latency in ms. */
+  /** A zone without measurements, with an assumed latency in ms. */
   public ZoneLatency(double assumedLatency) {
     this.latency = assumedLatency;
   }
@@ -46,7 +46,7 @@
     return isMeasured ? latency : Double.POSITIVE_INFINITY;
   }
 
-  /** Records the latency of a part in ms; a single outlier hardly changes the smoothed one. */
+  /** Records the latency of a part in ms. A single outlier hardly changes the smoothed latency. */
   public void recordLatency(double measured) {
     latency += SMOOTHING * (Math.min(measured, MAX_LATENCY_MULTIPLE * latency) - latency);
     isMeasured = true;
@@ -62,7 +62,7 @@
     lateShare *= 1 - LATE_SMOOTHING;
   }
 
-  /** The share of parts that arrive in time, at least a fifth. */
+  /** The share of parts that are answered in time, at least a fifth. */
   public double inTimeShare() {
     return 1 - Math.min(lateShare, MAX_LATE_SHARE);
   }
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Whether a part may be sent over a new connection. Each call counts as a part sent and lets the
-   * record of failed connections decay.
+   * Whether a part may be sent over a new connection. Each call counts as a part sent and reduces
+   * the share of failed connections.
    */
   public boolean admitNewConnection() {
     boolean isReliable = connectionFailureShare <= MAX_CONNECTION_FAILURE_SHARE;
