--- a/src/main/java/bitternpulley/health/ClientRetryDetector.java
+++ b/src/main/java/bitternpulley/health/ClientRetryDetector.java
@@ -1,35 +1,37 @@
 package bitternpulley.health;
 
 /**
- * Recognizes the client retries among the queries of one class, where clients do not mark them:
- * first attempts mostly carry the same timeout, retries carry what is left of it. The common
- * timeout is found by a majority vote with a bounded lead.
+ * Detects client retries among the queries of one class when clients do not mark them. Most first
+ * attempts carry the same timeout, while a retry carries the time that remains of it. The common
+ * timeout is found by a majority vote, with a bounded number of votes.
  */
 public final class ClientRetryDetector {
-  /** Difference in ms within which two timeouts are the same: the network delay of the client. */
+  /**
+   * Largest difference in ms between timeouts that count as equal: the network delay of the client.
+   */
   private static final double TIMEOUT_TOLERANCE = 12;
 
-  /** Votes from which the majority is accepted. */
-  private static final int ACCEPTED_VOTES = 4;
+  /** Votes needed before the common timeout is used to detect retries. */
+  private static final int MIN_VOTES = 4;
 
-  /** Upper bound of the votes, so that another timeout can become the majority. */
-  private static final int MAX_VOTES = 4 * ACCEPTED_VOTES;
+  /** Upper bound of the votes, so that another timeout can become the common one. */
+  private static final int MAX_VOTES = 4 * MIN_VOTES;
 
   private double commonTimeout;
   private int votes;
 
-  /** Records a query with this remaining time in ms; returns whether it certainly is a retry. */
+  /** Records a query's remaining time in ms and returns whether the query is certainly a retry. */
   public boolean recordAndClassify(double timeLeft) {
     if (Math.abs(timeLeft - commonTimeout) <= TIMEOUT_TOLERANCE) {
       votes = Math.min(votes + 1, MAX_VOTES);
       return false;
     }
-    boolean isAccepted = votes >= ACCEPTED_VOTES;
+    boolean isCommonTimeoutKnown = votes >= MIN_VOTES;
     votes--;
     if (votes <= 0) {
       commonTimeout = timeLeft;
       votes = 1;
     }
-    return isAccepted;
+    return isCommonTimeoutKnown;
   }
 }
--- a/src/main/java/bitternpulley/health/TenantQuotas.java
+++ b/src/main/java/bitternpulley/health/TenantQuotas.java
@@ -4,19 +4,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Compares what each tenant requests of this instance with the tenant's quota. */
+/**
+ * Compares each tenant's share of the parts requested from this instance with the tenant's quota.
+ */
 public final class TenantQuotas {
-  /** Ms over which shares are measured: some tens of queries even at a few per second. */
+  /**
+   * Window in ms over which shares are measured. It contains some tens of queries even at a few
+   * queries per second.
+   */
   private static final double WINDOW_MS = 5000;
 
-  /** Factor by which random variation may exceed a quota. */
+  /** Factor by which a tenant's share may exceed its quota, to allow for random variation. */
   private static final double TOLERANCE = 1.25;
 
   private final List<Settings.Tenant> tenants;
   private final SlidingWindowSum requestedParts = new SlidingWindowSum(WINDOW_MS);
   private final List<SlidingWindowSum> requestedPartsByTenant = new ArrayList<>();
 
-  /** Quotas of these tenants, who are referred to by their position. */
+  /** The quotas of these tenants. Other methods identify a tenant by its index in the list. */
   public TenantQuotas(List<Settings.Tenant> tenants) {
     this.tenants = tenants;
     tenants.forEach(tenant -> requestedPartsByTenant.add(new SlidingWindowSum(WINDOW_MS)));
--- a/src/main/java/bitternpulley/health/package-info.java
+++ b/src/main/java/bitternpulley/health/package-info.java
@@ -1,10 +1,11 @@
 /**
- * What one instance has measured of slot servers and of its own load: how many parts a server has
- * capacity for, how much work a part is, how a server warms up, whether everything stalls.
+ * Estimates that one instance derives from its own measurements of the slot servers and of its
+ * load: how many parts a server has capacity for, how much work a part requires, how far a server
+ * has warmed up, whether all servers are stalled.
  *
- * <p>Each class holds one estimate and its transitions; the time is passed in. Nothing here does
- * I/O, knows of a query's state or chooses a server. Times are milliseconds of the caller's clock,
- * work is milliseconds of one core.
+ * <p>Each class holds one estimate and the rules by which it changes; the time is passed in.
+ * Nothing here does I/O, uses the state of a query or chooses a server. Times are milliseconds of
+ * the caller's clock, work is milliseconds of one core.
  *
  * <p>Called by {@code policy} only. Start with {@link bitternpulley.health.ServerConcurrencyLimit}
  * and {@link bitternpulley.health.SlowStartBudget}.
