--- a/src/main/java/bitternpulley/routing/Router.java
+++ b/src/main/java/bitternpulley/routing/Router.java
@@ -4,10 +4,10 @@
 import java.util.OptionalDouble;
 
 /**
- * The decisions of one aggregator instance: events in, {@link Actions} out. Every event carries the
- * time in ms of the caller's clock, which never decreases. Events that arrive together are a batch,
- * which {@link #completeBatch} ends. An implementation keeps no state outside itself, so the same
- * events give the same actions.
+ * Makes the decisions of one aggregator instance: it receives events and responds with {@link
+ * Actions}. Every event carries the time in ms of the caller's clock, which never decreases. Events
+ * that arrive together form a batch, which {@link #completeBatch} ends. An implementation keeps no
+ * state outside itself, so the same events lead to the same actions.
  */
 public interface Router {
 
@@ -36,20 +36,20 @@
       this.neverRan = neverRan;
     }
 
-    /** True when the server cannot have begun the part. */
+    /** Whether it is certain that the server did not begin the part. */
     public boolean neverRan() {
       return neverRan;
     }
   }
 
   /**
-   * The other process of the same instance that runs during a hot restart. Both share the listening
-   * socket and all limits.
+   * The role of the other process of this instance during a hot restart. Both processes share the
+   * listening socket and all limits.
    */
   enum HotRestartRole {
     /** No other process runs. */
     NONE,
-    /** The other process is the older one, which leaves. */
+    /** The other process is the older one, which is being replaced. */
     PREDECESSOR,
     /** The other process is the newer one, which takes over. */
     SUCCESSOR
@@ -57,40 +57,40 @@
 
   /** The state of a server in the endpoint list. */
   enum ServerState {
-    /** It accepts parts. */
+    /** The server accepts parts. */
     LIVE,
-    /** It finishes the parts it has and accepts no more. */
+    /** The server finishes the parts it has and accepts no more. */
     DRAINING,
-    /** It is not in service. */
+    /** The server is not in service. */
     GONE
   }
 
-  /** How an endpoint list is to be applied. */
+  /** How to apply an endpoint list. */
   enum ListKind {
-    /** It holds only the servers that changed. */
+    /** The list contains only the servers that changed. */
     CHANGES,
-    /** It holds all servers. */
+    /** The list contains all servers. */
     COMPLETE,
-    /** It holds all servers as a previous process stored them. */
+    /** The list contains all servers as stored by a previous process. */
     REMEMBERED,
-    /** It could not be read, and is empty. */
+    /** The list could not be read and is empty. */
     FAILED
   }
 
   /**
    * One server of an endpoint list.
    *
-   * @param server its id
-   * @param cell the cell whose shards it holds
-   * @param startedAt when its process started; 0 means long ago
+   * @param server id of the server
+   * @param cell cell of the server, which holds the shards of this cell
+   * @param startedAt when the server process started, or 0 if long ago
    */
   record Endpoint(String server, int zone, int cell, ServerState state, double startedAt) {}
 
   /**
-   * By how much this instance itself delayed a query.
+   * The delays that this instance itself adds to a query.
    *
-   * @param unreadFor ms for which its bytes may have been unread
-   * @param loopLag recent delay in ms of the event loop, which the answer may meet as well
+   * @param unreadFor ms for which the bytes of the query may have been unread
+   * @param loopLag recent delay in ms of the event loop, which may also delay the answer
    */
   record Lateness(double unreadFor, double loopLag) {
     /** No delay. */
@@ -100,10 +100,10 @@
     private static final double MAX_LOOP_LAG_SHARE = 0.125;
 
     /**
-     * Ms until the answer has to leave.
+     * The time in ms within which the answer must be sent.
      *
-     * @param clientTimeout ms for which the client waits from when it sent the query
-     * @param minimumLead ms reserved at least for the answer's way to the client
+     * @param clientTimeout ms for which the client waits after it sent the query
+     * @param minimumLead minimum ms reserved for the transmission of the answer to the client
      */
     public double timeLeft(double clientTimeout, double minimumLead) {
       return clientTimeout
@@ -113,16 +113,16 @@
   }
 
   /**
-   * A query received; its parts follow with the same number.
+   * A received query; its parts follow with the same query number.
    *
-   * @param id identifies it in actions and client events
-   * @param number identifies it in its parts
-   * @param queryClass index of its class in the settings
-   * @param parts how many parts its first step has
-   * @param estimatedWork the work of all its parts in ms, or 0 where unknown
-   * @param retry whether the client marked it as a retry
-   * @param timeLeft ms for which the client waits
-   * @param tenant index of its tenant in the settings
+   * @param id identifies the query in actions and client events
+   * @param number identifies the query in its parts
+   * @param queryClass index of the query class in the settings
+   * @param parts number of parts of the first step
+   * @param estimatedWork work of all parts in ms, or 0 if unknown
+   * @param retry whether the client marked the query as a retry
+   * @param timeLeft ms for which the client continues to wait
+   * @param tenant index of the tenant in the settings
    */
   record Query(
       long id,
@@ -136,7 +136,7 @@
       Terms terms,
       Lateness lateness) {
 
-    /** A query on the terms of its class, without delay. */
+    /** A query with the terms of its class and without delay. */
     public Query(
         long id,
         long number,
@@ -164,12 +164,12 @@
    * Requirements of a query in addition to those of its class.
    *
    * @param completeOnly whether the client accepts no partial answer
-   * @param clientSetTimeout whether the client chose its timeout, which then does not show whether
+   * @param clientSetTimeout whether the client chose the timeout, which then does not show whether
    *     the query is a retry
-   * @param contract the class as the tenant's contract modifies it, or null
+   * @param contract terms of the tenant's contract for the class, or null if there is none
    */
   record Terms(boolean completeOnly, boolean clientSetTimeout, ClassTerms contract) {
-    /** Those of the class only. */
+    /** No requirements in addition to those of the class. */
     public static final Terms CLASS_DEFAULT = new Terms(false, false);
 
     /** Terms without a contract. */
@@ -182,7 +182,7 @@
       return new Terms(completeOnly, clientSetTimeout, contractTerms);
     }
 
-    /** The class as these terms modify it. */
+    /** The configured class with these terms applied. */
     public Settings.QueryClass applyTo(Settings.QueryClass configured) {
       Settings.QueryClass queryClass =
           contract == null ? configured : configured.underContract(contract);
@@ -195,7 +195,7 @@
    *
    * @param latencyObjective in ms
    * @param deadline in ms
-   * @param minimumShare least share of the weight of a partial answer
+   * @param minimumShare smallest share of the weight in a partial answer
    * @param priorityWeight importance relative to other classes
    */
   record ClassTerms(
@@ -204,43 +204,48 @@
   /**
    * A part of a query's current step.
    *
-   * @param id identifies it in actions and outcomes
-   * @param number that of its query
-   * @param weight its share of the complete answer
-   * @param estimatedWork its work in ms, or 0 where unknown
+   * @param id identifies the part in actions and outcomes
+   * @param number number of the query
+   * @param weight the part's share of the complete answer
+   * @param estimatedWork work of the part in ms, or 0 if unknown
    */
   record Part(long id, long number, int shard, double weight, double estimatedWork) {}
 
   /**
-   * The end of an attempt, of which there is exactly one.
+   * The end of an attempt. Each attempt ends exactly once.
    *
    * @param part id of the part
-   * @param attempt number among the attempts of the part, from 0
-   * @param elapsed ms since it was sent
+   * @param attempt index of the attempt among the attempts of the part, from 0
+   * @param elapsed ms since the attempt was sent
    */
   record AttemptEnded(long part, int attempt, String server, Outcome outcome, double elapsed) {}
 
-  /** What a router may do; the caller carries it out in the order of the calls. */
+  /** The actions available to a router; the caller carries them out in the order of the calls. */
   interface Actions {
-    /** Starts the next attempt of a part; without an outcome it ends after {@code timeout} ms. */
+    /**
+     * Starts the next attempt of a part. If there is no outcome within {@code timeout} ms, the
+     * attempt ends with a timeout.
+     */
     void send(long part, String server, double timeout);
 
     /** Cancels an attempt that is in flight. */
     void cancel(long part, int attempt);
 
     /**
-     * Answers a query from the parts that have arrived: its final answer, or that of its first step
-     * where the class has a second one.
+     * Answers a query from the parts that have arrived. This is the final answer, or the answer to
+     * the first step if the class has a second step.
      */
     void answer(long query, boolean complete);
 
-    /** Rejects a query: a retry is harmless, best after {@code retryAfter} ms. */
+    /**
+     * Rejects a query. A retry by the client is harmless, preferably after {@code retryAfter} ms.
+     */
     void reject(long query, double retryAfter);
 
-    /** Fails a query, of which parts may have run. */
+    /** Fails a query. Some of its parts may have run. */
     void fail(long query);
 
-    /** Requests {@link #onAlarm} at a time. */
+    /** Requests a call of {@link #onAlarm} at {@code time}. */
     void scheduleAlarm(double time, String token);
 
     /** Requests changes of the endpoint list from discovery. */
@@ -261,36 +266,38 @@
     onServersChanged(ListKind.CHANGES, List.of(server), now, out);
   }
 
-  /** Another process of this instance runs from now on, or no longer does. */
+  /**
+   * Another process of this instance started or stopped; {@code role} is its role, or {@code NONE}.
+   */
   default void onHotRestart(HotRestartRole role) {}
 
   /**
-   * This process did not run for {@code pausedMs} until now. It comes before the events that have
-   * waited meanwhile, some of which may have happened at the beginning of that time.
+   * This process did not run for the {@code pausedMs} before {@code now}. The call precedes the
+   * events that waited during the pause, some of which may have occurred at its beginning.
    */
   default void onPause(double pausedMs, double now) {}
 
-  /** This instance's quota of what all instances may do together. */
+  /** This instance's quota of what all instances together may do. */
   interface QuotaShare {
-    /** An even quota by the number of instances configured. */
+    /** An even quota: one share for each configured instance. */
     QuotaShare EVEN = now -> 1;
 
     /**
-     * The quota at a time, as a multiple of an even one: more than 1 where fewer instances may act,
-     * 0 where this one may not.
+     * The quota at a time, as a multiple of an even quota: more than 1 if fewer instances may act,
+     * 0 if this instance may not act.
      */
     double at(double now);
   }
 
-  /** Sets this instance's quota, which is {@link QuotaShare#EVEN} at first. */
+  /** Sets this instance's quota, which is initially {@link QuotaShare#EVEN}. */
   default void useQuota(QuotaShare share) {}
 
   /**
-   * Whether a query is rejected unread, since too many queries and parts are pending. The limit is
-   * exceeded by at most one query.
+   * Decides whether to reject a query before it is read, because too many queries and parts are
+   * pending. At most one query exceeds the limit.
    *
-   * @param pending queries that are not finished, plus their parts that have not arrived
-   * @return the delay in ms advised to the client, or empty where there is capacity
+   * @param pending number of unfinished queries plus number of their parts that have not arrived
+   * @return the delay in ms that the client is advised to wait, or empty if there is capacity
    */
   default OptionalDouble rejectionDelay(int pending) {
     return OptionalDouble.empty();
@@ -299,7 +306,7 @@
   /** A query arrived. */
   void onQuery(Query query, double now, Actions out);
 
-  /** A part of a query arrived, right after it or after the answer to its first step. */
+  /** A part of a query arrived, directly after the query or after the answer to its first step. */
   void onPart(Part part, double now, Actions out);
 
   /** An attempt ended. */
