--- a/src/main/java/bitternpulley/routing/Settings.java
+++ b/src/main/java/bitternpulley/routing/Settings.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * The settings of an instance, which its site states at its start. An optional figure that is
- * absent switches off what it governs.
+ * The settings of an instance, which the configuration of its site supplies at startup. An optional
+ * value that is absent disables the feature that it controls.
  *
  * @param self number of this instance, from 0
- * @param instances how many instances the site has
+ * @param instances number of instances of the site
  * @param zone zone of this instance
  * @param tick resolution of the caller's clock and alarms in ms
  * @param endpointsOnRequest whether the endpoint list is sent on request only
  * @param overQuotaWeight factor on the priority weight of tenants above their quota
- * @param weightByWork whether the payoff of a query grows with its work, not by query
+ * @param weightByWork whether the payoff of a query grows with its work instead of counting once
+ *     per query
  */
 public record Settings(
     int self,
@@ -36,7 +37,7 @@
     return with(Math.max(tick, minimum), limits);
   }
 
-  /** These settings for a caller that carries one attempt of a part at a time. */
+  /** These settings for a caller that supports only one attempt of a part at a time. */
   public Settings withoutHedging() {
     return with(tick, limits.withoutHedging());
   }
@@ -60,11 +61,11 @@
 
   /** Whether a part that may have run may run again. */
   public enum Idempotency {
-    /** At any time. */
+    /** The part may run again at any time. */
     IDEMPOTENT,
-    /** Within a window after its first attempt, by an idempotency key. */
+    /** The part may run again within a window after its first attempt, by an idempotency key. */
     KEYED,
-    /** Never. */
+    /** The part must not run again. */
     NON_IDEMPOTENT
   }
 
@@ -73,14 +74,16 @@
    *
    * @param priorityWeight payoff of a complete answer within the objective
    * @param objectiveStretch ms added to the objective per ms of estimated work
-   * @param deadline when the client stops waiting
-   * @param latePriorityWeight payoff of a complete answer after the objective, as a share
+   * @param deadline ms after which the client stops waiting
+   * @param latePriorityWeight payoff of a complete answer after the objective, as a share of {@code
+   *     priorityWeight}
    * @param idempotencyWindow ms within which an idempotency key is valid
-   * @param stream as the settings state it; nothing depends on it
-   * @param minimumShare least weight of a partial answer
-   * @param completeShare least weight of a complete answer to the first step
-   * @param partialPriorityWeight payoff of a partial answer, as a share at full weight
-   * @param secondStepParts parts of the second step, or 0 where there is none
+   * @param stream value of a setting that has no effect
+   * @param minimumShare smallest weight of a partial answer
+   * @param completeShare smallest weight of a complete answer to the first step
+   * @param partialPriorityWeight payoff of a partial answer at full weight, as a share of {@code
+   *     priorityWeight}
+   * @param secondStepParts number of parts of the second step, or 0 if there is none
    */
   public record QueryClass(
       String name,
@@ -97,12 +100,12 @@
       double partialPriorityWeight,
       int secondStepParts) {
 
-    /** Whether a partial answer may be given. */
+    /** Whether a partial answer is allowed. */
     public boolean allowsPartialAnswer() {
       return minimumShare < completeShare;
     }
 
-    /** This class as a contract modifies it. */
+    /** This class as modified by a contract. */
     public QueryClass underContract(Router.ClassTerms contract) {
       double contractMinimum = Math.min(completeShare, contract.minimumShare());
       return with(
@@ -146,23 +149,23 @@
    * Which servers hold a shard: shard s is held by the cells s to s + replicas - 1, modulo the
    * number of cells.
    *
-   * @param maxPartsPerCall parts that share one call to a server, at most
+   * @param maxPartsPerCall maximum number of parts in one call to a server
    * @param callWork work of a call in ms, in addition to that of its parts
    */
   public record Layout(int shards, int cells, int replicas, int maxPartsPerCall, double callWork) {
-    /** A layout in which calls cost no work of their own. */
+    /** A layout in which a call requires no work in addition to that of its parts. */
     public Layout(int shards, int cells, int replicas, int maxPartsPerCall) {
       this(shards, cells, replicas, maxPartsPerCall, 0);
     }
   }
 
   /**
-   * What the site permits.
+   * The limits that the site sets.
    *
-   * @param maxAttempts attempts of one part
-   * @param maxPending queries and missing parts that may be pending
-   * @param maxRetryAfter longest delay in ms that a client may be advised
-   * @param connectTimeout ms after which a connection attempt is unreachable
+   * @param maxAttempts maximum number of attempts of one part
+   * @param maxPending maximum number of pending queries plus their missing parts
+   * @param maxRetryAfter longest delay in ms that a client may be advised to wait
+   * @param connectTimeout ms after which a connection attempt ends as unreachable
    */
   public record Limits(
       int maxAttempts,
@@ -186,14 +189,14 @@
   }
 
   /**
-   * The figures of the site's rules; times are in ms.
+   * The rules of the site; times are in ms.
    *
    * @param warmupStartFraction share of its capacity that a server has when it starts
    * @param warmupTime time until it has its full capacity
-   * @param overloadMultiple multiple of a server's capacity that it may be sent while warming up
-   * @param overloadWindow time over which that is counted
+   * @param overloadMultiple multiple of its capacity that a server may be sent while it warms up
+   * @param overloadWindow time over which the work sent to a server is counted
    * @param retriesBudgeted whether retries are limited by a budget
-   * @param retryBudgetFloor retries permitted in a window whatever the requests
+   * @param retryBudgetFloor retries permitted in a window regardless of the number of requests
    * @param retryBudgetShare retries permitted per request in a window
    * @param retryBudgetWindow time over which requests and retries are counted
    */
@@ -208,10 +211,10 @@
       double retryBudgetWindow) {}
 
   /**
-   * What the site charges, as shares of the payoff.
+   * The costs that the site charges, as shares of the payoff.
    *
-   * @param crossZone for a part sent to another zone
-   * @param handshake for a new connection
+   * @param crossZone cost of a part sent to another zone
+   * @param handshake cost of a new connection
    */
   public record Costs(double crossZone, double handshake) {}
 }
