--- a/src/test/java/bitternpulley/health/SlowStartBudgetFleetTest.java
+++ b/src/test/java/bitternpulley/health/SlowStartBudgetFleetTest.java
@@ -13,21 +13,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The slow-start budgets of all instances of a fleet for one server, in virtual time: together they
- * never exceed what the server completes.
+ * Simulates in virtual time the slow-start budgets that all instances of a fleet have for one
+ * server. Together the instances must not send more than the server completes. Times are in ms.
  */
 class SlowStartBudgetFleetTest {
-  private static final double WINDOW = 1000;
+  private static final double WINDOW_MS = 1000;
   private static final double WARMUP_START_FRACTION = 0.2;
-  private static final double WARMUP_TIME = 17_000;
+  private static final double WARMUP_MS = 17_000;
   private static final double OVERLOAD_MULTIPLE = 2;
-  private static final double STEP = 10;
-  private static final double UNTIL = 12_000;
+  private static final double STEP_MS = 10;
+  private static final double END_MS = 12_000;
 
-  /** Least share of the server's capacity that is used where every part needs this server. */
+  /**
+   * Smallest share of the server's capacity that must be used when every part needs this server.
+   */
   private static final double MINIMUM_USED_SHARE = 0.25;
 
-  private final List<Double> sent = new ArrayList<>();
+  private final List<Double> sendTimes = new ArrayList<>();
 
   private static Settings settings(int self, int instances) {
     return new SettingsBuilder()
@@ -36,23 +38,27 @@
         .rules(
             new RulesBuilder()
                 .warmupStartFraction(WARMUP_START_FRACTION)
-                .warmupTime(WARMUP_TIME)
+                .warmupTime(WARMUP_MS)
                 .overloadMultiple(OVERLOAD_MULTIPLE)
-                .overloadWindow(WINDOW)
+                .overloadWindow(WINDOW_MS)
                 .build())
         .build();
   }
 
   /**
-   * In each step an instance without a part receives one for the server with this chance; it sends
-   * the part as soon as its budget allows.
+   * In each step an instance without a part receives one for the server with probability {@code
+   * arrivalProbability}. The instance sends the part as soon as its budget allows.
    */
-  private void simulate(int instances, double work, double chance, long seed) {
-    simulate(instances, 0, work, chance, seed);
+  private void simulate(int instances, double work, double arrivalProbability, long seed) {
+    simulate(instances, 0, work, arrivalProbability, seed);
   }
 
-  /** As above, with some instances absent whose quota is divided among the others. */
-  private void simulate(int instances, int absent, double work, double chance, long seed) {
+  /**
+   * Simulates a fleet in which the first {@code absent} instances are absent and their quota is
+   * divided among the others.
+   */
+  private void simulate(
+      int instances, int absent, double work, double arrivalProbability, long seed) {
     Random random = new Random(seed);
     Router.QuotaShare quota = now -> (double) instances / (instances - absent);
     List<SlowStartBudget> budgets = new ArrayList<>();
@@ -61,51 +67,52 @@
       budgets.add(new SlowStartBudget(settings(i, instances), quota, new CoreEstimate()));
       budgets.get(i).recordStart(0);
     }
-    for (double now = 0; now < UNTIL; now += STEP) {
+    for (double now = 0; now < END_MS; now += STEP_MS) {
       for (int i = absent; i < instances; i++) {
-        hasPart[i] |= random.nextDouble() < chance;
+        hasPart[i] |= random.nextDouble() < arrivalProbability;
         if (hasPart[i] && budgets.get(i).allows(work, PartPriority.URGENT, 1, now)) {
           budgets.get(i).recordSent(now, work);
-          sent.add(now);
+          sendTimes.add(now);
           hasPart[i] = false;
         }
       }
     }
   }
 
-  /** Parts that the overload rule permits in the window that begins at {@code from}. */
-  private static double completedParts(double from, double work) {
-    double warmupFraction =
-        WARMUP_START_FRACTION + (1 - WARMUP_START_FRACTION) * from / WARMUP_TIME;
+  /**
+   * The number of parts that the overload rule permits in the window that begins at {@code from}.
+   */
+  private static double permittedParts(double from, double work) {
+    double warmupFraction = WARMUP_START_FRACTION + (1 - WARMUP_START_FRACTION) * from / WARMUP_MS;
     return OVERLOAD_MULTIPLE
         * warmupFraction
         * new CoreEstimate().minimumCapacity()
-        * WINDOW
+        * WINDOW_MS
         / work;
   }
 
   private long sentWithin(double from) {
-    return sent.stream().filter(time -> time >= from && time < from + WINDOW).count();
+    return sendTimes.stream().filter(time -> time >= from && time < from + WINDOW_MS).count();
   }
 
-  private void assertNoWindowOverloaded(double work, String what) {
-    for (double from = 0; from + WINDOW <= UNTIL; from += STEP) {
-      double completed = completedParts(from, work);
-      double most = completed + 2 * Math.sqrt(completed) + 2;
+  private void assertNoWindowOverloaded(double work, String scenario) {
+    for (double from = 0; from + WINDOW_MS <= END_MS; from += STEP_MS) {
+      double permitted = permittedParts(from, work);
+      double maximum = permitted + 2 * Math.sqrt(permitted) + 2;
       assertTrue(
-          sentWithin(from) <= most,
-          what + ": " + sentWithin(from) + " parts from " + from + ", of " + most);
+          sentWithin(from) <= maximum,
+          scenario + ": " + sentWithin(from) + " parts sent from " + from + ", at most " + maximum);
     }
   }
 
-  private void assertNotIdle(double work) {
-    double processable = 0;
-    for (double from = 0; from < UNTIL; from += WINDOW) {
-      processable += completedParts(from, work) / OVERLOAD_MULTIPLE;
+  private void assertCapacityUsed(double work) {
+    double capacity = 0;
+    for (double from = 0; from < END_MS; from += WINDOW_MS) {
+      capacity += permittedParts(from, work) / OVERLOAD_MULTIPLE;
     }
     assertTrue(
-        sent.size() > MINIMUM_USED_SHARE * processable,
-        sent.size() + " parts were sent, and " + processable + " could be processed");
+        sendTimes.size() > MINIMUM_USED_SHARE * capacity,
+        sendTimes.size() + " parts sent of " + capacity + " that the server could process");
   }
 
   @ParameterizedTest
@@ -125,13 +132,14 @@
   void instancesThatAlwaysHaveAPartNeverOverloadTheServer(int instances, double work) {
     simulate(instances, work, 1, 3);
     assertNoWindowOverloaded(work, instances + " instances that always have a part");
-    double completed = 0;
-    for (double from = 0; from + WINDOW <= UNTIL; from += WINDOW) {
-      completed += completedParts(from + WINDOW, work); // windows end at the request
+    double permitted = 0;
+    for (double from = 0; from + WINDOW_MS <= END_MS; from += WINDOW_MS) {
+      // The window of a budget ends when a part is sent.
+      permitted += permittedParts(from + WINDOW_MS, work);
     }
     assertTrue(
-        sent.size() <= completed + instances,
-        sent.size() + " parts in all, and " + completed + " are completed");
+        sendTimes.size() <= permitted + instances,
+        sendTimes.size() + " parts sent in total, permitted " + permitted);
   }
 
   @ParameterizedTest
@@ -139,11 +147,11 @@
   void instancesThatSometimesHaveAPartNeitherOverloadTheServerNorLeaveItIdle(
       int instances, double work) {
     for (long seed = 1; seed <= 3; seed++) {
-      sent.clear();
-      simulate(instances, work, STEP / work / instances, seed);
+      sendTimes.clear();
+      simulate(instances, work, STEP_MS / work / instances, seed);
       assertNoWindowOverloaded(
-          work, instances + " instances, as much work as one core does, seed " + seed);
-      assertNotIdle(work);
+          work, instances + " instances with the work of one core in total, seed " + seed);
+      assertCapacityUsed(work);
     }
   }
 
@@ -154,6 +162,6 @@
       int instances, int absent, double work) {
     simulate(instances, absent, work, 1, 5);
     assertNoWindowOverloaded(work, absent + " of " + instances + " absent");
-    assertNotIdle(work);
+    assertCapacityUsed(work);
   }
 }
