--- a/src/test/java/bitternpulley/health/ProcessPausesTest.java
+++ b/src/test/java/bitternpulley/health/ProcessPausesTest.java
@@ -10,7 +10,7 @@
   private final ProcessPauses pauses = new ProcessPauses();
 
   @Test
-  void countsOnlyWhatLiesAfterTheGivenTime() {
+  void countsOnlyPausedTimeAfterTheGivenTime() {
     pauses.record(500, 1500);
     pauses.record(200, 2000);
     assertEquals(700, pauses.pausedSince(900));
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void ranOnlyWhereNoPauseEndedSince() {
+  void reportsAPauseThatEndedAfterTheGivenTime() {
     assertTrue(pauses.ranSince(0));
     pauses.record(500, 1500);
     assertFalse(pauses.ranSince(1499));
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void remembersALimitedNumber() {
+  void keepsALimitedNumberOfPauses() {
     for (int i = 1; i <= 1000; i++) {
       pauses.record(10, 100 * i);
     }
--- a/src/test/java/bitternpulley/health/ServerConcurrencyLimitTest.java
+++ b/src/test/java/bitternpulley/health/ServerConcurrencyLimitTest.java
@@ -10,8 +10,8 @@
 class ServerConcurrencyLimitTest {
   private final ServerConcurrencyLimit limit = new ServerConcurrencyLimit();
 
-  /** Parts that an idle server is sent at once. */
-  private int capacity(PartPriority priority, double now) {
+  /** The number of parts that may be sent to an idle server at once. */
+  private int idleCapacity(PartPriority priority, double now) {
     int inFlight = 0;
     while (limit.hasCapacity(inFlight, priority, now)) {
       inFlight++;
@@ -23,17 +23,17 @@
   void rejectionHalvesTheLimitAndTimelyAnswersRaiseItAgain() {
     limit.recordRejection(10, 100);
     limit.recordRejection(10, 101);
-    assertEquals(5, capacity(PartPriority.URGENT, 200), "simultaneous rejections count once");
+    assertEquals(5, idleCapacity(PartPriority.URGENT, 200), "simultaneous rejections count once");
     assertEquals(
         2,
-        capacity(PartPriority.DEFERRABLE, 200),
+        idleCapacity(PartPriority.DEFERRABLE, 200),
         "deferrable parts leave capacity for the others");
     for (int i = 0; i < 8; i++) {
       limit.recordTimelyAnswer(300, 4);
     }
-    assertEquals(7, capacity(PartPriority.URGENT, 400));
+    assertEquals(7, idleCapacity(PartPriority.URGENT, 400));
     limit.reset();
-    assertEquals(32, capacity(PartPriority.URGENT, 400));
+    assertEquals(32, idleCapacity(PartPriority.URGENT, 400));
   }
 
   @Test
@@ -47,7 +47,7 @@
         limit.hasCapacity(0, PartPriority.URGENT, 200),
         "an idle server is not left idle until the cancelled attempts expire");
     limit.recordTimelyAnswer(155, 0);
-    assertEquals(2, capacity(PartPriority.URGENT, 300));
-    assertTrue(capacity(PartPriority.URGENT, 3000) > 2, "cancelled attempts expire");
+    assertEquals(2, idleCapacity(PartPriority.URGENT, 300));
+    assertTrue(idleCapacity(PartPriority.URGENT, 3000) > 2, "cancelled attempts expire");
   }
 }
--- a/src/test/java/bitternpulley/health/SlowStartBudgetTest.java
+++ b/src/test/java/bitternpulley/health/SlowStartBudgetTest.java
@@ -40,19 +40,22 @@
   }
 
   @Test
-  void allowsMoreWorkAsTheWindowPasses() {
+  void allowsMoreWorkAsSentWorkLeavesTheWindow() {
     SlowStartBudget budget = budgetOfServerStartedAtZero(0, 1);
     budget.recordSent(100, 600);
     assertFalse(
         budget.allows(200, PartPriority.URGENT, 1, 200),
-        "2 x 0.2 x 0.9 of a core in 1,000 ms, a little more by then");
+        "2 x 0.2 x 0.9 of a core per 1,000 ms, slightly more at 200 ms");
     double allowedAt = budget.nextAllowedAt(200, PartPriority.URGENT, 1, 200, 5000);
     assertTrue(allowedAt > 600 && allowedAt <= 1450, "allowed at " + allowedAt);
     assertEquals(
         Double.POSITIVE_INFINITY, budget.nextAllowedAt(200, PartPriority.URGENT, 1, 200, 400));
   }
 
-  /** A predicted time holds if nothing is sent before it, and nothing is allowed much sooner. */
+  /**
+   * If nothing is sent before the predicted time, the part is allowed at that time and not much
+   * sooner.
+   */
   @Property(tries = 300)
   void allowsWorkAtThePredictedTime(
       @ForAll @IntRange(max = 99) int self,
--- a/src/test/java/bitternpulley/health/WorkEstimateTest.java
+++ b/src/test/java/bitternpulley/health/WorkEstimateTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The estimate of work where none is given. */
+/** The estimate of the work of parts whose queries do not state it. */
 class WorkEstimateTest {
   @Test
   void loadDoesNotRaiseTheEstimate() {
@@ -26,8 +26,8 @@
   }
 
   /**
-   * An overload of 1,000 sole answers, about ten seconds, raises the estimate by less than a
-   * quarter; a change that lasts is adopted.
+   * An overload of 1,000 answers to sole requests, about ten seconds, raises the estimate by less
+   * than a quarter. A lasting change is adopted.
    */
   @Test
   void overloadHardlyRaisesTheEstimate() {
@@ -40,7 +40,7 @@
     }
     assertTrue(
         estimate.estimate(80) < 14 * 1.25,
-        "overload changed the estimate: " + estimate.estimate(80));
+        "overload raised the estimate to " + estimate.estimate(80));
     for (int i = 0; i < 10_000; i++) {
       estimate.recordSoleRequestAnswer(60);
     }
@@ -53,10 +53,10 @@
     for (int i = 0; i < 10; i++) {
       estimate.recordSoleRequestAnswer(i < 2 ? 4 : 20);
     }
-    assertTrue(estimate.estimate(50) >= 8, "work " + estimate.estimate(50));
+    assertTrue(estimate.estimate(50) >= 8, "estimated work " + estimate.estimate(50));
     for (int i = 0; i < 60; i++) {
       estimate.recordSoleRequestAnswer(i % 4 == 0 ? 5 : 25);
     }
-    assertTrue(estimate.estimate(50) >= 8, "work " + estimate.estimate(50));
+    assertTrue(estimate.estimate(50) >= 8, "estimated work " + estimate.estimate(50));
   }
 }
