--- a/src/test/java/bitternpulley/routing/LimitsBuilder.java
+++ b/src/test/java/bitternpulley/routing/LimitsBuilder.java
@@ -1,6 +1,6 @@
 package bitternpulley.routing;
 
-/** Limits of a test; what it does not set permits four attempts, cancellation and Retry-After. */
+/** Builds limits for tests. The defaults permit four attempts, cancellation and Retry-After. */
 public final class LimitsBuilder {
   private int maxAttempts = 4;
   private int maxPending = 1000;
--- a/src/test/java/bitternpulley/routing/QueryClassBuilder.java
+++ b/src/test/java/bitternpulley/routing/QueryClassBuilder.java
@@ -1,7 +1,7 @@
 package bitternpulley.routing;
 
 /**
- * A query class of a test; what it does not set is an idempotent class that needs the complete
+ * Builds a query class for tests. The default is an idempotent class that requires the complete
  * answer.
  */
 public final class QueryClassBuilder {
--- a/src/test/java/bitternpulley/routing/RulesBuilder.java
+++ b/src/test/java/bitternpulley/routing/RulesBuilder.java
@@ -1,6 +1,6 @@
 package bitternpulley.routing;
 
-/** Rules of a test; what it does not set is a slow start of ten seconds and no retry budget. */
+/** Builds rules for tests. The defaults are a slow start of ten seconds and no retry budget. */
 public final class RulesBuilder {
   private double warmupStartFraction = 0.2;
   private double warmupTime = 10_000;
--- a/src/test/java/bitternpulley/routing/SettingsBuilder.java
+++ b/src/test/java/bitternpulley/routing/SettingsBuilder.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Settings of a test; what it does not set is a small site of four cells without budgets. */
+/** Builds settings for tests. The default is a small site of four cells without budgets. */
 public final class SettingsBuilder {
   private int self = 0;
   private int instances = 1;
