--- a/src/test/java/bitternpulley/trace/DecisionTraceTest.java
+++ b/src/test/java/bitternpulley/trace/DecisionTraceTest.java
@@ -22,206 +22,239 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Every decision of the core and of the routing policy over seeded days, on the settings of the
- * sites under deploy/sites. The digests are of effects in neutral words: a rename or a move leaves
- * them, a changed decision does not.
+ * Digests of every decision of the core and of the routing policy in seeded scenarios, with the
+ * settings of the sites under deploy/sites. The digests cover effects in fixed words: renaming or
+ * moving code does not change them, but a changed decision does.
  *
- * <p>To record a digest after a change of decisions that is meant, copy what the failing test saw
- * into {@code src/test/resources/traces/decisions.txt}.
+ * <p>To record the digests after an intended change of decisions, copy the actual value of the
+ * failing test to {@code src/test/resources/traces/decisions.txt}.
  */
 class DecisionTraceTest {
-  private static final Path FOLDER = Path.of("src/test/resources/traces");
-  private static final double LENGTH_MS = 20_000;
+  private static final Path TRACES = Path.of("src/test/resources/traces");
+  private static final double DURATION_MS = 20_000;
   private static final List<String> SITES =
       List.of("quetta-desk", "sialkot-depots", "sukkur-ledger", "multan-rolls");
   private static final long[] SEEDS = {1, 2};
 
-  /** What happens on a day. */
-  enum Day {
+  /**
+   * The load and the events of a simulation. The recorded digests contain the names of the
+   * constants.
+   */
+  enum Scenario {
     CALM {
       @Override
-      void plan(TraceWorld world, Day.Site site) {
-        world.load(40, end(), 6, List.of());
+      void prepare(TraceSimulation simulation, Scenario.SiteContracts site) {
+        simulation.generateLoad(40, endTime(), 6, List.of());
       }
     },
     FAULTS {
       @Override
-      void plan(TraceWorld world, Day.Site site) {
-        world.load(25, end(), 6, List.of());
-        TraceServers.Behaviour[] all = TraceServers.Behaviour.values();
-        for (int i = 1; i < all.length; i++) {
-          TraceServers.Behaviour behaviour = all[i];
+      void prepare(TraceSimulation simulation, Scenario.SiteContracts site) {
+        simulation.generateLoad(25, endTime(), 6, List.of());
+        TraceServers.Behaviour[] behaviours = TraceServers.Behaviour.values();
+        for (int i = 1; i < behaviours.length; i++) {
+          TraceServers.Behaviour behaviour = behaviours[i];
           int server = i;
-          world.at(TraceWorld.BEGIN + 2000 * i, () -> world.servers.behave(server, behaviour));
-          world.at(
-              TraceWorld.BEGIN + 2000 * i + 4500,
-              () -> world.servers.behave(server, TraceServers.Behaviour.SOUND));
+          simulation.schedule(
+              TraceSimulation.BEGIN + 2000 * i,
+              () -> simulation.servers.setBehaviour(server, behaviour));
+          simulation.schedule(
+              TraceSimulation.BEGIN + 2000 * i + 4500,
+              () -> simulation.servers.setBehaviour(server, TraceServers.Behaviour.HEALTHY));
         }
       }
     },
     OVERLOAD {
       @Override
-      void plan(TraceWorld world, Day.Site site) {
-        world.load(12, end(), 6, List.of());
-        world.at(
-            TraceWorld.BEGIN + 4000, () -> world.load(5, TraceWorld.BEGIN + 12_000, 6, List.of()));
+      void prepare(TraceSimulation simulation, Scenario.SiteContracts site) {
+        simulation.generateLoad(12, endTime(), 6, List.of());
+        simulation.schedule(
+            TraceSimulation.BEGIN + 4000,
+            () -> simulation.generateLoad(5, TraceSimulation.BEGIN + 12_000, 6, List.of()));
       }
     },
     MANY_PARTS {
       @Override
-      void plan(TraceWorld world, Day.Site site) {
-        world.load(120, end(), 30, List.of());
-        world.at(
-            TraceWorld.BEGIN + 5000, () -> world.servers.behave(4, TraceServers.Behaviour.HANGS));
-        world.at(
-            TraceWorld.BEGIN + 9000, () -> world.servers.behave(4, TraceServers.Behaviour.SOUND));
+      void prepare(TraceSimulation simulation, Scenario.SiteContracts site) {
+        simulation.generateLoad(120, endTime(), 30, List.of());
+        simulation.schedule(
+            TraceSimulation.BEGIN + 5000,
+            () -> simulation.servers.setBehaviour(4, TraceServers.Behaviour.UNRESPONSIVE));
+        simulation.schedule(
+            TraceSimulation.BEGIN + 9000,
+            () -> simulation.servers.setBehaviour(4, TraceServers.Behaviour.HEALTHY));
       }
     },
     ROLLING_RESTART {
       @Override
-      void plan(TraceWorld world, Day.Site site) {
-        world.load(25, end(), 6, List.of());
-        world.at(TraceWorld.BEGIN + 900, world::failedList);
-        world.at(
-            TraceWorld.BEGIN + 1500,
+      void prepare(TraceSimulation simulation, Scenario.SiteContracts site) {
+        simulation.generateLoad(25, endTime(), 6, List.of());
+        simulation.schedule(TraceSimulation.BEGIN + 900, simulation::sendFailedEndpointList);
+        simulation.schedule(
+            TraceSimulation.BEGIN + 1500,
             () ->
-                world.everywhere(
+                simulation.submitToAll(
                     new Event.HotRestartRoleChanged(Router.HotRestartRole.PREDECESSOR)));
-        world.at(
-            TraceWorld.BEGIN + 6000,
-            () -> world.everywhere(new Event.HotRestartRoleChanged(Router.HotRestartRole.NONE)));
-        world.at(
-            TraceWorld.BEGIN + 17_000,
+        simulation.schedule(
+            TraceSimulation.BEGIN + 6000,
             () ->
-                world.everywhere(new Event.HotRestartRoleChanged(Router.HotRestartRole.SUCCESSOR)));
+                simulation.submitToAll(
+                    new Event.HotRestartRoleChanged(Router.HotRestartRole.NONE)));
+        simulation.schedule(
+            TraceSimulation.BEGIN + 17_000,
+            () ->
+                simulation.submitToAll(
+                    new Event.HotRestartRoleChanged(Router.HotRestartRole.SUCCESSOR)));
         for (int i = 0; i < 8; i++) {
           int server = i;
-          double at = TraceWorld.BEGIN + 2000 + 1500 * i;
-          world.at(at, () -> change(world, server, "DRAINING"));
-          world.at(at + 500, () -> change(world, server, "GONE"));
-          world.at(
-              at + 1200,
+          double drainAt = TraceSimulation.BEGIN + 2000 + 1500 * i;
+          simulation.schedule(drainAt, () -> changeState(simulation, server, "DRAINING"));
+          simulation.schedule(drainAt + 500, () -> changeState(simulation, server, "GONE"));
+          simulation.schedule(
+              drainAt + 1200,
               () -> {
-                world.servers.restart(server, world.now);
-                world.list(Router.ListKind.CHANGES, server);
+                simulation.servers.restart(server, simulation.now);
+                simulation.sendEndpointList(Router.ListKind.CHANGES, server);
               });
         }
-        world.at(
-            TraceWorld.BEGIN + 15_000,
-            () -> world.list(Router.ListKind.COMPLETE, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10));
+        simulation.schedule(
+            TraceSimulation.BEGIN + 15_000,
+            () ->
+                simulation.sendEndpointList(
+                    Router.ListKind.COMPLETE, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10));
       }
     },
     OPERATOR_COMMANDS {
       @Override
-      void plan(TraceWorld world, Day.Site site) {
-        world.load(25, end(), 6, List.of());
-        world.at(TraceWorld.BEGIN + 3000, () -> world.order(0, "s2", true));
-        world.at(TraceWorld.BEGIN + 4000, () -> world.order(1, "s99", true));
-        world.at(TraceWorld.BEGIN + 5000, () -> world.order(1, "s5", true));
-        world.at(TraceWorld.BEGIN + 8000, () -> world.order(0, "s2", false));
-        world.at(TraceWorld.BEGIN + 9000, () -> world.order(0, null, true));
-        world.at(TraceWorld.BEGIN + 9500, () -> world.order(0, null, false));
-        world.at(TraceWorld.BEGIN + 12_000, () -> world.order(0, "s5", false));
+      void prepare(TraceSimulation simulation, Scenario.SiteContracts site) {
+        simulation.generateLoad(25, endTime(), 6, List.of());
+        simulation.schedule(
+            TraceSimulation.BEGIN + 3000, () -> simulation.sendOperatorCommand(0, "s2", true));
+        simulation.schedule(
+            TraceSimulation.BEGIN + 4000, () -> simulation.sendOperatorCommand(1, "s99", true));
+        simulation.schedule(
+            TraceSimulation.BEGIN + 5000, () -> simulation.sendOperatorCommand(1, "s5", true));
+        simulation.schedule(
+            TraceSimulation.BEGIN + 8000, () -> simulation.sendOperatorCommand(0, "s2", false));
+        simulation.schedule(
+            TraceSimulation.BEGIN + 9000, () -> simulation.sendOperatorCommand(0, null, true));
+        simulation.schedule(
+            TraceSimulation.BEGIN + 9500, () -> simulation.sendOperatorCommand(0, null, false));
+        simulation.schedule(
+            TraceSimulation.BEGIN + 12_000, () -> simulation.sendOperatorCommand(0, "s5", false));
       }
     },
     CONTRACTS {
       @Override
-      void plan(TraceWorld world, Day.Site site) {
-        world.contracts(site.book());
-        world.load(18, end(), 6, site.teams());
-        world.at(
-            TraceWorld.BEGIN + 4000,
-            () -> world.load(6, TraceWorld.BEGIN + 10_000, 6, site.teams()));
-        world.at(TraceWorld.BEGIN + 12_000, () -> world.contracts(site.book().withVersion(2)));
-        world.at(TraceWorld.BEGIN + 16_000, () -> world.contracts(ContractBook.NONE));
+      void prepare(TraceSimulation simulation, Scenario.SiteContracts site) {
+        simulation.activateContracts(site.book());
+        simulation.generateLoad(18, endTime(), 6, site.teams());
+        simulation.schedule(
+            TraceSimulation.BEGIN + 4000,
+            () -> simulation.generateLoad(6, TraceSimulation.BEGIN + 10_000, 6, site.teams()));
+        simulation.schedule(
+            TraceSimulation.BEGIN + 12_000,
+            () -> simulation.activateContracts(site.book().withVersion(2)));
+        simulation.schedule(
+            TraceSimulation.BEGIN + 16_000, () -> simulation.activateContracts(ContractBook.NONE));
       }
     },
     LEASES {
       @Override
-      void plan(TraceWorld world, Day.Site site) {
-        world.peers();
-        world.load(25, end(), 6, List.of());
+      void prepare(TraceSimulation simulation, Scenario.SiteContracts site) {
+        simulation.startMembershipAndLeases();
+        simulation.generateLoad(25, endTime(), 6, List.of());
         for (int i = 0; i < 6; i++) {
           int server = i;
-          world.at(
-              TraceWorld.BEGIN + 3000 + 2000 * i,
+          simulation.schedule(
+              TraceSimulation.BEGIN + 3000 + 2000 * i,
               () -> {
-                world.servers.restart(server, world.now);
-                world.list(Router.ListKind.CHANGES, server);
+                simulation.servers.restart(server, simulation.now);
+                simulation.sendEndpointList(Router.ListKind.CHANGES, server);
               });
         }
-        world.at(
-            TraceWorld.BEGIN + 18_000,
-            () -> world.everywhere(new Event.MembershipLeaveRequested()));
+        simulation.schedule(
+            TraceSimulation.BEGIN + 18_000,
+            () -> simulation.submitToAll(new Event.MembershipLeaveRequested()));
       }
     };
 
-    /** The contracts of a site. */
-    record Site(ContractBook book, List<String> teams) {}
+    /** The contracts of a site and the teams that its load uses. */
+    record SiteContracts(ContractBook book, List<String> teams) {}
 
-    abstract void plan(TraceWorld world, Site site);
+    abstract void prepare(TraceSimulation simulation, SiteContracts site);
 
-    private static double end() {
-      return TraceWorld.BEGIN + LENGTH_MS;
+    private static double endTime() {
+      return TraceSimulation.BEGIN + DURATION_MS;
     }
 
-    private static void change(TraceWorld world, int server, String state) {
-      world.servers.state(server, state);
-      world.list(Router.ListKind.CHANGES, server);
+    private static void changeState(TraceSimulation simulation, int server, String state) {
+      simulation.servers.setState(server, state);
+      simulation.sendEndpointList(Router.ListKind.CHANGES, server);
     }
   }
 
   static Settings settings(String site, int self) {
     try {
-      JsonNode in = StrictJson.read(Files.readAllBytes(FOLDER.resolve(site + ".json")));
-      ((ObjectNode) in).put("selfIndex", self);
-      ((ObjectNode) in).put("zone", self % 2);
-      return SettingsReader.read(in);
+      JsonNode json = StrictJson.read(Files.readAllBytes(TRACES.resolve(site + ".json")));
+      ((ObjectNode) json).put("selfIndex", self);
+      ((ObjectNode) json).put("zone", self % 2);
+      return SettingsReader.read(json);
     } catch (IOException e) {
       throw new AssertionError(e);
     }
   }
 
-  /** The recorded digests whose names begin so. */
-  static List<String> recorded(String file, String beginning) throws IOException {
-    return Files.readAllLines(FOLDER.resolve(file)).stream()
-        .filter(l -> l.startsWith(beginning))
+  /** The recorded digests with names that begin with {@code prefix}. */
+  static List<String> recorded(String file, String prefix) throws IOException {
+    return Files.readAllLines(TRACES.resolve(file)).stream()
+        .filter(line -> line.startsWith(prefix))
         .toList();
   }
 
   @ParameterizedTest
-  @EnumSource(Day.class)
-  void decidesAsRecorded(Day day) throws IOException {
-    List<String> seen = new ArrayList<>();
+  @EnumSource(Scenario.class)
+  void decisionsMatchRecordedDigests(Scenario scenario) throws IOException {
+    List<String> actual = new ArrayList<>();
     for (String site : SITES) {
       for (long seed : SEEDS) {
-        TraceWorld world = new TraceWorld(self -> settings(site, self), seed);
-        day.plan(world, contracts(site));
-        seen.add(
-            day + " " + site + " " + seed + " " + world.run(TraceWorld.BEGIN + LENGTH_MS + 10_000));
+        TraceSimulation simulation = new TraceSimulation(self -> settings(site, self), seed);
+        scenario.prepare(simulation, contractsOf(site));
+        actual.add(
+            scenario
+                + " "
+                + site
+                + " "
+                + seed
+                + " "
+                + simulation.run(TraceSimulation.BEGIN + DURATION_MS + 10_000));
       }
     }
-    assertEquals(String.join("\n", recorded("decisions.txt", day + " ")), String.join("\n", seen));
+    assertEquals(
+        String.join("\n", recorded("decisions.txt", scenario + " ")), String.join("\n", actual));
   }
 
-  /** Two plays of one seed are alike: nothing but the seed decides. */
+  /**
+   * Two simulations with one seed have the same digest: nothing but the seed determines the
+   * decisions.
+   */
   @Test
-  void aSeedIsPlayedTwiceAlike() {
-    List<String> seen = new ArrayList<>();
+  void sameSeedGivesSameDigest() {
+    List<String> actual = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
-      TraceWorld world = new TraceWorld(self -> settings("sialkot-depots", self), 3);
-      Day.FAULTS.plan(world, contracts("sialkot-depots"));
-      seen.add(world.run(TraceWorld.BEGIN + LENGTH_MS));
+      TraceSimulation simulation = new TraceSimulation(self -> settings("sialkot-depots", self), 3);
+      Scenario.FAULTS.prepare(simulation, contractsOf("sialkot-depots"));
+      actual.add(simulation.run(TraceSimulation.BEGIN + DURATION_MS));
     }
-    assertEquals(seen.get(0), seen.get(1));
+    assertEquals(actual.get(0), actual.get(1));
   }
 
-  private static Day.Site contracts(String site) {
+  private static Scenario.SiteContracts contractsOf(String site) {
     if (!site.equals("quetta-desk")) {
-      return new Day.Site(ContractBook.NONE, List.of());
+      return new Scenario.SiteContracts(ContractBook.NONE, List.of());
     }
-    return new Day.Site(
-        BrokerConfigurationReader.read(FOLDER.resolve("teams.star"), Optional.of(settings(site, 0)))
+    return new Scenario.SiteContracts(
+        BrokerConfigurationReader.read(TRACES.resolve("teams.star"), Optional.of(settings(site, 0)))
             .contracts(),
         List.of("desk", "desk", "sums"));
   }
--- a/src/test/java/bitternpulley/trace/EffectLines.java
+++ b/src/test/java/bitternpulley/trace/EffectDigestWriter.java
@@ -17,21 +17,24 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Writes the effects of one instance at one time to a digest, in words that no rename touches. */
-final class EffectLines implements EffectHandler {
+/**
+ * Adds the effects of one instance at one time to a digest. The words of the lines are fixed, so
+ * that renamed classes, fields and constants do not change the digest.
+ */
+final class EffectDigestWriter implements EffectHandler {
   private static final String ABSENT = "-";
 
   private final TraceDigest digest;
   private final int instance;
   private final double now;
 
-  EffectLines(TraceDigest digest, int instance, double now) {
+  EffectDigestWriter(TraceDigest digest, int instance, double now) {
     this.digest = digest;
     this.instance = instance;
     this.now = now;
   }
 
-  private void line(Object... words) {
+  private void addLine(Object... words) {
     Object[] line = new Object[words.length + 2];
     line[0] = now;
     line[1] = instance;
@@ -41,7 +44,7 @@
 
   @Override
   public void onStartAttempt(Effect.StartAttempt effect) {
-    line(
+    addLine(
         "start",
         id(effect.id()),
         effect.request().id(),
@@ -53,23 +56,23 @@
 
   @Override
   public void onStartCall(Effect.StartCall effect) {
-    line("together", effect.attempts().size());
+    addLine("together", effect.attempts().size());
     effect.attempts().forEach(this::onStartAttempt);
   }
 
   @Override
   public void onCancelAttempt(Effect.CancelAttempt effect) {
-    line("cancel", id(effect.id()), effect.request().id(), effect.server());
+    addLine("cancel", id(effect.id()), effect.request().id(), effect.server());
   }
 
   @Override
   public void onCancelUnsent(Effect.CancelUnsent effect) {
-    line("unsend", id(effect.id()), effect.request().id());
+    addLine("unsend", id(effect.id()), effect.request().id());
   }
 
   @Override
   public void onCancelUnsentTo(Effect.CancelUnsentTo effect) {
-    line("unsend-all", effect.server());
+    addLine("unsend-all", effect.server());
   }
 
   @Override
@@ -77,81 +80,81 @@
     long request = effect.request().id();
     Effect.Answer answer = effect.answer();
     if (answer instanceof Effect.Answer.Answered answered) {
-      line(
+      addLine(
           "answered",
           request,
           answered.complete(),
           new TreeMap<>(answered.values()).keySet(),
           missing(answered.missing()));
     } else if (answer instanceof Effect.Answer.Rejected rejected) {
-      line(
+      addLine(
           "refused",
           request,
           rejected.retryAfter(),
           ending(rejected.ending()),
           rejected.contract() == null ? ABSENT : decision(rejected.contract()));
     } else if (answer instanceof Effect.Answer.Failed failed) {
-      line("failed", request, ending(failed.ending()));
+      addLine("failed", request, ending(failed.ending()));
     } else {
-      line("faulty", request);
+      addLine("faulty", request);
     }
   }
 
   @Override
   public void onWakeAt(Effect.WakeAt effect) {
-    line("wake", effect.time(), wake(effect.event()));
+    addLine("wake", effect.time(), wakeEvent(effect.event()));
   }
 
   @Override
   public void onCloseIdleConnections(Effect.CloseIdleConnections effect) {
-    line("close", effect.server());
+    addLine("close", effect.server());
   }
 
   @Override
   public void onPersistOverride(Effect.PersistOverride effect) {
-    line("keep", effect.command().server(), effect.command().enabled());
+    addLine("keep", effect.command().server(), effect.command().enabled());
   }
 
   @Override
   public void onRejectCommand(Effect.RejectCommand effect) {
-    line("no-such-server");
+    addLine("no-such-server");
   }
 
   @Override
   public void onQuiesce(Effect.Quiesce effect) {
-    line("quiesce", effect.enabled());
+    addLine("quiesce", effect.enabled());
   }
 
   @Override
   public void onAdmissionDecided(Effect.AdmissionDecided effect) {
-    line("judged", effect.requestId(), decision(effect.decision()));
+    addLine("judged", effect.requestId(), decision(effect.decision()));
   }
 
   @Override
   public void onChargeSettled(Effect.ChargeSettled effect) {
     UsageCharge charge = effect.charge();
-    line("settled", charge.team(), charge.booked(), charge.used());
+    addLine("settled", charge.team(), charge.booked(), charge.used());
   }
 
   @Override
   public void onSendGossip(Effect.SendGossip effect) {
-    line("gossip", effect.to(), gossip(effect.message()));
+    addLine("gossip", effect.to(), gossip(effect.message()));
   }
 
   @Override
   public void onSendLeaseMessage(Effect.SendLeaseMessage effect) {
-    line("lease", effect.to(), lease(effect.message()));
+    addLine("lease", effect.to(), lease(effect.message()));
   }
 
   @Override
   public void onWarnOfIgnoredMember(Effect.WarnOfIgnoredMember effect) {
     MembershipAction.MemberIgnored member = effect.member();
-    line("ignored", member.number(), member.recordedEpoch(), member.reportedEpoch());
+    addLine("ignored", member.number(), member.recordedEpoch(), member.reportedEpoch());
   }
 
   @Override
   public void onLog(Effect.Log effect) {
-    line("log");
+    addLine("log");
   }
 
   private static String gossip(GossipMessage message) {
@@ -241,7 +244,7 @@
     return line.toString();
   }
 
-  private static String wake(Event event) {
+  private static String wakeEvent(Event event) {
     if (event instanceof Event.AttemptTimedOut timeout) {
       return "overdue "
           + id(timeout.attempt())
@@ -264,7 +267,7 @@
     return String.join("/", Arrays.stream(words).map(String::valueOf).toList());
   }
 
-  /** The place of a constant in its enum, which a rename leaves. */
+  /** The position of a constant in its enum, which does not change when the constant is renamed. */
   private static <T extends Enum<T>> int position(T constant) {
     return List.of(constant.getDeclaringClass().getEnumConstants()).indexOf(constant);
   }
--- a/src/test/java/bitternpulley/trace/TraceDigest.java
+++ b/src/test/java/bitternpulley/trace/TraceDigest.java
@@ -7,7 +7,7 @@
 import java.util.HexFormat;
 import java.util.stream.Collectors;
 
-/** A digest over lines of neutral words and exact numbers. */
+/** SHA-256 digest of lines that consist of fixed words and exact numbers. */
 public final class TraceDigest {
   private final MessageDigest digest;
   private int lines;
@@ -20,7 +20,7 @@
     }
   }
 
-  /** Adds a line; a double enters with all of its bits. */
+  /** Adds a line. A double is included with all of its bits. */
   public void add(Object... words) {
     String line =
         Arrays.stream(words)
@@ -30,7 +30,7 @@
     lines++;
   }
 
-  /** The number of lines and the digest; ends the digest. */
+  /** Ends the digest and returns the number of lines with the digest in hexadecimal. */
   public String end() {
     return lines + " " + HexFormat.of().formatHex(digest.digest(), 0, 12);
   }
--- a/src/test/java/bitternpulley/trace/TraceServers.java
+++ b/src/test/java/bitternpulley/trace/TraceServers.java
@@ -5,21 +5,21 @@
 import java.util.Random;
 
 /**
- * Slot servers of a trace: each queues its parts on two cores, and fails in the way that it is set
- * to.
+ * The simulated slot servers of a trace. Each server queues its parts on two cores and fails
+ * according to its configured behaviour.
  */
 final class TraceServers {
   private static final int CORES = 2;
   private static final double QUEUE_LIMIT_MS = 900;
 
-  /** How a server treats the parts that it is sent. */
+  /** How a server handles the parts that it receives. */
   enum Behaviour {
-    SOUND,
-    ERRORS,
-    FULL,
-    HANGS,
-    RESETS,
-    REFUSES,
+    HEALTHY,
+    RETURNS_ERRORS,
+    QUEUE_FULL,
+    UNRESPONSIVE,
+    RESETS_CONNECTIONS,
+    REFUSES_CONNECTIONS,
     SLOW
   }
 
@@ -27,8 +27,8 @@
   record End(String outcome, double afterMs) {}
 
   private static final class Server {
-    private final double[] freeAt = new double[CORES];
-    private Behaviour behaviour = Behaviour.SOUND;
+    private final double[] coreFreeAt = new double[CORES];
+    private Behaviour behaviour = Behaviour.HEALTHY;
     private double startedAt = -1e9;
     private String state = "LIVE";
   }
@@ -47,7 +47,7 @@
     return servers.size();
   }
 
-  void behave(int server, Behaviour behaviour) {
+  void setBehaviour(int server, Behaviour behaviour) {
     servers.get(server).behaviour = behaviour;
   }
 
@@ -55,7 +55,7 @@
     return servers.get(server).state;
   }
 
-  void state(int server, String state) {
+  void setState(int server, String state) {
     servers.get(server).state = state;
   }
 
@@ -65,41 +65,45 @@
 
   void restart(int server, double now) {
     servers.get(server).startedAt = now;
-    servers.get(server).behaviour = Behaviour.SOUND;
+    servers.get(server).behaviour = Behaviour.HEALTHY;
     servers.get(server).state = "LIVE";
   }
 
-  /** The end of an attempt that comes in at a time. */
-  End take(int number, double workMs, double now) {
-    Server server = servers.get(number);
-    double travel = 0.5 + random.nextDouble();
+  /** Returns how an attempt ends that arrives at the server at time {@code now}. */
+  End receivePart(int serverIndex, double workMs, double now) {
+    Server server = servers.get(serverIndex);
+    double networkDelay = 0.5 + random.nextDouble();
     if (server.state.equals("GONE")) {
-      return new End("UNREACHABLE", travel);
+      return new End("UNREACHABLE", networkDelay);
     }
     return switch (server.behaviour) {
-      case SOUND -> work(server, workMs, now, travel);
-      case SLOW -> work(server, workMs * 5, now, travel);
-      case ERRORS ->
-          random.nextInt(3) == 0 ? work(server, workMs, now, travel) : new End("ERROR", travel);
-      case FULL ->
-          random.nextInt(4) == 0 ? work(server, workMs, now, travel) : new End("REJECTED", travel);
-      case HANGS -> new End("NEVER", 0);
-      case RESETS ->
+      case HEALTHY -> processPart(server, workMs, now, networkDelay);
+      case SLOW -> processPart(server, workMs * 5, now, networkDelay);
+      case RETURNS_ERRORS ->
+          random.nextInt(3) == 0
+              ? processPart(server, workMs, now, networkDelay)
+              : new End("ERROR", networkDelay);
+      case QUEUE_FULL ->
+          random.nextInt(4) == 0
+              ? processPart(server, workMs, now, networkDelay)
+              : new End("REJECTED", networkDelay);
+      case UNRESPONSIVE -> new End("NEVER", 0);
+      case RESETS_CONNECTIONS ->
           random.nextInt(2) == 0
-              ? work(server, workMs, now, travel)
-              : new End("RESET", 20 * travel);
-      case REFUSES -> new End("UNREACHABLE", travel);
+              ? processPart(server, workMs, now, networkDelay)
+              : new End("RESET", 20 * networkDelay);
+      case REFUSES_CONNECTIONS -> new End("UNREACHABLE", networkDelay);
     };
   }
 
-  private End work(Server server, double workMs, double now, double travel) {
-    int core = server.freeAt[0] <= server.freeAt[1] ? 0 : 1;
-    double begin = Math.max(now, server.freeAt[core]);
-    if (begin - now > QUEUE_LIMIT_MS) {
-      return new End("REJECTED", travel);
+  private End processPart(Server server, double workMs, double now, double networkDelay) {
+    int core = server.coreFreeAt[0] <= server.coreFreeAt[1] ? 0 : 1;
+    double beginAt = Math.max(now, server.coreFreeAt[core]);
+    if (beginAt - now > QUEUE_LIMIT_MS) {
+      return new End("REJECTED", networkDelay);
     }
-    double warm = Math.min(1, 0.25 + 0.75 * (now - server.startedAt) / 9000);
-    server.freeAt[core] = begin + workMs * (0.7 + 0.6 * random.nextDouble()) / warm;
-    return new End("OK", server.freeAt[core] - now + travel);
+    double warmupFraction = Math.min(1, 0.25 + 0.75 * (now - server.startedAt) / 9000);
+    server.coreFreeAt[core] = beginAt + workMs * (0.7 + 0.6 * random.nextDouble()) / warmupFraction;
+    return new End("OK", server.coreFreeAt[core] - now + networkDelay);
   }
 }
