--- a/src/main/java/bitternpulley/broker/AttemptControl.java
+++ b/src/main/java/bitternpulley/broker/AttemptControl.java
@@ -11,10 +11,10 @@
   }
 
   /**
-   * Puts an attempt of a part in flight.
+   * Starts an attempt of a part.
    *
-   * @param timeout ms after which it is cancelled
-   * @param sendBy time by which it has to be on the wire, in ms
+   * @param timeout ms after which the attempt is cancelled
+   * @param sendBy time in ms by which the first byte of the attempt has to be sent
    */
   void start(PendingPart part, AttemptId id, String server, double timeout, double sendBy) {
     part.startAttempt(new AttemptInFlight(id, server, context.now(), context.now() + timeout));
@@ -25,9 +25,10 @@
   }
 
   /**
-   * Cancels the attempt in flight of a part, once.
+   * Cancels the attempt in flight of a part unless it was cancelled before.
    *
-   * @param outcome what it counts as if the server confirms before the attempt ends by itself
+   * @param outcome outcome of the attempt if {@link Event.AttemptCancelled} arrives before the
+   *     attempt ends on its own
    */
   void cancel(PendingPart part, Router.Outcome outcome) {
     AttemptInFlight attempt = part.attemptInFlight();
@@ -37,7 +38,10 @@
     }
   }
 
-  /** Sets the alarm for the attempt in flight of a part unless an earlier one is set. */
+  /**
+   * Sets the request's timeout alarm for the attempt in flight of a part, unless the alarm is
+   * already set for that time or earlier.
+   */
   void scheduleTimeoutCheck(PendingPart part) {
     PendingRequest request = part.request();
     AttemptInFlight attempt = part.attemptInFlight();
--- a/src/main/java/bitternpulley/broker/AttemptHandler.java
+++ b/src/main/java/bitternpulley/broker/AttemptHandler.java
@@ -26,7 +26,7 @@
     this.policy = policy;
   }
 
-  /** Ends an attempt; does nothing where it is not in flight. */
+  /** Ends an attempt; does nothing if it is not in flight. */
   void ended(AttemptId id, Router.Outcome outcome, Payload value) {
     PendingPart part = pending.partInFlight(id);
     if (part == null) {
@@ -43,37 +43,38 @@
     policy.attemptEnded(id, attempt.server(), outcome, elapsed);
   }
 
-  /** Reports an attempt that the limits on attempts did not let out. */
+  /** Reports to the routing policy that a limit on attempts prevented an attempt. */
   void notSent(AttemptId id, String server) {
     policy.attemptEnded(id, server, Router.Outcome.NOT_SENT, 0);
   }
 
-  /** Ends a cancelled attempt with the outcome that was given at its cancellation. */
+  /** Ends a cancelled attempt with the outcome that was given when it was cancelled. */
   void cancelled(AttemptId id) {
     PendingPart part = pending.partInFlight(id);
     if (part != null && part.attemptInFlight().isCancelled()) {
-      ended(id, part.attemptInFlight().cancelledAs(), null);
+      ended(id, part.attemptInFlight().cancellationOutcome(), null);
     }
   }
 
   /**
-   * Finishes a request that a server found invalid: no other server would accept it, so the routing
-   * policy sees its client as disconnected.
+   * Finishes a request that a server found invalid. No other server would accept it, so it is
+   * reported to the routing policy as if its client had disconnected.
    */
   void requestRejected(AttemptId id, Payload reason) {
     PendingPart part = pending.partInFlight(id);
     if (part == null) {
       return;
     }
-    long request = part.request().id();
-    completion.finish(request, new Effect.Answer.InvalidRequest(reason));
+    long requestId = part.request().id();
+    completion.finish(requestId, new Effect.Answer.InvalidRequest(reason));
     ended(id, Router.Outcome.ERROR, reason);
-    policy.clientDisconnected(request);
+    policy.clientDisconnected(requestId);
   }
 
   /**
-   * Cancels the attempts of a request that timed out, and sets the alarm for the next to do so. A
-   * request of very many parts, most of them answered, has one alarm rather than one a part.
+   * Cancels the timed-out attempts of a request and sets the alarm for the next attempt to time
+   * out. All parts of a request share one alarm, because a request may have very many parts, most
+   * of them answered.
    */
   void timedOut(Event.AttemptTimedOut event) {
     PendingPart next = null;
@@ -94,11 +95,14 @@
     }
   }
 
-  /** Whether the attempt in flight of a part is the one of the alarm or timed out as well. */
-  private boolean isTimedOut(PendingPart part, AttemptId ofAlarm) {
+  /**
+   * Whether the attempt in flight of a part is the one that the alarm was set for or has timed out
+   * as well.
+   */
+  private boolean isTimedOut(PendingPart part, AttemptId alarmAttempt) {
     AttemptInFlight attempt = part.attemptInFlight();
     return attempt != null
-        && (attempt.id().equals(ofAlarm) || attempt.timesOutAt() <= context.now());
+        && (attempt.id().equals(alarmAttempt) || attempt.timesOutAt() <= context.now());
   }
 
   private static boolean timesOutBefore(PendingPart part, PendingPart other) {
--- a/src/main/java/bitternpulley/broker/AttemptInFlight.java
+++ b/src/main/java/bitternpulley/broker/AttemptInFlight.java
@@ -2,7 +2,10 @@
 
 import bitternpulley.routing.Router;
 
-/** An attempt that was sent and has not ended; it counts as in flight while it is cancelled. */
+/**
+ * An attempt that was sent and has not ended. A cancelled attempt stays in flight until its
+ * cancellation is done.
+ */
 final class AttemptInFlight {
   private final AttemptId id;
   private final String server;
@@ -10,7 +13,7 @@
   private final double timesOutAt;
 
   /** Null until the attempt is cancelled. */
-  private Router.Outcome cancelledAs;
+  private Router.Outcome cancellationOutcome;
 
   AttemptInFlight(AttemptId id, String server, double sentAt, double timesOutAt) {
     this.id = id;
@@ -27,12 +30,12 @@
     return server;
   }
 
-  /** When it was sent, in ms. */
+  /** Time at which the attempt was sent, in ms. */
   double sentAt() {
     return sentAt;
   }
 
-  /** When it is to be cancelled if it has not ended, in ms. */
+  /** Time at which the attempt is to be cancelled if it has not ended, in ms. */
   double timesOutAt() {
     return timesOutAt;
   }
@@ -40,23 +43,24 @@
   /**
    * Marks the attempt as cancelled.
    *
-   * @param outcome what the attempt counts as if its server confirms before it ends by itself
-   * @return false where it was cancelled before, which keeps the first outcome
+   * @param outcome outcome of the attempt if {@link Event.AttemptCancelled} arrives before the
+   *     attempt ends on its own
+   * @return false if the attempt was cancelled before; the first outcome is kept
    */
   boolean cancel(Router.Outcome outcome) {
     if (isCancelled()) {
       return false;
     }
-    cancelledAs = outcome;
+    cancellationOutcome = outcome;
     return true;
   }
 
   boolean isCancelled() {
-    return cancelledAs != null;
+    return cancellationOutcome != null;
   }
 
-  /** The outcome given with the cancellation; null until then. */
-  Router.Outcome cancelledAs() {
-    return cancelledAs;
+  /** The outcome given with the cancellation; null if the attempt was not cancelled. */
+  Router.Outcome cancellationOutcome() {
+    return cancellationOutcome;
   }
 }
--- a/src/main/java/bitternpulley/broker/EventDispatcher.java
+++ b/src/main/java/bitternpulley/broker/EventDispatcher.java
@@ -1,13 +1,13 @@
 package bitternpulley.broker;
 
-/** Passes each event to the handler of its concern. */
+/** Passes each event to the handler that is responsible for it. */
 final class EventDispatcher implements EventHandler {
   private final RequestHandler requests;
   private final AttemptHandler attempts;
   private final EndpointListHandler endpointList;
   private final OperatorCommandHandler operatorCommands;
   private final ContractAccounting accounting;
-  private final ClusterState cluster;
+  private final MembershipHandler membership;
   private final PolicyDriver policy;
 
   EventDispatcher(
@@ -16,14 +16,14 @@
       EndpointListHandler endpointList,
       OperatorCommandHandler operatorCommands,
       ContractAccounting accounting,
-      ClusterState cluster,
+      MembershipHandler membership,
       PolicyDriver policy) {
     this.requests = requests;
     this.attempts = attempts;
     this.endpointList = endpointList;
     this.operatorCommands = operatorCommands;
     this.accounting = accounting;
-    this.cluster = cluster;
+    this.membership = membership;
     this.policy = policy;
   }
 
@@ -100,32 +100,32 @@
   @Override
   public void onLeasesStarted(Event.LeasesStarted event) {
     policy.useQuota(event.leases()::quotaFactor);
-    cluster.useLeases(event.leases());
+    membership.useLeases(event.leases());
   }
 
   @Override
   public void onMembershipStarted(Event.MembershipStarted event) {
-    cluster.startMembership(event.membership());
+    membership.startMembership(event.membership());
   }
 
   @Override
   public void onMembershipTick(Event.MembershipTick event) {
-    cluster.tick();
+    membership.tick();
   }
 
   @Override
   public void onGossipReceived(Event.GossipReceived event) {
-    cluster.gossipReceived(event.message());
+    membership.gossipReceived(event.message());
   }
 
   @Override
   public void onLeaseMessageReceived(Event.LeaseMessageReceived event) {
-    cluster.leaseMessageReceived(event.message());
+    membership.leaseMessageReceived(event.message());
   }
 
   @Override
   public void onMembershipLeaveRequested(Event.MembershipLeaveRequested event) {
-    cluster.leave();
+    membership.leave();
   }
 
   @Override
--- a/src/main/java/bitternpulley/broker/ClusterState.java
+++ b/src/main/java/bitternpulley/broker/MembershipHandler.java
@@ -9,19 +9,19 @@
 import java.util.Optional;
 
 /**
- * Drives membership and leases, where they are on, and turns their actions into effects. Events of
- * a part that is off have no effect.
+ * Handles the events of membership and leases and turns the resulting actions and messages into
+ * effects. Events of membership or leases are ignored while the respective feature is off.
  */
-final class ClusterState {
+final class MembershipHandler {
   private final ReductionContext context;
 
   /** Null while membership is off. */
   private Membership membership;
 
-  /** Null while the quota of this instance is the one configured. */
+  /** Null while this instance uses its configured quota. */
   private Leases leases;
 
-  ClusterState(ReductionContext context) {
+  MembershipHandler(ReductionContext context) {
     this.context = context;
   }
 
@@ -33,12 +33,12 @@
     return Optional.ofNullable(leases);
   }
 
-  /** From now on the quota of this instance follows from leases. */
+  /** Starts to use leases, from which the quota of this instance is derived. */
   void useLeases(Leases started) {
     leases = started;
   }
 
-  /** Turns membership on, and starts the leases if they are in use by now. */
+  /** Turns membership on, and starts the leases if this instance uses them. */
   void startMembership(Membership started) {
     membership = started;
     if (leases != null) {
@@ -46,7 +46,7 @@
     }
   }
 
-  /** The periodic step of membership and leases. */
+  /** Runs the periodic step of membership and leases. */
   void tick() {
     if (membership == null) {
       return;
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Tells the other members that this instance leaves, and gives its leases up. */
+  /** Tells the other members that this instance leaves, and stops requesting leases. */
   void leave() {
     if (membership == null) {
       return;
--- a/src/main/java/bitternpulley/broker/PendingPart.java
+++ b/src/main/java/bitternpulley/broker/PendingPart.java
@@ -4,8 +4,8 @@
 import bitternpulley.routing.Settings;
 
 /**
- * The state of one part of a request: how many attempts it used, and the one in flight. It exists
- * until its request is finished and no attempt is in flight.
+ * The state of one part of a request: the number of attempts used, and the attempt in flight. Kept
+ * until the request is finished and no attempt is in flight.
  */
 final class PendingPart {
   private final PendingRequest request;
@@ -17,7 +17,8 @@
 
   private boolean mayHaveRun;
   private double mayHaveRunSince = Double.POSITIVE_INFINITY;
-  private Effect.Answer.MissingPart lastEnd = new Effect.Answer.MissingPart(null, null, null);
+  private Effect.Answer.MissingPart lastAttemptResult =
+      new Effect.Answer.MissingPart(null, null, null);
 
   PendingPart(PendingRequest request, int index) {
     this.request = request;
@@ -38,7 +39,7 @@
     return new AttemptId(request.firstPart() + index, attemptsUsed++);
   }
 
-  /** Puts an attempt in flight; there is never a second one. */
+  /** Puts an attempt in flight; a part has at most one. */
   void startAttempt(AttemptInFlight started) {
     if (attempt != null) {
       throw new IllegalStateException(
@@ -51,23 +52,23 @@
     return attempt != null;
   }
 
-  /** The attempt in flight; null where there is none. */
+  /** The attempt in flight; null if there is none. */
   AttemptInFlight attemptInFlight() {
     return attempt;
   }
 
-  /** Whether an attempt is in flight that was not cancelled. */
+  /** Whether an attempt is in flight and was not cancelled. */
   boolean hasActiveAttempt() {
     return attempt != null && !attempt.isCancelled();
   }
 
-  /** Ends the attempt in flight with its outcome and the payload that came with it, or null. */
+  /** Ends the attempt in flight; {@code payload} came with the outcome and may be null. */
   void endAttempt(Router.Outcome outcome, Payload payload) {
     if (!outcome.neverRan()) {
       mayHaveRun = true;
       mayHaveRunSince = Math.min(mayHaveRunSince, attempt.sentAt());
     }
-    lastEnd = new Effect.Answer.MissingPart(outcome, attempt.server(), payload);
+    lastAttemptResult = new Effect.Answer.MissingPart(outcome, attempt.server(), payload);
     attempt = null;
   }
 
@@ -76,14 +77,17 @@
     return mayHaveRun || attempt != null;
   }
 
-  /** What an answer without this part reports of it. */
-  Effect.Answer.MissingPart asMissing() {
-    return attempt == null ? lastEnd : new Effect.Answer.MissingPart(null, attempt.server(), null);
+  /** Describes this part for an answer that lacks its value. */
+  Effect.Answer.MissingPart toMissingPart() {
+    return attempt == null
+        ? lastAttemptResult
+        : new Effect.Answer.MissingPart(null, attempt.server(), null);
   }
 
   /**
-   * The time by which a further attempt has to be on the wire, in ms. A retry of a keyed class may
-   * wait for a connection, and its idempotency window goes on meanwhile.
+   * The time in ms by which the first byte of the next attempt has to be sent. A retry of a class
+   * with idempotency keys may wait for a connection, and its idempotency window keeps running
+   * meanwhile.
    */
   double latestSendTime(Settings.QueryClass queryClass) {
     return queryClass.idempotency() == Settings.Idempotency.KEYED
--- a/src/main/java/bitternpulley/broker/PendingRequest.java
+++ b/src/main/java/bitternpulley/broker/PendingRequest.java
@@ -6,15 +6,19 @@
 
 /** The state of a request without a final answer. All times are in ms. */
 final class PendingRequest {
-  /** How long before the client's deadline an end without an answer counts as timed out. */
+  /**
+   * A request that ends without an answer within this time before its deadline counts as timed out.
+   */
   private static final double TIMEOUT_MARGIN_MS = 100;
 
-  /** The largest share of the client's time that the margin takes, since some wait for less. */
+  /**
+   * Upper limit of the margin as a share of the client's timeout, since some clients wait for less.
+   */
   private static final double MAX_TIMEOUT_MARGIN_SHARE = 0.25;
 
   private final Request request;
 
-  /** Null where no contracts are in force. */
+  /** Null if no contracts are in force. */
   private final UsageCharge charge;
 
   private final long firstPart;
@@ -25,11 +29,11 @@
   private double nextTimeoutCheck = Double.POSITIVE_INFINITY;
 
   /**
-   * Begins a request.
+   * Creates the state of a request that arrived at {@code now}.
    *
-   * @param charge the charge under the request's contract; null where none is in force
-   * @param firstPart the id of its first part; the others follow
-   * @param timeLeft how long its client waits from now on
+   * @param charge the charge under the request's contract; null if no contracts are in force
+   * @param firstPart the id of its first part; the other parts have the ids that follow
+   * @param timeLeft how long the client waits; the time that the request was unread is subtracted
    */
   PendingRequest(Request request, UsageCharge charge, long firstPart, double timeLeft, double now) {
     this.request = request;
@@ -48,12 +52,15 @@
     return request;
   }
 
-  /** The charge under the request's contract; null where no contracts are in force. */
+  /** The charge under the request's contract; null if no contracts are in force. */
   UsageCharge charge() {
     return charge;
   }
 
-  /** The id of the first part; the others follow in the order of the request. */
+  /**
+   * The id of the first part; the other parts have the ids that follow, in their order in the
+   * request.
+   */
   long firstPart() {
     return firstPart;
   }
@@ -62,12 +69,12 @@
     return request.parts().size();
   }
 
-  /** When the client stops waiting. */
+  /** Time at which the client stops waiting. */
   double deadline() {
     return deadline;
   }
 
-  /** Whether an end without an answer counts as timed out by now. */
+  /** Whether the request counts as timed out if it ends at {@code now} without an answer. */
   boolean isTimedOut(double now) {
     return now >= timedOutFrom;
   }
@@ -87,28 +94,31 @@
     return new TreeMap<>(values);
   }
 
-  /** Parts whose value has not arrived. */
+  /** Number of parts without a value. */
   int missingParts() {
     return partCount() - values.size();
   }
 
-  /** Notes that an alarm at the deadline is set; false where one was set before. */
+  /** Records that an alarm at the deadline is set; returns false if one was set before. */
   boolean markDeadlineScheduled() {
     boolean first = !deadlineScheduled;
     deadlineScheduled = true;
     return first;
   }
 
-  /** Notes that an alarm for attempt timeouts is set; false where an earlier one is due anyway. */
-  boolean markTimeoutCheckScheduled(double at) {
-    if (at >= nextTimeoutCheck) {
+  /**
+   * Records that an alarm for attempt timeouts is set; returns false if one is already set for that
+   * time or earlier.
+   */
+  boolean markTimeoutCheckScheduled(double time) {
+    if (time >= nextTimeoutCheck) {
       return false;
     }
-    nextTimeoutCheck = at;
+    nextTimeoutCheck = time;
     return true;
   }
 
-  /** Notes that the alarm for attempt timeouts fired. */
+  /** Records that the alarm for attempt timeouts fired. */
   void clearTimeoutCheck() {
     nextTimeoutCheck = Double.POSITIVE_INFINITY;
   }
--- a/src/main/java/bitternpulley/broker/PendingRequests.java
+++ b/src/main/java/bitternpulley/broker/PendingRequests.java
@@ -11,9 +11,8 @@
 import java.util.stream.IntStream;
 
 /**
- * The requests without a final answer, and the parts that still matter: those of pending requests
- * and those with an attempt in flight. Keeps state only; the reducer's handlers decide nothing here
- * and change it as events ask.
+ * The requests without a final answer, and the parts that belong to one of them or have an attempt
+ * in flight. Holds state only; the reducer's handlers make the decisions and update it.
  */
 final class PendingRequests {
   private final Map<Long, PendingRequest> requests = new HashMap<>();
@@ -22,10 +21,11 @@
   private int missingParts;
 
   /**
-   * Adds a request; its parts follow by {@link #addPart}.
+   * Adds a request. Its parts are added by {@link #addPart}.
    *
-   * @param charge the charge under the request's contract; null where none is in force
-   * @param timeLeft ms until its deadline
+   * @param charge the charge under the request's contract; null if no contracts are in force
+   * @param timeLeft how long the client waits, in ms; the time that the request was unread is
+   *     subtracted
    */
   PendingRequest add(Request request, UsageCharge charge, double timeLeft, double now) {
     PendingRequest pending = new PendingRequest(request, charge, nextPart, timeLeft, now);
@@ -47,12 +47,14 @@
     return requests.values();
   }
 
-  /** The request with this id; null where it is finished or unknown. */
+  /** The request with this id; null if it is finished or unknown. */
   PendingRequest request(long id) {
     return requests.get(id);
   }
 
-  /** All parts that still matter, also of finished requests. */
+  /**
+   * All parts of pending requests, and parts of finished requests that have an attempt in flight.
+   */
   Collection<PendingPart> parts() {
     return parts.values();
   }
@@ -62,7 +64,7 @@
     return parts.get(id);
   }
 
-  /** The part of this attempt if the attempt is in flight, else null. */
+  /** The part of this attempt if the attempt is in flight, otherwise null. */
   PendingPart partInFlight(AttemptId attempt) {
     PendingPart part = parts.get(attempt.part());
     return part != null && part.hasAttemptInFlight() && part.attemptInFlight().id().equals(attempt)
@@ -70,7 +72,7 @@
         : null;
   }
 
-  /** Requests plus their parts without a value, which is what the site's limit counts. */
+  /** Number of requests plus their parts without a value, to which the site's limit applies. */
   int count() {
     return requests.size() + missingParts;
   }
@@ -82,12 +84,12 @@
     }
   }
 
-  /** Whether the request of a part has its final answer or lost its client. */
+  /** Whether the request of a part has its final answer or its client disconnected. */
   boolean isFinished(PendingPart part) {
     return !requests.containsKey(part.request().id());
   }
 
-  /** The parts of a request with an attempt in flight that was not cancelled. */
+  /** The parts of a request that have an attempt in flight that was not cancelled. */
   List<PendingPart> partsWithActiveAttempt(PendingRequest request) {
     return IntStream.range(0, request.partCount())
         .mapToObj(index -> part(request.firstPart() + index))
@@ -95,12 +97,12 @@
         .toList();
   }
 
-  /** The id of the request that an attempt belongs to; empty where its part no longer exists. */
-  Optional<Long> requestOf(AttemptId attempt) {
+  /** The id of the request that an attempt belongs to; empty if the part no longer exists. */
+  Optional<Long> requestIdOf(AttemptId attempt) {
     return Optional.ofNullable(parts.get(attempt.part())).map(part -> part.request().id());
   }
 
-  /** Removes a request; returns null where it is finished already. */
+  /** Removes a request; returns null if it is already finished. */
   PendingRequest remove(long id) {
     PendingRequest request = requests.remove(id);
     if (request != null) {
@@ -120,14 +122,14 @@
     }
   }
 
-  /** Describes a request that is to end without an answer. */
-  Effect.Answer.Ending ending(PendingRequest request, double now) {
+  /** The final state of a request that ends now, with the parts that have no value. */
+  Effect.Answer.Ending finalState(PendingRequest request, double now) {
     TreeMap<Integer, Effect.Answer.MissingPart> missing = new TreeMap<>();
     boolean mayHaveRun = false;
     for (int index = 0; index < request.partCount(); index++) {
       PendingPart part = part(request.firstPart() + index);
       if (part != null && !request.hasValue(index)) {
-        missing.put(index, part.asMissing());
+        missing.put(index, part.toMissingPart());
       }
       mayHaveRun |= part != null && part.mayHaveRun();
     }
@@ -136,8 +138,8 @@
   }
 
   /**
-   * Whether no server answered any of these. Such a request was given up somewhat early, when no
-   * answer could arrive in time any more, and counts as timed out too.
+   * Whether no server answered any of these parts. Such a request is ended somewhat before its
+   * deadline, when no answer can arrive in time any more, and counts as timed out as well.
    */
   private static boolean allUnanswered(Collection<Effect.Answer.MissingPart> missing) {
     return !missing.isEmpty()
--- a/src/main/java/bitternpulley/broker/EffectRecorder.java
+++ b/src/main/java/bitternpulley/broker/PolicyActionHandler.java
@@ -5,9 +5,9 @@
 
 /**
  * Turns the routing policy's actions into state changes and effects. Actions on requests, parts and
- * attempts that are finished have no effect.
+ * attempts that are already finished are ignored.
  */
-final class EffectRecorder implements Router.Actions {
+final class PolicyActionHandler implements Router.Actions {
   private final Settings settings;
   private final ReductionContext context;
   private final PendingRequests pending;
@@ -15,7 +15,7 @@
   private final RequestCompletion completion;
   private final ContractAccounting accounting;
 
-  EffectRecorder(
+  PolicyActionHandler(
       Settings settings,
       ReductionContext context,
       PendingRequests pending,
@@ -51,7 +51,7 @@
         part.latestSendTime(queryClass));
   }
 
-  /** The limits on attempts hold here whatever the routing policy asks for. */
+  /** Enforces the limits on attempts, regardless of what the routing policy requests. */
   private boolean maySend(PendingPart part, AttemptId id) {
     return !pending.isFinished(part)
         && !part.hasAttemptInFlight()
@@ -74,7 +74,7 @@
       completion.finish(
           query,
           new Effect.Answer.Answered(
-              complete, request.values(), pending.ending(request, context.now()).missing()));
+              complete, request.values(), pending.finalState(request, context.now()).missing()));
     }
   }
 
@@ -83,7 +83,8 @@
     PendingRequest request = pending.request(query);
     if (request != null) {
       completion.finish(
-          query, new Effect.Answer.Rejected(retryAfter, pending.ending(request, context.now())));
+          query,
+          new Effect.Answer.Rejected(retryAfter, pending.finalState(request, context.now())));
     }
   }
 
@@ -91,7 +92,8 @@
   public void fail(long query) {
     PendingRequest request = pending.request(query);
     if (request != null) {
-      completion.finish(query, new Effect.Answer.Failed(pending.ending(request, context.now())));
+      completion.finish(
+          query, new Effect.Answer.Failed(pending.finalState(request, context.now())));
     }
   }
 
@@ -102,7 +104,7 @@
 
   @Override
   public void watchEndpoints() {
-    // Discovery is always watched here, so there is nothing to start.
+    // Discovery is always watched, so there is nothing to start.
   }
 
   @Override
--- a/src/main/java/bitternpulley/broker/PolicyDriver.java
+++ b/src/main/java/bitternpulley/broker/PolicyDriver.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.OptionalDouble;
 
-/** Passes events to the routing policy, with the time and the recorder of its actions. */
+/** Passes events to the routing policy, with the time and the handler of the policy's actions. */
 final class PolicyDriver {
   private final Router router;
   private final Router.Actions actions;
@@ -16,7 +16,9 @@
     this.context = context;
   }
 
-  /** The ms to wait before a retry of a request that exceeds the site's limit; empty if it fits. */
+  /**
+   * The delay in ms advised before a retry if a request exceeds the site's limit; empty if it fits.
+   */
   OptionalDouble rejectionDelay(int pending) {
     return router.rejectionDelay(pending);
   }
@@ -65,7 +67,7 @@
     router.onAlarm(token, context.now(), actions);
   }
 
-  /** Tells the policy that the events of this time are complete. */
+  /** Tells the policy that all events of the batch have been delivered. */
   void completeBatch() {
     router.completeBatch(context.now(), actions);
   }
--- a/src/main/java/bitternpulley/broker/PolicyFailureRecovery.java
+++ b/src/main/java/bitternpulley/broker/PolicyFailureRecovery.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /**
- * Makes sure that each request still gets its one final answer after the routing policy failed
- * while an event was handled.
+ * Ensures that each request still gets exactly one final answer after the routing policy failed
+ * while handling an event.
  */
 final class PolicyFailureRecovery {
   private final ReductionContext context;
@@ -19,11 +19,11 @@
   }
 
   /**
-   * Ends the request that the event was of at once. Which others the policy did not decide on is
-   * not known, so each of them ends at its deadline unless something ends it before.
+   * Immediately ends the request that the event belongs to. Which other requests the policy failed
+   * to decide on is not known, so each of them ends at its deadline at the latest.
    */
   void recover(Event event) {
-    requestOf(event).ifPresent(requests::abort);
+    requestIdOf(event).ifPresent(requests::abort);
     if (event instanceof Event.RequestReceived received && !hasReply(received.request())) {
       context.emit(
           new Effect.Reply(
@@ -32,12 +32,12 @@
     scheduleDeadlines();
   }
 
-  private Optional<Long> requestOf(Event event) {
+  private Optional<Long> requestIdOf(Event event) {
     if (event instanceof Event.RequestReceived received) {
       return Optional.of(received.request().id());
     }
-    if (event instanceof Event.AttemptEvent ofAttempt) {
-      return pending.requestOf(ofAttempt.attempt());
+    if (event instanceof Event.AttemptEvent attemptEvent) {
+      return pending.requestIdOf(attemptEvent.attempt());
     }
     return Optional.empty();
   }
--- a/src/main/java/bitternpulley/broker/Reducer.java
+++ b/src/main/java/bitternpulley/broker/Reducer.java
@@ -11,9 +11,9 @@
 import java.util.function.Function;
 
 /**
- * The state machine of the core: takes events one by one and returns the effects to carry out. It
- * passes each event to the handler of its concern, which changes state and drives the routing
- * policy; the policy's actions become effects by {@link EffectRecorder}.
+ * The state machine of the core: takes events one at a time and returns the effects to carry out.
+ * Each event goes to the handler that is responsible for it, which changes state and drives the
+ * routing policy; {@link PolicyActionHandler} turns the policy's actions into effects.
  *
  * <p>Not thread-safe; reads no clock and does no I/O, so that tests can drive it in virtual time.
  */
@@ -23,7 +23,7 @@
   private final ReductionContext context;
   private final PendingRequests pending = new PendingRequests();
   private final ContractAccounting accounting;
-  private final ClusterState cluster;
+  private final MembershipHandler membershipHandler;
   private final PolicyDriver policy;
   private final EventDispatcher dispatcher;
   private final PolicyFailureRecovery recovery;
@@ -36,24 +36,25 @@
    * @param now the time in ms
    */
   public Reducer(Settings settings, long seed, double now) {
-    // At most one attempt of a part is in flight here. A policy that counted on hedged requests
-    // would use up a part's attempts on some that are never sent, while the first is unanswered.
+    // The reducer keeps at most one attempt of a part in flight. If the policy used hedged
+    // requests, these would use up the part's attempts without being sent while the first attempt
+    // is unanswered.
     this(
         settings, now, actions -> new RoutingPolicy(settings.withoutHedging(), seed, now, actions));
   }
 
-  /** Creates a reducer that drives another router. */
+  /** Creates a reducer that drives the router of the given factory. */
   Reducer(Settings settings, double now, Function<Router.Actions, Router> routerFactory) {
     context = new ReductionContext(now);
     accounting = new ContractAccounting(settings, context);
-    cluster = new ClusterState(context);
+    membershipHandler = new MembershipHandler(context);
     maxPartsPerCall = settings.layout().maxPartsPerCall();
     AttemptControl attemptControl = new AttemptControl(context);
     RequestCompletion completion =
         new RequestCompletion(settings.limits(), context, pending, accounting);
-    EffectRecorder recorder =
-        new EffectRecorder(settings, context, pending, attemptControl, completion, accounting);
-    policy = new PolicyDriver(routerFactory.apply(recorder), recorder, context);
+    PolicyActionHandler policyActions =
+        new PolicyActionHandler(settings, context, pending, attemptControl, completion, accounting);
+    policy = new PolicyDriver(routerFactory.apply(policyActions), policyActions, context);
     RequestHandler requests =
         new RequestHandler(context, pending, attemptControl, completion, accounting, policy);
     AttemptHandler attempts =
@@ -64,7 +65,13 @@
         new OperatorCommandHandler(context, directory, endpointList, policy);
     dispatcher =
         new EventDispatcher(
-            requests, attempts, endpointList, operatorCommands, accounting, cluster, policy);
+            requests,
+            attempts,
+            endpointList,
+            operatorCommands,
+            accounting,
+            membershipHandler,
+            policy);
     recovery = new PolicyFailureRecovery(context, pending, requests);
   }
 
@@ -78,24 +85,24 @@
     return accounting;
   }
 
-  /** The membership of the fleet; empty where it is off or has not started. */
+  /** The membership of the fleet; empty if it is off or has not started. */
   public Optional<Membership> membership() {
-    return cluster.membership();
+    return membershipHandler.membership();
   }
 
-  /** The leases of this instance; empty where its quota is the one configured. */
+  /** The leases of this instance; empty if this instance uses its configured quota. */
   public Optional<Leases> leases() {
-    return cluster.leases();
+    return membershipHandler.leases();
   }
 
   /**
-   * Handles one event, with the events that follow from it.
+   * Handles one event and the events that follow from it.
    *
-   * @param at the time in ms; one before that of an earlier event counts as the latter
+   * @param time the time in ms; if it is before the time of the previous event, the latter is used
    * @return the effects to carry out, in order
    */
-  public List<Effect> reduce(Event event, double at) {
-    context.begin(event, at);
+  public List<Effect> reduce(Event event, double time) {
+    context.begin(event, time);
     for (Event next = context.nextEvent(); next != null; next = context.nextEvent()) {
       handle(next);
     }
@@ -107,7 +114,7 @@
       event.dispatch(dispatcher);
       policy.completeBatch();
     } catch (RuntimeException failure) {
-      // A fault in the routing policy must neither lose requests nor end the process.
+      // A failure of the routing policy must neither lose requests nor end the process.
       LOG.log(Level.ERROR, "Routing policy failed while handling " + event, failure);
       recovery.recover(event);
     }
--- a/src/main/java/bitternpulley/broker/ReductionContext.java
+++ b/src/main/java/bitternpulley/broker/ReductionContext.java
@@ -6,8 +6,8 @@
 import java.util.Queue;
 
 /**
- * What the reducer's handlers share while one event is reduced: the time, the effects so far, and
- * the events that follow from it.
+ * State that the reducer's handlers share while one event is reduced: the time, the effects so far,
+ * and the queue of follow-up events.
  */
 final class ReductionContext {
   private final Queue<Event> events = new ArrayDeque<>();
@@ -18,9 +18,9 @@
     this.now = now;
   }
 
-  /** Begins the reduction of an event from outside; the clock never runs backwards here. */
-  void begin(Event event, double at) {
-    now = Math.max(now, at);
+  /** Begins the reduction of an external event. The time never goes backwards. */
+  void begin(Event event, double time) {
+    now = Math.max(now, time);
     effects = new ArrayList<>();
     events.add(event);
   }
@@ -30,7 +30,7 @@
     return now;
   }
 
-  /** Adds an effect behind those so far. */
+  /** Appends an effect. */
   void emit(Effect effect) {
     effects.add(effect);
   }
@@ -40,12 +40,12 @@
     return effects;
   }
 
-  /** Adds an event to be handled after the current one, before any from outside. */
+  /** Adds an event that is handled after the current one and before the next external event. */
   void enqueue(Event event) {
     events.add(event);
   }
 
-  /** Takes the next event to handle; null where none is left. */
+  /** Takes the next event to handle; null if none is left. */
   Event nextEvent() {
     return events.poll();
   }
--- a/src/main/java/bitternpulley/broker/RequestCompletion.java
+++ b/src/main/java/bitternpulley/broker/RequestCompletion.java
@@ -20,7 +20,7 @@
     this.accounting = accounting;
   }
 
-  /** Gives a request its final answer; does nothing where it is finished already. */
+  /** Gives a request its final answer; does nothing if it is already finished. */
   void finish(long id, Effect.Answer answer) {
     PendingRequest request = remove(id);
     if (request == null) {
@@ -33,7 +33,7 @@
   /**
    * Finishes a request whose client disconnected.
    *
-   * @return false where it is finished already
+   * @return false if it is already finished
    */
   boolean finishWithoutAnswer(long id) {
     PendingRequest request = remove(id);
@@ -46,7 +46,7 @@
 
   private PendingRequest remove(long id) {
     PendingRequest request = pending.remove(id);
-    // Where cancellation is allowed, the routing policy cancels what is in flight itself.
+    // If cancellation is allowed, the routing policy itself cancels the attempts in flight.
     if (request != null && !limits.cancellationAllowed()) {
       for (PendingPart part : pending.partsWithActiveAttempt(request)) {
         context.emit(new Effect.CancelUnsent(part.attemptInFlight().id(), request.request()));
--- a/src/main/java/bitternpulley/broker/RequestHandler.java
+++ b/src/main/java/bitternpulley/broker/RequestHandler.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.OptionalDouble;
 
-/** Handles events of whole requests: their arrival, a lost client, a deadline. */
+/** Handles events of whole requests: arrival, a disconnected client, a deadline that passed. */
 final class RequestHandler {
   private static final System.Logger LOG = System.getLogger(RequestHandler.class.getName());
 
@@ -34,7 +34,8 @@
   }
 
   /**
-   * Admits a request by its contract, where contracts are in force, and then by the site's limit.
+   * Admits or rejects a request, first by its contract if contracts are in force, then by the
+   * site's limit.
    */
   void received(Request request) {
     if (!accounting.isActive()) {
@@ -107,21 +108,21 @@
 
   /**
    * Fails a request that the routing policy did not finish, and cancels its attempts. Does nothing
-   * where the request is finished.
+   * if the request is already finished.
    */
   void abort(long id) {
     PendingRequest request = pending.request(id);
     if (request == null) {
       return;
     }
-    completion.finish(id, new Effect.Answer.Failed(pending.ending(request, context.now())));
+    completion.finish(id, new Effect.Answer.Failed(pending.finalState(request, context.now())));
     for (PendingPart part : pending.partsWithActiveAttempt(request)) {
       attempts.cancel(part, Router.Outcome.CANCELLED);
     }
     try {
       policy.clientDisconnected(id);
     } catch (RuntimeException failure) {
-      // The request has its answer already, and the policy may have failed on it before.
+      // The request is already answered, and the policy may have failed on it before.
       LOG.log(
           Level.ERROR, "Routing policy failed while handling the end of request " + id, failure);
     }
--- a/src/main/java/bitternpulley/broker/package-info.java
+++ b/src/main/java/bitternpulley/broker/package-info.java
@@ -1,16 +1,16 @@
 /**
  * The core: typed events go into one {@link bitternpulley.broker.Reducer}, which drives the routing
- * policy and returns effects; {@link bitternpulley.broker.Broker} has a {@link
- * bitternpulley.broker.Dialect} carry these out.
+ * policy and returns effects. {@link bitternpulley.broker.Broker} carries these out, those for
+ * clients and servers through a {@link bitternpulley.broker.Dialect}.
  *
- * <p>It keeps the state of requests, parts and attempts, and enforces the limits on attempts. It
- * never chooses a server, a timeout or an answer, which the routing policy does, nor decides whom a
- * contract admits; it never blocks, reads a socket or knows a wire format. Everything runs on the
- * event loop's thread.
+ * <p>It keeps the state of requests, parts and attempts, and enforces the limits on attempts. The
+ * core does not choose servers, timeouts or answers, which is up to the routing policy, and does
+ * not decide which requests a contract admits. It never blocks, reads no socket and knows no wire
+ * format. All of it runs on the event loop's thread.
  *
- * <p>Invariants: each request has at most one final answer; no part has two attempts in flight, nor
- * more in all than the settings allow; a cancelled attempt stays in flight until its server was
- * notified.
+ * <p>Invariants: each request has at most one final answer; each part has at most one attempt in
+ * flight and no more attempts in total than the settings allow; a cancelled attempt stays in flight
+ * until its server was notified.
  *
  * <p>Client protocols, server protocols, discovery, gossip and the admin endpoint submit events.
  * Start with {@link bitternpulley.broker.Reducer}, which shows the handlers and their order, then
