--- a/src/main/java/bitternpulley/broker/Effect.java
+++ b/src/main/java/bitternpulley/broker/Effect.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** An output of the core: something to carry out. */
+/** An output of the core: an action to carry out. */
 public sealed interface Effect {
   /** Calls the method of the handler for this kind of effect. */
   void dispatch(EffectHandler handler);
@@ -19,8 +19,8 @@
    *
    * @param partIndex the position of the part in its request
    * @param timeout ms until the attempt is cancelled
-   * @param sendBy time in ms by which its first byte has to be sent; else it ends as not sent,
-   *     since the idempotency window goes on while a retry waits for a connection
+   * @param sendBy time in ms by which the first byte has to be sent; otherwise the attempt ends as
+   *     not sent, because the idempotency window keeps running while a retry waits for a connection
    */
   record StartAttempt(
       AttemptId id, Request request, int partIndex, String server, double timeout, double sendBy)
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Send attempts to one server as one call, where the dialect has shared calls; at least two, all
-   * of one dialect.
+   * Send at least two attempts of one dialect to one server, as one call if the dialect has shared
+   * calls.
    */
   record StartCall(List<StartAttempt> attempts) implements Effect {
     @Override
@@ -57,7 +57,7 @@
   }
 
   /**
-   * Cancel an attempt of a finished request unless a byte of it was sent, at sites that forbid
+   * Cancel an attempt of a finished request unless a byte of it was sent. Used at sites that forbid
    * cancellation.
    */
   record CancelUnsent(AttemptId id, Request request) implements Effect {
@@ -67,7 +67,10 @@
     }
   }
 
-  /** Cancel the attempts to a server of which nothing was sent, since it accepts no new work. */
+  /**
+   * Cancel the attempts to a server of which no byte was sent, since the server accepts no new
+   * work.
+   */
   record CancelUnsentTo(String server) implements Effect {
     @Override
     public void dispatch(EffectHandler handler) {
@@ -83,7 +86,7 @@
     }
   }
 
-  /** Submit an event at a time in ms. */
+  /** Submit an event at the given time in ms. */
   record WakeAt(double time, Event event) implements Effect {
     @Override
     public void dispatch(EffectHandler handler) {
@@ -108,7 +111,7 @@
     }
   }
 
-  /** Answer an operator that a command cannot be carried out. */
+  /** Tell an operator that a command cannot be carried out. */
   record RejectCommand(Payload caller, String reason) implements Effect {
     @Override
     public void dispatch(EffectHandler handler) {
@@ -116,7 +119,10 @@
     }
   }
 
-  /** Send clients away, or serve them again. */
+  /**
+   * Quiesce this instance, which closes each client connection after its next response, or resume
+   * it.
+   */
   record Quiesce(boolean enabled) implements Effect {
     @Override
     public void dispatch(EffectHandler handler) {
@@ -124,7 +130,7 @@
     }
   }
 
-  /** Record what the contracts in force decided on a request, given by its id. */
+  /** Record the admission decision on a request under the contracts in force. */
   record AdmissionDecided(long requestId, AdmissionDecision decision) implements Effect {
     @Override
     public void dispatch(EffectHandler handler) {
@@ -132,7 +138,10 @@
     }
   }
 
-  /** Record that the charge of a request is settled: none of its attempts is in flight any more. */
+  /**
+   * Record that the charge of a request is settled: no attempt of the request is in flight any
+   * more.
+   */
   record ChargeSettled(UsageCharge charge) implements Effect {
     @Override
     public void dispatch(EffectHandler handler) {
@@ -140,7 +149,9 @@
     }
   }
 
-  /** Send a gossip message to another aggregator, given by its number; it may be lost. */
+  /**
+   * Send a gossip message to the aggregator with the number {@code to}; the message may be lost.
+   */
   record SendGossip(int to, GossipMessage message) implements Effect {
     @Override
     public void dispatch(EffectHandler handler) {
@@ -148,7 +159,7 @@
     }
   }
 
-  /** Send a message on leases to another aggregator, given by its number; it may be lost. */
+  /** Send a lease message to the aggregator with the number {@code to}; the message may be lost. */
   record SendLeaseMessage(int to, LeaseMessage message) implements Effect {
     @Override
     public void dispatch(EffectHandler handler) {
@@ -175,41 +186,42 @@
   /** The final answer of a request. */
   sealed interface Answer {
     /**
-     * Answered from the values that arrived.
+     * An answer made of the values that have arrived.
      *
      * @param complete whether the answer counts as complete
-     * @param values the values by position of their parts
-     * @param missing the other parts by position
+     * @param values the values, by position of their parts
+     * @param missing the parts without a value, by position
      */
     record Answered(
         boolean complete, Map<Integer, Payload> values, Map<Integer, MissingPart> missing)
         implements Answer {}
 
     /**
-     * Rejected: a retry is safe.
+     * The request was rejected; a retry is safe.
      *
-     * @param retryAfter ms that the client is to wait before it; 0 gives no advice
-     * @param contract the decision where a contract rejected it; null where the routing policy did
+     * @param retryAfter ms that the client is advised to wait before a retry; 0 for no advice
+     * @param contract the decision if a contract rejected the request; null if the routing policy
+     *     did
      */
     record Rejected(double retryAfter, Ending ending, AdmissionDecision.Rejected contract)
         implements Answer {
-      /** Rejected by the routing policy. */
+      /** A rejection by the routing policy. */
       public Rejected(double retryAfter, Ending ending) {
         this(retryAfter, ending, null);
       }
     }
 
-    /** Failed: servers may have run some of it. */
+    /** The request failed; servers may have run some of its parts. */
     record Failed(Ending ending) implements Answer {}
 
-    /** Failed since a server found the request itself invalid. */
+    /** The request failed because a server found the request itself invalid. */
     record InvalidRequest(Payload reason) implements Answer {}
 
     /**
-     * The state of a request that ends without an answer.
+     * The final state of a request that ends without an answer.
      *
-     * @param timedOut whether it counts as timed out
-     * @param mayHaveRun whether a server may have run some of it
+     * @param timedOut whether the request counts as timed out
+     * @param mayHaveRun whether a server may have run some of its parts
      * @param missing the parts without a value, by position
      */
     record Ending(boolean timedOut, boolean mayHaveRun, Map<Integer, MissingPart> missing) {
@@ -218,8 +230,9 @@
     }
 
     /**
-     * A part without a value: the end of its last attempt, with the payload that came with it. The
-     * outcome is null while an attempt is in flight; all are null where none was sent.
+     * A part without a value: the outcome and the server of its last attempt, and the payload that
+     * came with the outcome. Outcome and payload are null while an attempt is in flight; all three
+     * are null if no attempt was sent.
      */
     record MissingPart(Router.Outcome outcome, String server, Payload reason) {}
   }
--- a/src/main/java/bitternpulley/broker/EffectHandler.java
+++ b/src/main/java/bitternpulley/broker/EffectHandler.java
@@ -1,6 +1,8 @@
 package bitternpulley.broker;
 
-/** Carries out effects of the core, one method a kind; {@link Effect#dispatch} selects it. */
+/**
+ * Carries out effects of the core, one method per kind; {@link Effect#dispatch} selects the method.
+ */
 public interface EffectHandler {
   /** Sends an attempt. */
   void onStartAttempt(Effect.StartAttempt effect);
@@ -11,10 +13,10 @@
   /** Cancels an attempt. */
   void onCancelAttempt(Effect.CancelAttempt effect);
 
-  /** Cancels an attempt if none of it was sent. */
+  /** Cancels an attempt unless a byte of it was sent. */
   void onCancelUnsent(Effect.CancelUnsent effect);
 
-  /** Cancels the attempts to a server of which nothing was sent. */
+  /** Cancels the attempts to a server of which no byte was sent. */
   void onCancelUnsentTo(Effect.CancelUnsentTo effect);
 
   /** Delivers a final answer. */
@@ -32,7 +34,7 @@
   /** Rejects an operator command. */
   void onRejectCommand(Effect.RejectCommand effect);
 
-  /** Sends clients away, or serves them again. */
+  /** Quiesces or resumes this instance. */
   void onQuiesce(Effect.Quiesce effect);
 
   /** Records an admission decision. */
--- a/src/main/java/bitternpulley/broker/EffectPerformer.java
+++ b/src/main/java/bitternpulley/broker/EffectPerformer.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Carries out each effect by the collaborator that it is meant for. */
+/** Carries out each effect by calling the collaborator that is responsible for it. */
 final class EffectPerformer implements EffectHandler {
   private static final System.Logger LOG = System.getLogger(EffectPerformer.class.getName());
 
@@ -20,7 +20,7 @@
   /**
    * Creates a performer.
    *
-   * @param submit takes the events of alarms that are due
+   * @param submit called with the event of each alarm that is due
    */
   EffectPerformer(Clock clock, Broker.Timer timer, Consumer<Event> submit) {
     this.clock = clock;
@@ -32,15 +32,15 @@
     dialects.add(dialect);
   }
 
-  void setOperatorCommands(OperatorCommands operators) {
-    operatorCommands = operators;
+  void setOperatorCommands(OperatorCommands commands) {
+    operatorCommands = commands;
   }
 
   void setGossipTransport(GossipTransport transport) {
     gossipTransport = transport;
   }
 
-  /** Number of datagrams dropped for their checksum; 0 without a transport. */
+  /** Number of datagrams dropped because of a wrong checksum; 0 without a transport. */
   long corruptedDatagrams() {
     return gossipTransport == null ? 0 : gossipTransport.corruptedDatagrams();
   }
--- a/src/main/java/bitternpulley/broker/EndpointListHandler.java
+++ b/src/main/java/bitternpulley/broker/EndpointListHandler.java
@@ -3,7 +3,10 @@
 import bitternpulley.routing.Router;
 import java.util.List;
 
-/** Handles changes of the endpoint list and takes back what waits for servers that left it. */
+/**
+ * Handles changes of the endpoint list and cancels unsent attempts to servers that accept no new
+ * work.
+ */
 final class EndpointListHandler {
   private final ReductionContext context;
   private final PendingRequests pending;
@@ -21,18 +24,18 @@
     this.policy = policy;
   }
 
-  /** Applies a list from discovery, or a change to it. */
+  /** Applies an endpoint list from discovery, or a change to it. */
   void serversChanged(Router.ListKind kind, List<Router.Endpoint> endpoints) {
     passToPolicy(kind, directory.update(kind, endpoints));
   }
 
-  /** Passes endpoints, as the operators' overrides have them, to the routing policy. */
+  /** Passes endpoints, with the operator overrides already applied, to the routing policy. */
   void passToPolicy(Router.ListKind kind, List<Router.Endpoint> endpoints) {
     policy.serversChanged(kind, endpoints);
     cancelUnsentToUnavailableServers();
   }
 
-  /** A part that waits for a connection would else reach a server after its drain began. */
+  /** Prevents parts that wait for a connection from reaching a server after its drain began. */
   private void cancelUnsentToUnavailableServers() {
     pending.parts().stream()
         .filter(PendingPart::hasAttemptInFlight)
--- a/src/main/java/bitternpulley/broker/Event.java
+++ b/src/main/java/bitternpulley/broker/Event.java
@@ -15,7 +15,7 @@
 
   /** An event of one attempt. */
   sealed interface AttemptEvent extends Event {
-    /** The attempt that it is about. */
+    /** The attempt that the event is about. */
     AttemptId attempt();
   }
 
@@ -27,7 +27,7 @@
     }
   }
 
-  /** The client of a request, given by the request's id, disconnected. */
+  /** The client of a request disconnected. */
   record ClientDisconnected(long requestId) implements Event {
     @Override
     public void dispatch(EventHandler handler) {
@@ -44,7 +44,8 @@
   }
 
   /**
-   * An attempt ended by itself; {@code value} is its result or what explains its failure, or null.
+   * An attempt ended on its own; {@code value} is the result, an explanation of the failure, or
+   * null.
    */
   record AttemptEnded(AttemptId attempt, Router.Outcome outcome, Payload value)
       implements AttemptEvent {
@@ -70,7 +71,10 @@
     }
   }
 
-  /** The deadline of a request passed that the routing policy may have failed to finish. */
+  /**
+   * The deadline of a request passed. Scheduled for requests that the routing policy may have
+   * failed to finish.
+   */
   record RequestDeadlineExpired(long requestId) implements Event {
     @Override
     public void dispatch(EventHandler handler) {
@@ -78,7 +82,7 @@
     }
   }
 
-  /** An attempt was not sent, since a limit on attempts forbids it. */
+  /** An attempt was not sent because a limit on attempts forbids it. */
   record AttemptNotSent(AttemptId attempt, String server) implements AttemptEvent {
     @Override
     public void dispatch(EventHandler handler) {
@@ -87,11 +91,11 @@
   }
 
   /**
-   * An attempt timed out; others of the same request may have timed out as well.
+   * An attempt timed out; other attempts of the same request may have timed out as well.
    *
    * @param attempt the attempt that the alarm was set for
-   * @param firstPart the id of the request's first part; the others follow
-   * @param partCount the number of its parts
+   * @param firstPart the id of the request's first part; the other parts have the ids that follow
+   * @param partCount the number of parts of the request
    */
   record AttemptTimedOut(AttemptId attempt, long firstPart, int partCount) implements Event {
     @Override
@@ -99,7 +103,7 @@
       handler.onAttemptTimedOut(this);
     }
 
-    /** A timeout that concerns no other part. */
+    /** A timeout that concerns only the part of the attempt. */
     public AttemptTimedOut(AttemptId attempt) {
       this(attempt, attempt.part(), 1);
     }
@@ -122,7 +126,7 @@
     }
   }
 
-  /** A hot restart began, with this process in the given role, or ended. */
+  /** A hot restart began or ended; {@code role} is the role of the other process. */
   record HotRestartRoleChanged(Router.HotRestartRole role) implements Event {
     @Override
     public void dispatch(EventHandler handler) {
@@ -130,7 +134,7 @@
     }
   }
 
-  /** This process did not run for a time that ends now, given in ms. */
+  /** This process did not run for {@code pausedMs} ms until now. */
   record ProcessPaused(double pausedMs) implements Event {
     @Override
     public void dispatch(EventHandler handler) {
@@ -146,7 +150,7 @@
     }
   }
 
-  /** From now on the quota of this instance follows from its leases, of which it holds none yet. */
+  /** From now on the quota of this instance is derived from its leases; it holds none yet. */
   record LeasesStarted(Leases leases) implements Event {
     @Override
     public void dispatch(EventHandler handler) {
@@ -178,7 +182,7 @@
     }
   }
 
-  /** A message on leases was received from another aggregator. */
+  /** A lease message was received from another aggregator. */
   record LeaseMessageReceived(LeaseMessage message) implements Event {
     @Override
     public void dispatch(EventHandler handler) {
--- a/src/main/java/bitternpulley/broker/EventHandler.java
+++ b/src/main/java/bitternpulley/broker/EventHandler.java
@@ -1,6 +1,6 @@
 package bitternpulley.broker;
 
-/** Handles events of the core, one method a kind; {@link Event#dispatch} selects it. */
+/** Handles events of the core, one method per kind; {@link Event#dispatch} selects the method. */
 public interface EventHandler {
   /** Handles a request that was received. */
   void onRequestReceived(Event.RequestReceived event);
@@ -17,13 +17,13 @@
   /** Handles a request that a server found invalid. */
   void onRequestRejectedByServer(Event.RequestRejectedByServer event);
 
-  /** Handles a cancellation that is done. */
+  /** Handles a completed cancellation. */
   void onAttemptCancelled(Event.AttemptCancelled event);
 
-  /** Handles a deadline that passed. */
+  /** Handles a request deadline that passed. */
   void onRequestDeadlineExpired(Event.RequestDeadlineExpired event);
 
-  /** Handles an attempt that the limits did not let out. */
+  /** Handles an attempt that was not sent because of a limit on attempts. */
   void onAttemptNotSent(Event.AttemptNotSent event);
 
   /** Handles an attempt timeout. */
@@ -38,7 +38,7 @@
   /** Handles a hot restart that begins or ends. */
   void onHotRestartRoleChanged(Event.HotRestartRoleChanged event);
 
-  /** Handles a time in which this process did not run. */
+  /** Handles a pause during which this process did not run. */
   void onProcessPaused(Event.ProcessPaused event);
 
   /** Handles new contracts. */
