--- a/src/main/java/bitternpulley/broker/Broker.java
+++ b/src/main/java/bitternpulley/broker/Broker.java
@@ -9,8 +9,8 @@
 import java.util.Queue;
 
 /**
- * Feeds events to the {@link Reducer} one by one and has its effects carried out. Not thread-safe:
- * everything happens on the event loop's thread.
+ * Feeds events to the {@link Reducer} one at a time and carries out the resulting effects. Not
+ * thread-safe: all calls are made on the event loop's thread.
  */
 public final class Broker {
   private static final System.Logger LOG = System.getLogger(Broker.class.getName());
@@ -24,50 +24,50 @@
   private final Reducer reducer;
   private final Clock clock;
   private final EffectPerformer performer;
-  private final Queue<Event> waiting = new ArrayDeque<>();
+  private final Queue<Event> queuedEvents = new ArrayDeque<>();
   private boolean processing;
-  private long lastId;
+  private long lastRequestId;
 
-  /** Creates a broker; the collaborators that need it themselves are added afterwards. */
+  /** Creates a broker. Collaborators that themselves need the broker are added afterwards. */
   public Broker(Reducer reducer, Clock clock, Timer timer) {
     this.reducer = reducer;
     this.clock = clock;
     this.performer = new EffectPerformer(clock, timer, this::submit);
   }
 
-  /** Adds a dialect, which from now on receives the effects that concern a server as a whole. */
+  /** Adds a dialect that receives the effects that concern a server as a whole. */
   public void addDialect(Dialect dialect) {
     performer.addDialect(dialect);
   }
 
-  /** Sets what carries out the effects of operator commands. */
-  public void operatorCommands(OperatorCommands operators) {
-    performer.setOperatorCommands(operators);
+  /** Sets the component that carries out the effects of operator commands. */
+  public void operatorCommands(OperatorCommands commands) {
+    performer.setOperatorCommands(commands);
   }
 
-  /** Sets what sends messages to other aggregators. */
+  /** Sets the transport for messages to other aggregators. */
   public void gossipTransport(GossipTransport transport) {
     performer.setGossipTransport(transport);
   }
 
-  /** The membership of the fleet; empty where it is off or has not started. */
+  /** The membership of the fleet; empty if it is off or has not started. */
   public Optional<Membership> membership() {
     return reducer.membership();
   }
 
-  /** The leases of this instance; empty where its quota is the one configured. */
+  /** The leases of this instance; empty if this instance uses its configured quota. */
   public Optional<Leases> leases() {
     return reducer.leases();
   }
 
-  /** Number of datagrams of other aggregators so far that were dropped for their checksum. */
+  /** Number of datagrams from other aggregators that were dropped because of a wrong checksum. */
   public long corruptedDatagrams() {
     return performer.corruptedDatagrams();
   }
 
   /** Returns a new id for a request. */
   public long nextId() {
-    return ++lastId;
+    return ++lastRequestId;
   }
 
   /** The number of requests without a final answer. */
@@ -75,7 +75,7 @@
     return reducer.pendingRequests();
   }
 
-  /** The time of the core's clock, in ms. */
+  /** The current time of the broker's clock, in ms. */
   public double now() {
     return clock.now();
   }
@@ -85,16 +85,16 @@
     return reducer.contractAccounting();
   }
 
-  /** Handles an event; one that is submitted while another is handled waits for its turn. */
+  /** Handles an event. An event that is submitted while another one is handled is queued. */
   public void submit(Event event) {
-    waiting.add(event);
+    queuedEvents.add(event);
     if (processing) {
       return;
     }
     processing = true;
     try {
-      while (!waiting.isEmpty()) {
-        reducer.reduce(waiting.poll(), clock.now()).forEach(this::perform);
+      while (!queuedEvents.isEmpty()) {
+        reducer.reduce(queuedEvents.poll(), clock.now()).forEach(this::perform);
       }
     } finally {
       processing = false;
@@ -105,15 +105,15 @@
     try {
       effect.dispatch(performer);
     } catch (RuntimeException failure) {
-      // A fault in one dialect must not keep the effects behind it from being carried out.
+      // A failure in one dialect must not prevent the remaining effects from being carried out.
       LOG.log(Level.ERROR, "Could not carry out " + effect, failure);
       compensate(effect);
     }
   }
 
   /**
-   * Ends what would else never end because an effect failed: an attempt counts as reset, its
-   * cancellation as done, and a client whose answer cannot be written is sent a failure.
+   * Completes what would otherwise never end after an effect failed: an attempt counts as reset, a
+   * cancellation counts as done, and if an answer cannot be written, the client is sent a failure.
    */
   private void compensate(Effect effect) {
     if (effect instanceof Effect.StartCall call) {
--- a/src/main/java/bitternpulley/broker/CallBatcher.java
+++ b/src/main/java/bitternpulley/broker/CallBatcher.java
@@ -6,21 +6,22 @@
 import java.util.Map;
 
 /**
- * Joins the attempts that one event sends to the same server into shared calls. A server charges
- * for each call in addition to the work of its parts ({@code domain.call} of the settings), and one
+ * Combines the attempts that one event starts on the same server into shared calls. Each call costs
+ * the server work in addition to the work of its parts ({@code domain.call} in the settings). One
  * call holds up to {@code domain.bundleMax} parts.
  */
 final class CallBatcher {
-  /** The destination of a call; attempts of different dialects never share one. */
+  /** The destination of a call; attempts of different dialects never share a call. */
   private record Destination(String server, Dialect dialect) {}
 
   private CallBatcher() {}
 
   /**
-   * Joins the attempts to each server into calls, each at the position of its first attempt.
-   * Attempts only move forward, so that a cancellation still follows the attempt it cancels.
+   * Combines the attempts to each server into calls. Each call takes the position of its first
+   * attempt, so attempts only move towards the front and a cancellation still follows the attempt
+   * that it cancels.
    *
-   * @param maxPartsPerCall the most attempts of a call; up to 1 nothing is joined
+   * @param maxPartsPerCall maximum number of attempts per call; 1 or less disables combining
    */
   static List<Effect> join(List<Effect> effects, int maxPartsPerCall) {
     if (maxPartsPerCall <= 1) {
@@ -35,7 +36,7 @@
         joined.add(effect);
       }
     }
-    joined.replaceAll(CallBatcher::withoutCallOfOne);
+    joined.replaceAll(CallBatcher::unwrapSingleAttempt);
     return joined;
   }
 
@@ -54,7 +55,7 @@
     call.add(start);
   }
 
-  private static Effect withoutCallOfOne(Effect effect) {
+  private static Effect unwrapSingleAttempt(Effect effect) {
     return effect instanceof Effect.StartCall call && call.attempts().size() == 1
         ? call.attempts().get(0)
         : effect;
--- a/src/main/java/bitternpulley/broker/Clock.java
+++ b/src/main/java/bitternpulley/broker/Clock.java
@@ -1,13 +1,14 @@
 package bitternpulley.broker;
 
-/** The clock of the program, in ms; tests set their own. */
+/** A clock in ms; tests provide their own. */
 public interface Clock {
   /** The current time, in ms. */
   double now();
 
   /**
    * A clock that starts at the system's Unix time and is monotonic from then on. Its times can be
-   * compared with discovery's timestamps, and adjustments of the system's clock change no duration.
+   * compared with the timestamps of discovery, and adjustments of the system clock do not affect
+   * durations.
    */
   static Clock system() {
     double wallStartMs = System.currentTimeMillis();
--- a/src/main/java/bitternpulley/broker/ContractAccounting.java
+++ b/src/main/java/bitternpulley/broker/ContractAccounting.java
@@ -11,15 +11,17 @@
 import java.util.List;
 
 /**
- * Passes requests, attempts and their ends to {@link AdmissionControl} and reports settled charges
- * as effects. Charges are null for requests taken while no contracts were in force; for these
- * nothing is done. Amounts are in standard parts (docs/contracts.md).
+ * Reports requests, attempts and their ends to {@link AdmissionControl} and emits an effect for
+ * each settled charge. The charge of a request that was accepted while no contracts were in force
+ * is null; nothing is recorded for it. Amounts are in standard parts (docs/contracts.md).
  */
 public final class ContractAccounting {
   private final Settings settings;
   private final ReductionContext context;
 
-  /** Null until the first contracts are in force, so that a start without any does not pay. */
+  /**
+   * Null until the first contracts are in force, so that a start without contracts costs nothing.
+   */
   private AdmissionControl control;
 
   ContractAccounting(Settings settings, ReductionContext context) {
@@ -32,7 +34,7 @@
     return control != null && control.isActive();
   }
 
-  /** Puts contracts in force in place of those before. */
+  /** Puts contracts in force in place of the previous ones. */
   void activate(ContractBook book) {
     if (control == null && book.isEmpty()) {
       return;
@@ -51,7 +53,7 @@
     return new AdmissionControl(latencyObjectives, maxRetryAfter);
   }
 
-  /** Admits or rejects a request; only while contracts are in force. */
+  /** Admits or rejects a request. May only be called while contracts are in force. */
   AdmissionDecision admit(Request request) {
     return control.admit(
         new AdmissionRequest(
@@ -65,8 +67,8 @@
   }
 
   /**
-   * Whether an attempt may be sent, which is then charged. Each one beyond the first of a part
-   * counts against the retry budget of the team.
+   * Whether an attempt may be sent; if so, the attempt is charged. Each attempt of a part after the
+   * first counts against the retry budget of the team.
    *
    * @param number the attempt's number within its part, from 0
    */
@@ -81,7 +83,7 @@
     return allowed;
   }
 
-  /** Charges the end of an attempt, {@code elapsed} ms after it was sent. */
+  /** Charges an attempt that ended {@code elapsed} ms after it was sent. */
   void attemptEnded(UsageCharge charge, Router.Outcome outcome, double elapsed) {
     if (charge != null) {
       control.onAttemptEnded(charge, outcome, elapsed, context.now());
@@ -89,7 +91,7 @@
     }
   }
 
-  /** Notes the end of a request, and whether it was answered. */
+  /** Records the end of a request and whether the request was answered. */
   void requestEnded(UsageCharge charge, boolean answered) {
     if (charge != null) {
       control.onRequestEnded(charge, answered, context.now());
@@ -103,20 +105,20 @@
     }
   }
 
-  /** The accounts that were used, at a time in ms. */
+  /** The accounts that have been used, as of {@code now} in ms. */
   public List<AccountView> accounts(double now) {
     return control == null ? List.of() : control.accounts(now);
   }
 
   /**
    * The estimated capacity available to this aggregator, in standard parts per second; infinite
-   * while it is not scarce.
+   * while capacity is not scarce.
    */
   public double capacity() {
     return control == null ? Double.POSITIVE_INFINITY : control.capacity();
   }
 
-  /** The rate delivered recently, in standard parts per second. */
+  /** The recent delivery rate, in standard parts per second. */
   public double deliveredRate() {
     return control == null ? 0 : control.deliveredRate();
   }
--- a/src/main/java/bitternpulley/broker/ContractLog.java
+++ b/src/main/java/bitternpulley/broker/ContractLog.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /**
- * Formats the log lines on contracts: one for an admission decision, one for a settled charge.
- * Operators' tools read them, so their form is fixed.
+ * Formats the contract log lines for admission decisions and settled charges. Operators' tools
+ * parse these lines, so their format must not change.
  */
 final class ContractLog {
   private ContractLog() {}
@@ -17,22 +17,22 @@
         : admitted(effect.requestId(), (UsageCharge) effect.decision());
   }
 
-  private static String rejected(long request, AdmissionDecision.Rejected decision) {
+  private static String rejected(long requestId, AdmissionDecision.Rejected decision) {
     return String.format(
         Locale.ROOT,
         "contract request=%d team=%s version=%d verdict=refused limit=%s pause_ms=%.0f",
-        request,
+        requestId,
         decision.team(),
         decision.version(),
         decision.limit().text(),
         decision.retryAfter());
   }
 
-  private static String admitted(long request, UsageCharge charge) {
+  private static String admitted(long requestId, UsageCharge charge) {
     return String.format(
         Locale.ROOT,
         "contract request=%d team=%s version=%d verdict=admitted basis=%s booked=%.2f",
-        request,
+        requestId,
         charge.team(),
         charge.version(),
         charge.basis(),
--- a/src/main/java/bitternpulley/broker/GossipTransport.java
+++ b/src/main/java/bitternpulley/broker/GossipTransport.java
@@ -1,13 +1,13 @@
 package bitternpulley.broker;
 
-/** Exchanges messages with other aggregators; any of them may be lost. */
+/** Exchanges messages with other aggregators; any message may be lost. */
 public interface GossipTransport {
   /** Sends a gossip message. */
   void send(Effect.SendGossip message);
 
-  /** Sends a message on leases. */
+  /** Sends a lease message. */
   void send(Effect.SendLeaseMessage message);
 
-  /** Number of received datagrams so far that were dropped for their checksum. */
+  /** Number of received datagrams that were dropped because of a wrong checksum. */
   long corruptedDatagrams();
 }
--- a/src/main/java/bitternpulley/broker/OperatorCommandHandler.java
+++ b/src/main/java/bitternpulley/broker/OperatorCommandHandler.java
@@ -2,7 +2,7 @@
 
 import bitternpulley.routing.Router;
 
-/** Handles operator commands, and the overrides that are in force once a command is stored. */
+/** Handles operator commands, and applies the resulting overrides once they are stored. */
 final class OperatorCommandHandler {
   private final ReductionContext context;
   private final ServerDirectory directory;
@@ -20,12 +20,12 @@
     this.policy = policy;
   }
 
-  /** Has a command stored, or rejects it where it names an unknown server. */
-  void received(OperatorOverrides.OperatorCommand override, Payload caller) {
-    String server = override.server();
+  /** Requests that a command be stored, or rejects the command if it names an unknown server. */
+  void received(OperatorOverrides.OperatorCommand command, Payload caller) {
+    String server = command.server();
     context.emit(
         server == null || directory.isKnown(server)
-            ? new Effect.PersistOverride(override, caller)
+            ? new Effect.PersistOverride(command, caller)
             : new Effect.RejectCommand(caller, "no server is known by this id"));
   }
 
--- a/src/main/java/bitternpulley/broker/OperatorCommands.java
+++ b/src/main/java/bitternpulley/broker/OperatorCommands.java
@@ -3,14 +3,14 @@
 /** Carries out the effects of operator commands: stores overrides and answers the callers. */
 public interface OperatorCommands {
   /**
-   * Stores an override. The overrides in force then come back as {@link Event.OverridesChanged},
-   * and the caller is answered after that.
+   * Stores an override, then submits the overrides in force as {@link Event.OverridesChanged}, and
+   * answers the caller after that.
    */
   void persist(Effect.PersistOverride override);
 
-  /** Answers a caller that its command cannot be carried out. */
+  /** Tells a caller that its command cannot be carried out. */
   void reject(Effect.RejectCommand command);
 
-  /** Sends clients away, or serves them again. */
-  void quiesce(boolean on);
+  /** Quiesces or resumes this instance. */
+  void quiesce(boolean enabled);
 }
--- a/src/main/java/bitternpulley/broker/OperatorOverrides.java
+++ b/src/main/java/bitternpulley/broker/OperatorOverrides.java
@@ -4,36 +4,37 @@
 import java.util.TreeSet;
 
 /**
- * The overrides that operators have put in force and not removed.
+ * The operator overrides in force.
  *
- * @param cordoned the ids of the servers that are to get no new work
- * @param quiesced whether clients are sent away
+ * @param cordoned the ids of the servers that receive no new work
+ * @param quiesced whether this instance is quiesced, so that it closes client connections after
+ *     their next response
  */
 public record OperatorOverrides(Set<String> cordoned, boolean quiesced) {
-  /** No server is cordoned and clients are served. */
+  /** No server is cordoned and this instance is not quiesced. */
   public static final OperatorOverrides NONE = new OperatorOverrides(Set.of(), false);
 
-  /** Copies the set, so that overrides never change. */
+  /** Copies the set, so that the overrides are immutable. */
   public OperatorOverrides {
     cordoned = Set.copyOf(cordoned);
   }
 
-  /** Returns these overrides with a further one applied; applying it twice changes nothing. */
-  public OperatorOverrides with(OperatorCommand override) {
-    if (override.server() == null) {
-      return new OperatorOverrides(cordoned, override.enabled());
+  /** Returns these overrides with a command applied; applying it twice has no further effect. */
+  public OperatorOverrides with(OperatorCommand command) {
+    if (command.server() == null) {
+      return new OperatorOverrides(cordoned, command.enabled());
     }
     Set<String> changed = new TreeSet<>(cordoned);
-    if (override.enabled()) {
-      changed.add(override.server());
+    if (command.enabled()) {
+      changed.add(command.server());
     } else {
-      changed.remove(override.server());
+      changed.remove(command.server());
     }
     return new OperatorOverrides(changed, quiesced);
   }
 
   /**
-   * One override: cordon a server or readmit it, or quiesce this instance or resume it.
+   * A command to cordon or readmit a server, or to quiesce or resume this instance.
    *
    * @param server the id of the server; null for this instance
    * @param enabled true to cordon or quiesce, false to readmit or resume
--- a/src/main/java/bitternpulley/broker/OverridesChange.java
+++ b/src/main/java/bitternpulley/broker/OverridesChange.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * What new operator overrides change.
+ * The changes that new operator overrides make.
  *
- * @param cordoned the listed servers that are cordoned from now on, as draining
+ * @param cordoned the listed servers that are cordoned from now on; live ones count as draining
  * @param readmitted the listed servers that are no longer cordoned
- * @param quiesceChanged whether clients are to be sent away from now on, or served again
+ * @param quiesceChanged whether this instance is to be quiesced or resumed
  */
 record OverridesChange(
     List<Router.Endpoint> cordoned, List<Router.Endpoint> readmitted, boolean quiesceChanged) {}
--- a/src/main/java/bitternpulley/broker/Payload.java
+++ b/src/main/java/bitternpulley/broker/Payload.java
@@ -1,4 +1,4 @@
 package bitternpulley.broker;
 
-/** What a dialect attaches to a request or an outcome; the core passes it on unread. */
+/** Data that a dialect attaches to a request or an outcome; the core does not interpret it. */
 public interface Payload {}
--- a/src/main/java/bitternpulley/broker/Request.java
+++ b/src/main/java/bitternpulley/broker/Request.java
@@ -9,14 +9,15 @@
  * @param id unique within this process
  * @param dialect sends its attempts and delivers its answer
  * @param queryClass the position of its query class in the settings
- * @param timeLeft ms that its client will still wait
- * @param retry whether its client sent it before
- * @param terms what the client asks for beyond its class
+ * @param timeLeft ms for which its client waits
+ * @param retry whether the client marked it as a retry
+ * @param terms requirements of the client in addition to those of the query class
  * @param parts its parts; attempts and answers refer to them by position
- * @param payload what the dialect needs to send and answer it
- * @param team the team identified for it; null where none was
- * @param fingerprint tells it from other queries of its team when it comes again; 0 where unknown
- * @param lateness how late this instance was in reading it, and is with its answers
+ * @param payload data that the dialect needs to send and answer the request
+ * @param team the team identified for the request; null if none was identified
+ * @param fingerprint identifies the query among those of its team when it is sent again; 0 if
+ *     unknown
+ * @param lateness the delay of this instance in reading the request and in sending the answer
  */
 public record Request(
     long id,
@@ -31,7 +32,7 @@
     long fingerprint,
     Router.Lateness lateness) {
 
-  /** Creates a request without a team, read on time. */
+  /** Creates a request that has no team and was read without delay. */
   public Request(
       long id,
       Dialect dialect,
@@ -65,7 +66,7 @@
    *
    * @param shard the shard that answers it
    * @param weight its share of the complete answer
-   * @param estimatedWork its estimated work; 0 where none is given
+   * @param estimatedWork its estimated work; 0 if none is given
    */
   public record QueryPart(int shard, double weight, double estimatedWork) {}
 }
--- a/src/main/java/bitternpulley/broker/ServerDirectory.java
+++ b/src/main/java/bitternpulley/broker/ServerDirectory.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** The servers of the endpoint list as discovery last described them, and operator overrides. */
+/** The servers of the endpoint list as last reported by discovery, and the operator overrides. */
 final class ServerDirectory {
   private final Map<String, Router.Endpoint> listed = new HashMap<>();
   private OperatorOverrides overrides = OperatorOverrides.NONE;
 
   /**
-   * Applies a list from discovery, or a change to it, and returns its endpoints with the overrides
-   * applied.
+   * Applies an endpoint list from discovery, or a change to it, and returns its endpoints with the
+   * overrides applied.
    */
   List<Router.Endpoint> update(Router.ListKind kind, List<Router.Endpoint> endpoints) {
     if (kind != Router.ListKind.CHANGES) {
@@ -29,7 +29,7 @@
     return endpoints.stream().map(this::withOverrides).toList();
   }
 
-  /** A cordoned server counts as draining while discovery has it as live. */
+  /** A cordoned server counts as draining while discovery reports it as live. */
   private Router.Endpoint withOverrides(Router.Endpoint endpoint) {
     return endpoint.state() == Router.ServerState.LIVE
             && overrides.cordoned().contains(endpoint.server())
@@ -48,12 +48,15 @@
     return endpoint != null && withOverrides(endpoint).state() == Router.ServerState.LIVE;
   }
 
-  /** Whether a server is listed, or cordoned: a cordon outlives the server's place on the list. */
+  /**
+   * Whether a server is listed or cordoned; a cordon stays in force when the server leaves the
+   * list.
+   */
   boolean isKnown(String server) {
     return listed.containsKey(server) || overrides.cordoned().contains(server);
   }
 
-  /** Replaces the overrides and returns what that changes. */
+  /** Replaces the overrides and returns the resulting changes. */
   OverridesChange applyOverrides(OperatorOverrides replacement) {
     OperatorOverrides before = overrides;
     overrides = replacement;
