--- a/src/test/java/bitternpulley/broker/AttemptLifecycleTest.java
+++ b/src/test/java/bitternpulley/broker/AttemptLifecycleTest.java
@@ -11,17 +11,17 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** When attempts start, are cancelled and are sent no more. */
+/** Tests when attempts are sent, cancelled and retried. */
 public class AttemptLifecycleTest {
   private ReducerHarness harness;
 
   @BeforeMethod
-  public void begin() {
+  public void setUp() {
     harness = new ReducerHarness(ReducerHarness.settings(Settings.Idempotency.IDEMPOTENT));
   }
 
   @Test
-  public void startsTheNextAttemptOnlyOnceTheServerWasNotifiedOfTheCancellation() {
+  public void retriesOnlyAfterTheServerWasNotifiedOfTheCancellation() {
     harness.request(1, 0);
     harness.advance(200);
     harness.submit(new Event.AttemptTimedOut(harness.attempt(0).id()));
@@ -34,9 +34,9 @@
     assertFalse(harness.attempt(1).server().equals(harness.attempt(0).server()));
   }
 
-  /** Hedged requests that end unsent must not use up the attempts of the part. */
+  /** Hedged requests that are never sent must not use up the attempts of the part. */
   @Test
-  public void retriesAPartOfAnUnresponsiveServerWhereTheSiteAllowsHedging() {
+  public void retriesOnAnotherServerWhenTheFirstIsUnresponsiveAndHedgingIsAllowed() {
     harness =
         new ReducerHarness(
             ReducerHarness.settings(
@@ -47,9 +47,9 @@
       harness.advance(10);
       harness.end(i, Router.Outcome.OK, "a");
     }
-    harness.forgetEffects();
+    harness.clearEffects();
     harness.request(1, 0);
-    // As often as its alarms may fire: none may use up an attempt that is not sent.
+    // The alarm may fire up to 40 times; none may use up an attempt that is not sent.
     for (int i = 0; i < 40 && harness.cancellations().isEmpty(); i++) {
       harness.advance(50);
       harness.submit(new Event.AlarmFired("q1"));
@@ -65,7 +65,7 @@
   }
 
   @Test
-  public void acceptsAnAnswerThatArrivesAfterTheCancellation() {
+  public void acceptsAnswerThatArrivesAfterCancellation() {
     harness.request(1, 0);
     harness.advance(200);
     harness.submit(new Event.AttemptTimedOut(harness.attempt(0).id()));
@@ -76,7 +76,7 @@
   }
 
   @Test
-  public void sendsNoMoreAttemptsOfAPartThanTheLimit() {
+  public void sendsNoMoreAttemptsPerPartThanTheLimit() {
     harness.request(1, 0);
     for (int i = 0; i < 4; i++) {
       harness.advance(10);
@@ -90,41 +90,45 @@
   }
 
   @Test
-  public void aKeyedRetryIsToBeSentWithinItsIdempotencyWindow() {
+  public void limitsSendTimeOfKeyedRetryToIdempotencyWindow() {
     harness = new ReducerHarness(ReducerHarness.settings(Settings.Idempotency.KEYED));
     harness.request(1, 0);
     assertEquals(harness.attempt(0).sendBy(), Double.POSITIVE_INFINITY);
     harness.advance(10);
     harness.end(0, Router.Outcome.REJECTED, null);
     harness.awaitAttempt(1);
-    assertEquals(harness.attempt(1).sendBy(), Double.POSITIVE_INFINITY, "the first never ran");
-    double second = harness.now();
+    assertEquals(
+        harness.attempt(1).sendBy(), Double.POSITIVE_INFINITY, "the first attempt never ran");
+    double secondSentAt = harness.now();
     harness.advance(10);
     harness.end(1, Router.Outcome.ERROR, null);
     harness.awaitAttempt(2);
-    assertEquals(harness.attempt(2).sendBy(), second + 400, "from the first that may have run");
+    assertEquals(
+        harness.attempt(2).sendBy(),
+        secondSentAt + 400,
+        "the window starts with the first attempt that may have run");
   }
 
   @Test
-  public void cancelsUnsentAttemptsToAServerThatDrainsOrLeavesTheList() {
+  public void cancelsUnsentAttemptsToServerThatDrainsOrLeavesTheList() {
     harness.request(1, 0);
     String first = harness.attempt(0).server();
     int cell = Integer.parseInt(first.substring(1));
     Router.Endpoint draining = new Router.Endpoint(first, 0, cell, Router.ServerState.DRAINING, 0);
     harness.submit(TestServers.change(draining));
     assertEquals(
-        harness.all(Effect.CancelUnsentTo.class), List.of(new Effect.CancelUnsentTo(first)));
+        harness.effectsOf(Effect.CancelUnsentTo.class), List.of(new Effect.CancelUnsentTo(first)));
     harness.end(0, Router.Outcome.NOT_SENT, null);
     String second = harness.attempt(1).server();
     assertFalse(second.equals(first));
     harness.submit(new Event.ServersChanged(Router.ListKind.COMPLETE, List.of(draining)));
     assertEquals(
-        harness.all(Effect.CancelUnsentTo.class),
+        harness.effectsOf(Effect.CancelUnsentTo.class),
         List.of(new Effect.CancelUnsentTo(first), new Effect.CancelUnsentTo(second)));
   }
 
   @Test
-  public void cancelsUnsentAttemptsOfAFinishedRequestWhereCancellationIsForbidden() {
+  public void cancelsUnsentAttemptsOfFinishedRequestWhenCancellationIsForbidden() {
     harness =
         new ReducerHarness(
             ReducerHarness.settings(
@@ -134,7 +138,7 @@
     assertEquals(harness.attempts().size(), 2);
     harness.submit(new Event.ClientDisconnected(1));
     assertEquals(
-        harness.all(Effect.CancelUnsent.class).stream().map(Effect.CancelUnsent::id).toList(),
+        harness.effectsOf(Effect.CancelUnsent.class).stream().map(Effect.CancelUnsent::id).toList(),
         harness.attempts().stream().map(Effect.StartAttempt::id).toList());
     assertEquals(harness.cancellations(), List.of());
     harness.end(0, Router.Outcome.NOT_SENT, null);
@@ -142,9 +146,9 @@
     assertEquals(harness.replies(), List.of());
   }
 
-  /** One alarm a part would wake the process very often for requests of very many parts. */
+  /** One alarm per part would wake the process very often for requests of very many parts. */
   @Test
-  public void theAttemptsOfARequestShareOneTimeoutAlarm() {
+  public void usesOneTimeoutAlarmForAllAttemptsOfARequest() {
     harness.request(1, 0, 1, 2, 3);
     List<Effect.WakeAt> alarms = timeoutAlarms();
     assertEquals(alarms.size(), 1);
@@ -157,7 +161,7 @@
   }
 
   @Test
-  public void theSharedAlarmIsSetAgainForAttemptsThatTimeOutLater() {
+  public void setsSharedAlarmAgainForAttemptsThatTimeOutLater() {
     harness.request(1, 0, 1);
     double later = timeoutAlarms().get(0).time() + 100;
     AttemptId first = harness.attempt(0).id();
@@ -170,7 +174,7 @@
   }
 
   private List<Effect.WakeAt> timeoutAlarms() {
-    return harness.all(Effect.WakeAt.class).stream()
+    return harness.effectsOf(Effect.WakeAt.class).stream()
         .filter(wake -> wake.event() instanceof Event.AttemptTimedOut)
         .toList();
   }
--- a/src/test/java/bitternpulley/broker/PendingLimitTest.java
+++ b/src/test/java/bitternpulley/broker/PendingLimitTest.java
@@ -9,18 +9,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The limit of eight pending requests and parts. */
+/** Tests the limit of eight pending requests and parts. */
 public class PendingLimitTest {
   private ReducerHarness harness;
 
   @BeforeMethod
-  public void begin() {
+  public void setUp() {
     harness = new ReducerHarness(ReducerHarness.settings(Settings.Idempotency.IDEMPOTENT));
   }
 
   /** As in the simulator, a request that arrives below the limit is admitted with all its parts. */
   @Test
-  public void rejectsRequestsBeyondTheLimitUnsent() {
+  public void rejectsRequestsBeyondTheLimitWithoutSendingThem() {
     harness.request(1, 0, 1, 2, 3);
     harness.request(2, 0, 1, 2, 3);
     assertEquals(harness.replies().size(), 0, "five of eight were pending");
@@ -43,6 +43,6 @@
     harness.request(3, 0);
     assertEquals(harness.replies().size(), replies, "seven of eight were pending");
     harness.request(4, 0);
-    assertEquals(harness.replies().size(), replies + 1, "nine were");
+    assertEquals(harness.replies().size(), replies + 1, "nine were pending");
   }
 }
--- a/src/test/java/bitternpulley/broker/PolicyFailureTest.java
+++ b/src/test/java/bitternpulley/broker/PolicyFailureTest.java
@@ -15,25 +15,25 @@
 import java.util.function.Predicate;
 import org.testng.annotations.Test;
 
-/** Requests are not lost when the routing policy throws. */
+/** Tests that no request is lost when the routing policy throws. */
 public class PolicyFailureTest {
   private static final double DEADLINE = ReducerHarness.START + 3000;
   private static final double END = 10_000;
 
-  private record Due(double at, Event event) {}
+  private record ScheduledEvent(double time, Event event) {}
 
   @Test
-  public void everyRequestIsAnsweredOnceInTimeWhicheverCallOfThePolicyFails() {
-    int calls = playWithFailureAt(-1);
+  public void answersEachRequestOnceByItsDeadlineWhicheverPolicyCallFails() {
+    int calls = runWithFailureAt(-1);
     assertTrue(calls > 10, "calls: " + calls);
     for (int call = 1; call <= calls; call++) {
-      playWithFailureAt(call);
+      runWithFailureAt(call);
     }
   }
 
-  /** Which requests a failed alarm was to decide on is not known. */
+  /** It is not known which requests the policy would have decided on when an alarm failed. */
   @Test
-  public void aFailureOfUnknownScopeEndsEveryPendingRequestAtItsDeadline() {
+  public void endsEveryPendingRequestAtItsDeadlineAfterAFailedAlarm() {
     Settings settings = ReducerHarness.settings(Settings.Idempotency.IDEMPOTENT);
     ReducerHarness harness =
         new ReducerHarness(
@@ -45,7 +45,8 @@
             new Effect.WakeAt(DEADLINE, new Event.RequestDeadlineExpired(1)),
             new Effect.WakeAt(DEADLINE, new Event.RequestDeadlineExpired(2)));
     assertEquals(harness.submit(new Event.AlarmFired("q1")), deadlines);
-    assertEquals(harness.submit(new Event.AlarmFired("q1")), List.of(), "each has its alarm");
+    assertEquals(
+        harness.submit(new Event.AlarmFired("q1")), List.of(), "each request already has an alarm");
     harness.advanceTo(DEADLINE);
     harness.submit(new Event.RequestDeadlineExpired(1));
     harness.submit(new Event.RequestDeadlineExpired(2));
@@ -56,27 +57,28 @@
   }
 
   /**
-   * Plays two requests to their end, each attempt answered after 50 ms, while one call into the
+   * Runs two requests to their end, with each attempt answered after 50 ms, while one call of the
    * policy throws; returns the number of calls.
    */
-  private static int playWithFailureAt(int failingCall) {
+  private static int runWithFailureAt(int failingCall) {
     Settings settings = ReducerHarness.settings(Settings.Idempotency.IDEMPOTENT);
     AtomicInteger calls = new AtomicInteger();
     ReducerHarness harness =
         new ReducerHarness(
             settings, actions -> failingAt(policy(settings, actions), failingCall, calls));
-    PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at));
+    PriorityQueue<ScheduledEvent> scheduledEvents =
+        new PriorityQueue<>(Comparator.comparingDouble(ScheduledEvent::time));
     harness.request(1, 0, 1);
     harness.request(2, 2, 3);
-    schedule(harness.all(Effect.class), ReducerHarness.START, due);
-    while (!due.isEmpty() && due.peek().at() <= END) {
-      Due next = due.poll();
-      harness.advanceTo(next.at());
+    schedule(harness.effectsOf(Effect.class), ReducerHarness.START, scheduledEvents);
+    while (!scheduledEvents.isEmpty() && scheduledEvents.peek().time() <= END) {
+      ScheduledEvent next = scheduledEvents.poll();
+      harness.advanceTo(next.time());
       List<Effect> effects = harness.submit(next.event());
       assertTrue(
-          next.at() <= DEADLINE || effects.stream().noneMatch(Effect.Reply.class::isInstance),
+          next.time() <= DEADLINE || effects.stream().noneMatch(Effect.Reply.class::isInstance),
           "answered late, with a failure at call " + failingCall);
-      schedule(effects, next.at(), due);
+      schedule(effects, next.time(), scheduledEvents);
     }
     assertEquals(
         harness.replies().stream().map(reply -> reply.request().id()).sorted().toList(),
@@ -91,22 +93,23 @@
   }
 
   /** Schedules the events by which servers and the timer respond to effects. */
-  private static void schedule(List<Effect> effects, double now, PriorityQueue<Due> due) {
+  private static void schedule(
+      List<Effect> effects, double now, PriorityQueue<ScheduledEvent> scheduledEvents) {
     for (Effect effect : effects) {
       if (effect instanceof Effect.StartAttempt start) {
-        due.add(
-            new Due(
+        scheduledEvents.add(
+            new ScheduledEvent(
                 now + 50,
                 new Event.AttemptEnded(start.id(), Router.Outcome.OK, new TestValue("v"))));
       } else if (effect instanceof Effect.CancelAttempt cancel) {
-        due.add(new Due(now + 1, new Event.AttemptCancelled(cancel.id())));
+        scheduledEvents.add(new ScheduledEvent(now + 1, new Event.AttemptCancelled(cancel.id())));
       } else if (effect instanceof Effect.WakeAt wake) {
-        due.add(new Due(Math.max(wake.time(), now), wake.event()));
+        scheduledEvents.add(new ScheduledEvent(Math.max(wake.time(), now), wake.event()));
       }
     }
   }
 
-  /** The router, except that one call, counted from the first query on, throws. */
+  /** Wraps a router so that one call throws; calls are counted from the first query on. */
   private static Router failingAt(Router router, int failingCall, AtomicInteger calls) {
     return throwingIn(
         router,
@@ -115,7 +118,7 @@
                 && calls.incrementAndGet() == failingCall);
   }
 
-  /** The router, except for calls of methods, given by their names, in which it throws. */
+  /** Wraps a router so that calls of the methods whose names match {@code failing} throw. */
   private static Router throwingIn(Router router, Predicate<String> failing) {
     return (Router)
         Proxy.newProxyInstance(
@@ -123,7 +126,7 @@
             new Class<?>[] {Router.class},
             (proxy, method, arguments) -> {
               if (failing.test(method.getName())) {
-                throw new IllegalStateException("Failure on purpose in " + method.getName());
+                throw new IllegalStateException("Simulated failure in " + method.getName());
               }
               try {
                 return method.invoke(router, arguments);
--- a/src/test/java/bitternpulley/broker/ReducerHarness.java
+++ b/src/test/java/bitternpulley/broker/ReducerHarness.java
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** A reducer before four live servers, without any dialect, on a clock that the test sets. */
+/** A reducer with four live servers and no dialect, on a clock that the test sets. */
 final class ReducerHarness {
   static final long SEED = 7;
   static final double START = 1000;
   private static final int SERVERS = 4;
 
-  /** Requests and their parts that may be pending, small enough for a test to reach. */
+  /** Limit on pending requests and parts, small enough for a test to reach. */
   private static final int MAX_PENDING = 8;
 
   private final Reducer reducer;
@@ -26,7 +26,7 @@
     this(new Reducer(settings, SEED, START));
   }
 
-  /** A harness whose reducer drives a router of the test. */
+  /** Creates a harness whose reducer drives a router that the test supplies. */
   ReducerHarness(Settings settings, Function<Router.Actions, Router> routerFactory) {
     this(new Reducer(settings, START, routerFactory));
   }
@@ -36,7 +36,7 @@
     submit(TestServers.live(SERVERS));
   }
 
-  /** Settings of one query class that needs the complete answer. */
+  /** Settings with one query class that requires a complete answer. */
   static Settings settings(Settings.Idempotency idempotency) {
     return settings(new QueryClassBuilder().idempotency(idempotency).build(), limits().build());
   }
@@ -65,7 +65,7 @@
     now = time;
   }
 
-  /** Reduces an event and returns the effects of it alone. */
+  /** Reduces an event and returns only the effects of this event. */
   List<Effect> submit(Event event) {
     List<Effect> added = reducer.reduce(event, now);
     effects.addAll(added);
@@ -77,13 +77,15 @@
     return submit(new Event.RequestReceived(new RequestBuilder(id).shards(shards).build()));
   }
 
-  /** Ends the attempt of this position of all that were started. */
+  /** Ends the attempt at this position among all attempts that were started. */
   void end(int index, Router.Outcome outcome, String value) {
     Payload payload = value == null ? null : new TestValue(value);
     submit(new Event.AttemptEnded(attempt(index).id(), outcome, payload));
   }
 
-  /** Lets time pass, in which the policy of request 1 looks at it, until an attempt starts. */
+  /**
+   * Advances the time and fires the alarm of request 1 until the attempt at this position starts.
+   */
   void awaitAttempt(int index) {
     for (int i = 0; i < 20 && attempts().size() <= index; i++) {
       advance(20);
@@ -91,16 +93,16 @@
     }
   }
 
-  void forgetEffects() {
+  void clearEffects() {
     effects.clear();
   }
 
-  <T> List<T> all(Class<T> kind) {
+  <T> List<T> effectsOf(Class<T> kind) {
     return effects.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
 
   List<Effect.StartAttempt> attempts() {
-    return all(Effect.StartAttempt.class);
+    return effectsOf(Effect.StartAttempt.class);
   }
 
   Effect.StartAttempt attempt(int index) {
@@ -108,11 +110,11 @@
   }
 
   List<Effect.CancelAttempt> cancellations() {
-    return all(Effect.CancelAttempt.class);
+    return effectsOf(Effect.CancelAttempt.class);
   }
 
   List<Effect.Reply> replies() {
-    return all(Effect.Reply.class);
+    return effectsOf(Effect.Reply.class);
   }
 
   Effect.Answer answer(int index) {
--- a/src/test/java/bitternpulley/broker/RequestAnswerTest.java
+++ b/src/test/java/bitternpulley/broker/RequestAnswerTest.java
@@ -11,17 +11,17 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The one final answer of a request, and when there is none. */
+/** Tests the single final answer of a request, and when no answer is sent. */
 public class RequestAnswerTest {
   private ReducerHarness harness;
 
   @BeforeMethod
-  public void begin() {
+  public void setUp() {
     harness = new ReducerHarness(ReducerHarness.settings(Settings.Idempotency.IDEMPOTENT));
   }
 
   @Test
-  public void answersACompleteRequestOnceFromItsValues() {
+  public void answersCompleteRequestOnceFromItsValues() {
     harness.request(1, 0, 1);
     harness.end(0, Router.Outcome.OK, "a");
     assertEquals(harness.pendingRequests(), 1);
@@ -36,17 +36,17 @@
   }
 
   @Test
-  public void failsRatherThanRejectsAKeyedRequestThatMayHaveRun() {
+  public void failsRatherThanRejectsKeyedRequestThatMayHaveRun() {
     harness = new ReducerHarness(ReducerHarness.settings(Settings.Idempotency.KEYED));
     harness.request(1, 0);
     harness.advance(500);
     harness.end(0, Router.Outcome.RESET, null);
-    assertEquals(harness.attempts().size(), 1, "its idempotency window has passed");
+    assertEquals(harness.attempts().size(), 1, "the idempotency window has passed");
     assertTrue(harness.answer(0) instanceof Effect.Answer.Failed);
   }
 
   @Test
-  public void cancelsTheAttemptsOfADisconnectedClientAndDoesNotAnswer() {
+  public void cancelsAttemptsOfDisconnectedClientWithoutAnswering() {
     harness.request(1, 0, 1);
     harness.submit(new Event.ClientDisconnected(1));
     assertEquals(harness.cancellations().size(), 2);
@@ -55,7 +55,7 @@
   }
 
   @Test
-  public void endsAnInvalidRequestAtTheFirstServerThatRejectsIt() {
+  public void endsInvalidRequestAtTheFirstServerThatRejectsIt() {
     harness.request(1, 0, 1);
     harness.submit(
         new Event.RequestRejectedByServer(harness.attempt(0).id(), new TestValue("parse")));
@@ -65,9 +65,9 @@
     assertEquals(harness.replies().size(), 1);
   }
 
-  /** A short time left would else look like a retry of which most time is spent. */
+  /** A short timeout must not be mistaken for a retry that has already used most of its time. */
   @Test
-  public void acceptsAShortTimeoutSetByTheClientAndAnswersCompleteOnly() {
+  public void acceptsShortTimeoutSetByTheClientAndGivesNoPartialAnswer() {
     Settings.QueryClass halfSuffices = new QueryClassBuilder().minimumShare(0.5).build();
     harness =
         new ReducerHarness(ReducerHarness.settings(halfSuffices, ReducerHarness.limits().build()));
@@ -75,18 +75,21 @@
       harness.request(10 + i, 0);
       harness.end(i, Router.Outcome.OK, "a");
     }
-    harness.forgetEffects();
+    harness.clearEffects();
     submit(new RequestBuilder(1).timeLeft(800).terms(new Router.Terms(true, true)).shards(0, 1));
-    assertEquals(harness.attempts().size(), 2, "its own short timeout does not reject it");
+    assertEquals(
+        harness.attempts().size(),
+        2,
+        "a short timeout set by the client does not cause a rejection");
     harness.end(0, Router.Outcome.OK, "a");
     harness.advance(800);
     harness.submit(new Event.AlarmFired("q1"));
     assertFalse(harness.answer(0) instanceof Effect.Answer.Answered, "half is not complete");
   }
 
-  /** Where the event loop lags, the answer leaves earlier than the client's deadline. */
+  /** If the event loop lags, the request ends earlier than the client's deadline. */
   @Test
-  public void anEndBroughtForwardByLoopLagCountsAsTimedOut() {
+  public void countsRequestEndedEarlyBecauseOfLoopLagAsTimedOut() {
     submit(
         new RequestBuilder(1)
             .terms(new Router.Terms(true, true))
@@ -97,7 +100,7 @@
   }
 
   @Test
-  public void aRequestOfVeryShortTimeoutIsNotTimedOutFromTheStart() {
+  public void doesNotCountRequestWithVeryShortTimeoutAsTimedOutFromTheStart() {
     harness.submit(new Event.ServersChanged(Router.ListKind.COMPLETE, List.of()));
     submit(new RequestBuilder(1).timeLeft(80));
     assertFalse(((Effect.Answer.Rejected) harness.answer(0)).ending().timedOut());
--- a/src/test/java/bitternpulley/broker/RequestBuilder.java
+++ b/src/test/java/bitternpulley/broker/RequestBuilder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** A request of a test; what it does not set is one part on its class's terms, read on time. */
+/** Builds a request for tests. By default it has one part, the terms of its class and no delay. */
 final class RequestBuilder {
   private final long id;
   private Dialect dialect = null;
@@ -32,7 +32,7 @@
     return this;
   }
 
-  /** One part for each of these shards, all of the same weight. */
+  /** Sets one part for each of these shards, all of the same weight. */
   RequestBuilder shards(int... shards) {
     parts =
         IntStream.of(shards)
--- a/src/test/java/bitternpulley/broker/TestServers.java
+++ b/src/test/java/bitternpulley/broker/TestServers.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Endpoint lists of tests: server {@code sN} holds cell N and alternates between two zones. */
+/**
+ * Endpoint lists for tests: server {@code sN} holds cell N, and servers alternate between two
+ * zones.
+ */
 final class TestServers {
   private TestServers() {}
 
@@ -12,7 +15,7 @@
     return new Router.Endpoint("s" + cell, cell % 2, cell, state, startedAt);
   }
 
-  /** A list of so many servers, all live for long. */
+  /** A list of {@code count} live servers that started long ago. */
   static Event.ServersChanged live(int count) {
     return new Event.ServersChanged(
         Router.ListKind.REMEMBERED,
@@ -21,7 +24,7 @@
             .toList());
   }
 
-  /** A change of single servers. */
+  /** A change to the endpoint list that contains these servers. */
   static Event.ServersChanged change(Router.Endpoint... endpoints) {
     return new Event.ServersChanged(Router.ListKind.CHANGES, List.of(endpoints));
   }
