--- a/src/test/java/bitternpulley/broker/BrokerTest.java
+++ b/src/test/java/bitternpulley/broker/BrokerTest.java
@@ -13,12 +13,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What the broker does when its dialect throws. */
+/** Tests that requests are still answered when a dialect throws. */
 public class BrokerTest {
   private static final double START = 1000;
   private static final double END = 10_000;
 
-  private record Due(double at, Runnable task) {}
+  private record ScheduledTask(double time, Runnable task) {}
 
   private enum Method {
     START,
@@ -29,7 +29,7 @@
     CLOSE_IDLE_CONNECTIONS
   }
 
-  /** Answers each attempt after 50 ms; throws once in the method that a test asks for. */
+  /** Answers each attempt after 50 ms; throws once in the method that a test selects. */
   private final class FailingDialect implements Dialect {
     private Method failing;
 
@@ -40,7 +40,7 @@
     private void throwIfFailing(Method method) {
       if (failing == method) {
         failing = null;
-        throw new IllegalStateException("Failure on purpose in " + method);
+        throw new IllegalStateException("Simulated failure in " + method);
       }
     }
 
@@ -49,7 +49,7 @@
       throwIfFailing(Method.START);
       started.add(attempt.id());
       Event ended = new Event.AttemptEnded(attempt.id(), Router.Outcome.OK, null);
-      due.add(new Due(now + 50, () -> broker.submit(ended)));
+      scheduledTasks.add(new ScheduledTask(now + 50, () -> broker.submit(ended)));
     }
 
     @Override
@@ -80,7 +80,8 @@
     }
   }
 
-  private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at));
+  private final PriorityQueue<ScheduledTask> scheduledTasks =
+      new PriorityQueue<>(Comparator.comparingDouble(ScheduledTask::time));
   private final List<Effect.Answer> answers = new ArrayList<>();
   private final List<AttemptId> started = new ArrayList<>();
   private FailingDialect dialect;
@@ -88,8 +89,8 @@
   private Broker broker;
 
   @BeforeMethod
-  public void begin() {
-    due.clear();
+  public void setUp() {
+    scheduledTasks.clear();
     answers.clear();
     started.clear();
     now = START;
@@ -102,33 +103,33 @@
         new Broker(
             new Reducer(settings, ReducerHarness.SEED, now),
             () -> now,
-            (ms, task) -> due.add(new Due(now + ms, task)));
+            (ms, task) -> scheduledTasks.add(new ScheduledTask(now + ms, task)));
     broker.submit(TestServers.live(4));
   }
 
-  private void playOneRequest() {
+  private void runOneRequest() {
     broker.submit(
         new Event.RequestReceived(new RequestBuilder(broker.nextId()).dialect(dialect).build()));
-    while (!due.isEmpty() && due.peek().at() < END) {
-      Due next = due.poll();
-      now = Math.max(now, next.at());
+    while (!scheduledTasks.isEmpty() && scheduledTasks.peek().time() < END) {
+      ScheduledTask next = scheduledTasks.poll();
+      now = Math.max(now, next.time());
       next.task().run();
     }
   }
 
   @Test
-  public void retriesAnAttemptThatTheDialectFailedToSend() {
+  public void retriesAttemptThatTheDialectFailedToSend() {
     dialect.failNext(Method.START);
-    playOneRequest();
-    assertEquals(started, List.of(new AttemptId(1, 1)), "the second attempt");
+    runOneRequest();
+    assertEquals(started, List.of(new AttemptId(1, 1)), "only the second attempt was sent");
     assertEquals(answers.size(), 1);
     assertTrue(answers.get(0) instanceof Effect.Answer.Answered, answers.toString());
   }
 
   @Test
-  public void repliesWithAFailureWhereTheDialectFailedToWriteTheAnswer() {
+  public void repliesWithFailureWhenTheDialectFailedToWriteTheAnswer() {
     dialect.failNext(Method.REPLY);
-    playOneRequest();
+    runOneRequest();
     assertEquals(answers.size(), 1);
     assertTrue(answers.get(0) instanceof Effect.Answer.Failed, answers.toString());
     assertEquals(broker.pendingRequests(), 0);
--- a/src/test/java/bitternpulley/broker/CallBatcherTest.java
+++ b/src/test/java/bitternpulley/broker/CallBatcherTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Which attempts of one event share a call. */
+/** Tests which attempts of one event share a call. */
 public class CallBatcherTest {
   private static final Request REQUEST =
       new RequestBuilder(1).timeLeft(1000).shards(0, 1, 2, 3, 4, 5, 6, 7, 8).build();
@@ -15,7 +15,7 @@
   }
 
   @Test
-  public void changesNothingWhereACallHoldsOnePart() {
+  public void changesNothingWhenCallsHoldOnePart() {
     List<Effect> effects = List.of(start(0, "a"), start(1, "a"));
     assertEquals(CallBatcher.join(effects, 1), effects);
   }
@@ -29,7 +29,7 @@
   }
 
   @Test
-  public void startsAnotherCallWhereOneIsFull() {
+  public void startsAnotherCallWhenOneIsFull() {
     assertEquals(
         CallBatcher.join(
             List.of(start(0, "a"), start(1, "a"), start(2, "a"), start(3, "a"), start(4, "a")), 2),
@@ -40,7 +40,7 @@
   }
 
   @Test
-  public void keepsACancellationBehindTheAttemptThatItCancels() {
+  public void keepsCancellationAfterTheAttemptThatItCancels() {
     Effect cancel = new Effect.CancelAttempt(new AttemptId(2, 0), REQUEST, "a");
     assertEquals(
         CallBatcher.join(List.of(start(0, "a"), start(2, "a"), cancel), 16),
--- a/src/test/java/bitternpulley/broker/ContractLogTest.java
+++ b/src/test/java/bitternpulley/broker/ContractLogTest.java
@@ -12,10 +12,10 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** The lines of the contract log keep their form, since operators' tools read them. */
+/** Tests that contract log lines keep their format, since operators' tools parse them. */
 public class ContractLogTest {
   private static AdmissionControl control() {
-    Contract team =
+    Contract contract =
         new Contract(
             "team-a",
             0.5,
@@ -28,7 +28,7 @@
             4,
             Map.of(0, new Router.ClassTerms(500, 1500, 1, 1)));
     AdmissionControl control = new AdmissionControl(new double[] {500, 500}, 2000);
-    control.apply(new ContractBook(3, Map.of("team-a", team), null), 0);
+    control.apply(new ContractBook(3, Map.of("team-a", contract), null), 0);
     return control;
   }
 
--- a/src/test/java/bitternpulley/broker/FleetHarness.java
+++ b/src/test/java/bitternpulley/broker/FleetHarness.java
@@ -16,22 +16,25 @@
 import java.util.stream.IntStream;
 
 /**
- * A hundred reducers before the same servers, in virtual time. None knows of the others but by its
- * number and theirs, so the effect on a server is counted over all of them.
+ * A hundred reducers that share the same servers, in virtual time. Each reducer knows only its own
+ * number and the number of instances, so the load on a server is counted over all of them.
  */
 final class FleetHarness {
-  /** Ms of work of each part. */
+  /** Work of each part, in ms. */
   static final double WORK = 40;
 
   static final double WARMUP_START_FRACTION = 0.2;
 
-  /** Ms until a started server is warm. */
+  /** Time until a started server is warm, in ms. */
   static final double WARMUP_TIME = 17_000;
 
-  /** Work within the window, in multiples of a server's speed, beyond which it is overloaded. */
+  /**
+   * Work within {@link #OVERLOAD_WINDOW}, as a multiple of a server's speed, above which the server
+   * is overloaded.
+   */
   static final double OVERLOAD_MULTIPLE = 2;
 
-  /** Ms in which the work for the overload is counted. */
+  /** Length of the window in which work is counted to detect overload, in ms. */
   static final double OVERLOAD_WINDOW = 1000;
 
   private static final int INSTANCES = 100;
@@ -40,9 +43,10 @@
   private static final int PARTS = 4;
   private static final double TIME_LEFT = 1500;
 
-  private record Due(double at, int instance, Event event) {}
+  private record ScheduledEvent(double time, int instance, Event event) {}
 
-  private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at));
+  private final PriorityQueue<ScheduledEvent> scheduledEvents =
+      new PriorityQueue<>(Comparator.comparingDouble(ScheduledEvent::time));
   private final List<Reducer> fleet = new ArrayList<>();
   private final Map<String, List<Double>> attemptTimes = new HashMap<>();
   private final Map<String, Integer> unsentCancellations = new HashMap<>();
@@ -79,12 +83,12 @@
     return now;
   }
 
-  /** Requests that have their final answer. */
+  /** Number of requests that have their final answer. */
   int answered() {
     return answered;
   }
 
-  /** How often instances cancelled what was unsent to a server. */
+  /** Number of times that an instance cancelled the unsent attempts to a server. */
   int unsentCancellations(String server) {
     return unsentCancellations.getOrDefault(server, 0);
   }
@@ -106,51 +110,55 @@
     if (effect instanceof Effect.StartAttempt start) {
       attemptTimes.computeIfAbsent(start.server(), server -> new ArrayList<>()).add(now);
       Event ended = new Event.AttemptEnded(start.id(), Router.Outcome.OK, new TestValue("answer"));
-      due.add(new Due(now + WORK, instance, ended));
+      scheduledEvents.add(new ScheduledEvent(now + WORK, instance, ended));
     } else if (effect instanceof Effect.WakeAt wake) {
-      due.add(new Due(Math.max(now, wake.time()), instance, wake.event()));
+      scheduledEvents.add(new ScheduledEvent(Math.max(now, wake.time()), instance, wake.event()));
     } else if (effect instanceof Effect.CancelUnsentTo cancel) {
       unsentCancellations.merge(cancel.server(), 1, Integer::sum);
     } else if (effect instanceof Effect.CancelAttempt cancel) {
-      due.add(new Due(now, instance, new Event.AttemptCancelled(cancel.id())));
+      scheduledEvents.add(
+          new ScheduledEvent(now, instance, new Event.AttemptCancelled(cancel.id())));
     } else if (effect instanceof Effect.Reply) {
       answered++;
     }
   }
 
   /**
-   * Plans requests for neighbouring shards at random instances, one every so many ms until a time;
-   * returns their number.
+   * Schedules a request every {@code interval} ms until {@code until}, each for adjacent shards and
+   * at a random instance; returns the number of requests.
    */
-  int planRequests(Random random, double interval, double until) {
-    int planned = 0;
-    for (double at = now; at < until; at += interval) {
-      int first = random.nextInt(SHARDS);
-      int[] shards = IntStream.range(0, PARTS).map(i -> (first + i) % SHARDS).toArray();
+  int scheduleRequests(Random random, double interval, double until) {
+    int count = 0;
+    for (double time = now; time < until; time += interval) {
+      int firstShard = random.nextInt(SHARDS);
+      int[] shards = IntStream.range(0, PARTS).map(i -> (firstShard + i) % SHARDS).toArray();
       int instance = random.nextInt(INSTANCES);
-      Request request = new RequestBuilder(++planned).timeLeft(TIME_LEFT).shards(shards).build();
-      due.add(new Due(at, instance, new Event.RequestReceived(request)));
+      Request request = new RequestBuilder(++count).timeLeft(TIME_LEFT).shards(shards).build();
+      scheduledEvents.add(new ScheduledEvent(time, instance, new Event.RequestReceived(request)));
     }
-    return planned;
+    return count;
   }
 
-  /** Plays everything that is due until a time. */
+  /** Runs all events that are due up to {@code until}. */
   void run(double until) {
-    while (!due.isEmpty() && due.peek().at() <= until) {
-      Due next = due.poll();
-      now = Math.max(now, next.at());
+    while (!scheduledEvents.isEmpty() && scheduledEvents.peek().time() <= until) {
+      ScheduledEvent next = scheduledEvents.poll();
+      now = Math.max(now, next.time());
       submit(next.instance(), next.event());
     }
     now = until;
   }
 
-  /** The most work in ms that a server was sent in any overload window that starts in this time. */
-  double mostWork(String server, double from, double until) {
+  /**
+   * The maximum work in ms that was sent to a server within any overload window that starts between
+   * {@code from} and {@code until}.
+   */
+  double maxWorkInWindow(String server, double from, double until) {
     List<Double> times =
         attemptTimes.getOrDefault(server, List.of()).stream()
             .filter(time -> time >= from && time < until)
             .toList();
-    long mostAttempts =
+    long maxAttempts =
         times.stream()
             .mapToLong(
                 start ->
@@ -159,6 +167,6 @@
                         .count())
             .max()
             .orElse(0);
-    return WORK * mostAttempts;
+    return WORK * maxAttempts;
   }
 }
--- a/src/test/java/bitternpulley/broker/FleetSlowStartTest.java
+++ b/src/test/java/bitternpulley/broker/FleetSlowStartTest.java
@@ -7,42 +7,51 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** How a whole fleet loads a server that is warming up. */
+/** Tests the load that a fleet of aggregators puts on a server that is warming up. */
 public class FleetSlowStartTest {
-  /** When the server restarts: by then all have seen that servers run two parts at once. */
-  private static final double RESTART = 16_000;
+  /**
+   * Time at which the server restarts. By then, all instances have observed that servers run two
+   * parts at once.
+   */
+  private static final double RESTART_TIME = 16_000;
 
-  private static final double OBSERVED = 8000;
+  private static final double OBSERVATION_TIME = 8000;
   private static final double CORES = 2;
 
-  /** Share of its capacity to be used while the server alone holds a shard. */
+  /**
+   * Minimum share of the server's capacity to be used while no other server holds one of its
+   * shards.
+   */
   private static final double MIN_USED_SHARE = 0.25;
 
   @Test
-  public void allInstancesTogetherNeitherOverloadAWarmingServerNorLeaveItIdle() {
+  public void neitherOverloadsNorIdlesAWarmingUpServer() {
     FleetHarness fleet = new FleetHarness();
-    int requests = fleet.planRequests(new Random(5), 8, RESTART + OBSERVED);
-    fleet.run(RESTART);
+    int requests = fleet.scheduleRequests(new Random(5), 8, RESTART_TIME + OBSERVATION_TIME);
+    fleet.run(RESTART_TIME);
     fleet.submitToAll(
         TestServers.change(
             TestServers.server(3, Router.ServerState.LIVE, fleet.now()),
             TestServers.server(4, Router.ServerState.DRAINING, 0)));
-    fleet.run(RESTART + 10_000);
+    fleet.run(RESTART_TIME + 10_000);
     assertEquals(fleet.answered(), requests);
-    for (double time = RESTART; time < RESTART + OBSERVED; time += 500) {
-      double capacity = capacity(time - RESTART);
-      double sent = fleet.mostWork("s3", time, time + FleetHarness.OVERLOAD_WINDOW);
+    for (double time = RESTART_TIME; time < RESTART_TIME + OBSERVATION_TIME; time += 500) {
+      double capacity = capacity(time - RESTART_TIME);
+      double sent = fleet.maxWorkInWindow("s3", time, time + FleetHarness.OVERLOAD_WINDOW);
       assertTrue(
           sent <= capacity,
-          "at " + time + " it was sent " + sent + " ms of work, of a capacity of " + capacity);
+          "server was sent " + sent + " ms of work at " + time + ", its capacity is " + capacity);
     }
-    double used = fleet.mostWork("s3", RESTART, RESTART + 2000);
+    double used = fleet.maxWorkInWindow("s3", RESTART_TIME, RESTART_TIME + 2000);
     assertTrue(
         used > MIN_USED_SHARE * capacity(0),
-        "of " + capacity(0) + " ms of work at first it was sent " + used);
+        "server was sent " + used + " ms of work at first, its capacity is " + capacity(0));
   }
 
-  /** Ms of work within the window that do not overload a server, so many ms after its start. */
+  /**
+   * Work in ms per overload window up to which a server is not overloaded, {@code sinceStart} ms
+   * after its start.
+   */
   private static double capacity(double sinceStart) {
     double warmup =
         FleetHarness.WARMUP_START_FRACTION
