--- a/src/main/java/bitternpulley/leases/GrantedLease.java
+++ b/src/main/java/bitternpulley/leases/GrantedLease.java
@@ -1,6 +1,6 @@
 package bitternpulley.leases;
 
-/** A witness's record of the lease it granted to one member. Times are ms of its own clock. */
+/** A witness's record of one member's lease; times are ms of the witness's clock. */
 final class GrantedLease {
   private long epoch;
   private double expiresAt = Double.NEGATIVE_INFINITY;
@@ -11,8 +11,8 @@
   }
 
   /**
-   * Grants or renews the lease for {@code duration} ms; false for a request of an earlier process
-   * of the member than the one that holds the lease.
+   * Grants or renews the lease for {@code duration} ms. Returns false, and changes nothing, if the
+   * request comes from an earlier process of the member than the one that holds the lease.
    */
   boolean renew(long requestEpoch, double duration, double now) {
     boolean active = isActive(now);
@@ -20,10 +20,10 @@
       return false;
     }
     if (!active) {
-      // Grants that omit this member may be in use elsewhere until their duration is over.
+      // Other members may act under grants that omit this member until these grants expire.
       usableFrom = now + duration;
     } else if (requestEpoch > epoch) {
-      // The member's earlier process may still act under its lease.
+      // An earlier process of the member may still act under the lease it obtained.
       usableFrom = Math.max(usableFrom, expiresAt);
     }
     epoch = requestEpoch;
@@ -31,8 +31,8 @@
     return true;
   }
 
-  /** Ms until the member may use the lease. */
-  double delay(double now) {
+  /** Milliseconds until the member may use the lease. */
+  double remainingDelay(double now) {
     return Math.max(0, usableFrom - now);
   }
 }
--- a/src/main/java/bitternpulley/leases/LeaseHolder.java
+++ b/src/main/java/bitternpulley/leases/LeaseHolder.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.BitSet;
 
-/** A member's leases, one of each witness. */
+/** A member's leases, one from each witness. */
 final class LeaseHolder {
   private final int self;
   private final LeaseTerms terms;
@@ -14,29 +14,32 @@
     this.self = self;
     this.terms = terms;
     leases = new WitnessLease[terms.witnesses().size()];
-    Arrays.setAll(leases, position -> new WitnessLease());
+    Arrays.setAll(leases, witnessIndex -> new WitnessLease());
   }
 
   /**
-   * Records a request to the witness at this position and returns its sequence number; grants of
-   * earlier requests no longer count.
+   * Records a request to the witness at this index of {@link LeaseTerms#witnesses} and returns its
+   * sequence number; grants that answer earlier requests are ignored from now on.
    */
-  int request(int position, double now) {
-    leases[position].request(++lastSequence, now);
+  int recordRequest(int witnessIndex, double now) {
+    leases[witnessIndex].recordRequest(++lastSequence, now);
     return lastSequence;
   }
 
-  /** Takes a grant; false where it does not answer the latest request to its witness. */
+  /**
+   * Applies a grant; returns false if the grant does not answer the latest request to its witness
+   * or is invalid.
+   */
   boolean accept(LeaseMessage.LeaseGrant grant, double now) {
-    int position = terms.witnesses().indexOf(grant.from());
-    if (position < 0 || !leases[position].isAnsweredBy(grant)) {
+    int witnessIndex = terms.witnesses().indexOf(grant.from());
+    if (witnessIndex < 0 || !leases[witnessIndex].isAnsweredBy(grant)) {
       return false;
     }
-    leases[position].renew(grant, terms, self, now);
+    leases[witnessIndex].renew(grant, terms, self, now);
     return true;
   }
 
-  /** Number of witnesses whose leases are usable. */
+  /** The number of witnesses from which this member has a usable lease. */
   int usableLeases(double now) {
     int usable = 0;
     for (WitnessLease lease : leases) {
@@ -45,7 +48,7 @@
     return usable;
   }
 
-  /** All members that any usable lease lists. */
+  /** All members that are listed in at least one usable lease. */
   BitSet activeMembers(double now) {
     BitSet members = new BitSet(terms.members());
     for (WitnessLease lease : leases) {
--- a/src/main/java/bitternpulley/leases/LeaseMessage.java
+++ b/src/main/java/bitternpulley/leases/LeaseMessage.java
@@ -2,9 +2,11 @@
 
 import java.util.BitSet;
 
-/** A message between members and witnesses; it may be lost, delayed, repeated or reordered. */
+/**
+ * A message between a member and a witness. Messages may be lost, delayed, duplicated or reordered.
+ */
 public sealed interface LeaseMessage {
-  /** Number of the member that sent it. */
+  /** Number of the member that sent the message. */
   int from();
 
   /** Calls the method of {@code handler} for this type of message. */
@@ -13,7 +15,7 @@
   /**
    * Handles each type of lease message.
    *
-   * @param <R> result of handling one message
+   * @param <R> the result of handling one message
    */
   interface Handler<R> {
     /** Handles a member's request. */
@@ -24,11 +26,11 @@
   }
 
   /**
-   * A member requests a lease of a witness.
+   * A member's request for a lease from a witness.
    *
    * @param from number of the requesting member
-   * @param epoch start of the requesting process
-   * @param sequence number that the grant repeats
+   * @param epoch start time of the requesting process
+   * @param sequence number of the request, which the grant repeats
    */
   record LeaseRequest(int from, long epoch, int sequence) implements LeaseMessage {
     @Override
@@ -38,15 +40,15 @@
   }
 
   /**
-   * A witness grants the lease requested under {@code sequence}.
+   * A witness's answer to a request: it grants the lease.
    *
    * @param from number of the witness
-   * @param sequence that of the request
-   * @param delay ms after receipt from which the lease may be used
-   * @param holders numbers of all members that hold a lease of this witness
+   * @param sequence sequence number of the request
+   * @param delay ms from the receipt of the grant until the lease may be used
+   * @param holders numbers of all members that hold a lease from this witness
    */
   record LeaseGrant(int from, int sequence, double delay, BitSet holders) implements LeaseMessage {
-    /** Copies the set, which the sender goes on changing. */
+    /** Copies the set, because the caller may change it later. */
     public LeaseGrant {
       holders = (BitSet) holders.clone();
     }
--- a/src/main/java/bitternpulley/leases/Leases.java
+++ b/src/main/java/bitternpulley/leases/Leases.java
@@ -6,15 +6,15 @@
 import java.util.Optional;
 
 /**
- * The leases of one instance and, where it is a witness, those that it grants. {@link #tick} has to
- * be called at least some ten times per renewal interval; times are ms of one clock.
+ * The leases that one instance holds and, if it is a witness, those that it grants. {@link #tick}
+ * must be called at least about ten times per renewal interval; times are ms of one clock.
  */
 public final class Leases {
   /**
-   * A message to be sent.
+   * A message to send.
    *
    * @param to number of the receiving member
-   * @param message what to send
+   * @param message the message
    */
   public record OutgoingMessage(int to, LeaseMessage message) {}
 
@@ -22,10 +22,10 @@
    * The state of this instance's leases, for operators.
    *
    * @param quota this instance's share of the common budget, 0 to 1
-   * @param leases number of witnesses whose leases are usable
+   * @param leases number of witnesses from which this instance has a usable lease
    * @param witnesses number of all witnesses
-   * @param activeMembers members that may act, as far as these leases list them; 0 where this
-   *     instance may not act itself
+   * @param activeMembers number of members listed in these leases, which are those that may act; 0
+   *     if this instance may not act itself
    */
   public record LeaseStatus(double quota, int leases, int witnesses, int activeMembers) {}
 
@@ -38,14 +38,14 @@
   private double nextRequestAt;
   private long ignoredMessages;
 
-  /** Leases of member {@code self}, which holds none and does not request any yet. */
+  /** The leases of member {@code self}, which holds none and requests none until {@link #start}. */
   public Leases(int self, LeaseTerms terms) {
     this.self = self;
     this.terms = terms;
     holder = new LeaseHolder(self, terms);
   }
 
-  /** Begins to request leases, as the process started at {@code epoch}. */
+  /** Starts requesting leases for the process that started at {@code epoch}. */
   public void start(long epoch, double now) {
     this.epoch = epoch;
     isRequesting = true;
@@ -56,22 +56,25 @@
             : Optional.empty();
   }
 
-  /** Stops requesting, so that this instance's quota is free once its leases have expired. */
+  /**
+   * Stops requesting leases, so that other members can use this instance's quota once its leases
+   * have expired.
+   */
   public void stop() {
     isRequesting = false;
   }
 
-  /** Advances the time; returns the requests that are due. */
+  /** Advances the time; returns the requests to send. */
   public List<OutgoingMessage> tick(double now) {
     if (!isRequesting || now < nextRequestAt) {
       return List.of();
     }
     nextRequestAt = now + terms.renewalInterval();
     List<OutgoingMessage> requests = new ArrayList<>();
-    for (int position = 0; position < terms.witnesses().size(); position++) {
-      int to = terms.witnesses().get(position);
+    for (int index = 0; index < terms.witnesses().size(); index++) {
+      int to = terms.witnesses().get(index);
       LeaseMessage.LeaseRequest request =
-          new LeaseMessage.LeaseRequest(self, epoch, holder.request(position, now));
+          new LeaseMessage.LeaseRequest(self, epoch, holder.recordRequest(index, now));
       if (to == self) {
         grant(request, now).ifPresent(grant -> holder.accept(grant, now));
       } else {
@@ -82,12 +85,12 @@
   }
 
   private Optional<LeaseMessage.LeaseGrant> grant(LeaseMessage.LeaseRequest request, double now) {
-    return witness.flatMap(granting -> granting.grant(request, now));
+    return witness.flatMap(local -> local.grant(request, now));
   }
 
   /**
-   * Handles a message that came from the address of the member it names; returns the answer, if
-   * any.
+   * Handles a message and returns the answer, if any. The message must have come from the address
+   * of the member given as its sender.
    */
   public List<OutgoingMessage> onMessage(LeaseMessage message, double now) {
     return message.accept(new MessageHandler(now));
@@ -120,14 +123,14 @@
   }
 
   /**
-   * This instance's quota at a time, relative to an equal share among the configured members: 1
-   * where all may act, more where fewer do, 0 where it may not act or lacks leases.
+   * This instance's quota at a time, relative to an equal share among the configured members: 1 if
+   * all members may act, more if some may not, 0 if this instance may not act.
    */
   public double quotaFactor(double now) {
     return terms.members() * status(now).quota();
   }
 
-  /** The state of the leases at a time. */
+  /** The state of this instance's leases at a time. */
   public LeaseStatus status(double now) {
     int usable = holder.usableLeases(now);
     BitSet members = usable < terms.majority() ? new BitSet() : holder.activeMembers(now);
@@ -139,8 +142,8 @@
   }
 
   /**
-   * Number of messages that changed nothing so far: late, repeated, of an earlier process, or
-   * requests to an instance that is no witness.
+   * The number of messages that were ignored so far: late, duplicate or invalid ones, requests from
+   * an earlier process of a member, and requests to an instance that is not a witness.
    */
   public long ignoredMessages() {
     return ignoredMessages;
--- a/src/main/java/bitternpulley/leases/WitnessLease.java
+++ b/src/main/java/bitternpulley/leases/WitnessLease.java
@@ -2,7 +2,7 @@
 
 import java.util.BitSet;
 
-/** A holder's record of its lease of one witness. Times are ms of the holder's clock. */
+/** A holder's record of its lease from one witness; times are ms of the holder's clock. */
 final class WitnessLease {
   private int sequence;
   private double requestedAt = Double.NEGATIVE_INFINITY;
@@ -10,8 +10,8 @@
   private double usableFrom = Double.POSITIVE_INFINITY;
   private BitSet holders = new BitSet();
 
-  /** Records a request; only a grant that repeats its sequence number counts from now on. */
-  void request(int requestSequence, double now) {
+  /** Records a request; from now on only a grant with its sequence number is accepted. */
+  void recordRequest(int requestSequence, double now) {
     sequence = requestSequence;
     requestedAt = now;
   }
@@ -22,14 +22,14 @@
   }
 
   /**
-   * Renews the lease. Its end counts from the request, which precedes the grant; the delay counts
-   * from receipt, which follows it.
+   * Renews the lease. Its end is counted from the request, which precedes the grant; the delay is
+   * counted from the receipt, which follows the grant.
    */
   void renew(LeaseMessage.LeaseGrant grant, LeaseTerms terms, int self, double now) {
     expiresAt = requestedAt + terms.usableTime();
-    usableFrom = now + terms.expiryWait(grant.delay());
+    usableFrom = now + terms.withDriftMargin(grant.delay());
     holders = grant.holders();
-    // A grant that omits this member must not give it the quota of nobody.
+    // The budget is divided by the number of holders, so this member has to count itself.
     holders.set(self);
   }
 
--- a/src/main/java/bitternpulley/leases/package-info.java
+++ b/src/main/java/bitternpulley/leases/package-info.java
@@ -1,20 +1,21 @@
 /**
  * Decides which share of the fleet's common budget this instance may use. The budget is divided by
- * the number of members that may act, not by the number configured, so that the quota of a dead
- * member is not left unused. A pure state machine: messages and the time in, messages out; no I/O,
- * no threads, no randomness.
+ * the number of members that may act, not by the number of configured members, so that the quota of
+ * a dead member does not stay unused. The package is a pure state machine: messages and the time go
+ * in, messages come out. It has no I/O, no threads and no randomness.
  *
  * <p>A few members are witnesses. A witness grants a lease of fixed duration to any member that
- * requests one, and lists in each grant all members that hold a lease of it. A member that holds
- * usable leases of a majority of the witnesses may act; its quota is one divided by the number of
- * members that these leases list.
+ * requests one, and lists in each grant all members that hold a lease from it. A member that holds
+ * usable leases from a majority of the witnesses may act; its quota is one divided by the number of
+ * members listed in these leases.
  *
- * <p>Invariants: any two members that act at the same time list each other, so all quotas together
- * never exceed the budget, under partitions, message loss, delay, pauses and restarts; a member is
- * listed until its lease has surely expired; a member without a majority of leases has quota 0.
+ * <p>Invariants: the leases of any two members that act at the same time list both members, so the
+ * sum of all quotas never exceeds the budget, even under partitions, message loss, delay, pauses
+ * and restarts; a member is listed until its lease has certainly expired; a member without leases
+ * from a majority of the witnesses has quota 0.
  *
- * <p>It does not know queries and does not detect failures: a dead member is one that stops
- * requesting. The broker calls it; the routing policy reads {@link
+ * <p>The package knows nothing of queries and does not detect failures: a dead member is one that
+ * stops requesting leases. The broker calls it; the routing policy reads {@link
  * bitternpulley.leases.Leases#quotaFactor}. Start reading at {@link bitternpulley.leases.Leases}.
  */
 package bitternpulley.leases;
--- a/src/test/java/bitternpulley/leases/LeasesTest.java
+++ b/src/test/java/bitternpulley/leases/LeasesTest.java
@@ -13,22 +13,22 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** All quotas together never exceed the budget, and the quota of dead members is redistributed. */
+/** The sum of all quotas never exceeds the budget, and dead members' quota is redistributed. */
 class LeasesTest {
   private static final double DURATION_MS = 10_000;
-  private static final double EFFECT_MS = 1250;
+  private static final double EFFECT_TIME_MS = 1250;
   private static final double TOLERANCE = 1e-9;
   private static final int SEEDS = 10;
 
   private static LeaseTerms terms(int members, int witnesses) {
     return new LeaseTerms(
-        members, IntStream.range(0, witnesses).boxed().toList(), DURATION_MS, EFFECT_MS);
+        members, IntStream.range(0, witnesses).boxed().toList(), DURATION_MS, EFFECT_TIME_MS);
   }
 
   private static void assertBudgetNeverExceeded(SimulatedLeaseCluster cluster) {
     assertTrue(
         cluster.maxTotalQuota() <= 1 + TOLERANCE,
-        "seed " + cluster.seed() + ": all quotas together were " + cluster.maxTotalQuota());
+        "seed " + cluster.seed() + ": the sum of all quotas was " + cluster.maxTotalQuota());
   }
 
   private static void forEachSeed(
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void aStartingFleetHasEqualQuotasOnceEarlierLeasesMustHaveExpired() {
+  void startingMembersHaveNoQuotaUntilEarlierLeasesHaveExpired() {
     SimulatedLeaseCluster cluster =
         new SimulatedLeaseCluster(terms(5, 3), 1).run(0.95 * DURATION_MS);
     assertQuotas(cluster, List.of(0, 1, 2, 3, 4), 0);
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void theQuotaOfADeadMemberIsRedistributedUntilItsNextProcessMayAct() {
+  void redistributesQuotaOfDeadMemberUntilItsNextProcessMayAct() {
     forEachSeed(
         5,
         3,
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void theMinorityOfAPartitionLosesItsQuotaBeforeTheMajorityTakesIt() {
+  void minorityOfPartitionLosesItsQuotaBeforeMajorityTakesIt() {
     List<Integer> minority = List.of(0, 1, 6);
     forEachSeed(
         7,
@@ -93,9 +93,9 @@
         });
   }
 
-  /** It receives everything, which must not count as being received. */
+  /** Member 4 receives all messages, but no other member receives those that it sends. */
   @Test
-  void aMemberThatNobodyReceivesFromHasNoQuota() {
+  void memberWithFailedOutgoingLinksHasNoQuota() {
     forEachSeed(
         5,
         3,
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void withoutAMajorityOfWitnessesNobodyHasAQuota() {
+  void noMemberHasQuotaWithoutMajorityOfWitnesses() {
     forEachSeed(
         5,
         3,
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void aResumedMemberHasNoQuotaUntilItHasRenewedItsLeases() {
+  void resumedMemberHasNoQuotaUntilItHasRenewedItsLeases() {
     forEachSeed(
         5,
         3,
@@ -135,7 +135,7 @@
         });
   }
 
-  /** Kills, restarts, pauses, one-way cuts, partitions, loss and delay, chosen by seed. */
+  /** The seed selects kills, restarts, pauses, one-way cuts, partitions, message loss and delay. */
   @Property(tries = 100, seed = "20261202")
   void quotasNeverExceedTheBudgetUnderRandomFaults(
       @ForAll long seed,
@@ -182,19 +182,22 @@
     }
   }
 
-  /** The lease of a slow holder's clock ends before a fast witness's clock considers it expired. */
+  /**
+   * The holder's clock is 0.49% slow and the witness's clock 0.49% fast. The holder stops using the
+   * lease before it expires at the witness.
+   */
   @Property(tries = 50, seed = "20261202")
-  void aLeaseEndsBeforeItExpiresOnAClockOfAnotherRate(
+  void leaseEndsBeforeItExpiresOnClockOfAnotherRate(
       @ForAll @IntRange(min = 2000, max = 600_000) int durationMs) {
-    LeaseTerms terms = new LeaseTerms(5, List.of(0), durationMs, EFFECT_MS);
+    LeaseTerms terms = new LeaseTerms(5, List.of(0), durationMs, EFFECT_TIME_MS);
     double slowHolderEnd = (terms.usableTime() + terms.effectTime()) / 0.9951;
     assertTrue(slowHolderEnd <= terms.expiryWait() / 1.0049);
-    assertTrue(slowHolderEnd <= terms.expiryWait(terms.duration()) / 1.0049);
+    assertTrue(slowHolderEnd <= terms.withDriftMargin(terms.duration()) / 1.0049);
   }
 
-  /** Member 2 of three, with a grant received at 5500 that may be used after 5000. */
+  /** Member 2 of three, with a grant that was received at 5500 ms and has a delay of 5000 ms. */
   private static Leases leasesWithDelayedGrant() {
-    Leases leases = new Leases(2, new LeaseTerms(3, List.of(0), DURATION_MS, EFFECT_MS));
+    Leases leases = new Leases(2, new LeaseTerms(3, List.of(0), DURATION_MS, EFFECT_TIME_MS));
     leases.start(5, 0);
     leases.tick(2500);
     leases.onMessage(new LeaseMessage.LeaseGrant(0, 1, 5000, new BitSet()), 5500);
@@ -202,15 +205,15 @@
   }
 
   @Test
-  void theDelayOfAGrantCountsFromItsReceipt() {
+  void countsDelayOfGrantFromItsReceipt() {
     Leases leases = leasesWithDelayedGrant();
     assertEquals(0, leases.status(10_000).leases());
     assertEquals(1, leases.status(10_600).leases());
-    assertEquals(1, leases.status(10_600).activeMembers(), "itself at least");
+    assertEquals(1, leases.status(10_600).activeMembers(), "the member counts itself");
   }
 
   @Test
-  void aStoppedMemberRequestsNoLeases() {
+  void stoppedMemberRequestsNoLeases() {
     Leases leases = leasesWithDelayedGrant();
     leases.stop();
     assertEquals(List.of(), leases.tick(20_000));
--- a/src/test/java/bitternpulley/leases/SimulatedLeaseCluster.java
+++ b/src/test/java/bitternpulley/leases/SimulatedLeaseCluster.java
@@ -9,18 +9,18 @@
 import java.util.stream.IntStream;
 
 /**
- * Members and witnesses in virtual time, each with a clock of its own rate and offset. At every
- * step it records the quotas of all processes together. Times are ms.
+ * A simulation of members and witnesses in virtual time, each with a clock of its own rate and
+ * offset. At every step it samples the sum of the quotas of all processes. Times are ms.
  */
 final class SimulatedLeaseCluster {
   private static final double TICK_MS = 100;
   private static final double MAX_CLOCK_DRIFT = 0.004;
   private static final double MIN_DELAY_MS = 0.5;
 
-  private record ScheduledTask(double at, long order, Runnable task) {}
+  private record ScheduledTask(double time, long order, Runnable task) {}
 
-  /** The quota of one process at a time. */
-  private record QuotaSample(double at, double quota) {}
+  /** The quota of one process at one time. */
+  private record QuotaSample(double time, double quota) {}
 
   private static final class Node {
     Leases leases;
@@ -31,10 +31,10 @@
     double clockOffset;
     long epoch;
 
-    /** Quotas of the current process within the last window. */
+    /** Quotas of the current process within the last effect time. */
     ArrayDeque<QuotaSample> samples = new ArrayDeque<>();
 
-    /** Those of earlier processes, each of which counts on its own. */
+    /** Quotas of each earlier process; each adds to the total on its own. */
     final List<ArrayDeque<QuotaSample>> earlierSamples = new ArrayList<>();
 
     double localTime(double now) {
@@ -48,7 +48,8 @@
   private final List<Node> nodes = new ArrayList<>();
   private final PriorityQueue<ScheduledTask> tasks =
       new PriorityQueue<>(
-          Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
+          Comparator.comparingDouble(ScheduledTask::time)
+              .thenComparingLong(ScheduledTask::order));
   private final boolean[][] cuts;
   private double lossRate;
   private double maxDelayMs = 3;
@@ -74,7 +75,7 @@
     return seed;
   }
 
-  /** The largest sum of quotas so far that all processes could use within one window. */
+  /** The largest sum of the quotas of all processes within one effect time so far. */
   double maxTotalQuota() {
     return maxTotalQuota;
   }
@@ -93,7 +94,7 @@
     int start = node.starts;
     node.earlierSamples.add(node.samples);
     node.samples = new ArrayDeque<>();
-    // As after a clock set back, the epoch sometimes is less than the previous one.
+    // One start in four gets a lower epoch, as if the clock had been set back.
     node.epoch += random.nextInt(4) == 0 ? -1 : 2;
     node.leases = new Leases(number, terms);
     node.leases.start(node.epoch, node.localTime(now));
@@ -128,7 +129,10 @@
     }
   }
 
-  /** A message waits for a paused process; one for a dead process may reach its successor. */
+  /**
+   * Delivers a message. A paused process receives it when it resumes; a message to a dead member is
+   * lost unless the member has been restarted by the time of its arrival.
+   */
   private void receive(int to, LeaseMessage message) {
     Node node = nodes.get(to);
     if (!node.isRunning) {
@@ -141,18 +145,18 @@
     }
   }
 
-  private void schedule(double at, Runnable task) {
-    tasks.add(new ScheduledTask(at, scheduledTasks++, task));
+  private void schedule(double time, Runnable task) {
+    tasks.add(new ScheduledTask(time, scheduledTasks++, task));
   }
 
-  /** Advances the time. */
+  /** Advances the time by {@code ms}. */
   SimulatedLeaseCluster run(double ms) {
     double end = now + ms;
     while (now < end) {
       double stepEnd = Math.min(end, now + TICK_MS / 2);
-      while (!tasks.isEmpty() && tasks.peek().at() <= stepEnd) {
+      while (!tasks.isEmpty() && tasks.peek().time() <= stepEnd) {
         ScheduledTask next = tasks.poll();
-        now = Math.max(now, next.at());
+        now = Math.max(now, next.time());
         next.task().run();
         sampleQuotas();
       }
@@ -162,7 +166,7 @@
     return this;
   }
 
-  /** Adds up the largest quota of each process within the last window, of dead ones as well. */
+  /** Adds up the largest quota of each process, dead or alive, within the last effect time. */
   private void sampleQuotas() {
     double total = 0;
     for (int number = 0; number < nodes.size(); number++) {
@@ -170,17 +174,17 @@
       if (node.isRunning && now >= node.pausedUntil) {
         node.samples.add(new QuotaSample(now, quota(number)));
       }
-      total += maxWithinWindow(node.samples);
+      total += maxWithinEffectTime(node.samples);
       node.earlierSamples.removeIf(ArrayDeque::isEmpty);
       for (ArrayDeque<QuotaSample> earlier : node.earlierSamples) {
-        total += maxWithinWindow(earlier);
+        total += maxWithinEffectTime(earlier);
       }
     }
     maxTotalQuota = Math.max(maxTotalQuota, total);
   }
 
-  private double maxWithinWindow(ArrayDeque<QuotaSample> samples) {
-    while (!samples.isEmpty() && samples.peek().at() <= now - terms.effectTime()) {
+  private double maxWithinEffectTime(ArrayDeque<QuotaSample> samples) {
+    while (!samples.isEmpty() && samples.peek().time() <= now - terms.effectTime()) {
       samples.poll();
     }
     return samples.stream().mapToDouble(QuotaSample::quota).max().orElse(0);
@@ -203,22 +207,22 @@
     return nodes.get(number).isRunning;
   }
 
-  /** Drops all messages in this direction. */
+  /** Drops all messages from one member to another. */
   void cut(int from, int to) {
     cuts[from][to] = true;
   }
 
-  /** Cuts this direction, or heals it if it is cut. */
+  /** Cuts the link from one member to another, or heals it if it is cut. */
   void toggleCut(int from, int to) {
     cuts[from][to] = !cuts[from][to];
   }
 
-  /** Cuts these members off from all others in both directions. */
+  /** Cuts the links between these members and all others in both directions. */
   void partition(List<Integer> members) {
     setPartition(members, true);
   }
 
-  /** Heals all paths between these members and the others. */
+  /** Heals the links between these members and all others in both directions. */
   void healPartition(List<Integer> members) {
     setPartition(members, false);
   }
