--- a/src/main/java/bitternpulley/contracts/Account.java
+++ b/src/main/java/bitternpulley/contracts/Account.java
@@ -1,17 +1,21 @@
 package bitternpulley.contracts;
 
 /**
- * A team's account: what it may still use, what is pending, and what was admitted and rejected.
- * Opened by the team's first query, so that an unused contract costs little. The account keeps
- * state; {@link AdmissionControl} decides.
+ * A team's account: what the team may still use, what is pending, and what was admitted and
+ * rejected. The team's first query opens the account, so that an unused contract costs little. The
+ * account only keeps state; {@link AdmissionControl} makes the decisions.
  */
 final class Account {
-  /** How many queries it takes to earn the most retries that a team saves up. */
-  private static final double RETRY_BURST_FACTOR = 10;
+  /**
+   * A team saves up at most {@link RetryAllowance#INITIAL} times the retries that this many parts
+   * earn, and at least {@link RetryAllowance#INITIAL}.
+   */
+  private static final double RETRY_BURST_PARTS = 10;
 
-  /** Ms that a team's query is expected to take before one has ended. */
+  /** Expected duration of a query until the team's first query has ended. */
   private static final double DEFAULT_DURATION_MS = 100;
 
+  /** Weight of a new sample in the average duration. */
   private static final double DURATION_SMOOTHING = 0.1;
 
   private final String team;
@@ -25,17 +29,18 @@
   /** Null while capacity is unlimited. */
   private QuotaBuckets buckets;
 
-  /** Pending queries and their parts. */
+  /** The number of pending queries plus the number of their parts. */
   private int pending;
 
   private int unsettledCharges;
 
-  /** Smoothed ms from admission to end; 0 before the first end. */
+  /** Smoothed time from admission to the end of a query; 0 until the first query has ended. */
   private double averageDurationMs;
 
   /** Standard parts charged since the account was opened. */
   private double used;
 
+  /** Standard parts of {@link #used} that were borrowed. */
   private double borrowed;
   private long admitted;
 
@@ -75,12 +80,12 @@
     buckets.fill(contract, now);
   }
 
-  /** Whether nothing depends on the account any more. */
+  /** Whether the account has no unsettled charges or reservations and does not want to borrow. */
   boolean isIdle(double now) {
     return unsettledCharges == 0 && !borrowing.isActive() && reservations.reservedAmount(now) == 0;
   }
 
-  /** Whether a query with this number of parts would exceed what may be pending at once. */
+  /** Whether a query with this number of parts would exceed the contract's pending limit. */
   boolean exceedsMaxPending(int parts) {
     return pending + parts + 1 > contract.maxPending();
   }
@@ -89,24 +94,24 @@
     return clientRetries.isAvailable();
   }
 
-  /** Whether the ceiling is reached; capacity is limited. */
+  /** Whether the ceiling is reached. Call only while capacity is limited. */
   boolean isAtCeiling() {
     return buckets.isAtCeiling(contract);
   }
 
-  /** Whether the guaranteed quota has something left; capacity is limited. */
+  /** Whether some unreserved guaranteed quota is left. Call only while capacity is limited. */
   boolean hasUnreservedGuarantee(double now) {
     return buckets.hasUnreservedGuarantee(now);
   }
 
-  /** Whether the team's part of the idle capacity has something left; capacity is limited. */
+  /** Whether the team may borrow more of the idle capacity. Call only while capacity is limited. */
   boolean hasLoanLeft() {
     return buckets.loanBalance() > 0;
   }
 
   /**
-   * Ms until the account is likely to admit a query of a cost: by the guaranteed quota if capacity
-   * is limited, else by how long the team's queries take.
+   * Milliseconds until a query of this cost is likely to be admitted: computed from the guaranteed
+   * quota once capacity has been limited, from the average duration of the team's queries before.
    */
   double expectedWaitMs(double cost, double now) {
     if (buckets != null) {
@@ -119,7 +124,7 @@
     rejections.increment(limit);
   }
 
-  /** Books an admitted query. */
+  /** Records an admitted query and charges it by its estimated work. */
   void recordAdmission(UsageCharge charge, boolean isClientRetry) {
     admitted++;
     unsettledCharges++;
@@ -137,7 +142,7 @@
   }
 
   private double maxRetries() {
-    return RetryAllowance.INITIAL * Math.max(1, contract.retriesPerPart() * RETRY_BURST_FACTOR);
+    return RetryAllowance.INITIAL * Math.max(1, contract.retriesPerPart() * RETRY_BURST_PARTS);
   }
 
   private void addUsage(UsageCharge.Basis basis, double amount) {
@@ -145,7 +150,7 @@
     borrowed += basis == UsageCharge.Basis.LOAN ? amount : 0;
   }
 
-  /** Takes one of the retries that admitted queries have earned, if there is one. */
+  /** Spends one of the retries that admitted queries have earned; returns false if none is left. */
   boolean takeRetry() {
     if (!retries.isAvailable()) {
       return false;
@@ -154,7 +159,7 @@
     return true;
   }
 
-  /** The query of a charge has ended, this many ms after its admission. */
+  /** Records that the query of a charge has ended {@code durationMs} after its admission. */
   void recordQueryEnded(UsageCharge charge, double durationMs) {
     pending -= charge.parts() + 1;
     averageDurationMs =
@@ -163,7 +168,7 @@
             : averageDurationMs + DURATION_SMOOTHING * (durationMs - averageDurationMs);
   }
 
-  /** Replaces what a charge has booked by what was measured. */
+  /** Replaces the estimated amount of a charge by the measured one. */
   void settle(UsageCharge charge, double now) {
     unsettledCharges--;
     double unused = charge.booked() - charge.used();
@@ -173,7 +178,7 @@
     }
   }
 
-  /** The account's state, for operators. */
+  /** The state of the account, for operators. */
   AccountView view(int version, CapacityPool pool, double now) {
     fillBuckets(pool, now);
     return new AccountView(
--- a/src/main/java/bitternpulley/contracts/AccountView.java
+++ b/src/main/java/bitternpulley/contracts/AccountView.java
@@ -1,22 +1,22 @@
 package bitternpulley.contracts;
 
 /**
- * The state of a team's account at one time, for operators. Amounts are standard parts, see {@link
- * WorkMeter}.
+ * The state of a team's account at one time, for operators. Amounts are in standard parts, see
+ * {@link WorkMeter}.
  *
  * @param team the contract's id
  * @param version the version of the contracts in force
- * @param contract the contract that the account is kept by
- * @param balance what the guaranteed quota has available; 0 while capacity is unlimited
- * @param loan what the team may still borrow; 0 while capacity is unlimited
- * @param pending queries and parts that are pending
- * @param reservations callers for which capacity is reserved
- * @param used charged since the account was opened
- * @param borrowed the part of {@code used} that was borrowed
- * @param admitted queries admitted
- * @param rejections queries rejected, by limit
- * @param retriesLeft attempts beyond the first that the aggregator may still make
- * @param clientRetriesLeft retries that the team's clients may still make
+ * @param contract the team's contract
+ * @param balance amount left of the guaranteed quota; 0 while capacity is unlimited
+ * @param loan amount that the team may still borrow; 0 while capacity is unlimited
+ * @param pending number of pending queries plus number of their parts
+ * @param reservations number of callers for which capacity is reserved
+ * @param used amount charged since the account was opened
+ * @param borrowed amount of {@code used} that was borrowed
+ * @param admitted number of admitted queries
+ * @param rejections number of rejected queries, by limit
+ * @param retriesLeft number of attempts beyond the first that the aggregator may still make
+ * @param clientRetriesLeft number of retries that the team's clients may still make
  */
 public record AccountView(
     String team,
--- a/src/main/java/bitternpulley/contracts/Accounts.java
+++ b/src/main/java/bitternpulley/contracts/Accounts.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The accounts of the teams that have asked for something. */
+/** The accounts of all teams that have sent a query. */
 final class Accounts {
   private final Map<String, Account> byTeam = new HashMap<>();
 
@@ -14,7 +14,7 @@
     return Optional.ofNullable(byTeam.get(team));
   }
 
-  /** The account kept by a contract, opened if there is none. */
+  /** The account of a contract's team, which is opened if it does not exist. */
   Account open(Contract contract) {
     Account account = byTeam.get(contract.id());
     if (account == null) {
@@ -24,9 +24,11 @@
     return account;
   }
 
-  /** Closes the accounts whose team has no contract any more and on which nothing depends. */
-  void closeRetired(ContractBook book, double now) {
-    byTeam.values().removeIf(account -> book.find(account.team()).isEmpty() && account.isIdle(now));
+  /** Closes the idle accounts of teams that no longer have a contract. */
+  void closeRetired(ContractBook contracts, double now) {
+    byTeam
+        .values()
+        .removeIf(account -> contracts.find(account.team()).isEmpty() && account.isIdle(now));
   }
 
   List<AccountView> views(int version, CapacityPool pool, double now) {
--- a/src/main/java/bitternpulley/contracts/AdmissionControl.java
+++ b/src/main/java/bitternpulley/contracts/AdmissionControl.java
@@ -5,23 +5,24 @@
 import java.util.List;
 
 /**
- * Decides which queries are admitted, by the contracts in force, and charges their work to the
- * teams' accounts. A query passes through {@link #admit}, for each attempt {@link #allowRetry},
- * {@link #onAttemptSent} and {@link #onAttemptEnded}, then {@link #onRequestEnded}. Times are ms of
- * one monotonic clock; amounts are standard parts (see {@link WorkMeter}).
+ * Decides by the contracts in force which queries are admitted, and charges their work to the
+ * teams' accounts. For each query the caller calls {@link #admit}; for each retry {@link
+ * #allowRetry}; for each attempt {@link #onAttemptSent} and {@link #onAttemptEnded}; finally {@link
+ * #onRequestEnded}. Times are ms of one monotonic clock; amounts are standard parts (see {@link
+ * WorkMeter}).
  */
 public final class AdmissionControl {
   /**
-   * Share of its class's latency objective within which an attempt is in time; the rest is left for
-   * queueing and retries.
+   * Share of the class's latency objective within which an attempt counts as in time; the rest is
+   * left for queueing and retries.
    */
   private static final double ATTEMPT_OBJECTIVE_SHARE = 0.3;
 
-  /** Factor of the priority weight of a query that returns to its reservation. */
+  /** Factor applied to the priority weight of a query that is admitted by a reservation. */
   private static final double RESERVATION_PRIORITY_FACTOR = 10;
 
-  /** Ms; used where there are no classes. */
-  private static final double DEFAULT_LATENCY_OBJECTIVE = 1000;
+  /** Used if there are no query classes. */
+  private static final double DEFAULT_LATENCY_OBJECTIVE_MS = 1000;
 
   private final CapacityPool pool = new CapacityPool();
   private final Accounts accounts = new Accounts();
@@ -30,12 +31,12 @@
   private final WorkMeter workMeter;
   private final CapacityEstimate capacityEstimate;
   private final RetryAfterPlanner retryAfterPlanner;
-  private ContractBook book = ContractBook.NONE;
+  private ContractBook contracts = ContractBook.NONE;
 
   /**
-   * Admits everything until contracts are applied.
+   * Admits every query until contracts are applied.
    *
-   * @param latencyObjectives each class's latency objective in the settings, ms
+   * @param latencyObjectives the latency objective of each query class in the settings, ms
    * @param maxRetryAfter the longest Retry-After that clients accept, ms; 0 if they accept none
    */
   public AdmissionControl(double[] latencyObjectives, double maxRetryAfter) {
@@ -43,34 +44,34 @@
     this.workMeter = new WorkMeter(latencyObjectives.length);
     this.capacityEstimate =
         new CapacityEstimate(
-            Arrays.stream(latencyObjectives).min().orElse(DEFAULT_LATENCY_OBJECTIVE));
+            Arrays.stream(latencyObjectives).min().orElse(DEFAULT_LATENCY_OBJECTIVE_MS));
     this.retryAfterPlanner = new RetryAfterPlanner(maxRetryAfter);
   }
 
   // --- Contracts and time ------------------------------------------------------------------------
 
-  /** Whether contracts are in force; without any, everything is admitted and nothing is charged. */
+  /** Whether contracts are in force; otherwise every query is admitted and nothing is charged. */
   public boolean isActive() {
-    return !book.isEmpty();
+    return !contracts.isEmpty();
   }
 
   /**
-   * Puts other contracts in force. Pending queries end by the version that admitted them, their
-   * charges are settled with the account that they were booked on, and reservations are kept.
+   * Replaces the contracts in force. Pending queries keep the terms of the version that admitted
+   * them, their charges are settled on the account that was charged, and reservations are kept.
    */
   public void apply(ContractBook replacement, double now) {
     advance(now);
-    book = replacement;
-    double notLent = 0;
+    contracts = replacement;
+    double unlendableShare = 0;
     for (Contract contract : replacement.contracts()) {
-      notLent += contract.lends() ? 0 : contract.guaranteedQuota();
+      unlendableShare += contract.lends() ? 0 : contract.guaranteedQuota();
       accounts.find(contract.id()).ifPresent(account -> borrowers.applyContract(account, contract));
     }
-    pool.setLendableShare(Math.max(0, 1 - notLent));
-    accounts.closeRetired(book, now);
+    pool.setLendableShare(Math.max(0, 1 - unlendableShare));
+    accounts.closeRetired(contracts, now);
   }
 
-  /** Advances the time of the capacity estimate, of the quotas and of the borrowers. */
+  /** Advances the capacity estimate, the quotas and the borrowers to a time. */
   public void advance(double now) {
     pool.advance(now);
     if (capacityEstimate.advance(now)) {
@@ -84,9 +85,10 @@
   /** Admits a query or rejects it. */
   public AdmissionDecision admit(AdmissionRequest request, double now) {
     advance(now);
-    Contract contract = book.findOrNull(request.team());
+    Contract contract = contracts.findOrNull(request.team());
     if (contract == null) {
-      return new AdmissionDecision.Rejected(request.team(), book.version(), Limit.NO_CONTRACT, 0);
+      return new AdmissionDecision.Rejected(
+          request.team(), contracts.version(), Limit.NO_CONTRACT, 0);
     }
     Account account = accounts.open(contract);
     Router.ClassTerms terms = contract.classes().get(request.queryClass());
@@ -136,7 +138,10 @@
     return rejectWithRetryAfter(account, Limit.QUOTA, request, cost, now);
   }
 
-  /** The routing policy starts queued queries by priority: a caller that waited goes first. */
+  /**
+   * Raises the priority weight, by which the routing policy starts queued queries, so that a caller
+   * that has waited for its reservation goes first.
+   */
   private static Router.ClassTerms prioritized(Router.ClassTerms terms) {
     return new Router.ClassTerms(
         terms.latencyObjective(),
@@ -146,8 +151,9 @@
   }
 
   /**
-   * Whether the team may borrow for a query. A team that borrows at all counts from now on when
-   * idle capacity is divided.
+   * Whether the team may borrow capacity for a query. If its contract permits borrowing, the team
+   * counts as a borrower from now on when idle capacity is divided, even if this query may not
+   * borrow.
    */
   private boolean requestLoan(Account account, double now) {
     if (!account.contract().borrows()) {
@@ -165,7 +171,7 @@
 
   private AdmissionDecision reject(Account account, Limit limit, double retryAfterMs) {
     account.recordRejection(limit);
-    return new AdmissionDecision.Rejected(account.team(), book.version(), limit, retryAfterMs);
+    return new AdmissionDecision.Rejected(account.team(), contracts.version(), limit, retryAfterMs);
   }
 
   private UsageCharge charge(
@@ -175,7 +181,8 @@
       Router.ClassTerms terms,
       double cost,
       double now) {
-    UsageCharge charge = new UsageCharge(account, basis, book.version(), request, cost, now, terms);
+    UsageCharge charge =
+        new UsageCharge(account, basis, contracts.version(), request, cost, now, terms);
     account.recordAdmission(charge, request.isRetry());
     capacityEstimate.recordAdmitted(charge);
     return charge;
@@ -183,19 +190,22 @@
 
   // --- Usage -------------------------------------------------------------------------------------
 
-  /** Takes one of the team's retries for a part of an admitted query; false if none is left. */
+  /**
+   * Spends one of the team's retries on a part of an admitted query; returns false if none is left.
+   */
   public boolean allowRetry(UsageCharge charge) {
     return charge.account().takeRetry();
   }
 
-  /** An attempt was sent. */
+  /** Records that an attempt was sent. */
   public void onAttemptSent(UsageCharge charge) {
     charge.recordAttemptSent();
   }
 
   /**
-   * An attempt has ended after some ms. An answered attempt is charged by its latency, one that may
-   * have run without an answer by estimate, and one that never ran nothing.
+   * Records that an attempt has ended after {@code durationMs}. An answered attempt is charged by
+   * its latency, an unanswered attempt that may have run by its estimated work; an attempt that
+   * never ran is not charged.
    */
   public void onAttemptEnded(
       UsageCharge charge, Router.Outcome outcome, double durationMs, double now) {
@@ -232,7 +242,7 @@
         outcome == Router.Outcome.CANCELLED || outcome == Router.Outcome.ERROR);
   }
 
-  /** The query has ended; {@code served} tells whether with an answer from servers. */
+  /** Records that the query has ended; {@code served} is true if the servers answered it. */
   public void onRequestEnded(UsageCharge charge, boolean served, double now) {
     advance(now);
     if (!charge.end()) {
@@ -250,26 +260,26 @@
       return;
     }
     charge.account().settle(charge, now);
-    if (book.findOrNull(charge.team()) == null) {
-      accounts.closeRetired(book, now);
+    if (contracts.findOrNull(charge.team()) == null) {
+      accounts.closeRetired(contracts, now);
     }
   }
 
   // --- For operators -----------------------------------------------------------------------------
 
-  /** Estimated capacity in standard parts a second; infinite until capacity is first scarce. */
+  /** Estimated capacity in standard parts a second; infinite until capacity was first scarce. */
   public double capacity() {
     return pool.ratePerSecond();
   }
 
-  /** Standard parts a second that were recently delivered. */
+  /** Recent rate of delivered work, in standard parts a second. */
   public double deliveredRate() {
     return capacityEstimate.deliveredRate();
   }
 
-  /** The accounts of all teams that have asked for something. */
+  /** The accounts of all teams that have sent a query. */
   public List<AccountView> accounts(double now) {
     advance(now);
-    return accounts.views(book.version(), pool, now);
+    return accounts.views(contracts.version(), pool, now);
   }
 }
--- a/src/main/java/bitternpulley/contracts/AdmissionDecision.java
+++ b/src/main/java/bitternpulley/contracts/AdmissionDecision.java
@@ -6,8 +6,8 @@
   /**
    * The query is not admitted; no part of it has run.
    *
-   * @param team the contract's id, or the identified team (null if none) where no contract applies
-   * @param version the version of the contracts that the decision was made by
+   * @param team the contract's id; if no contract applies, the identified team or null
+   * @param version the version of the contracts by which the decision was made
    * @param limit the limit that was reached
    * @param retryAfter ms after which capacity is reserved for this caller; 0 if none is reserved
    */
--- a/src/main/java/bitternpulley/contracts/ApiKey.java
+++ b/src/main/java/bitternpulley/contracts/ApiKey.java
@@ -11,16 +11,16 @@
   private static final int HASH_BYTES = 32;
 
   /**
-   * Compared with the secret of an unknown key, so that the time of a check does not tell an
-   * unknown id from a wrong secret.
+   * Checked against the secret of an unknown key, so that the duration of a check does not reveal
+   * whether the id is unknown or the secret wrong.
    */
-  static final ApiKey DECOY = new ApiKey(null, new byte[SALT_BYTES], new byte[HASH_BYTES]);
+  static final ApiKey DUMMY = new ApiKey(null, new byte[SALT_BYTES], new byte[HASH_BYTES]);
 
   private final String team;
   private final byte[] salt;
   private final byte[] hash;
 
-  /** The key of a team; {@code hash} is that of {@link TenantIdentification#hash}. */
+  /** The key of a team; {@code hash} is computed by {@link TenantIdentification#hash}. */
   public ApiKey(String team, byte[] salt, byte[] hash) {
     this.team = team;
     this.salt = salt.clone();
@@ -31,7 +31,7 @@
     return team;
   }
 
-  /** Whether the secret is the key's; takes the same time for any secret of one length. */
+  /** Whether the secret is correct; takes the same time for all secrets of the same length. */
   boolean matches(byte[] secret) {
     return MessageDigest.isEqual(TenantIdentification.hash(salt, secret), hash);
   }
--- a/src/main/java/bitternpulley/contracts/Borrowers.java
+++ b/src/main/java/bitternpulley/contracts/Borrowers.java
@@ -4,22 +4,22 @@
 
 /**
  * The accounts that want to borrow; the pool divides idle capacity among them by weight. An account
- * is checked no more often than its interest lasts, whatever it asks for meanwhile.
+ * has one entry in the queue of checks, however often it asks to borrow.
  */
 final class Borrowers {
-  /** Ms for which an account wants to borrow after it last asked to. */
+  /** Time for which an account counts as a borrower after it last asked to borrow. */
   private static final double INTEREST_MS = 1000;
 
   private final CapacityPool pool;
 
-  /** In the order of their next checks. */
+  /** The borrowers in the order of their next checks. */
   private final ArrayDeque<Account> queue = new ArrayDeque<>();
 
   Borrowers(CapacityPool pool) {
     this.pool = pool;
   }
 
-  /** The account wants to borrow now. */
+  /** Adds an account that asks to borrow, or extends its interest. */
   void add(Account account, double now) {
     if (account.borrowing().renewUntil(now + INTEREST_MS)) {
       pool.addBorrower(account.contract().borrowingWeight());
@@ -27,7 +27,7 @@
     }
   }
 
-  /** Changes an account's contract and with it the account's weight. */
+  /** Replaces an account's contract and with it the account's borrowing weight. */
   void applyContract(Account account, Contract contract) {
     boolean isBorrower = account.borrowing().isActive();
     if (isBorrower) {
@@ -39,7 +39,7 @@
     }
   }
 
-  /** Drops the accounts that no longer want to borrow. */
+  /** Removes the accounts that no longer want to borrow. */
   void expire(double now) {
     while (!queue.isEmpty() && queue.peek().borrowing().isCheckDue(now)) {
       Account account = queue.poll();
--- a/src/main/java/bitternpulley/contracts/BorrowingInterest.java
+++ b/src/main/java/bitternpulley/contracts/BorrowingInterest.java
@@ -1,18 +1,18 @@
 package bitternpulley.contracts;
 
-/** Whether an account wants to borrow, which it does for some time after each request to. */
+/** Whether an account wants to borrow; the interest expires some time after its last renewal. */
 final class BorrowingInterest {
   private boolean active;
   private double expiresAt = Double.NEGATIVE_INFINITY;
 
-  /** When {@link #expire} next has to be called; no later than the expiry. */
+  /** When {@link #expire} must be called next; no later than the expiry. */
   private double checkAt;
 
   boolean isActive() {
     return active;
   }
 
-  /** Extends the interest until a later time; returns whether it was inactive. */
+  /** Starts the interest or extends it until a later time; returns whether it was inactive. */
   boolean renewUntil(double later) {
     expiresAt = later;
     if (active) {
--- a/src/main/java/bitternpulley/contracts/CapacityPool.java
+++ b/src/main/java/bitternpulley/contracts/CapacityPool.java
@@ -1,46 +1,52 @@
 package bitternpulley.contracts;
 
 /**
- * The aggregator's capacity as a flow of standard parts: its rate, as {@link CapacityEstimate}
- * finds it, its cumulative total, and the cumulative total of what may be borrowed for each unit of
- * the borrowers' weight. Unlimited until a rate is set.
+ * The aggregator's capacity as a flow of standard parts: its rate, as estimated by {@link
+ * CapacityEstimate}, its cumulative total, and the cumulative total that may be borrowed per unit
+ * of borrowing weight. Capacity is unlimited until a rate is set.
  */
 final class CapacityPool {
   /**
-   * Ms of the rate that may be saved up as idle capacity. Borrowed capacity cannot be called back,
-   * so little is saved.
+   * Time over which idle capacity accumulates at most. The time is short because borrowed capacity
+   * cannot be withdrawn.
    */
   private static final double MAX_IDLE_MS = 250;
 
-  /** Lowest balances, as a multiple of the depth, so that borrowing resumes within a second. */
+  /**
+   * Lower bound of the balances, as a negative multiple of the depth, so that borrowing resumes
+   * within a second.
+   */
   private static final double MAX_DEBT_DEPTHS = 4;
 
   private double ratePerSecond = Double.POSITIVE_INFINITY;
   private double lendableShare = 1;
   private double total;
   private double loanTotalPerWeight;
+
+  /** Lendable capacity that is not in use; negative if more was used than had accrued. */
   private double idleBalance;
+
   private double borrowersWeight;
 
   /**
-   * Flow that was neither used by its owners nor distributed to borrowers; negative after owners
-   * used savings.
+   * Lendable capacity that was neither used by its owners nor distributed to borrowers; negative
+   * after owners used savings.
    */
   private double undistributed;
 
   private double lastAdvance = Double.NaN;
 
-  /** Standard parts a second; infinite while capacity was never scarce. */
+  /** Standard parts a second; infinite until capacity was first scarce. */
   double ratePerSecond() {
     return ratePerSecond;
   }
 
-  /** Cumulative capacity since it is limited. */
+  /** Cumulative capacity since capacity was first limited. */
   double total() {
     return total;
   }
 
-  /** Cumulative capacity to borrow, for each unit of weight. */
+  /** Cumulative capacity that may be borrowed per unit of borrowing weight. */
   double loanTotalPerWeight() {
     return loanTotalPerWeight;
   }
@@ -54,22 +60,22 @@
     idleBalance = Math.max(-depth(), Math.min(idleBalance, depth()));
   }
 
-  /** Sets the share that is not reserved for teams that do not lend. */
+  /** Sets the share of the capacity that is not guaranteed to teams that do not lend. */
   void setLendableShare(double share) {
     lendableShare = share;
   }
 
-  /** A team of this weight now wants to borrow. */
+  /** Adds the weight of a team that wants to borrow. */
   void addBorrower(double weight) {
     borrowersWeight += weight;
   }
 
-  /** A team of this weight no longer wants to borrow. */
+  /** Removes the weight of a team that no longer wants to borrow. */
   void removeBorrower(double weight) {
     borrowersWeight = Math.max(0, borrowersWeight - weight);
   }
 
-  /** Adds the flow since the last call. */
+  /** Adds the capacity that has accrued since the last call. */
   void advance(double now) {
     double seconds = Double.isNaN(lastAdvance) ? 0 : Math.max(0, now - lastAdvance) / 1000;
     lastAdvance = now;
@@ -91,18 +97,18 @@
     return idleBalance > 0;
   }
 
-  /** Whether so much is idle that borrowers need not be held to their shares of it. */
+  /** Whether so much capacity is idle that borrowers may exceed their shares of it. */
   boolean hasAmpleIdleCapacity() {
     return idleBalance > depth() / 2;
   }
 
-  /** A lending team uses its own quota; a negative amount corrects an earlier one. */
+  /** Records that a lending team uses its own quota; a negative amount corrects an earlier one. */
   void useGuaranteed(double amount) {
     undistributed = clamp(undistributed - amount);
     useLoan(amount);
   }
 
-  /** A team borrows; a negative amount corrects an earlier one. */
+  /** Records that a team borrows; a negative amount corrects an earlier one. */
   void useLoan(double amount) {
     idleBalance = clamp(idleBalance - amount);
   }
@@ -111,6 +117,7 @@
     return Math.max(-MAX_DEBT_DEPTHS * depth(), Math.min(depth(), amount));
   }
 
+  /** The most capacity that may accumulate. */
   private double depth() {
     return isLimited() ? ratePerSecond * MAX_IDLE_MS / 1000 : 0;
   }
--- a/src/main/java/bitternpulley/contracts/ContractBook.java
+++ b/src/main/java/bitternpulley/contracts/ContractBook.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 
 /**
- * The contracts that are in force together, under one version; immutable. The configuration reader
- * checks them.
+ * An immutable, versioned set of the contracts that are in force together. The configuration reader
+ * has validated them.
  */
 public final class ContractBook {
-  /** No contracts: everything is admitted. */
+  /** No contracts: every query is admitted. */
   public static final ContractBook NONE = new ContractBook(0, Map.of(), null);
 
   private final int version;
@@ -18,12 +18,12 @@
   private final String defaultTeam;
 
   /**
-   * The given contracts under a version.
+   * Creates the set.
    *
-   * @param version of these contracts
+   * @param version the version of the contracts
    * @param byTeam the contracts by their id
-   * @param defaultTeam the team whose contract applies to requests that no team is identified for,
-   *     or null
+   * @param defaultTeam the team whose contract applies to requests without an identified team, or
+   *     null
    */
   public ContractBook(int version, Map<String, Contract> byTeam, String defaultTeam) {
     this.version = version;
@@ -31,7 +31,7 @@
     this.defaultTeam = defaultTeam;
   }
 
-  /** The version of these contracts; 0 for none. */
+  /** The version of the contracts; 0 if there are none. */
   public int version() {
     return version;
   }
@@ -51,12 +51,12 @@
     return byTeam.values();
   }
 
-  /** The contract that applies to a team, the default one if {@code team} is null. */
+  /** The contract of a team, or the default contract if {@code team} is null. */
   public Optional<Contract> find(String team) {
     return Optional.ofNullable(findOrNull(team));
   }
 
-  /** As {@link #find}, without an object to allocate for each query. */
+  /** Like {@link #find}, but allocates no object, as it is called for each query. */
   Contract findOrNull(String team) {
     return byTeam.get(team == null ? defaultTeam : team);
   }
--- a/src/main/java/bitternpulley/contracts/Limit.java
+++ b/src/main/java/bitternpulley/contracts/Limit.java
@@ -4,15 +4,15 @@
 public enum Limit {
   /** No contract applies to the request. */
   NO_CONTRACT("no contract"),
-  /** The contract does not have the query's class. */
+  /** The contract does not include the query's class. */
   CLASS("class"),
-  /** The team's quota is used up, and there is nothing to borrow. */
+  /** The team's quota is used up, and the team cannot borrow. */
   QUOTA("share"),
-  /** The team's ceiling, whatever others leave idle. */
+  /** The team's ceiling is reached; it applies even if other teams leave capacity idle. */
   CEILING("ceiling"),
-  /** The queries and parts that may be pending at once. */
+  /** The limit on pending queries and parts is reached. */
   MAX_PENDING("holds"),
-  /** The retries of the team's clients. */
+  /** The team's clients have no retries left. */
   CLIENT_RETRIES("client_retries");
 
   private final String text;
@@ -21,7 +21,7 @@
     this.text = text;
   }
 
-  /** The word in answers and in the contract log. */
+  /** The name of the limit in responses and in the contract log. */
   public String text() {
     return text;
   }
--- a/src/main/java/bitternpulley/contracts/PendingWork.java
+++ b/src/main/java/bitternpulley/contracts/PendingWork.java
@@ -3,20 +3,20 @@
 import java.util.ArrayDeque;
 
 /**
- * The admitted queries that are pending, their work, and how many of them lag: have been pending
- * for so long that they are likely to be late.
+ * The number of pending queries, their estimated work, and the number of lagging queries: those
+ * that have been pending for so long that they are likely to be late.
  */
 final class PendingWork {
   private final double laggingAfterMs;
 
-  /** Charges that do not lag yet, oldest first; some may have ended. */
-  private final ArrayDeque<UsageCharge> recent = new ArrayDeque<>();
+  /** Charges of queries that are not lagging yet, oldest first; some queries may have ended. */
+  private final ArrayDeque<UsageCharge> notLagging = new ArrayDeque<>();
 
   private int queries;
   private int lagging;
   private double parts;
 
-  /** Queries lag that are pending for {@code laggingAfterMs}. */
+  /** A query is lagging once it has been pending for {@code laggingAfterMs}. */
   PendingWork(double laggingAfterMs) {
     this.laggingAfterMs = laggingAfterMs;
   }
@@ -25,20 +25,20 @@
     return queries;
   }
 
-  /** Standard parts, by estimate. */
+  /** The estimated work of the pending queries, in standard parts. */
   double parts() {
     return parts;
   }
 
-  /** Whether more than a share of the pending queries lag. */
-  boolean isMoreLaggingThan(double share) {
+  /** Whether more than this share of the pending queries is lagging. */
+  boolean isLaggingShareAbove(double share) {
     return lagging > share * queries;
   }
 
   void add(UsageCharge charge) {
     queries++;
     parts += charge.booked();
-    recent.add(charge);
+    notLagging.add(charge);
   }
 
   void remove(UsageCharge charge) {
@@ -50,8 +50,8 @@
   }
 
   void advance(double now) {
-    while (!recent.isEmpty() && now >= recent.peek().admittedAt() + laggingAfterMs) {
-      if (recent.poll().markLaggingIfPending()) {
+    while (!notLagging.isEmpty() && now >= notLagging.peek().admittedAt() + laggingAfterMs) {
+      if (notLagging.poll().markLaggingIfPending()) {
         lagging++;
       }
     }
--- a/src/main/java/bitternpulley/contracts/QueryFingerprint.java
+++ b/src/main/java/bitternpulley/contracts/QueryFingerprint.java
@@ -1,6 +1,6 @@
 package bitternpulley.contracts;
 
-/** Recognizes a rejected query when its client repeats it. */
+/** Computes the fingerprint by which a rejected query is recognized when its client repeats it. */
 public final class QueryFingerprint {
   private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
   private static final long FNV_PRIME = 0x100000001b3L;
@@ -9,13 +9,13 @@
   private QueryFingerprint() {}
 
   /**
-   * The 64-bit FNV-1a hash of a number and the bytes of a query; never 0, which stands for no
-   * fingerprint. Two queries of one team with the same fingerprint share one reservation and
-   * nothing else, so the hash need not be cryptographic. The standard library has only 32-bit
-   * checksums and, far slower, cryptographic digests.
+   * The 64-bit FNV-1a hash of a discriminator and the bytes of a query; never 0, which stands for
+   * no fingerprint. The hash need not be cryptographic, as queries of one team with the same
+   * fingerprint share one reservation and nothing else. The standard library has only 32-bit
+   * checksums and cryptographic digests, which are far slower.
    *
    * @param query the bytes that the client sent
-   * @param discriminator tells apart queries of the same bytes, such as those of two classes
+   * @param discriminator distinguishes queries with the same bytes, such as those of two classes
    */
   public static long of(byte[] query, int discriminator) {
     long hash = (FNV_OFFSET_BASIS ^ discriminator) * FNV_PRIME;
--- a/src/main/java/bitternpulley/contracts/QuotaBuckets.java
+++ b/src/main/java/bitternpulley/contracts/QuotaBuckets.java
@@ -1,11 +1,12 @@
 package bitternpulley.contracts;
 
 /**
- * What a team may use of limited capacity: token buckets for its guaranteed quota, its ceiling and
- * its loans. All are filled from the {@link CapacityPool}, and use is recorded there as well.
+ * The token buckets that limit a team's use of limited capacity: for its guaranteed quota, its
+ * ceiling and its loans. All are filled from the {@link CapacityPool}, where the use of capacity is
+ * recorded as well.
  */
 final class QuotaBuckets {
-  /** Depth of the bucket for loans, as a share of that of the whole capacity. */
+  /** Depth of the loan bucket, as a share of the depth of a bucket for the whole capacity. */
   private static final double LOAN_DEPTH_SHARE = 0.25;
 
   private final CapacityPool pool;
@@ -14,7 +15,7 @@
   private final TokenBucket ceiling;
   private final TokenBucket loan;
 
-  /** Full buckets, except the one for loans. */
+  /** Creates full buckets, except for an empty loan bucket. */
   QuotaBuckets(CapacityPool pool, RetryReservations reservations, Contract contract) {
     this.pool = pool;
     this.reservations = reservations;
@@ -23,14 +24,14 @@
     this.loan = new TokenBucket(pool.loanTotalPerWeight(), 0);
   }
 
-  /** Adds the flow since the last call. */
+  /** Adds the capacity that has accrued since the last call. */
   void fill(Contract contract, double now) {
     guarantee.fill(pool.total(), contract.guaranteedQuota(), guaranteeDepth(contract, now));
     ceiling.fill(pool.total(), contract.ceiling(), depth(contract, contract.ceiling()));
     loan.fill(pool.loanTotalPerWeight(), contract.borrowingWeight(), loanDepth(contract));
   }
 
-  /** Standard parts left of the guaranteed quota, reservations included. */
+  /** Standard parts left of the guaranteed quota, including reserved ones. */
   double guaranteeBalance() {
     return guarantee.balance();
   }
@@ -40,7 +41,7 @@
     return loan.balance();
   }
 
-  /** Whether the guaranteed quota has something left that is not reserved. */
+  /** Whether some guaranteed quota is left that is not reserved. */
   boolean hasUnreservedGuarantee(double now) {
     return guarantee.balance() - reservations.reservedAmount(now) > 0;
   }
@@ -50,8 +51,8 @@
   }
 
   /**
-   * Ms until the guaranteed quota has an amount on top of all that is reserved; infinite for a team
-   * without a guarantee.
+   * Milliseconds until the guaranteed quota suffices for all reservations and this amount; infinite
+   * for a team without a guaranteed quota.
    */
   double msUntilGuaranteed(Contract contract, double amount, double now) {
     double perMs = contract.guaranteedQuota() * pool.ratePerSecond() / 1000;
@@ -60,7 +61,7 @@
     return perMs <= 0 ? Double.POSITIVE_INFINITY : missing / perMs;
   }
 
-  /** Takes the amount that an admitted query has booked. */
+  /** Takes the estimated amount of an admitted query. */
   void take(Contract contract, UsageCharge.Basis basis, double amount) {
     ceiling.take(amount);
     if (basis == UsageCharge.Basis.LOAN) {
@@ -74,7 +75,10 @@
     }
   }
 
-  /** Returns what an ended query booked and did not use, or takes the excess if negative. */
+  /**
+   * Returns the amount that an ended query was charged and did not use, or takes the excess if
+   * {@code amount} is negative.
+   */
   void refund(Contract contract, UsageCharge.Basis basis, double amount, double now) {
     ceiling.refund(amount, depth(contract, contract.ceiling()));
     if (basis == UsageCharge.Basis.LOAN) {
@@ -88,7 +92,7 @@
     }
   }
 
-  /** Reserved capacity is saved on top of the burst, as it already belongs to its callers. */
+  /** Reserved capacity accumulates in addition to the burst, as it is meant for its callers. */
   private double guaranteeDepth(Contract contract, double now) {
     return depth(contract, contract.guaranteedQuota()) + reservations.reservedAmount(now);
   }
@@ -97,7 +101,7 @@
     return depth(contract, 1) * LOAN_DEPTH_SHARE;
   }
 
-  /** Standard parts that a share of the capacity may save up. */
+  /** Depth of a bucket that is filled by a share of the capacity, in standard parts. */
   private double depth(Contract contract, double share) {
     return share * pool.ratePerSecond() * contract.burst() / 1000;
   }
--- a/src/main/java/bitternpulley/contracts/RejectionCounts.java
+++ b/src/main/java/bitternpulley/contracts/RejectionCounts.java
@@ -3,7 +3,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** How many queries of a team were rejected by each {@link Limit}. */
+/** The number of a team's queries that were rejected by each {@link Limit}. */
 public final class RejectionCounts {
   private static final class Counter {
     private long count;
--- a/src/main/java/bitternpulley/contracts/RetryAfterPlanner.java
+++ b/src/main/java/bitternpulley/contracts/RetryAfterPlanner.java
@@ -1,6 +1,6 @@
 package bitternpulley.contracts;
 
-/** Chooses the Retry-After of a rejected query, and reserves capacity behind it. */
+/** Chooses the Retry-After of a rejected query and reserves capacity for its return. */
 final class RetryAfterPlanner {
   private static final double MIN_RETRY_AFTER_MS = 10;
 
@@ -12,9 +12,9 @@
   }
 
   /**
-   * The ms after which a rejected caller should return: the rest of its reservation's time, so that
-   * nothing is gained by asking twice, else that of a new reservation; 0 if none can be made within
-   * the time that clients accept.
+   * Milliseconds after which a rejected caller should return: the time until its reservation is
+   * due, so that nothing is gained by asking twice; without a reservation, the time until a new one
+   * is due; 0 if no reservation can be made within the time that clients accept.
    */
   double retryAfterMs(Account account, AdmissionRequest request, double cost, double now) {
     double remainingMs = account.reservations().remainingMs(request.fingerprint(), now);
@@ -23,7 +23,7 @@
 
   private double reserve(Account account, long fingerprint, double cost, double now) {
     double retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, account.expectedWaitMs(cost, now));
-    // A reservation whose time has come is used up even if its caller is rejected again.
+    // A due reservation is used up even if its caller is rejected again.
     account.reservations().release(fingerprint);
     boolean isReserved =
         retryAfterMs <= maxRetryAfterMs
--- a/src/main/java/bitternpulley/contracts/RetryAllowance.java
+++ b/src/main/java/bitternpulley/contracts/RetryAllowance.java
@@ -1,13 +1,13 @@
 package bitternpulley.contracts;
 
-/** Retries that a team may still make; admitted queries earn them. */
+/** The number of retries that a team may still make; admitted queries earn retries. */
 final class RetryAllowance {
-  /** The number available at the start, and the most that a small team saves up. */
+  /** The number of retries at the start, which is also the most that a small team can save up. */
   static final double INITIAL = 10;
 
   private double available = INITIAL;
 
-  /** Whether there is a whole retry left. */
+  /** Whether at least one whole retry is left. */
   boolean isAvailable() {
     return available >= 1;
   }
--- a/src/main/java/bitternpulley/contracts/RetryReservations.java
+++ b/src/main/java/bitternpulley/contracts/RetryReservations.java
@@ -6,17 +6,17 @@
 
 /**
  * Capacity reserved for rejected callers that were given a Retry-After: one reservation for each
- * caller, who is known by the query's fingerprint. A caller that returns early is given the rest of
- * the same time. A reservation expires {@link #GRACE_MS} after its time.
+ * caller, which is identified by the query's fingerprint. A caller that returns early is told to
+ * wait until its reservation is due. A reservation expires {@link #GRACE_MS} after it is due.
  */
 final class RetryReservations {
-  /** Ms for which a reservation outlasts its time: for the client's timer and the network. */
+  /** Time until a due reservation expires, for delays of the client's timer and the network. */
   static final double GRACE_MS = 300;
 
-  /** Ms before its time from which a caller is on time: the time it received was rounded. */
+  /** A caller may return this much too early, as the Retry-After that it received was rounded. */
   private static final double EARLY_TOLERANCE_MS = 5;
 
-  /** The most reservations of one team; beyond, its callers are given no time. */
+  /** The maximum number of reservations of one team; further callers are given no Retry-After. */
   private static final int MAX_RESERVATIONS = 256;
 
   private static final class Reservation {
@@ -43,14 +43,15 @@
     }
   }
 
-  private final ArrayDeque<Reservation> byTime = new ArrayDeque<>();
+  /** All reservations in the order of their due times; some may be closed. */
+  private final ArrayDeque<Reservation> byDueTime = new ArrayDeque<>();
   private final Map<Long, Reservation> byFingerprint = new HashMap<>();
   private double reservedAmount;
 
-  /** Standard parts reserved for callers that have not returned, once expired ones are dropped. */
+  /** Drops expired reservations; returns the standard parts reserved for callers to return. */
   double reservedAmount(double now) {
-    while (!byTime.isEmpty() && byTime.peek().isObsolete(now)) {
-      close(byTime.poll());
+    while (!byDueTime.isEmpty() && byDueTime.peek().isObsolete(now)) {
+      close(byDueTime.poll());
     }
     return reservedAmount;
   }
@@ -61,8 +62,8 @@
   }
 
   /**
-   * Ms until a caller's reservation is due, 0 or less if it is, NaN if there is none. Every query
-   * asks, so no object is allocated for the answer.
+   * Milliseconds until a caller's reservation is due, 0 or less if it is due, NaN if there is none.
+   * Called for each query, so no object is allocated for the result.
    */
   double remainingMs(long fingerprint, double now) {
     Reservation reservation = fingerprint == 0 ? null : byFingerprint.get(fingerprint);
@@ -78,15 +79,16 @@
   }
 
   /**
-   * Reserves an amount for a caller without a reservation from a time on, no earlier than those
-   * before; returns false if the caller has no fingerprint or there are too many reservations.
+   * Reserves an amount for a caller that has no reservation. {@code dueAt} must not be earlier than
+   * in previous calls. Returns false if the caller has no fingerprint or there are too many
+   * reservations.
    */
   boolean reserve(long fingerprint, double dueAt, double amount) {
     if (byFingerprint.size() >= MAX_RESERVATIONS || fingerprint == 0) {
       return false;
     }
     Reservation reservation = new Reservation(fingerprint, dueAt, amount);
-    byTime.add(reservation);
+    byDueTime.add(reservation);
     byFingerprint.put(fingerprint, reservation);
     reservedAmount += amount;
     return true;
--- a/src/main/java/bitternpulley/contracts/TenantIdentification.java
+++ b/src/main/java/bitternpulley/contracts/TenantIdentification.java
@@ -8,32 +8,32 @@
 import java.util.Map;
 
 /**
- * Identifies the team of a request by API key, then by index, then by query class. A request with
- * an unknown key is never identified by its index or class, so that a wrong key gains nothing; no
- * other header is read.
+ * Identifies the team of a request by its API key, else by its index, else by its query class. A
+ * request with an unknown key is never identified by its index or class, so that a wrong key gains
+ * nothing. No other header is read.
  */
 public final class TenantIdentification {
-  /** Identifies no team: no contracts are configured. */
+  /** Used if no contracts are configured; identifies no team. */
   public static final TenantIdentification NONE =
       new TenantIdentification(Map.of(), Map.of(), Map.of(), true);
 
-  private static final String SCHEME = "ApiKey ";
+  private static final String AUTHORIZATION_SCHEME = "ApiKey ";
 
-  /** What an {@code Authorization} header holds. */
+  /** The status of the API key in an {@code Authorization} header. */
   public enum KeyStatus {
     /** There is no header. */
     ABSENT,
-    /** A key that a contract has. */
+    /** The key of a configured team. */
     KNOWN,
-    /** Anything else. */
+    /** The header contains anything else. */
     UNKNOWN
   }
 
   /**
-   * The result of a key check.
+   * The result of checking a key.
    *
-   * @param status what the header holds
-   * @param team the key's team, or null unless the key is known
+   * @param status the status of the key
+   * @param team the key's team; null unless the key is known
    */
   public record KeyOwner(KeyStatus status, String team) {}
 
@@ -43,23 +43,24 @@
   private final Map<String, ApiKey> keys;
   private final Map<String, String> teamByIndex;
   private final Map<Integer, String> teamByClass;
-  private final boolean fallback;
+  private final boolean hasDefaultContract;
 
   /**
    * Identifies teams by the given keys, indices and classes.
    *
    * @param keys API keys by their id
-   * @param teamByIndex the team of each index that belongs to one
-   * @param teamByClass the team of each query class, by position, whose platform queries belong to
-   *     one
-   * @param fallback whether a default contract applies to requests that no team is identified for
+   * @param teamByIndex the team of each index that belongs to a team
+   * @param teamByClass the team of each query class, by position, whose platform queries belong to a
+   *     team
+   * @param hasDefaultContract whether a default contract applies to requests without an identified
+   *     team
    */
   public TenantIdentification(
       Map<String, ApiKey> keys,
       Map<String, String> teamByIndex,
       Map<Integer, String> teamByClass,
-      boolean fallback) {
-    this.fallback = fallback;
+      boolean hasDefaultContract) {
+    this.hasDefaultContract = hasDefaultContract;
     this.keys = new HashMap<>(keys);
     this.teamByIndex = new HashMap<>(teamByIndex);
     this.teamByClass = new HashMap<>(teamByClass);
@@ -70,41 +71,42 @@
     if (header == null) {
       return NO_KEY;
     }
-    if (!header.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
+    if (!header.regionMatches(true, 0, AUTHORIZATION_SCHEME, 0, AUTHORIZATION_SCHEME.length())) {
       return UNKNOWN_KEY;
     }
     byte[] credentials;
     try {
-      credentials = Base64.getDecoder().decode(header.substring(SCHEME.length()).trim());
+      credentials =
+          Base64.getDecoder().decode(header.substring(AUTHORIZATION_SCHEME.length()).trim());
     } catch (IllegalArgumentException malformed) {
       return UNKNOWN_KEY;
     }
-    return byCredentials(new String(credentials, StandardCharsets.UTF_8));
+    return ownerOfCredentials(new String(credentials, StandardCharsets.UTF_8));
   }
 
-  /** Checks {@code id:secret}. */
-  private KeyOwner byCredentials(String credentials) {
+  /** Checks credentials of the form {@code id:secret}. */
+  private KeyOwner ownerOfCredentials(String credentials) {
     int colon = credentials.indexOf(':');
     ApiKey key = colon < 0 ? null : keys.get(credentials.substring(0, colon));
     byte[] secret = credentials.substring(colon + 1).getBytes(StandardCharsets.UTF_8);
-    boolean matches = (key == null ? ApiKey.DECOY : key).matches(secret);
+    boolean matches = (key == null ? ApiKey.DUMMY : key).matches(secret);
     return matches && key != null ? new KeyOwner(KeyStatus.KNOWN, key.team()) : UNKNOWN_KEY;
   }
 
-  /** The SHA-256 hash of a salt followed by a secret, as the operators' script has it. */
+  /** The SHA-256 hash of a salt followed by a secret, as given in the operators' script. */
   public static byte[] hash(byte[] salt, byte[] secret) {
     try {
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
       digest.update(salt);
       return digest.digest(secret);
     } catch (NoSuchAlgorithmException missing) {
-      throw new IllegalStateException("every JVM has SHA-256", missing);
+      throw new IllegalStateException("SHA-256 is required of every JVM but is missing", missing);
     }
   }
 
-  /** Whether a default contract applies to requests that no team is identified for. */
+  /** Whether a default contract applies to requests without an identified team. */
   public boolean hasFallback() {
-    return fallback;
+    return hasDefaultContract;
   }
 
   /** The team that an index belongs to, or null. */
--- a/src/main/java/bitternpulley/contracts/TokenBucket.java
+++ b/src/main/java/bitternpulley/contracts/TokenBucket.java
@@ -1,15 +1,15 @@
 package bitternpulley.contracts;
 
 /**
- * A share of a flow of capacity, saved up to a depth. The flow is given by its cumulative total, so
- * that a bucket costs nothing until it is next used. The balance may fall below zero by one query,
- * so that a large query does not wait for a full bucket.
+ * A token bucket that is filled by a share of a flow of capacity. The flow is given by its
+ * cumulative total, so that a bucket costs nothing until its next use. The balance may fall below
+ * zero by one query, so that a large query does not have to wait for a full bucket.
  */
 final class TokenBucket {
   private double balance;
   private double lastTotal;
 
-  /** A full bucket, as a restart must not starve a team. */
+  /** Creates a full bucket, as a restart must not starve a team. */
   TokenBucket(double total, double depth) {
     this.lastTotal = total;
     this.balance = depth;
@@ -17,7 +17,7 @@
 
   /** Adds the bucket's share of the flow since the last call. */
   void fill(double total, double share, double depth) {
-    // The depth falls with the rate: savings of capacity that is gone are gone as well.
+    // The depth falls with the rate of the flow; a balance above the lower depth is lost.
     balance = Math.min(depth, balance + share * (total - lastTotal));
     lastTotal = total;
   }
@@ -31,7 +31,7 @@
   }
 
   /**
-   * Corrects an earlier {@link #take}: returns what was not used, up to the depth, or takes the
+   * Corrects an earlier {@link #take}: returns the unused amount, up to the depth, or takes the
    * excess if {@code amount} is negative.
    */
   void refund(double amount, double depth) {
--- a/src/main/java/bitternpulley/contracts/UsageCharge.java
+++ b/src/main/java/bitternpulley/contracts/UsageCharge.java
@@ -4,16 +4,17 @@
 
 /**
  * An admitted query's charge to its team's account, from admission until the query and all its
- * attempts have ended. It is booked by estimate and settled once by what was measured.
+ * attempts have ended. The query is charged its estimated work at admission; the charge is settled
+ * once, by the measured work.
  */
 public final class UsageCharge implements AdmissionDecision {
-  /** Why a query was admitted. */
+  /** The reason why a query was admitted. */
   public enum Basis {
     /** The team's guaranteed quota. */
     GUARANTEE("GUARANTEE"),
-    /** Capacity that other teams leave idle. */
+    /** Borrowed capacity that other teams leave idle. */
     LOAN("LOAN"),
-    /** A reservation, made when the query was rejected before. */
+    /** A reservation that was made when the query was rejected earlier. */
     RESERVATION("PROMISE"),
     /** Capacity is not limited. */
     UNLIMITED("UNLIMITED");
@@ -24,7 +25,7 @@
       this.text = text;
     }
 
-    /** The word in the contract log. */
+    /** The name of the basis in the contract log. */
     @Override
     public String toString() {
       return text;
@@ -36,10 +37,10 @@
   private final int version;
   private final int queryClass;
   private final int parts;
-  private final double booked;
+  private final double estimatedWork;
   private final double admittedAt;
   private final Router.ClassTerms terms;
-  private double used;
+  private double measuredWork;
   private int attemptsInFlight;
   private boolean ended;
   private boolean lagging;
@@ -50,7 +51,7 @@
       Basis basis,
       int version,
       AdmissionRequest request,
-      double booked,
+      double estimatedWork,
       double now,
       Router.ClassTerms terms) {
     this.account = account;
@@ -58,12 +59,12 @@
     this.version = version;
     this.queryClass = request.queryClass();
     this.parts = request.parts();
-    this.booked = booked;
+    this.estimatedWork = estimatedWork;
     this.admittedAt = now;
     this.terms = terms;
   }
 
-  /** The terms of the query's class, which hold to its end whatever contract is put in force. */
+  /** The terms of the query's class, which later changes of the contracts do not affect. */
   public Router.ClassTerms terms() {
     return terms;
   }
@@ -73,27 +74,27 @@
     return account.team();
   }
 
-  /** The version of the contracts that the query was admitted by. */
+  /** The version of the contracts by which the query was admitted. */
   public int version() {
     return version;
   }
 
-  /** Why the query was admitted. */
+  /** The reason why the query was admitted. */
   public Basis basis() {
     return basis;
   }
 
-  /** Standard parts booked by estimate. */
+  /** The estimated work that was charged at admission, in standard parts. */
   public double booked() {
-    return booked;
+    return estimatedWork;
   }
 
-  /** Standard parts measured so far. */
+  /** The work measured so far, in standard parts. */
   public double used() {
-    return used;
+    return measuredWork;
   }
 
-  /** Whether the account was settled: the query and all its attempts have ended. */
+  /** Whether the charge is settled: the query and all its attempts have ended. */
   public boolean isSettled() {
     return isSettled;
   }
@@ -118,20 +119,20 @@
     attemptsInFlight++;
   }
 
-  /** An attempt has ended and is charged this many standard parts. */
+  /** Records that an attempt has ended and is charged this many standard parts. */
   void recordAttemptEnded(double cost) {
     attemptsInFlight--;
-    used += cost;
+    measuredWork += cost;
   }
 
-  /** The query has ended; returns false if it had before. */
+  /** Records that the query has ended; returns false if it had already ended. */
   boolean end() {
     boolean wasPending = !ended;
     ended = true;
     return wasPending;
   }
 
-  /** The query has been pending for long; returns whether it still is, and therefore lags. */
+  /** Marks the query as lagging if it is still pending; returns whether it is. */
   boolean markLaggingIfPending() {
     lagging = !ended;
     return lagging;
@@ -141,7 +142,9 @@
     return lagging;
   }
 
-  /** Settles the charge once nothing of it is in flight; returns whether this call did. */
+  /**
+   * Settles the charge if the query and all its attempts have ended; returns whether this call did.
+   */
   boolean settleIfComplete() {
     if (!ended || attemptsInFlight > 0 || isSettled) {
       return false;
--- a/src/main/java/bitternpulley/contracts/WorkMeter.java
+++ b/src/main/java/bitternpulley/contracts/WorkMeter.java
@@ -3,19 +3,19 @@
 import java.util.Arrays;
 
 /**
- * Measures work in standard parts: one is the work of the average part at the time. Servers do not
- * report the work of a part, and its latency includes queueing, so a part is charged its latency
- * divided by the current average latency: under overload all latencies grow and charges stay, while
- * a part of nine times the average work is charged nine.
+ * Measures work in standard parts; one standard part is the current average work of a part. Servers
+ * do not report the work of a part, and its latency includes queueing. Therefore a part is charged
+ * its latency divided by the current average latency: under overload all latencies grow and charges
+ * stay the same, while a part with nine times the average work is charged nine.
  */
 final class WorkMeter {
-  /** Weight of a new sample in a moving average: about the last 50 samples count. */
+  /** Weight of a new sample in a moving average, which covers about the last 50 samples. */
   private static final double SMOOTHING = 0.02;
 
-  /** A sample counts as at most this multiple of the average that it goes into. */
+  /** A sample is capped at this multiple of the average to which it is added. */
   private static final double MAX_SAMPLE_RATIO = 4;
 
-  /** The highest charge of one part, and the highest multiple that a hint makes of an estimate. */
+  /** The highest charge of one part, and the highest factor that a hint applies to an estimate. */
   private static final double MAX_COST = 50;
 
   private double averageLatencyMs;
@@ -28,7 +28,7 @@
     Arrays.fill(costByClass, 1);
   }
 
-  /** Standard parts that a query is likely to take; its hint goes into its class's average hint. */
+  /** Estimates a query's work in standard parts; adds the query's hint to its class's average. */
   double estimate(AdmissionRequest request) {
     double cost = costByClass[request.queryClass()];
     double hint = request.hintedWork() / request.parts();
@@ -38,7 +38,7 @@
     return request.parts() * cost;
   }
 
-  /** A hint in relation to the class's average before it, which the hint then goes into. */
+  /** The ratio of a hint to the average hint of its class, to which the hint is then added. */
   private double hintRatio(int queryClass, double hint) {
     double average = hintByClass[queryClass];
     if (average == 0) {
@@ -49,12 +49,12 @@
     return Math.min(MAX_COST, hint / average);
   }
 
-  /** Standard parts that one attempt of a class is likely to take. */
+  /** The estimated work of one attempt of a query class, in standard parts. */
   double estimateAttempt(int queryClass) {
     return costByClass[queryClass];
   }
 
-  /** Records the latency of an answered attempt and returns what it costs. */
+  /** Records the latency of an answered attempt; returns its cost in standard parts. */
   double recordAnswer(int queryClass, double latencyMs) {
     averageLatencyMs = averageLatencyMs == 0 ? latencyMs : smoothed(averageLatencyMs, latencyMs);
     double cost = averageLatencyMs <= 0 ? 1 : Math.min(MAX_COST, latencyMs / averageLatencyMs);
