--- a/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
+++ b/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
@@ -1,6 +1,6 @@
 package bitternpulley.contracts;
 
-import static bitternpulley.contracts.SimulatedTeams.book;
+import static bitternpulley.contracts.SimulatedTeams.contractSet;
 import static bitternpulley.contracts.SimulatedTeams.contract;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
@@ -25,7 +25,7 @@
   private static final double BOOKING_QUOTA = 0.25;
 
   private static ContractBook threeTeams() {
-    return book(
+    return contractSet(
         1,
         contract("appeal", APPEAL_QUOTA),
         contract("stock", STOCK_QUOTA),
@@ -44,24 +44,25 @@
 
   private static void assertInTime(double minimum, SimulatedTeam team) {
     assertTrue(
-        team.inTimeShare() >= minimum, team.id() + ": in time are only " + team.inTimeShare());
+        team.inTimeShare() >= minimum,
+        team.id() + ": share of queries in time is only " + team.inTimeShare());
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void teamAskingForTenTimesItsQuotaDoesNotAffectOthers(long seed) {
+  void teamSendingTenTimesItsQuotaDoesNotAffectOthers(long seed) {
     SimulatedTeams simulation = halfLoaded(seed);
     SimulatedTeam appeal = simulation.team("appeal");
     simulation.runUntil(5000);
     appeal.setQueriesPerSecond(1000);
-    appeal.retryAtOnce();
+    appeal.retryImmediately();
     simulation.runUntil(7000).resetCounts();
     simulation.runUntil(17_000);
     assertInTime(0.95, simulation.team("stock"));
     assertInTime(0.95, simulation.team("booking"));
     assertTrue(
         appeal.inTime() * 4 >= 0.95 * APPEAL_QUOTA * CAPACITY * 10,
-        "appeal has " + appeal.inTime() * 4 + " parts of its 4000");
+        "appeal was served " + appeal.inTime() * 4 + " of its 4000 parts in time");
   }
 
   @Test
@@ -74,7 +75,7 @@
     simulation.runUntil(10_000).resetCounts();
     simulation.runUntil(15_000);
     double lent = appeal.workServed() / 5;
-    assertTrue(lent > 700, "appeal is served " + lent + " parts a second, with 0.35 idle");
+    assertTrue(lent > 700, "appeal was served " + lent + " parts a second, with 0.35 idle");
     stock.setQueriesPerSecond(10);
     simulation.runUntil(16_000).resetCounts();
     simulation.runUntil(21_000);
@@ -99,12 +100,12 @@
                 quota * CAPACITY / 2,
                 simulation.team(team).workServed() / 10,
                 0.2 * quota * CAPACITY / 2,
-                team + " of half the capacity"));
+                team + ": parts a second at half the capacity"));
     simulation.setPartsPerSecond(CAPACITY);
     simulation.runUntil(33_000).resetCounts();
     simulation.runUntil(38_000);
     double served = simulation.teams().stream().mapToDouble(SimulatedTeam::workServed).sum() / 5;
-    assertTrue(served > 850, "recovered to " + served + " of 1000 parts a second");
+    assertTrue(served > 850, "served after recovery: " + served + " of 1000 parts a second");
   }
 
   @Test
@@ -117,14 +118,19 @@
     appeal.honorRetryAfter();
     simulation.runUntil(5000).resetCounts();
     simulation.runUntil(20_000);
-    assertTrue(appeal.retryAfterReceived() > 300, "received " + appeal.retryAfterReceived());
+    assertTrue(
+        appeal.retryAfterReceived() > 300,
+        "rejections with Retry-After: " + appeal.retryAfterReceived());
     assertTrue(
         appeal.returnsServed() >= 0.9 * appeal.retryAfterReceived(),
-        appeal.returnsServed() + " of " + appeal.retryAfterReceived());
+        appeal.returnsServed()
+            + " of "
+            + appeal.retryAfterReceived()
+            + " returning callers were served");
   }
 
   @Test
-  void aCallerKeepsItsOneReservationUntilItReturns() {
+  void callerKeepsItsReservationUntilItReturns() {
     SimulatedTeams simulation = halfLoaded(7);
     AdmissionControl control = simulation.control();
     simulation
@@ -137,13 +143,16 @@
     AdmissionDecision.Rejected again =
         (AdmissionDecision.Rejected) control.admit(request, simulation.now() + 1);
     assertEquals(
-        dueAt, simulation.now() + 1 + again.retryAfter(), 5.1, "early: the rest of the same time");
+        dueAt,
+        simulation.now() + 1 + again.retryAfter(),
+        5.1,
+        "a caller that returns early keeps its due time");
     simulation.runUntil(dueAt + 1);
     UsageCharge charge = (UsageCharge) control.admit(request, simulation.now());
     assertSame(UsageCharge.Basis.RESERVATION, charge.basis());
   }
 
-  /** Repeats a request until it is rejected with a Retry-After above a minimum. */
+  /** Repeats a request until it is rejected with a Retry-After of more than a minimum. */
   private static AdmissionDecision.Rejected rejectionWithRetryAfter(
       SimulatedTeams simulation, AdmissionRequest request, double minimumMs) {
     for (int attempt = 0; attempt < 2000; attempt++) {
@@ -154,20 +163,20 @@
         return rejected;
       }
     }
-    throw new AssertionError("no Retry-After above " + minimumMs);
+    throw new AssertionError("no rejection with a Retry-After of more than " + minimumMs + " ms");
   }
 
   @Test
-  void aQueryIsChargedByItsWork() {
+  void chargesQueryByItsWork() {
     SimulatedTeams simulation = halfLoaded(8);
     simulation.runUntil(3000);
-    UsageCharge usual = answeredAfter(15, simulation);
+    UsageCharge average = answeredAfter(15, simulation);
     UsageCharge heavy = answeredAfter(9 * 15, simulation);
-    assertEquals(9, heavy.used() / usual.used(), 1);
+    assertEquals(9, heavy.used() / average.used(), 1);
     assertTrue(heavy.isSettled());
   }
 
-  /** The charge of a query of one part that took this many ms. */
+  /** The settled charge of a query of one part that was answered after {@code durationMs}. */
   private static UsageCharge answeredAfter(double durationMs, SimulatedTeams simulation) {
     AdmissionControl control = simulation.control();
     AdmissionRequest request = new AdmissionRequest("booking", 2, 1, 0, false, 0);
@@ -179,7 +188,7 @@
   }
 
   @Test
-  void aRestartStarvesNoTeamAndLimitsOverruns() {
+  void restartStarvesNoTeamAndLimitsUsageToCapacity() {
     SimulatedTeams simulation = new SimulatedTeams(10, CAPACITY);
     simulation.control().apply(threeTeams(), 0);
     SimulatedTeam appeal = simulation.addTeam("appeal", 1000, 4);
@@ -187,18 +196,18 @@
     simulation.runUntil(2000).resetCounts();
     simulation.runUntil(7000);
     assertInTime(0.85, stock);
-    assertTrue(appeal.workServed() / 5 < CAPACITY, "no more than the capacity");
+    assertTrue(appeal.workServed() / 5 < CAPACITY, "appeal was served no more than the capacity");
   }
 
   @Test
-  void anUnusedContractTakesAtMostAKilobyteAndNoAccount() {
+  void unusedContractTakesAtMostOneKilobyteAndNoAccount() {
     int count = 10_000;
     Map<String, Contract> contracts = new LinkedHashMap<>();
     Router.ClassTerms terms = new Router.ClassTerms(500, 1500, 1, 1);
     Map<Integer, Router.ClassTerms> shared = Map.of(0, terms);
     long before = usedBytes();
     for (int i = 0; i < count; i++) {
-      // Not by the builder, as the contracts share their terms.
+      // The builder is not used, because these contracts share their class terms.
       contracts.put(
           "t" + i, new Contract("t" + i, 0.0001, 1, 500, true, true, 0.2, 1, 100, shared));
     }
@@ -207,7 +216,7 @@
     assertTrue(
         control.admit(new AdmissionRequest("t17", 0, 1, 0, false, 1), 1) instanceof UsageCharge);
     long bytes = (usedBytes() - before) / count;
-    assertTrue(bytes <= 1024, bytes + " bytes a contract");
+    assertTrue(bytes <= 1024, bytes + " bytes per contract");
     assertEquals(1, control.accounts(2).size(), "an unused contract has no account");
   }
 
@@ -223,20 +232,20 @@
       @ForAll @IntRange(min = 10, max = 900) int secondLoad,
       @ForAll @IntRange(min = 1, max = 40) int parts) {
     SimulatedTeams simulation = new SimulatedTeams(seed, CAPACITY);
-    simulation.control().apply(book(1, contract("a", 0.3), contract("b", 0.6)), 0);
+    simulation.control().apply(contractSet(1, contract("a", 0.3), contract("b", 0.6)), 0);
     SimulatedTeam first = simulation.addTeam("a", firstLoad, 1);
     SimulatedTeam second = simulation.addTeam("b", (double) secondLoad / parts, parts);
     simulation.runUntil(6000).resetCounts();
     simulation.runUntil(14_000);
     double total = (first.workServed() + second.workServed()) / 8;
-    assertTrue(total <= 1080, "more than the capacity was served: " + total);
+    assertTrue(total <= 1080, "more than the capacity was served, in parts a second: " + total);
     double firstGuarantee = Math.min(firstLoad, 300);
     double secondGuarantee = Math.min(secondLoad, 600);
     assertTrue(
         first.workServed() / 8 >= 0.8 * firstGuarantee - 5,
-        "a has " + first.workServed() / 8 + " of " + firstGuarantee);
+        "a was served " + first.workServed() / 8 + " of " + firstGuarantee);
     assertTrue(
         second.workServed() / 8 >= 0.8 * secondGuarantee - 2 * parts,
-        "b has " + second.workServed() / 8 + " of " + secondGuarantee);
+        "b was served " + second.workServed() / 8 + " of " + secondGuarantee);
   }
 }
--- a/src/test/java/bitternpulley/contracts/ContractBuilder.java
+++ b/src/test/java/bitternpulley/contracts/ContractBuilder.java
@@ -4,7 +4,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Contract of a test; unless set, it borrows, lends, and its other limits are never reached. */
+/**
+ * Builds contracts for tests. By default they have no guaranteed quota, borrow and lend, and their
+ * other limits are never reached.
+ */
 public final class ContractBuilder {
   private final String id;
   private double guaranteedQuota;
--- a/src/test/java/bitternpulley/contracts/ContractChangeTest.java
+++ b/src/test/java/bitternpulley/contracts/ContractChangeTest.java
@@ -1,6 +1,6 @@
 package bitternpulley.contracts;
 
-import static bitternpulley.contracts.SimulatedTeams.book;
+import static bitternpulley.contracts.SimulatedTeams.contractSet;
 import static bitternpulley.contracts.SimulatedTeams.contract;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,15 +9,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Contracts that change while queries are pending: a quota, then the classes, then the teams. */
+/**
+ * Contracts change while queries are pending: first a quota, then the classes of a team, then the
+ * teams.
+ */
 class ContractChangeTest {
   private final SimulatedTeams simulation = new SimulatedTeams(9, 1000);
 
   @BeforeEach
-  void runWhileContractsChange() {
+  void runSimulationWithContractChanges() {
     Contract appeal = contract("appeal", 0.2);
     Contract stock = contract("stock", 0.35);
-    Contract bookingWithoutItsClass =
+    Contract bookingWithOtherClass =
         ContractBuilder.contract("booking")
             .guaranteedQuota(0.25)
             .clientRetries(1)
@@ -26,23 +29,23 @@
             .build();
     simulation
         .control()
-        .apply(book(1, contract("appeal", 0.4), stock, contract("booking", 0.25)), 0);
+        .apply(contractSet(1, contract("appeal", 0.4), stock, contract("booking", 0.25)), 0);
     simulation.addTeam("appeal", 50, 4).honorRetryAfter();
     simulation.addTeam("stock", 9, 20);
     simulation.addTeam("booking", 120, 1);
     simulation.team("appeal").setQueriesPerSecond(400);
     simulation.runUntil(5000);
-    simulation.applyAt(6000, book(2, appeal, stock, contract("booking", 0.25)));
-    simulation.applyAt(6080, book(3, appeal, stock, bookingWithoutItsClass));
-    simulation.applyAt(8000, book(4, appeal, bookingWithoutItsClass));
+    simulation.applyAt(6000, contractSet(2, appeal, stock, contract("booking", 0.25)));
+    simulation.applyAt(6080, contractSet(3, appeal, stock, bookingWithOtherClass));
+    simulation.applyAt(8000, contractSet(4, appeal, bookingWithOtherClass));
     simulation.runUntil(12_000);
     simulation.teams().forEach(team -> team.setQueriesPerSecond(0));
     simulation.runUntil(20_000);
   }
 
-  private boolean wasAdmitted(String team, int firstVersion) {
+  private boolean wasAdmittedSince(String team, int version) {
     return simulation.charges().stream()
-        .anyMatch(charge -> charge.team().equals(team) && charge.version() >= firstVersion);
+        .anyMatch(charge -> charge.team().equals(team) && charge.version() >= version);
   }
 
   @Test
@@ -56,24 +59,24 @@
       int expected = version;
       assertTrue(
           simulation.charges().stream().anyMatch(charge -> charge.version() == expected),
-          "some under version " + version);
+          "no query was admitted under version " + version);
     }
   }
 
   @Test
-  void aWithdrawnClassIsNotAdmitted() {
-    assertTrue(wasAdmitted("booking", 2));
-    assertTrue(!wasAdmitted("booking", 3));
+  void doesNotAdmitRemovedClass() {
+    assertTrue(wasAdmittedSince("booking", 2));
+    assertTrue(!wasAdmittedSince("booking", 3));
   }
 
   @Test
-  void aTeamWithoutAContractIsNotAdmitted() {
-    assertTrue(wasAdmitted("stock", 3));
-    assertTrue(!wasAdmitted("stock", 4));
+  void doesNotAdmitTeamWithoutContract() {
+    assertTrue(wasAdmittedSince("stock", 3));
+    assertTrue(!wasAdmittedSince("stock", 4));
   }
 
   @Test
-  void accountsAreChargedWhatWasMeasured() {
+  void accountsAreChargedMeasuredWork() {
     for (AccountView account : simulation.control().accounts(simulation.now())) {
       double measured =
           simulation.charges().stream()
--- a/src/test/java/bitternpulley/contracts/QueryFingerprintTest.java
+++ b/src/test/java/bitternpulley/contracts/QueryFingerprintTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void theBytesAndTheDiscriminatorTellQueriesApart() {
+  void differentBytesOrDiscriminatorsGiveDifferentFingerprints() {
     long fingerprint = QueryFingerprint.of(bytes("query"), 3);
     assertNotEquals(fingerprint, QueryFingerprint.of(bytes("Query"), 3));
     assertNotEquals(fingerprint, QueryFingerprint.of(bytes("query"), 4));
@@ -25,8 +25,8 @@
 
   @Test
   void hashesWithFnv1a() {
-    // A discriminator below 256 is hashed as one byte before the others: "ab" by the published
-    // test vectors of FNV-1a.
+    // A discriminator below 256 is hashed like a byte that precedes the query. The expected value
+    // is the published FNV-1a test vector for "ab".
     assertEquals(0x089c4407b545986aL, QueryFingerprint.of(bytes("b"), 'a'));
   }
 }
--- a/src/test/java/bitternpulley/contracts/RetryReservationsTest.java
+++ b/src/test/java/bitternpulley/contracts/RetryReservationsTest.java
@@ -11,7 +11,7 @@
   private final RetryReservations reservations = new RetryReservations();
 
   @Test
-  void aReservationIsDueAtItsTime() {
+  void reservationBecomesDueAtDueTime() {
     reservations.reserve(CALLER, 100, 2);
     assertTrue(reservations.remainingMs(CALLER, 0) > 0);
     assertTrue(reservations.remainingMs(CALLER, 100) <= 0);
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void amountsAreReservedUntilReleased() {
+  void keepsAmountsReservedUntilReleased() {
     reservations.reserve(CALLER, 100, 2);
     reservations.reserve(CALLER + 1, 200, 3);
     assertEquals(5, reservations.reservedAmount(0));
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void aReservationExpiresAfterItsGracePeriod() {
+  void reservationExpiresAfterItsGracePeriod() {
     reservations.reserve(CALLER, 100, 2);
     assertEquals(2, reservations.reservedAmount(100 + RetryReservations.GRACE_MS));
     assertEquals(0, reservations.reservedAmount(101 + RetryReservations.GRACE_MS));
@@ -37,13 +37,13 @@
   }
 
   @Test
-  void nothingIsReservedWithoutAFingerprint() {
+  void reservesNothingWithoutFingerprint() {
     assertFalse(reservations.reserve(0, 100, 2));
     assertEquals(0, reservations.reservedAmount(0));
   }
 
   @Test
-  void theNumberOfReservationsIsBounded() {
+  void limitsNumberOfReservations() {
     int count = 0;
     while (count < 10_000 && reservations.reserve(count + 1, 100, 1)) {
       count++;
--- a/src/test/java/bitternpulley/contracts/SimulatedTeam.java
+++ b/src/test/java/bitternpulley/contracts/SimulatedTeam.java
@@ -1,13 +1,13 @@
 package bitternpulley.contracts;
 
-/** The clients of one team in {@link SimulatedTeams}, and what became of their queries. */
+/** The clients of one team in {@link SimulatedTeams}, and the results of their queries. */
 final class SimulatedTeam {
   private final String id;
   private final int parts;
   private double queriesPerSecond;
-  private boolean retriesAtOnce;
+  private boolean retriesImmediately;
   private boolean honorsRetryAfter;
-  private int asked;
+  private int sent;
   private int inTime;
   private int retryAfterReceived;
   private int returnsServed;
@@ -23,7 +23,7 @@
     return id;
   }
 
-  /** Parts of each query. */
+  /** The number of parts of each query. */
   int parts() {
     return parts;
   }
@@ -36,9 +36,9 @@
     queriesPerSecond = rate;
   }
 
-  /** Makes clients repeat a rejected query after a millisecond. */
-  void retryAtOnce() {
-    retriesAtOnce = true;
+  /** Makes clients repeat a rejected query after one millisecond. */
+  void retryImmediately() {
+    retriesImmediately = true;
   }
 
   /** Makes clients repeat a rejected query after its Retry-After. */
@@ -46,23 +46,26 @@
     honorsRetryAfter = true;
   }
 
-  boolean retriesAtOnce() {
-    return retriesAtOnce;
+  boolean retriesImmediately() {
+    return retriesImmediately;
   }
 
   boolean honorsRetryAfter() {
     return honorsRetryAfter;
   }
 
-  void recordAsked() {
-    asked++;
+  void recordSent() {
+    sent++;
   }
 
   void recordRetryAfter() {
     retryAfterReceived++;
   }
 
-  /** A query was served, perhaps within its latency objective, perhaps after its Retry-After. */
+  /**
+   * Records a served query, and whether it was served within its latency objective and after its
+   * Retry-After.
+   */
   void recordServed(boolean wasInTime, boolean afterRetryAfter) {
     inTime += wasInTime ? 1 : 0;
     returnsServed += afterRetryAfter ? 1 : 0;
@@ -70,34 +73,34 @@
   }
 
   void resetCounts() {
-    asked = 0;
+    sent = 0;
     inTime = 0;
     retryAfterReceived = 0;
     returnsServed = 0;
     workServed = 0;
   }
 
-  /** Queries served within their latency objective. */
+  /** The number of queries served within their latency objective. */
   int inTime() {
     return inTime;
   }
 
   /** Share of the queries that were served within their latency objective. */
   double inTimeShare() {
-    return (double) inTime / asked;
+    return (double) inTime / sent;
   }
 
-  /** Rejected queries whose clients return after a Retry-After. */
+  /** The number of rejected queries whose clients return after a Retry-After. */
   int retryAfterReceived() {
     return retryAfterReceived;
   }
 
-  /** Queries served after their Retry-After. */
+  /** The number of queries served after their Retry-After. */
   int returnsServed() {
     return returnsServed;
   }
 
-  /** Parts served. */
+  /** The number of parts served. */
   double workServed() {
     return workServed;
   }
--- a/src/test/java/bitternpulley/contracts/SimulatedTeams.java
+++ b/src/test/java/bitternpulley/contracts/SimulatedTeams.java
@@ -10,31 +10,32 @@
 import java.util.Random;
 
 /**
- * A seeded simulation in virtual time: teams whose clients send queries at random, one admission
- * control, and servers that process parts at a rate in the order of arrival. Only the admission
- * control rejects; a query that takes longer than its latency objective does not count as in time.
+ * A seeded simulation in virtual time: teams whose clients send queries at random times, one
+ * admission control, and servers that process parts at a given rate in the order of arrival. Only
+ * the admission control rejects queries. A query that takes longer than its latency objective does
+ * not count as in time.
  */
 final class SimulatedTeams {
   static final double LATENCY_OBJECTIVE_MS = 500;
   private static final double DEADLINE_MS = 1500;
   private static final double MAX_RETRY_AFTER_MS = 2000;
 
-  /** Attempts of a client at one query. */
+  /** How many times a client sends one query at most. */
   private static final int MAX_ATTEMPTS = 3;
 
-  /** Ms that a part takes on an idle server; the rest of its time is queueing. */
+  /** Time that a part takes on an idle server; the rest of its latency is queueing. */
   private static final double PART_MS = 10;
 
-  /** Ms by which a client's return is later than its Retry-After. */
+  /** Delay of a client's return after its Retry-After. */
   private static final double RETURN_DELAY_MS = 5;
 
-  /** Ms after which a team without queries is looked at again. */
+  /** Interval at which a team without queries checks whether its rate has changed. */
   private static final double IDLE_CHECK_MS = 20;
 
   private record Event(double time, long order, Runnable action) {}
 
-  /** A query of a client; the number identifies it, and its time is that of its first attempt. */
-  private record Query(SimulatedTeam team, long number, double firstAskedAt) {}
+  /** A client's query, identified by its number. */
+  private record Query(SimulatedTeam team, long number, double firstSentAt) {}
 
   private final AdmissionControl control =
       new AdmissionControl(
@@ -55,7 +56,7 @@
   private double now;
   private double partsPerSecond;
 
-  /** Servers that process so many parts a second. */
+  /** A simulation without teams; its servers process {@code partsPerSecond}. */
   SimulatedTeams(long seed, double partsPerSecond) {
     this.random = new Random(seed);
     this.partsPerSecond = partsPerSecond;
@@ -72,7 +73,7 @@
         .build();
   }
 
-  static ContractBook book(int version, Contract... contracts) {
+  static ContractBook contractSet(int version, Contract... contracts) {
     Map<String, Contract> byTeam = new LinkedHashMap<>();
     for (Contract contract : contracts) {
       byTeam.put(contract.id(), contract);
@@ -108,13 +109,13 @@
   SimulatedTeam addTeam(String id, double queriesPerSecond, int parts) {
     SimulatedTeam team = new SimulatedTeam(id, queriesPerSecond, parts);
     teams.put(id, team);
-    at(now, () -> arrive(team));
+    schedule(now, () -> sendNextQuery(team));
     return team;
   }
 
-  /** Puts contracts in force at a time. */
-  void applyAt(double time, ContractBook book) {
-    at(time, () -> control.apply(book, now));
+  /** Schedules contracts to be put in force at a time. */
+  void applyAt(double time, ContractBook contracts) {
+    schedule(time, () -> control.apply(contracts, now));
   }
 
   SimulatedTeams runUntil(double time) {
@@ -131,21 +132,21 @@
     teams.values().forEach(SimulatedTeam::resetCounts);
   }
 
-  private void at(double time, Runnable action) {
+  private void schedule(double time, Runnable action) {
     events.add(new Event(Math.max(now, time), lastOrder++, action));
   }
 
-  private void arrive(SimulatedTeam team) {
+  private void sendNextQuery(SimulatedTeam team) {
     double rate = team.queriesPerSecond();
     if (rate > 0) {
-      team.recordAsked();
-      ask(new Query(team, ++lastQuery, now), 1, false);
+      team.recordSent();
+      send(new Query(team, ++lastQuery, now), 1, false);
     }
     double gap = rate > 0 ? -Math.log(1 - random.nextDouble()) * 1000 / rate : IDLE_CHECK_MS;
-    at(now + gap, () -> arrive(team));
+    schedule(now + gap, () -> sendNextQuery(team));
   }
 
-  private void ask(Query query, int attempt, boolean afterRetryAfter) {
+  private void send(Query query, int attempt, boolean afterRetryAfter) {
     SimulatedTeam team = query.team();
     AdmissionRequest request =
         new AdmissionRequest(team.id(), 0, team.parts(), 0, attempt > 1, query.number());
@@ -161,9 +162,9 @@
   private void retry(Query query, int attempt, double retryAfter) {
     if (query.team().honorsRetryAfter() && retryAfter > 0) {
       query.team().recordRetryAfter();
-      at(now + retryAfter + RETURN_DELAY_MS, () -> ask(query, attempt, true));
-    } else if (query.team().retriesAtOnce()) {
-      at(now + 1, () -> ask(query, attempt, false));
+      schedule(now + retryAfter + RETURN_DELAY_MS, () -> send(query, attempt, true));
+    } else if (query.team().retriesImmediately()) {
+      schedule(now + 1, () -> send(query, attempt, false));
     }
   }
 
@@ -173,7 +174,7 @@
     for (int part = 0; part < query.team().parts(); part++) {
       control.onAttemptSent(charge);
       serversFreeAt = Math.max(serversFreeAt, now) + 1000 / partsPerSecond;
-      at(
+      schedule(
           serversFreeAt + PART_MS,
           () -> {
             control.onAttemptEnded(charge, Router.Outcome.OK, now - admittedAt, now);
@@ -185,9 +186,9 @@
     }
   }
 
-  /** The time of a query that returned after its Retry-After counts from its return. */
+  /** The latency is counted from the client's return if the client waited for its Retry-After. */
   private void recordServed(Query query, double admittedAt, boolean afterRetryAfter) {
-    double since = afterRetryAfter ? admittedAt : query.firstAskedAt();
+    double since = afterRetryAfter ? admittedAt : query.firstSentAt();
     query.team().recordServed(now - since <= LATENCY_OBJECTIVE_MS, afterRetryAfter);
   }
 }
--- a/src/test/java/bitternpulley/contracts/TenantIdentificationTest.java
+++ b/src/test/java/bitternpulley/contracts/TenantIdentificationTest.java
@@ -26,14 +26,14 @@
   }
 
   @Test
-  void identifiesTheTeamOfAKey() {
+  void identifiesTeamOfKey() {
     assertEquals(
         new TenantIdentification.KeyOwner(TenantIdentification.KeyStatus.KNOWN, "team"),
         identification.ownerOfKey(header("id:secret")));
   }
 
   @Test
-  void aWrongSecretIdOrSchemeIsUnknown() {
+  void keyWithWrongSecretIdOrSchemeIsUnknown() {
     TenantIdentification.KeyOwner unknown =
         new TenantIdentification.KeyOwner(TenantIdentification.KeyStatus.UNKNOWN, null);
     assertEquals(unknown, identification.ownerOfKey(header("id:wrong")));
@@ -44,12 +44,12 @@
   }
 
   @Test
-  void withoutAHeaderThereIsNoKey() {
+  void keyIsAbsentWithoutHeader() {
     assertEquals(TenantIdentification.KeyStatus.ABSENT, identification.ownerOfKey(null).status());
   }
 
   @Test
-  void identifiesTeamsByIndexAndByClass() {
+  void identifiesTeamsByIndexAndByQueryClass() {
     assertEquals("stock-desk", identification.teamOfIndex("stock"));
     assertNull(identification.teamOfIndex("other"));
     assertEquals("app", identification.teamOfClass(2));
--- a/src/test/java/bitternpulley/contracts/TokenBucketTest.java
+++ b/src/test/java/bitternpulley/contracts/TokenBucketTest.java
@@ -18,13 +18,13 @@
   }
 
   @Test
-  void savingsFallWithTheDepth() {
+  void balanceFallsWithDepth() {
     bucket.fill(100, 0.5, 4);
     assertEquals(4, bucket.balance());
   }
 
   @Test
-  void aRefundStopsAtTheDepthAndAnExcessIsTaken() {
+  void refundStopsAtDepthAndTakesExcess() {
     bucket.take(3);
     bucket.refund(5, DEPTH);
     assertEquals(DEPTH, bucket.balance());
