--- a/src/main/java/bitternpulley/contracts/CapacityEstimate.java
+++ b/src/main/java/bitternpulley/contracts/CapacityEstimate.java
@@ -241,9 +241,7 @@
     if (probing) {
       return INCREASE_FACTOR_PROBING;
     }
-    return rate < NEAR_BEST_SHARE * bestDeliveredRate
-        ? INCREASE_FACTOR
-        : INCREASE_FACTOR_NEAR_BEST;
+    return rate < NEAR_BEST_SHARE * bestDeliveredRate ? INCREASE_FACTOR : INCREASE_FACTOR_NEAR_BEST;
   }
 
   private boolean isLimited() {
--- a/src/main/java/bitternpulley/contracts/TenantIdentification.java
+++ b/src/main/java/bitternpulley/contracts/TenantIdentification.java
@@ -50,8 +50,8 @@
    *
    * @param keys API keys by their id
    * @param teamByIndex the team of each index that belongs to a team
-   * @param teamByClass the team of each query class, by position, whose platform queries belong to a
-   *     team
+   * @param teamByClass the team of each query class, by position, whose platform queries belong to
+   *     a team
    * @param hasDefaultContract whether a default contract applies to requests without an identified
    *     team
    */
--- a/src/test/java/bitternpulley/leases/LeasesTest.java
+++ b/src/test/java/bitternpulley/leases/LeasesTest.java
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void startingMembersHaveNoQuotaUntilEarlierLeasesHaveExpired() {
+  void startingMembersHaveEqualQuotasOnceEarlierLeasesHaveExpired() {
     SimulatedLeaseCluster cluster =
         new SimulatedLeaseCluster(terms(5, 3), 1).run(0.95 * DURATION_MS);
     assertQuotas(cluster, List.of(0, 1, 2, 3, 4), 0);
--- a/src/test/java/bitternpulley/leases/SimulatedLeaseCluster.java
+++ b/src/test/java/bitternpulley/leases/SimulatedLeaseCluster.java
@@ -48,8 +48,7 @@
   private final List<Node> nodes = new ArrayList<>();
   private final PriorityQueue<ScheduledTask> tasks =
       new PriorityQueue<>(
-          Comparator.comparingDouble(ScheduledTask::time)
-              .thenComparingLong(ScheduledTask::order));
+          Comparator.comparingDouble(ScheduledTask::time).thenComparingLong(ScheduledTask::order));
   private final boolean[][] cuts;
   private double lossRate;
   private double maxDelayMs = 3;
