--- a/src/main/java/bitternpulley/leases/LeaseTerms.java
+++ b/src/main/java/bitternpulley/leases/LeaseTerms.java
@@ -17,8 +17,8 @@
   public static final int MAX_MEMBERS = 1500;
 
   /**
-   * The minimum duration for each configured member, so that a witness receives at most 40 requests
-   * a second.
+   * Minimum duration of a lease per configured member, so that a witness receives at most 40
+   * requests a second.
    */
   private static final double MIN_DURATION_PER_MEMBER_MS = 100;
 
--- a/src/main/java/bitternpulley/leases/Leases.java
+++ b/src/main/java/bitternpulley/leases/Leases.java
@@ -24,8 +24,8 @@
    * @param quota this instance's share of the common budget, 0 to 1
    * @param leases number of witnesses from which this instance has a usable lease
    * @param witnesses number of all witnesses
-   * @param activeMembers number of members listed in these leases, which are those that may act; 0
-   *     if this instance may not act itself
+   * @param activeMembers number of members listed in these leases, which include all that may act;
+   *     0 if this instance may not act itself
    */
   public record LeaseStatus(double quota, int leases, int witnesses, int activeMembers) {}
 
