--- a/src/main/java/bitternpulley/membership/MemberMetadata.java
+++ b/src/main/java/bitternpulley/membership/MemberMetadata.java
@@ -1,21 +1,21 @@
 package bitternpulley.membership;
 
 /**
- * Descriptive texts that a member announces when it starts. Each is cut to {@link #MAX_LENGTH}
- * characters, and characters outside printable ASCII are replaced, so that it fits a datagram.
+ * Descriptive texts that a member announces when it starts. Each text is cut to {@link #MAX_LENGTH}
+ * characters, and characters outside printable ASCII are replaced, so that all fit in a datagram.
  *
  * @param name the instance's name
- * @param zone its zone
- * @param region its region
- * @param build version of its program
+ * @param zone the instance's zone
+ * @param region the instance's region
+ * @param build version of the program that the instance runs
  */
 public record MemberMetadata(String name, String zone, String region, String build) {
   static final int MAX_LENGTH = 24;
 
-  /** Length headers of the four texts, at the most. */
+  /** Maximum total size of the length headers of the four texts. */
   private static final int MAX_HEADER_BYTES = 9;
 
-  /** Makes the texts fit a datagram, whatever was configured. */
+  /** Shortens the texts and replaces characters, so that they fit in a datagram. */
   public MemberMetadata {
     name = toPrintable(name);
     zone = toPrintable(zone);
@@ -23,7 +23,7 @@
     build = toPrintable(build);
   }
 
-  /** The most bytes that it takes in a datagram. */
+  /** The maximum number of bytes that the metadata occupies in a datagram. */
   int maxEncodedBytes() {
     return MAX_HEADER_BYTES + name.length() + zone.length() + region.length() + build.length();
   }
--- a/src/main/java/bitternpulley/membership/MemberPayload.java
+++ b/src/main/java/bitternpulley/membership/MemberPayload.java
@@ -4,37 +4,38 @@
 import java.util.HexFormat;
 
 /**
- * Bytes that a member publishes to all others, at most {@link #MAX_BYTES}; the first byte names the
- * format. Of two payloads of one process, that with the greater count is the later one.
+ * Bytes that a member publishes to all others, at most {@link #MAX_BYTES}; the first byte
+ * identifies the format. Of two payloads of one process, the one with the greater sequence number
+ * is later.
  */
 public final class MemberPayload {
-  /** The longest payload. */
+  /** The maximum length of a payload. */
   public static final int MAX_BYTES = 64;
 
-  /** Count and length header, at the most. */
+  /** Maximum size of the sequence number and the length header. */
   private static final int MAX_HEADER_BYTES = 7;
 
-  private final int count;
+  private final int sequenceNumber;
   private final byte[] bytes;
 
   /**
-   * A payload.
+   * Creates a payload.
    *
-   * @param count number of this publication of the process
+   * @param sequenceNumber number of this publication among those of the process
    * @throws IllegalArgumentException if there are more than {@link #MAX_BYTES} bytes
    */
-  public MemberPayload(int count, byte[] bytes) {
+  public MemberPayload(int sequenceNumber, byte[] bytes) {
     if (bytes.length > MAX_BYTES) {
       throw new IllegalArgumentException(
           "payload of " + bytes.length + " bytes exceeds " + MAX_BYTES);
     }
-    this.count = count;
+    this.sequenceNumber = sequenceNumber;
     this.bytes = bytes.clone();
   }
 
-  /** Number of this publication of the process. */
+  /** Number of this publication among those of the process. */
   public int count() {
-    return count;
+    return sequenceNumber;
   }
 
   /** A copy of the published bytes. */
@@ -42,7 +43,7 @@
     return bytes.clone();
   }
 
-  /** The most bytes that it takes in a datagram. */
+  /** The maximum number of bytes that the payload occupies in a datagram. */
   int maxEncodedBytes() {
     return MAX_HEADER_BYTES + bytes.length;
   }
@@ -50,17 +51,17 @@
   @Override
   public boolean equals(Object other) {
     return other instanceof MemberPayload payload
-        && payload.count == count
+        && payload.sequenceNumber == sequenceNumber
         && Arrays.equals(payload.bytes, bytes);
   }
 
   @Override
   public int hashCode() {
-    return 31 * count + Arrays.hashCode(bytes);
+    return 31 * sequenceNumber + Arrays.hashCode(bytes);
   }
 
   @Override
   public String toString() {
-    return count + ":" + HexFormat.of().formatHex(bytes);
+    return sequenceNumber + ":" + HexFormat.of().formatHex(bytes);
   }
 }
--- a/src/main/java/bitternpulley/membership/MemberState.java
+++ b/src/main/java/bitternpulley/membership/MemberState.java
@@ -2,12 +2,12 @@
 
 /** The state of a member in one instance's view. Admin answers carry the name of the constant. */
 public enum MemberState {
-  /** It answers probes, directly or through a relay. */
+  /** The member answers probes, directly or through a relay. */
   ALIVE,
-  /** It did not answer a probe and may still refute; it counts as active. */
+  /** The member did not answer a probe and may still refute the suspicion; it counts as active. */
   SUSPECT,
-  /** It did not refute in time. */
+  /** The member did not refute the suspicion in time. */
   DEAD,
-  /** It announced that it leaves. */
+  /** The member announced that it was leaving. */
   LEFT
 }
--- a/src/main/java/bitternpulley/membership/MemberView.java
+++ b/src/main/java/bitternpulley/membership/MemberView.java
@@ -1,16 +1,17 @@
 package bitternpulley.membership;
 
 /**
- * One member in an instance's view.
+ * One member as an instance sees it.
  *
  * @param number the member
- * @param epoch start of its process, 0 where no process of it is known
- * @param state its state
- * @param metadata its metadata, or null where that is unknown
- * @param sinceStateChange ms since its state changed
- * @param sinceLastEvidence ms since the last evidence that it runs, infinite where there was none
- * @param reachedIndirectly whether its last answer came through a relay
- * @param reachability which members it reports as unreachable, and its payload
+ * @param epoch epoch of the member's process, 0 if no process is known
+ * @param state the member's state
+ * @param metadata the member's metadata, or null if unknown
+ * @param sinceStateChange ms since the member's state changed
+ * @param sinceLastEvidence ms since the last evidence that the member runs; infinite if there was
+ *     none
+ * @param reachedIndirectly whether the member's last ack came through a relay
+ * @param reachability which members this member reports as unreachable, and its payload
  */
 public record MemberView(
     int number,
--- a/src/main/java/bitternpulley/membership/MembershipSettings.java
+++ b/src/main/java/bitternpulley/membership/MembershipSettings.java
@@ -1,12 +1,13 @@
 package bitternpulley.membership;
 
 /**
- * Operators' settings. Times in ms.
+ * Settings that operators can change. Times are ms.
  *
- * @param interval time between probes, multiplied while the local health is poor
- * @param timeout time after which an unanswered probe goes to relays; it fails after three of these
- * @param relays number of members asked to probe on this one's behalf
- * @param suspicionIntervals the least number of intervals during which a suspect may refute
+ * @param interval time between probes, which is longer while the local health is poor
+ * @param timeout time after which relays are asked to probe a target that has not answered; a probe
+ *     fails after three times this value
+ * @param relays number of members asked to probe on behalf of this instance
+ * @param suspicionIntervals minimum number of intervals that a suspect has to refute
  * @param withoutMajorityAfter time after which an instance that does not hear from a majority
  *     declares its suspects dead nevertheless
  */
@@ -16,6 +17,6 @@
     int relays,
     double suspicionIntervals,
     double withoutMajorityAfter) {
-  /** Detects a death in some 5 s among ten members; a zone may be cut off for 10 s. */
+  /** Detects a death in about 5 s among ten members, and allows a zone to be cut off for 10 s. */
   public static final MembershipSettings DEFAULT = new MembershipSettings(1000, 300, 3, 3, 20_000);
 }
