--- a/src/main/java/bitternpulley/membership/ActiveProbes.java
+++ b/src/main/java/bitternpulley/membership/ActiveProbes.java
@@ -1,16 +1,19 @@
 package bitternpulley.membership;
 
-/** The probes of this instance in progress: at most one of the round, and one check out of turn. */
+/**
+ * The probes that this instance has in progress: at most one round probe and at most one check,
+ * which is a probe outside the round.
+ */
 final class ActiveProbes {
   private Probe roundProbe;
   private Probe check;
 
-  /** The probe of the round; null where none is in progress. */
+  /** The round probe in progress; null if there is none. */
   Probe roundProbe() {
     return roundProbe;
   }
 
-  /** The check out of turn; null where none is in progress. */
+  /** The check in progress; null if there is none. */
   Probe check() {
     return check;
   }
@@ -23,19 +26,19 @@
     check = probe;
   }
 
-  /** Ends a probe that was answered or has failed. */
+  /** Removes a probe that was answered or has failed. */
   void finish(Probe probe) {
     roundProbe = probe == roundProbe ? null : roundProbe;
     check = probe == check ? null : check;
   }
 
-  /** Drops both, so that their answers are not awaited. */
+  /** Drops both probes; their answers will be ignored. */
   void clear() {
     roundProbe = null;
     check = null;
   }
 
-  /** The probe of this sequence number; null where none is in progress. */
+  /** The probe in progress with this sequence number; null if there is none. */
   Probe find(int sequence) {
     if (roundProbe != null && roundProbe.sequence() == sequence) {
       return roundProbe;
--- a/src/main/java/bitternpulley/membership/CheckQueue.java
+++ b/src/main/java/bitternpulley/membership/CheckQueue.java
@@ -4,10 +4,11 @@
 import java.util.Optional;
 
 /**
- * The members to be probed out of turn, within a budget. Without one, in a large fleet on a lossy
- * network, where some member is suspect at any time, every member would probe every suspect:
- * traffic would grow with the square of the fleet. A failed check is refunded, since its duration
- * bounds it, so that dead members are confirmed no later.
+ * The members that are queued for a check, a probe outside the round, and the budget of checks. In
+ * a large fleet on a lossy network some member is suspect at any time; without the budget every
+ * member would probe every suspect, and traffic would grow with the square of the fleet size. The
+ * cost of a failed check is refunded, so that the budget does not delay the confirmation of dead
+ * members; the duration of a failed check already limits their rate.
  */
 final class CheckQueue {
   private static final double CHECKS_PER_INTERVAL = 1;
@@ -20,14 +21,14 @@
   private double budget = MAX_BUDGET;
   private double refilledAt;
 
-  /** A queue with a full budget; {@code interval} is the probe interval in ms. */
+  /** Creates a queue with a full budget; {@code interval} is the probe interval in ms. */
   CheckQueue(ActiveProbes active, double interval, double now) {
     this.active = active;
     this.interval = interval;
     refilledAt = now;
   }
 
-  /** Queues a check of a member, unless one is queued or the member is being probed. */
+  /** Queues a check of a member, unless a check is already queued or a probe is in progress. */
   void request(Member member) {
     if (!queue.contains(member) && !active.isProbing(member)) {
       queue.add(member);
@@ -35,8 +36,8 @@
   }
 
   /**
-   * Takes the next member to check; empty where none waits or the budget is spent. Members that
-   * wait keep their order.
+   * Takes the next member to check, in the order of the requests; empty if no active member is next
+   * or the budget is spent.
    */
   Optional<Member> take(double now) {
     budget = Math.min(MAX_BUDGET, budget + CHECKS_PER_INTERVAL * (now - refilledAt) / interval);
--- a/src/main/java/bitternpulley/membership/Probe.java
+++ b/src/main/java/bitternpulley/membership/Probe.java
@@ -4,15 +4,15 @@
 import java.util.Set;
 
 /**
- * One probe in progress: a direct ping, then a second one together with indirect pings through
- * relays, then failed.
+ * One probe in progress: first a direct ping, then a second direct ping together with indirect
+ * pings through relays; if none is answered, the probe fails.
  */
 final class Probe {
-  /** Time-outs after which relays are asked. */
-  private static final double RELAYS_AFTER = 1;
+  /** Time-outs after which relays are asked to ping the target. */
+  private static final double RELAYS_AFTER_TIMEOUTS = 1;
 
-  /** Time-outs after which it has failed. */
-  private static final double FAILS_AFTER = 3;
+  /** Time-outs after which the probe has failed. */
+  private static final double FAILS_AFTER_TIMEOUTS = 3;
 
   private final Member target;
   private final int sequence;
@@ -40,9 +40,9 @@
     return sentAt;
   }
 
-  /** Whether relays have to be asked now; true only once. */
+  /** Whether relays are to be asked now; true only once, since the call marks them as asked. */
   boolean beginIndirect(double now) {
-    if (hasRequestedRelays || now < sentAt + RELAYS_AFTER * timeout) {
+    if (hasRequestedRelays || now < sentAt + RELAYS_AFTER_TIMEOUTS * timeout) {
       return false;
     }
     hasRequestedRelays = true;
@@ -53,18 +53,20 @@
     silentRelays.add(number);
   }
 
-  /** A relay got no ack either, but this instance and the relay hear each other. */
+  /**
+   * Records that a relay got no ack either, but that this instance and the relay can communicate.
+   */
   void recordNack(int relay) {
     silentRelays.remove(relay);
   }
 
   boolean hasFailed(double now) {
-    return now >= sentAt + FAILS_AFTER * timeout;
+    return now >= sentAt + FAILS_AFTER_TIMEOUTS * timeout;
   }
 
   /**
-   * Whether the failure is likely the target's: relays were asked, and each answered that it got no
-   * ack. A silent relay makes a fault of this instance likelier.
+   * Whether the probe probably failed because of the target: relays were asked, and each answered
+   * that it got no ack. A relay that does not answer makes a fault of this instance more likely.
    */
   boolean isConfirmedByRelays() {
     return hasRequestedRelays && silentRelays.isEmpty();
--- a/src/main/java/bitternpulley/membership/Prober.java
+++ b/src/main/java/bitternpulley/membership/Prober.java
@@ -9,15 +9,16 @@
 import java.util.Random;
 
 /**
- * Probes the members in rounds, each member once a round in random order, and concurrently one
- * member at a time out of turn. A {@link ProbeListener} decides what a result means.
+ * Probes the members in rounds, each member once per round in random order. Concurrently runs
+ * checks, which are probes outside the round, one at a time. A {@link ProbeListener} handles the
+ * results.
  */
 final class Prober {
   /**
-   * One in this number of round probes is accompanied by a ping of a member that is dead or without
-   * any contact yet, by which a healed partition is detected.
+   * One in this number of round probes is accompanied by a ping of a member that is dead or was
+   * never in contact, in order to detect that a partition has healed.
    */
-  private static final int PROBES_PER_RECONNECT = 4;
+  private static final int PROBES_PER_RECONNECT_PING = 4;
 
   private final MembershipSettings settings;
   private final MembershipTable table;
@@ -30,10 +31,10 @@
   private final RelayedProbes relayedProbes;
   private final ArrayDeque<Member> round = new ArrayDeque<>();
   private int lastSequence;
-  private int roundProbes;
+  private int roundProbeCount;
   private double nextRoundProbeAt;
 
-  /** A prober whose first probe starts at a random time within the first interval. */
+  /** Creates a prober that starts its first probe at a random time within the first interval. */
   Prober(
       MembershipSettings settings,
       MembershipTable table,
@@ -60,7 +61,7 @@
     return ++lastSequence;
   }
 
-  /** Advances the probes in progress, of this instance and of those it relays for. */
+  /** Advances the probes in progress, including those that are relayed for other members. */
   void advance(double now) {
     relayedProbes.expire(now);
     Probe roundProbe = active.roundProbe();
@@ -77,7 +78,7 @@
   /** Starts the probes that are due. */
   void startDue(double now) {
     if (active.check() == null) {
-      checks.take(now).ifPresent(target -> active.startCheck(start(target, now)));
+      checks.take(now).ifPresent(target -> active.startCheck(startProbe(target, now)));
     }
     if (active.roundProbe() == null && now >= nextRoundProbeAt) {
       nextRoundProbeAt = now + settings.interval() * localHealth.intervalFactor();
@@ -85,13 +86,13 @@
     }
   }
 
-  /** After a pause: drops all probes, since their answers may have come and gone. */
+  /** Drops all probes after a pause, since their answers may have been missed. */
   void reset() {
     active.clear();
     relayedProbes.clear();
   }
 
-  /** Pings some active members without awaiting an answer. */
+  /** Pings at most {@code limit} active members, without tracking the answers. */
   void pingSome(int limit) {
     table.sample(limit, random, Member::isActive).forEach(this::ping);
   }
@@ -101,21 +102,21 @@
   }
 
   private void startRoundProbe(double now) {
-    roundProbes++;
-    if (roundProbes % PROBES_PER_RECONNECT == 0) {
+    roundProbeCount++;
+    if (roundProbeCount % PROBES_PER_RECONNECT_PING == 0) {
       table.sample(1, random, Prober::isWithoutContact).forEach(this::ping);
     }
-    nextOfRound().ifPresent(target -> active.startRoundProbe(start(target, now)));
+    nextRoundTarget().ifPresent(target -> active.startRoundProbe(startProbe(target, now)));
   }
 
   private static boolean isWithoutContact(Member member) {
     return member.state() == MemberState.DEAD || (member.isActive() && !member.isKnown());
   }
 
-  /** The next member of the round; empty where there is none to probe. */
-  private Optional<Member> nextOfRound() {
+  /** The next member of the round to probe; empty if there is none. */
+  private Optional<Member> nextRoundTarget() {
     while (true) {
-      if (round.isEmpty() && !beginRound()) {
+      if (round.isEmpty() && !startRound()) {
         return Optional.empty();
       }
       Member next = round.poll();
@@ -125,8 +126,8 @@
     }
   }
 
-  /** Begins a round of the active members; false where there are none. */
-  private boolean beginRound() {
+  /** Starts a new round of the active members; returns false if there are none. */
+  private boolean startRound() {
     List<Member> members = new ArrayList<>(table.all());
     members.removeIf(member -> !member.isActive() || active.isChecking(member));
     if (members.isEmpty()) {
@@ -137,14 +138,14 @@
     return true;
   }
 
-  private Probe start(Member target, double now) {
+  private Probe startProbe(Member target, double now) {
     Probe probe =
         new Probe(target, nextSequence(), now, settings.timeout() * localHealth.timeoutFactor());
     outbox.send(target.number(), Kind.PING, probe.sequence(), target.number());
     return probe;
   }
 
-  /** Asks relays for a probe where that is due; returns whether the probe has failed. */
+  /** Asks relays to ping the target if that is due; returns whether the probe has failed. */
   private boolean advance(Probe probe, double now) {
     if (probe.beginIndirect(now)) {
       Member target = probe.target();
@@ -167,7 +168,7 @@
   private void onFailed(Probe probe, double now) {
     active.finish(probe);
     Member target = probe.target();
-    // A suspect is expected not to answer, so its silence says nothing of this instance.
+    // A suspect is expected not to answer, so its silence does not indicate poor local health.
     if (target.isAlive() && !probe.isConfirmedByRelays()) {
       localHealth.recordMissedAck();
     }
@@ -175,7 +176,7 @@
     listener.onProbeFailed(target, probe.sentAt(), now);
   }
 
-  /** Handles an ack, of a probe of this instance or of one that it relays. */
+  /** Handles an ack to a probe of this instance or to a probe that it relays. */
   void onAck(GossipMessage ack, double now) {
     if (relayedProbes.forwardAck(ack)) {
       return;
@@ -186,7 +187,7 @@
     }
     Member target = probe.target();
     target.recordAck(ack.from(), now);
-    // A check lasts until it is answered or has failed, so its ack says nothing of this instance.
+    // A check lasts until it is answered or has failed, so its ack does not indicate local health.
     if (probe == active.roundProbe()) {
       localHealth.recordAck();
     }
--- a/src/main/java/bitternpulley/membership/RelayedProbes.java
+++ b/src/main/java/bitternpulley/membership/RelayedProbes.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.IntSupplier;
 
-/** The indirect probes that this instance makes as a relay for others (SWIM's ping-req). */
+/** The probes that this instance makes as a relay on behalf of other members (SWIM's ping-req). */
 final class RelayedProbes {
   private static final int MAX_PENDING = 64;
 
@@ -14,7 +14,7 @@
    * A probe on behalf of {@code origin}.
    *
    * @param originSequence sequence number of the origin's probe
-   * @param expiresAt when the origin gets a nack
+   * @param expiresAt when a nack is sent to the origin
    */
   private record RelayedProbe(int origin, int originSequence, int target, double expiresAt) {}
 
@@ -25,10 +25,10 @@
   private final Map<Integer, RelayedProbe> pending = new HashMap<>();
 
   /**
-   * A relay without pending probes.
+   * Creates a relay without pending probes.
    *
-   * @param timeout ms for which a target may answer
-   * @param nextSequence numbers that no other probe of this instance uses
+   * @param timeout ms that a target has to answer
+   * @param nextSequence supplies sequence numbers that no other probe of this instance uses
    */
   RelayedProbes(MembershipTable table, Outbox outbox, double timeout, IntSupplier nextSequence) {
     this.table = table;
@@ -37,7 +37,7 @@
     this.nextSequence = nextSequence;
   }
 
-  /** Probes the target of a request; sends a nack at once where it cannot. */
+  /** Probes the target of a request, or sends a nack immediately if that is not possible. */
   void relay(GossipMessage request, double now) {
     Member target = table.find(request.target());
     if (target == null || pending.size() >= MAX_PENDING) {
@@ -51,7 +51,7 @@
     outbox.send(target.number(), Kind.PING, sequence, target.number());
   }
 
-  /** Passes an ack on to its origin; false where it answers no relayed probe. */
+  /** Forwards an ack to the origin of its probe; returns false if it answers no relayed probe. */
   boolean forwardAck(GossipMessage ack) {
     RelayedProbe probe = pending.remove(ack.sequence());
     if (probe == null || probe.target() != ack.from()) {
@@ -73,7 +73,7 @@
     }
   }
 
-  /** Drops all probes, without nacks. */
+  /** Drops all pending probes without sending nacks. */
   void clear() {
     pending.clear();
   }
