--- a/src/main/java/bitternpulley/membership/AntiEntropy.java
+++ b/src/main/java/bitternpulley/membership/AntiEntropy.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /**
- * Pages of what this instance knows of all members, a further page with each sync message. Repairs
- * what dissemination has missed.
+ * Divides what this instance knows about all members into pages, one for each sync message. Sync
+ * messages repair what dissemination has missed.
  */
 final class AntiEntropy {
   private final LocalMember local;
   private final MembershipTable table;
-  private int nextState;
-  private int nextPayload;
+  private int nextStateIndex;
+  private int nextPayloadIndex;
 
   AntiEntropy(LocalMember local, MembershipTable table) {
     this.local = local;
     this.table = table;
   }
 
-  /** The next page of payloads for a receiver, without the receiver's own. */
+  /** The next page of payloads for a receiver, without the receiver's own payload. */
   List<GossipUpdate> payloadPage(int receiver) {
     List<GossipUpdate> page = new ArrayList<>();
     int bytesLeft = GossipMessage.UPDATE_BYTES;
@@ -32,10 +32,10 @@
             .toList();
     int offset = 0;
     while (offset < publishers.size() && page.size() < GossipMessage.MAX_UPDATES) {
-      int position = (nextPayload + offset) % publishers.size();
+      int position = (nextPayloadIndex + offset) % publishers.size();
       GossipUpdate update = publishers.get(position).payloadUpdate();
       if (update.maxEncodedBytes() > bytesLeft) {
-        nextPayload = position;
+        nextPayloadIndex = position;
         break;
       }
       page.add(update);
@@ -45,7 +45,10 @@
     return page;
   }
 
-  /** The next page of states for a receiver: this instance's own first, the receiver's left out. */
+  /**
+   * The next page of states for a receiver: starts with this instance's own state and omits the
+   * receiver's.
+   */
   List<GossipUpdate> statePage(int receiver) {
     GossipUpdate own = local.update();
     List<GossipUpdate> page = new ArrayList<>();
@@ -54,7 +57,7 @@
     List<Member> members = new ArrayList<>(table.all());
     int offset = 0;
     while (offset < members.size() && page.size() < GossipMessage.MAX_UPDATES) {
-      Member member = members.get((nextState + offset) % members.size());
+      Member member = members.get((nextStateIndex + offset) % members.size());
       GossipUpdate update = member.isAlive() ? member.update() : member.update(local.number());
       if (update.maxEncodedBytes() > bytesLeft) {
         break;
@@ -65,7 +68,7 @@
         bytesLeft -= update.maxEncodedBytes();
       }
     }
-    nextState = members.isEmpty() ? 0 : (nextState + offset) % members.size();
+    nextStateIndex = members.isEmpty() ? 0 : (nextStateIndex + offset) % members.size();
     return page;
   }
 }
--- a/src/main/java/bitternpulley/membership/DisseminationQueue.java
+++ b/src/main/java/bitternpulley/membership/DisseminationQueue.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 
 /**
- * Updates to be piggybacked on messages: urgent ones first, then the least transmitted. Each is
- * transmitted a multiple of the logarithm of the number of members (SWIM's infection-style
- * dissemination). A later update about a member replaces the earlier one.
+ * Updates to be piggybacked on messages: urgent updates first, and among equally urgent ones the
+ * least transmitted first. The number of transmissions of each update is a multiple of the
+ * logarithm of the number of members (SWIM's infection-style dissemination). A later update about a
+ * member replaces the earlier one.
  */
 final class DisseminationQueue {
   /** Transmissions of an update per binary logarithm of the number of members. */
@@ -29,7 +30,7 @@
     }
   }
 
-  private static final Comparator<Entry> ORDER =
+  private static final Comparator<Entry> TRANSMISSION_ORDER =
       Comparator.<Entry>comparingInt(entry -> entry.rank)
           .thenComparingInt(entry -> entry.transmissions)
           .thenComparingInt(entry -> entry.update.number());
@@ -41,40 +42,41 @@
   }
 
   /**
-   * Adds an update that waits until nothing urgent is left: the first contacts of a starting fleet
-   * would otherwise delay suspicions by minutes.
+   * Adds an update that is sent only after all urgent updates: the first contacts of a starting
+   * fleet would otherwise delay suspicions by minutes.
    */
   void addDeferrable(GossipUpdate update) {
     byMember.put(update.number(), new Entry(update, DEFERRABLE));
   }
 
-  /** Takes updates for one message, at most {@code limit} and of at most that many bytes. */
-  List<GossipUpdate> take(int members, int bytes, int limit) {
+  /** Takes updates for one message, at most {@code maxUpdates} and at most {@code maxBytes}. */
+  List<GossipUpdate> take(int memberCount, int maxBytes, int maxUpdates) {
     List<GossipUpdate> selected = new ArrayList<>();
-    selectInto(selected, members, bytes, limit);
+    selectInto(selected, memberCount, maxBytes, maxUpdates);
     return selected;
   }
 
-  /** The same, with {@code first} as the first update of the message. */
-  List<GossipUpdate> takeAfter(GossipUpdate first, int members, int bytes, int limit) {
+  /** As {@link #take}, but puts {@code first} before the updates of the queue. */
+  List<GossipUpdate> takeAfter(GossipUpdate first, int memberCount, int maxBytes, int maxUpdates) {
     List<GossipUpdate> selected = new ArrayList<>();
     selected.add(first);
-    selectInto(selected, members, bytes - first.maxEncodedBytes(), limit);
+    selectInto(selected, memberCount, maxBytes - first.maxEncodedBytes(), maxUpdates);
     return selected;
   }
 
-  private void selectInto(List<GossipUpdate> selected, int members, int bytes, int limit) {
+  private void selectInto(
+      List<GossipUpdate> selected, int memberCount, int maxBytes, int maxUpdates) {
     if (byMember.isEmpty()) {
       return;
     }
     int alreadyIncluded = selected.isEmpty() ? -1 : selected.get(0).number();
-    int bytesLeft = bytes;
+    int bytesLeft = maxBytes;
     int maxTransmissions =
-        (int) Math.ceil(TRANSMISSIONS_PER_LOG * Math.log(members + 1) / Math.log(2));
+        (int) Math.ceil(TRANSMISSIONS_PER_LOG * Math.log(memberCount + 1) / Math.log(2));
     List<Entry> entries = new ArrayList<>(byMember.values());
-    entries.sort(ORDER);
+    entries.sort(TRANSMISSION_ORDER);
     for (Entry entry : entries) {
-      if (selected.size() >= limit) {
+      if (selected.size() >= maxUpdates) {
         return;
       }
       GossipUpdate update = entry.update;
--- a/src/main/java/bitternpulley/membership/Outbox.java
+++ b/src/main/java/bitternpulley/membership/Outbox.java
@@ -13,12 +13,12 @@
     this.composer = composer;
   }
 
-  /** Begins the actions of a further call. */
+  /** Starts an empty list of actions for the next call. */
   void begin() {
     actions = new ArrayList<>();
   }
 
-  /** The actions since {@link #begin}. */
+  /** The actions added since {@link #begin}. */
   List<MembershipAction> actions() {
     return actions;
   }
--- a/src/main/java/bitternpulley/membership/ReachabilityPublisher.java
+++ b/src/main/java/bitternpulley/membership/ReachabilityPublisher.java
@@ -4,14 +4,16 @@
 import java.util.TreeMap;
 
 /**
- * Publishes, as this instance's payload, which members it does not reach directly, together with
- * the bytes that other subsystems publish.
+ * Publishes the payload of this instance: which members this instance does not reach directly, and
+ * the bytes of other subsystems.
  */
 final class ReachabilityPublisher {
   private final LocalMember local;
   private final MembershipTable table;
   private final MessageComposer composer;
   private byte[] payload = new byte[0];
+
+  /** Whether messages from the member still arrive, by number of the unreachable member. */
   private Map<Integer, Boolean> unreachable = Map.of();
 
   ReachabilityPublisher(LocalMember local, MembershipTable table, MessageComposer composer) {
@@ -36,16 +38,16 @@
   }
 
   /**
-   * Publishes the unreachable members where these have changed; one that sent a message at or after
-   * {@code receivesSince} is reported as still received from.
+   * Publishes the unreachable members if they have changed. Messages from a member are reported as
+   * still arriving if the last one arrived at or after {@code receivedSince}.
    */
-  void refresh(double receivesSince) {
+  void refresh(double receivedSince) {
     Map<Integer, Boolean> current = new TreeMap<>();
     for (Member member : table.all()) {
       if (member.isActive()
           && member.isUnreachableDirectly()
           && current.size() < ReachabilityReport.MAX_MEMBERS) {
-        current.put(member.number(), member.lastMessageAt() >= receivesSince);
+        current.put(member.number(), member.lastMessageAt() >= receivedSince);
       }
     }
     if (!current.equals(unreachable)) {
--- a/src/main/java/bitternpulley/membership/ReachabilityReport.java
+++ b/src/main/java/bitternpulley/membership/ReachabilityReport.java
@@ -8,18 +8,19 @@
 import java.util.TreeMap;
 
 /**
- * The members that one member does not reach directly, as its payload carries them in front of the
- * bytes of other subsystems. Encoded as a format byte, a count byte, and two bytes for each member:
- * its number, with the highest bit set where messages of it still arrive.
+ * The decoded payload of a member: the members that it does not reach directly, followed by the
+ * bytes of other subsystems. The unreachable members are encoded as a format byte, a count byte,
+ * and two bytes for each member: its number, with the highest bit set if messages from it still
+ * arrive.
  */
 public final class ReachabilityReport {
-  /** The most members reported; with more the fault is not one of single paths. */
+  /** Maximum number of members reported; with more, the fault does not lie in single paths. */
   static final int MAX_MEMBERS = 8;
 
   private static final int HEADER_BYTES = 2;
   private static final int BYTES_PER_MEMBER = 2;
 
-  /** The most bytes that other subsystems may publish. */
+  /** The maximum number of bytes that other subsystems may publish. */
   public static final int MAX_PAYLOAD_BYTES =
       MemberPayload.MAX_BYTES - HEADER_BYTES - BYTES_PER_MEMBER * MAX_MEMBERS;
 
@@ -27,7 +28,10 @@
   private static final int RECEIVES_FLAG = 0x8000;
   private static final int BYTE_MASK = 0xff;
 
-  /** By member, whether messages of it still arrive: then only the path towards it is cut. */
+  /**
+   * Whether messages from the member still arrive, by number of the unreachable member. If they do,
+   * only the path towards the member is cut.
+   */
   private final Map<Integer, Boolean> unreachable;
 
   private final byte[] payload;
@@ -37,7 +41,7 @@
     this.payload = payload.clone();
   }
 
-  /** Decodes a payload; an empty report where it is null or of another format. */
+  /** Decodes a payload; the report is empty if the payload is null or has another format. */
   static ReachabilityReport of(MemberPayload memberPayload) {
     byte[] bytes = memberPayload == null ? new byte[0] : memberPayload.bytes();
     if (bytes.length < HEADER_BYTES || bytes[0] != FORMAT) {
@@ -48,8 +52,8 @@
       return empty();
     }
     Map<Integer, Boolean> unreachable = new TreeMap<>();
-    for (int at = HEADER_BYTES; at < end; at += BYTES_PER_MEMBER) {
-      int entry = ((bytes[at] & BYTE_MASK) << Byte.SIZE) | (bytes[at + 1] & BYTE_MASK);
+    for (int offset = HEADER_BYTES; offset < end; offset += BYTES_PER_MEMBER) {
+      int entry = ((bytes[offset] & BYTE_MASK) << Byte.SIZE) | (bytes[offset + 1] & BYTE_MASK);
       unreachable.put(entry & ~RECEIVES_FLAG, (entry & RECEIVES_FLAG) != 0);
     }
     return new ReachabilityReport(unreachable, Arrays.copyOfRange(bytes, end, bytes.length));
@@ -64,27 +68,27 @@
     byte[] bytes = new byte[end + payload.length];
     bytes[0] = FORMAT;
     bytes[1] = (byte) unreachable.size();
-    int at = HEADER_BYTES;
+    int offset = HEADER_BYTES;
     for (Map.Entry<Integer, Boolean> member : unreachable.entrySet()) {
       int entry = member.getKey() | (member.getValue() ? RECEIVES_FLAG : 0);
-      bytes[at++] = (byte) (entry >> Byte.SIZE);
-      bytes[at++] = (byte) entry;
+      bytes[offset++] = (byte) (entry >> Byte.SIZE);
+      bytes[offset++] = (byte) entry;
     }
     System.arraycopy(payload, 0, bytes, end, payload.length);
     return bytes;
   }
 
-  /** Numbers of the members that it reaches only through relays or not at all, in order. */
+  /** Numbers, in order, of the members that are reached only through relays or not at all. */
   public List<Integer> unreachable() {
     return new ArrayList<>(unreachable.keySet());
   }
 
-  /** Whether messages of a member that it does not reach still arrive. */
+  /** Whether messages from this unreachable member still arrive. */
   public boolean receivesFrom(int number) {
     return unreachable.getOrDefault(number, false);
   }
 
-  /** A copy of the bytes that other subsystems publish. */
+  /** A copy of the bytes of other subsystems. */
   public byte[] payload() {
     return payload.clone();
   }
--- a/src/main/java/bitternpulley/membership/SyncSchedule.java
+++ b/src/main/java/bitternpulley/membership/SyncSchedule.java
@@ -2,35 +2,35 @@
 
 import java.util.Random;
 
-/** When this instance sends its next sync message. */
+/** Determines when this instance sends sync messages. */
 final class SyncSchedule {
-  /** Intervals between sync messages that no difference of views caused. */
+  /** Intervals between regular sync messages, which do not respond to a difference of views. */
   private static final double PERIOD_INTERVALS = 10;
 
-  /** Intervals after a sync message before a difference of views may cause another. */
-  private static final double MIN_PAUSE_INTERVALS = 1;
+  /** Minimum intervals between a sync message and another one that responds to a difference. */
+  private static final double MIN_SPACING_INTERVALS = 1;
 
   private final double interval;
-  private double nextAt;
+  private double nextSyncAt;
 
-  /** A schedule that begins at a random time within the first period. */
+  /** Creates a schedule whose first sync message is due at a random time in the first period. */
   SyncSchedule(double interval, Random random, double now) {
     this.interval = interval;
-    nextAt = now + PERIOD_INTERVALS * interval * random.nextDouble();
+    nextSyncAt = now + PERIOD_INTERVALS * interval * random.nextDouble();
   }
 
-  /** Whether it is time for a sync message in any case. */
+  /** Whether a regular sync message is due. */
   boolean isDue(double now) {
-    return now >= nextAt;
+    return now >= nextSyncAt;
   }
 
-  /** Whether a sync message may answer a difference of views. */
+  /** Whether a sync message may be sent in response to a difference of views. */
   boolean allowsResponse(double now) {
-    return now >= nextAt - (PERIOD_INTERVALS - MIN_PAUSE_INTERVALS) * interval;
+    return now >= nextSyncAt - (PERIOD_INTERVALS - MIN_SPACING_INTERVALS) * interval;
   }
 
-  /** A sync message is sent now. */
+  /** Restarts the period when a sync message is sent. */
   void restart(double now) {
-    nextAt = now + PERIOD_INTERVALS * interval;
+    nextSyncAt = now + PERIOD_INTERVALS * interval;
   }
 }
