--- a/src/main/java/bitternpulley/membership/FailureDetector.java
+++ b/src/main/java/bitternpulley/membership/FailureDetector.java
@@ -3,17 +3,20 @@
 import java.util.List;
 
 /**
- * Decides when a suspect is dead: only once this instance's own probes have failed twice, it hears
- * from a majority, and it was not paused just before.
+ * Decides when to declare a suspect dead: only after two of this instance's own probes have failed,
+ * while this instance hears from a majority, and not shortly after this instance was paused.
  */
 final class FailureDetector {
-  /** Intervals after a pause without verdicts. */
+  /** Intervals after a pause during which no member is declared dead. */
   private static final double RESUME_INTERVALS = 3;
 
-  /** Intervals within which a majority must have given evidence that it runs. */
+  /** Intervals within which a majority of the members must have given evidence that they run. */
   private static final double MAJORITY_INTERVALS = 6;
 
-  /** Intervals for which a suspect whose messages arrive, though it does not answer, is kept. */
+  /**
+   * Intervals since its last message during which a member counts as still sending. A suspect that
+   * is still sending is not declared dead, even if it does not answer probes.
+   */
   static final double SENDING_INTERVALS = 6;
 
   private static final double NEVER = Double.POSITIVE_INFINITY;
@@ -25,10 +28,10 @@
   private final MemberTransitions transitions;
   private final CheckQueue checks;
 
-  /** Since when a majority has been responsive while there are suspects. */
+  /** When a majority became responsive; {@link #NEVER} if none is or no member is suspect. */
   private double majoritySince = NEVER;
 
-  private double withholdUntil;
+  private double declarationsPostponedUntil;
 
   FailureDetector(
       MembershipSettings settings,
@@ -45,12 +48,12 @@
     this.checks = checks;
   }
 
-  /** This instance resumed after a pause, and needs time to receive refutations. */
-  void withholdVerdicts(double now) {
-    withholdUntil = now + RESUME_INTERVALS * settings.interval();
+  /** Declares no member dead for some intervals after a pause, so that refutations can arrive. */
+  void postponeDeclarations(double now) {
+    declarationsPostponedUntil = now + RESUME_INTERVALS * settings.interval();
   }
 
-  /** Decides about all suspects. */
+  /** Decides for each suspect whether it is dead. */
   void evaluate(double now) {
     List<Member> suspects = table.suspects();
     updateMajority(suspects, now);
@@ -68,10 +71,10 @@
 
   private void evaluate(Member suspect, double now) {
     Suspicion suspicion = suspect.suspicion();
-    if (now < suspicion.endsAt() || now < withholdUntil) {
+    if (now < suspicion.endsAt() || now < declarationsPostponedUntil) {
       return;
     }
-    if (!suspicion.hasFailedTwice() && isolation.hasContact(now)) {
+    if (!suspicion.hasRequiredFailures() && isolation.hasRecentMessage(now)) {
       checks.request(suspect);
       return;
     }
@@ -80,14 +83,17 @@
     }
     if (now >= suspicion.startedAt() + settings.withoutMajorityAfter()) {
       declareDead(suspect, now);
-    } else if (!suspicion.hasFailedTwiceSince(majoritySince)) {
+    } else if (!suspicion.hasRequiredFailuresSince(majoritySince)) {
       checks.request(suspect);
     } else if (now >= suspicion.endsAt() + extension(suspicion)) {
       declareDead(suspect, now);
     }
   }
 
-  /** Whether the suspect has sent messages during its suspicion: it runs but does not receive. */
+  /**
+   * Whether the suspect sent messages recently and during its suspicion: it runs but does not
+   * receive.
+   */
   private boolean isStillSending(Member suspect, double now) {
     double window = SENDING_INTERVALS * settings.interval() * localHealth.suspicionFactor();
     return suspect.lastMessageAt() > suspect.suspicion().startedAt()
@@ -95,7 +101,7 @@
         && !suspect.isReportedLeaving();
   }
 
-  /** Additional ms for the suspect while this instance doubts its own health. */
+  /** Additional ms for the suspect to refute while this instance's own health is poor. */
   private double extension(Suspicion suspicion) {
     return suspicion.duration() * (localHealth.suspicionFactor() - 1);
   }
--- a/src/main/java/bitternpulley/membership/IsolationMonitor.java
+++ b/src/main/java/bitternpulley/membership/IsolationMonitor.java
@@ -1,48 +1,53 @@
 package bitternpulley.membership;
 
 /**
- * Detects that no messages arrive at all, so that this instance, not the others, may be cut off.
+ * Detects that this instance receives no messages at all, so that this instance itself rather than
+ * the others may be cut off.
  */
 final class IsolationMonitor {
-  /** Intervals without any message after which this instance pings others once an interval. */
+  /** Intervals without any message after which this instance sends keepalive pings. */
   private static final double SILENT_INTERVALS = 2;
 
   private final MembershipSettings settings;
   private double lastMessageAt;
-  private double lastAnnouncementAt;
+  private double lastKeepaliveAt;
 
   IsolationMonitor(MembershipSettings settings, double now) {
     this.settings = settings;
     lastMessageAt = now;
   }
 
-  /** A usable message of any member arrived. */
+  /** Records that a usable message from any member arrived. */
   void recordMessage(double now) {
     lastMessageAt = now;
   }
 
   /**
-   * Whether this instance has to show the others that it runs: one that receives nothing probes
-   * rarely, as its health is poor, and would be taken for dead.
+   * Whether keepalive pings are due, which is once per interval while no messages arrive. An
+   * instance that receives nothing has poor local health and therefore probes rarely; without
+   * keepalive pings the others would declare it dead.
    */
-  boolean needsAnnouncement(double now) {
+  boolean needsKeepalive(double now) {
     return now
         >= Math.max(
             lastMessageAt + SILENT_INTERVALS * settings.interval(),
-            lastAnnouncementAt + settings.interval());
+            lastKeepaliveAt + settings.interval());
   }
 
-  void recordAnnouncement(double now) {
-    lastAnnouncementAt = now;
+  void recordKeepalive(double now) {
+    lastKeepaliveAt = now;
   }
 
-  /** Whether nothing has arrived for so long that every member becomes suspect. */
+  /** Whether no message has arrived for so long that every member is to be suspected. */
   boolean isIsolated(double now) {
     return now >= lastMessageAt + settings.withoutMajorityAfter() / 2;
   }
 
-  /** Whether a message arrived recently enough that a verdict needs this instance's own probes. */
-  boolean hasContact(double now) {
+  /**
+   * Whether a message arrived within {@link MembershipSettings#withoutMajorityAfter}. Only then
+   * does the declaration of a death require failed probes of this instance.
+   */
+  boolean hasRecentMessage(double now) {
     return lastMessageAt > now - settings.withoutMajorityAfter();
   }
 }
--- a/src/main/java/bitternpulley/membership/LocalMember.java
+++ b/src/main/java/bitternpulley/membership/LocalMember.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** This instance as a member: its process, metadata and payload, and how it refutes suspicions. */
+/** This instance as a member: its state and payload, and how it refutes suspicions. */
 final class LocalMember {
   private final int number;
   private final MemberMetadata metadata;
@@ -41,17 +41,17 @@
     return isLeaving ? MemberState.LEFT : MemberState.ALIVE;
   }
 
-  /** Replaces the payload; false where it is the same already. */
+  /** Replaces the payload; returns false if it is unchanged. */
   boolean publish(byte[] bytes) {
     if (payload != null && Arrays.equals(payload.bytes(), bytes)) {
       return false;
     }
-    payload = new MemberPayload(payloadCount() + 1, bytes);
+    payload = new MemberPayload(payloadSequenceNumber() + 1, bytes);
     return true;
   }
 
-  /** Number of the latest payload; 0 where none was published. */
-  int payloadCount() {
+  /** Sequence number of the latest payload; 0 if none was published. */
+  int payloadSequenceNumber() {
     return payload == null ? 0 : payload.count();
   }
 
@@ -60,8 +60,9 @@
   }
 
   /**
-   * Whether an update carries a payload of this process that it did not publish; if so, its own is
-   * published again with a greater count.
+   * Checks whether an update carries a payload in the name of this process that this process did
+   * not publish. If so, gives this instance's own payload a greater sequence number, and returns
+   * true.
    */
   boolean correctPayload(GossipUpdate update) {
     MemberPayload received = update.payload();
@@ -69,8 +70,8 @@
         received != null
             && update.epoch() == epoch
             && !received.equals(payload)
-            && received.count() >= payloadCount()
-            && received.count() < GossipLimits.MAX_PAYLOAD_COUNT;
+            && received.count() >= payloadSequenceNumber()
+            && received.count() < GossipLimits.MAX_PAYLOAD_SEQUENCE_NUMBER;
     if (isForged) {
       byte[] own = payload == null ? new byte[0] : payload.bytes();
       payload = new MemberPayload(received.count() + 1, own);
@@ -79,8 +80,8 @@
   }
 
   /**
-   * Refutes an update that accuses this instance or is newer than its own incarnation, by taking a
-   * later incarnation or epoch; whether that was necessary.
+   * Refutes an update that accuses this instance or has a later epoch or incarnation than this
+   * instance, by moving to a still later one; returns whether that was necessary.
    */
   boolean refute(GossipUpdate update) {
     boolean isNewer = update.isNewerThan(epoch, incarnation);
@@ -104,12 +105,12 @@
     }
   }
 
-  /** Its state as an update. */
+  /** The state of this instance as an update. */
   GossipUpdate update() {
     return new GossipUpdate(number, epoch, incarnation, state(), GossipUpdate.NO_ACCUSER, metadata);
   }
 
-  /** Its payload as an update, without its metadata. */
+  /** The payload of this instance as an update, without the metadata. */
   GossipUpdate payloadUpdate() {
     return new GossipUpdate(
         number, epoch, incarnation, state(), GossipUpdate.NO_ACCUSER, null, payload);
--- a/src/main/java/bitternpulley/membership/Member.java
+++ b/src/main/java/bitternpulley/membership/Member.java
@@ -1,23 +1,23 @@
 package bitternpulley.membership;
 
 /**
- * The record of one other member: its process, its state, and the evidence for that. Times are ms
- * of the caller's clock. A member is suspect exactly while it has a {@link Suspicion}.
+ * The record of one other member: its process, its state, and the evidence for that state. Times
+ * are ms of the caller's clock. A member is suspect exactly while it has a {@link Suspicion}.
  */
 final class Member {
-  /** Messages read of one member per interval: some 10 are usual, a backlog arrives at once. */
+  /** Messages read from one member per interval: about 10 are usual; a backlog arrives at once. */
   private static final int MAX_MESSAGES_PER_INTERVAL = 256;
 
   /**
-   * Consecutive probes answered only through relays after which the direct path counts as cut: at
-   * 20 % loss, two in a row are still common.
+   * Consecutive probes answered only through relays after which the direct path is considered cut:
+   * at 20 % loss, two in a row are still common.
    */
-  private static final int UNREACHABLE_AFTER = 3;
+  private static final int UNREACHABLE_AFTER_INDIRECT_ACKS = 3;
 
-  /** Intervals for which all its messages are ignored before operators are warned. */
+  /** Intervals during which all messages of a member are ignored before operators are warned. */
   private static final int IGNORED_WARNING_INTERVALS = 5;
 
-  private static final int NO_CLAIMANT = -1;
+  private static final int NO_REPORTER = -1;
 
   private final int number;
   private MemberMetadata metadata;
@@ -30,18 +30,18 @@
   private double lastMessageAt = Double.NEGATIVE_INFINITY;
   private double lastEvidenceAt = Double.NEGATIVE_INFINITY;
   private double lastProbeFailureAt = Double.NEGATIVE_INFINITY;
-  private long claimedEpoch;
-  private int claimedBy = NO_CLAIMANT;
+  private long unconfirmedEpoch;
+  private int unconfirmedEpochReporter = NO_REPORTER;
   private boolean isReachedIndirectly;
   private int consecutiveIndirectAcks;
   private boolean isReportedLeaving;
-  private boolean isBehindRecord;
+  private boolean isReportingOlderVersion;
   private double ignoredSince = Double.POSITIVE_INFINITY;
-  private boolean isIgnoredReported;
-  private double countingSince = Double.NEGATIVE_INFINITY;
-  private int messagesCounted;
+  private boolean hasWarnedOfIgnored;
+  private double messageWindowStart = Double.NEGATIVE_INFINITY;
+  private int messagesInWindow;
 
-  /** A configured member of which no process is known yet. */
+  /** Creates a configured member without a known process. */
   Member(int number, double now) {
     this.number = number;
     this.stateChangedAt = now;
@@ -51,12 +51,12 @@
     return number;
   }
 
-  /** Start of its process; 0 while no process of it is known. */
+  /** Epoch of the member's process; 0 while no process is known. */
   long epoch() {
     return epoch;
   }
 
-  /** Whether a process of it is known. */
+  /** Whether a process of the member is known. */
   boolean isKnown() {
     return epoch != 0;
   }
@@ -73,7 +73,7 @@
     return stateChangedAt;
   }
 
-  /** Whether it counts as part of the fleet: alive or suspect. */
+  /** Whether the member counts as part of the fleet: alive or suspect. */
   boolean isActive() {
     return state == MemberState.ALIVE || state == MemberState.SUSPECT;
   }
@@ -86,102 +86,103 @@
     return state == MemberState.SUSPECT;
   }
 
-  /** The suspicion of it; null unless it is suspect. */
+  /** The suspicion of the member; null unless the member is suspect. */
   Suspicion suspicion() {
     return suspicion;
   }
 
-  /** Its metadata; null while unknown. */
+  /** The member's metadata; null while unknown. */
   MemberMetadata metadata() {
     return metadata;
   }
 
-  /** The latest payload of its process; null while unknown. */
+  /** The latest payload of the member's process; null while unknown. */
   MemberPayload payload() {
     return payload;
   }
 
-  /** When its own last message arrived. */
+  /** When the last message from the member itself arrived. */
   double lastMessageAt() {
     return lastMessageAt;
   }
 
-  /** When anything last showed that it runs: its own message, or an ack through a relay. */
+  /** When the last evidence arrived that the member runs: a message from it, or a relayed ack. */
   double lastEvidenceAt() {
     return lastEvidenceAt;
   }
 
-  /** When a probe of it last failed. */
+  /** When a probe of the member last failed. */
   double lastProbeFailureAt() {
     return lastProbeFailureAt;
   }
 
-  /** Whether its last ack came through a relay. */
+  /** Whether the member's last ack came through a relay. */
   boolean isReachedIndirectly() {
     return isReachedIndirectly;
   }
 
-  /** Whether the direct path to it counts as cut. */
+  /** Whether the direct path to the member is considered cut. */
   boolean isUnreachableDirectly() {
-    return consecutiveIndirectAcks >= UNREACHABLE_AFTER;
+    return consecutiveIndirectAcks >= UNREACHABLE_AFTER_INDIRECT_ACKS;
   }
 
-  /** Whether the current suspicion includes a report that it announced to leave. */
+  /** Whether another member reported this one as leaving during the current suspicion. */
   boolean isReportedLeaving() {
     return isReportedLeaving;
   }
 
   /**
-   * Counts a message of it; returns whether it exceeds the limit per interval, beyond which
-   * messages are dropped unanswered.
+   * Counts a message from the member; returns whether the message exceeds the limit per interval,
+   * beyond which messages are dropped unanswered.
    */
   boolean exceedsMessageLimit(double now, double interval) {
-    if (now >= countingSince + interval) {
-      countingSince = now;
-      messagesCounted = 0;
+    if (now >= messageWindowStart + interval) {
+      messageWindowStart = now;
+      messagesInWindow = 0;
     }
-    return ++messagesCounted > MAX_MESSAGES_PER_INTERVAL;
+    return ++messagesInWindow > MAX_MESSAGES_PER_INTERVAL;
   }
 
-  /** Its own message arrived. */
+  /** Records that a message from the member itself arrived. */
   void recordMessage(double now) {
     lastMessageAt = now;
     lastEvidenceAt = now;
   }
 
-  /** Its own message named this process and incarnation as the current one. */
-  void recordOwnVersion(long reportedEpoch, int reportedIncarnation) {
-    isBehindRecord =
+  /** Records the process and incarnation that a message from the member itself carries. */
+  void recordReportedVersion(long reportedEpoch, int reportedIncarnation) {
+    isReportingOlderVersion =
         reportedEpoch != epoch ? reportedEpoch < epoch : reportedIncarnation < incarnation;
   }
 
-  /** Its message was used. */
+  /** Records that a message from the member was accepted. */
   void recordAccepted() {
     ignoredSince = Double.POSITIVE_INFINITY;
-    isIgnoredReported = false;
+    hasWarnedOfIgnored = false;
   }
 
   /**
-   * Its message was ignored, since it is of an earlier process; whether operators are to be warned,
-   * which is once until another of its messages is used.
+   * Records that a message from the member was ignored, since it comes from an earlier process.
+   * Returns whether operators are to be warned, which is once until a message is accepted again.
    */
   boolean recordIgnored(double now, double interval) {
     ignoredSince = Math.min(ignoredSince, now);
-    boolean isDue =
-        !isIgnoredReported && now - ignoredSince >= IGNORED_WARNING_INTERVALS * interval;
-    isIgnoredReported |= isDue;
-    return isDue;
+    boolean isWarningDue =
+        !hasWarnedOfIgnored && now - ignoredSince >= IGNORED_WARNING_INTERVALS * interval;
+    hasWarnedOfIgnored |= isWarningDue;
+    return isWarningDue;
   }
 
   /**
-   * Whether it has to learn what is recorded here, since only the member itself can correct that:
-   * where it is not held to be alive, or its last message named an earlier process or incarnation.
+   * Whether messages to the member must include what is recorded about it, since only the member
+   * itself can correct that: if it is not recorded as alive, or if its last message named an
+   * earlier process or incarnation than the recorded one.
    */
-  boolean needsOwnRecord() {
-    return !isAlive() || isBehindRecord;
+  boolean needsUpdateAboutItself() {
+    return !isAlive() || isReportingOlderVersion;
   }
 
-  /** It answered a probe; {@code ackSender} is itself or the relay that passed the ack on. */
+  /** Records an ack; {@code ackSender} is the member itself or the relay that forwarded the ack. */
   void recordAck(int ackSender, double now) {
     isReachedIndirectly = ackSender != number;
     consecutiveIndirectAcks = isReachedIndirectly ? consecutiveIndirectAcks + 1 : 0;
@@ -192,48 +193,49 @@
     lastProbeFailureAt = now;
   }
 
-  /** A suspicion begins. */
+  /** Makes the member suspect. */
   void suspect(Suspicion newSuspicion, double now) {
     state = MemberState.SUSPECT;
     stateChangedAt = now;
     suspicion = newSuspicion;
   }
 
-  /** Ends a suspicion, if there is one, in a state other than suspect. */
-  void resolve(MemberState next, double now) {
-    state = next;
+  /** Sets a state other than suspect, which ends the suspicion, if there is one. */
+  void resolve(MemberState newState, double now) {
+    state = newState;
     stateChangedAt = now;
     suspicion = null;
     isReportedLeaving = false;
   }
 
-  /** Another member reports that it announced to leave. */
+  /** Records that another member reports that this member is leaving. */
   void recordLeaveReport() {
     isReportedLeaving = true;
   }
 
-  /** Takes over the process and incarnation of an update, and nothing else. */
-  void adoptVersion(GossipUpdate update) {
+  /** Takes the epoch and incarnation of an update, and nothing else. */
+  void setVersion(GossipUpdate update) {
     epoch = update.epoch();
     incarnation = update.incarnation();
   }
 
   /**
-   * Takes over a newer process or incarnation that is alive. Payload and reachability belong to a
-   * process and do not survive its restart; metadata is kept where it is known.
+   * Takes an update by which a newer process or incarnation is alive. A new process discards the
+   * metadata, payload and reachability of the previous one; within a process, metadata that is
+   * already known is kept.
    */
-  void renew(GossipUpdate update) {
+  void adoptNewerVersion(GossipUpdate update) {
     if (update.epoch() != epoch) {
       metadata = null;
       payload = null;
       consecutiveIndirectAcks = 0;
     }
-    adoptVersion(update);
+    setVersion(update);
     learnMetadata(update);
     lastProbeFailureAt = Double.NEGATIVE_INFINITY;
   }
 
-  /** Takes the metadata of an update about its process, where none is known. */
+  /** Takes the metadata of an update about the current process, if no metadata is known yet. */
   void learnMetadata(GossipUpdate update) {
     if (metadata == null && update.epoch() == epoch) {
       metadata = update.metadata();
@@ -242,7 +244,7 @@
 
   /**
    * Takes the metadata of an update that the member itself sent, which replaces what others
-   * reported; whether it differed from what was known.
+   * reported. Returns whether it differs from the metadata known before.
    */
   boolean correctMetadata(GossipUpdate update) {
     if (update.epoch() != epoch || update.metadata() == null) {
@@ -253,13 +255,15 @@
     return isCorrection;
   }
 
-  /** Takes the payload of an update if it is a later one of its process; whether it was. */
+  /**
+   * Takes the payload of an update if it is a later one of the same process; returns whether it is.
+   */
   boolean learnPayload(GossipUpdate update) {
     MemberPayload received = update.payload();
     boolean isLater =
         received != null
             && update.epoch() == epoch
-            && received.count() <= GossipLimits.MAX_PAYLOAD_COUNT
+            && received.count() <= GossipLimits.MAX_PAYLOAD_SEQUENCE_NUMBER
             && (payload == null || received.count() > payload.count());
     if (isLater) {
       payload = received;
@@ -268,34 +272,34 @@
   }
 
   /**
-   * Whether a report of its process suffices to believe in it: one report for a known process, two
-   * of different members for a new one, so that no single member can make a process up. Records the
-   * claim otherwise.
+   * Whether the reports so far suffice to accept a process: one report for a known process or a
+   * first contact, two from different members for a new process, so that no single member can forge
+   * one. Otherwise records the report.
    */
-  boolean confirmsEpoch(long reportedEpoch, int reporter) {
+  boolean confirmEpoch(long reportedEpoch, int reporter) {
     if (reportedEpoch == epoch || !isKnown()) {
       return true;
     }
-    if (reportedEpoch == claimedEpoch && claimedBy != reporter) {
+    if (reportedEpoch == unconfirmedEpoch && unconfirmedEpochReporter != reporter) {
       return true;
     }
-    claimedEpoch = reportedEpoch;
-    claimedBy = reporter;
+    unconfirmedEpoch = reportedEpoch;
+    unconfirmedEpochReporter = reporter;
     return false;
   }
 
-  /** Its payload as an update, without its metadata. */
+  /** The member's payload as an update, without the metadata. */
   GossipUpdate payloadUpdate() {
     return new GossipUpdate(
         number, epoch, incarnation, state, GossipUpdate.NO_ACCUSER, null, payload);
   }
 
-  /** Its state as an update that names no accuser. */
+  /** The member's state as an update without an accuser. */
   GossipUpdate update() {
     return update(GossipUpdate.NO_ACCUSER);
   }
 
-  /** Its state as an update. */
+  /** The member's state as an update. */
   GossipUpdate update(int accuser) {
     return new GossipUpdate(number, epoch, incarnation, state, accuser, metadata);
   }
--- a/src/main/java/bitternpulley/membership/MemberTransitions.java
+++ b/src/main/java/bitternpulley/membership/MemberTransitions.java
@@ -1,8 +1,8 @@
 package bitternpulley.membership;
 
 /**
- * Changes the states of members, and for each change updates the table, reports it, and queues it
- * for dissemination.
+ * Changes the states of members. For each change it updates the table, reports the change for the
+ * log, and queues it for dissemination.
  */
 final class MemberTransitions {
   private final int self;
@@ -24,11 +24,11 @@
     this.outbox = outbox;
   }
 
-  /** A newer process or incarnation of a member is alive. */
-  void renew(Member member, GossipUpdate update, String evidence, double now) {
+  /** Records that a newer process or incarnation of a member is alive. */
+  void adoptNewerVersion(Member member, GossipUpdate update, String evidence, double now) {
     boolean isFirstContact = !member.isKnown();
     boolean isNewProcess = update.epoch() != member.epoch();
-    member.renew(update);
+    member.adoptNewerVersion(update);
     table.onChanged(member);
     if (isFirstContact) {
       resolve(member, MemberState.ALIVE, "first contact: " + evidence, now);
@@ -43,7 +43,7 @@
     composer.disseminate(member.update());
   }
 
-  /** Suspects a live member, or confirms the suspicion of a suspect. */
+  /** Suspects a member that is alive, or confirms the suspicion of a suspect. */
   void suspect(Member member, int accuser, String evidence, double now) {
     if (member.isAlive()) {
       Suspicion suspicion =
@@ -59,35 +59,35 @@
     }
   }
 
-  /** A suspect has answered a probe. */
+  /** Makes a suspect that has answered a probe alive again. */
   void clearSuspicion(Member member, String evidence, double now) {
     resolve(member, MemberState.ALIVE, evidence, now);
     composer.disseminate(member.update());
   }
 
-  /** A member has announced itself that it leaves. */
+  /** Records that a member itself has announced that it is leaving. */
   void markLeft(Member member, double now) {
     resolve(member, MemberState.LEFT, "its own message", now);
     composer.disseminate(member.update());
   }
 
-  /** A suspect did not refute in time: it is dead, or has left where that was reported. */
+  /** Makes a suspect that did not refute in time dead, or left if it was reported as leaving. */
   void declareDead(Member member, String evidence, double now) {
-    MemberState next = member.isReportedLeaving() ? MemberState.LEFT : MemberState.DEAD;
-    resolve(member, next, evidence, now);
+    MemberState newState = member.isReportedLeaving() ? MemberState.LEFT : MemberState.DEAD;
+    resolve(member, newState, evidence, now);
     composer.disseminate(member.update(self));
   }
 
-  private void resolve(Member member, MemberState next, String evidence, double now) {
-    MemberState before = member.state();
-    member.resolve(next, now);
-    onStateChanged(member, before, evidence);
+  private void resolve(Member member, MemberState newState, String evidence, double now) {
+    MemberState previousState = member.state();
+    member.resolve(newState, now);
+    onStateChanged(member, previousState, evidence);
   }
 
-  private void onStateChanged(Member member, MemberState before, String evidence) {
+  private void onStateChanged(Member member, MemberState previousState, String evidence) {
     table.onChanged(member);
     outbox.add(
         new MembershipAction.StateChanged(
-            member.number(), member.metadata(), before, member.state(), evidence));
+            member.number(), member.metadata(), previousState, member.state(), evidence));
   }
 }
--- a/src/main/java/bitternpulley/membership/Membership.java
+++ b/src/main/java/bitternpulley/membership/Membership.java
@@ -7,20 +7,20 @@
 import java.util.Random;
 
 /**
- * The membership protocol of one instance. Times are ms of one clock; each call returns the
- * messages to send and the events to log, in order. {@link #tick} has to be called every {@link
- * #tickInterval} ms: a late tick is how a pause of this instance is noticed.
+ * The membership protocol of one instance. All times are ms of the same clock. Each call returns
+ * the messages to send and the events to log, in order. {@link #tick} must be called every {@link
+ * #tickInterval} ms; a late call indicates that this instance was paused.
  */
 public final class Membership {
   private static final int TICKS_PER_INTERVAL = 10;
 
-  /** Intervals by which a tick has to be late to count as a pause. */
-  private static final double PAUSE_INTERVALS = 0.15;
+  /** A tick that is late by more than this many intervals counts as a pause. */
+  private static final double PAUSE_THRESHOLD_INTERVALS = 0.15;
 
-  /** Members pinged by an instance that receives nothing. */
-  private static final int ANNOUNCEMENT_TARGETS = 8;
+  /** Members to which an instance that receives nothing sends keepalive pings. */
+  private static final int KEEPALIVE_TARGETS = 8;
 
-  /** Members notified directly that this one leaves. */
+  /** Members that a leaving instance notifies directly. */
   private static final int LEAVE_TARGETS = 6;
 
   private final LocalMember local;
@@ -32,9 +32,9 @@
   private final LocalHealth localHealth = new LocalHealth();
   private final SyncSchedule syncSchedule;
   private final IsolationMonitor isolation;
-  private final ReachabilityPublisher reachability;
+  private final ReachabilityPublisher reachabilityPublisher;
   private final MemberTransitions transitions;
-  private final UpdateHandler updates;
+  private final UpdateHandler updateHandler;
   private final FailureDetector failureDetector;
   private final Prober prober;
   private final double startedAt;
@@ -43,13 +43,13 @@
   private long ignoredMessages;
 
   /**
-   * The membership of an instance that starts.
+   * Creates the membership of an instance that starts.
    *
    * @param self number of this instance
-   * @param metadata its metadata
-   * @param epoch identifies this start; greater than that of any earlier start
-   * @param configured numbers of all members, with or without its own
-   * @param settings operators' settings
+   * @param metadata metadata of this instance
+   * @param epoch identifies this process; greater than the epoch of any earlier process
+   * @param memberNumbers numbers of all configured members, with or without this instance
+   * @param settings settings that operators can change
    * @param seed seed of all random choices
    * @param now time of the start
    */
@@ -57,7 +57,7 @@
       int self,
       MemberMetadata metadata,
       long epoch,
-      List<Integer> configured,
+      List<Integer> memberNumbers,
       MembershipSettings settings,
       long seed,
       double now) {
@@ -68,53 +68,56 @@
     random = new Random(seed);
     local = new LocalMember(self, metadata, epoch);
     table = new MembershipTable(self);
-    configured.forEach(number -> table.configure(number, now));
+    memberNumbers.forEach(number -> table.add(number, now));
     composer = new MessageComposer(local, table);
     outbox = new Outbox(composer);
     syncSchedule = new SyncSchedule(settings.interval(), random, now);
     isolation = new IsolationMonitor(settings, now);
-    reachability = new ReachabilityPublisher(local, table, composer);
+    reachabilityPublisher = new ReachabilityPublisher(local, table, composer);
     transitions = new MemberTransitions(self, settings, table, composer, outbox);
     ActiveProbes activeProbes = new ActiveProbes();
     CheckQueue checks = new CheckQueue(activeProbes, settings.interval(), now);
-    updates =
+    updateHandler =
         new UpdateHandler(
             local, settings, table, localHealth, composer, outbox, transitions, checks);
     failureDetector =
         new FailureDetector(settings, table, localHealth, isolation, transitions, checks);
-    ProbeResults results = new ProbeResults(self, transitions, checks);
+    ProbeResultHandler resultHandler = new ProbeResultHandler(self, transitions, checks);
     prober =
         new Prober(
-            settings, table, localHealth, random, outbox, results, activeProbes, checks, now);
+            settings, table, localHealth, random, outbox, resultHandler, activeProbes, checks, now);
     composer.disseminateLater(local.update());
   }
 
-  /** Ms between calls of {@link #tick}. */
+  /** Ms between calls to {@link #tick}. */
   public double tickInterval() {
     return settings.interval() / TICKS_PER_INTERVAL;
   }
 
-  /** Digest of the view: equal on instances that hold the same members active, dead and left. */
+  /**
+   * Digest of the view, which is equal on instances that see the same members as active, dead and
+   * left.
+   */
   public int viewDigest() {
     return composer.viewDigest();
   }
 
-  /** How far this instance doubts itself: 0 where it is healthy, up to 8. */
+  /** The local health score of this instance, from 0 (healthy) to 8. */
   public int localHealth() {
     return localHealth.score();
   }
 
-  /** Identifies this start of the member; a refutation may raise it. */
+  /** Epoch of this instance's process, which a refutation may raise. */
   public long epoch() {
     return local.epoch();
   }
 
-  /** Number of messages and updates so far that could not be used. */
+  /** Number of messages and updates that have been ignored so far. */
   public long ignoredMessages() {
     return ignoredMessages;
   }
 
-  /** All members, this instance included, by number. */
+  /** All members, including this instance, in order of their numbers. */
   public List<MemberView> members() {
     List<MemberView> views = new ArrayList<>();
     views.add(local.view(now - startedAt));
@@ -123,7 +126,7 @@
     return views;
   }
 
-  /** The state of a member; null where the number is not configured. */
+  /** The state of a member; null if no member has this number. */
   public MemberState stateOf(int number) {
     if (number == local.number()) {
       return local.state();
@@ -132,12 +135,12 @@
     return member == null ? null : member.state();
   }
 
-  /** Advances the time: probes, decides about suspects, and synchronizes views. */
-  public List<MembershipAction> tick(double at) {
-    begin(at);
+  /** Advances the time: probes members, declares suspects dead, and synchronizes views. */
+  public List<MembershipAction> tick(double time) {
+    begin(time);
     double sinceLastTick = now - lastTickAt;
     lastTickAt = now;
-    if (sinceLastTick > tickInterval() + PAUSE_INTERVALS * settings.interval()) {
+    if (sinceLastTick > tickInterval() + PAUSE_THRESHOLD_INTERVALS * settings.interval()) {
       resume(sinceLastTick);
     }
     prober.advance(now);
@@ -156,22 +159,22 @@
   }
 
   /**
-   * After a pause: extends suspicions, as no refutation could arrive, drops what was asked before,
-   * and pings some members in order to learn of suspicions of this instance.
+   * Resumes after a pause: extends suspicions, as no refutation could arrive, drops the probes in
+   * progress, and pings some members in order to learn of suspicions against this instance.
    */
   private void resume(double pausedForMs) {
     outbox.add(new MembershipAction.Resumed(pausedForMs));
     localHealth.recordPause(pausedForMs, settings.interval());
-    table.suspects().forEach(suspect -> suspect.suspicion().postpone(pausedForMs));
+    table.suspects().forEach(suspect -> suspect.suspicion().extend(pausedForMs));
     prober.reset();
-    failureDetector.withholdVerdicts(now);
+    failureDetector.postponeDeclarations(now);
     prober.pingSome(settings.relays());
   }
 
   private void handleIsolation() {
-    if (isolation.needsAnnouncement(now)) {
-      isolation.recordAnnouncement(now);
-      prober.pingSome(ANNOUNCEMENT_TARGETS);
+    if (isolation.needsKeepalive(now)) {
+      isolation.recordKeepalive(now);
+      prober.pingSome(KEEPALIVE_TARGETS);
     }
     if (isolation.isIsolated(now)) {
       suspectAllAlive();
@@ -186,9 +189,9 @@
     }
   }
 
-  /** Handles a message that came from the address of the member it names as its sender. */
-  public List<MembershipAction> onMessage(GossipMessage message, double at) {
-    begin(at);
+  /** Handles a message that came from the address of the member that it names as its sender. */
+  public List<MembershipAction> onMessage(GossipMessage message, double time) {
+    begin(time);
     Member sender = table.find(message.from());
     if (sender == null
         || !GossipLimits.isPlausible(message.epoch(), message.incarnation(), now)
@@ -196,10 +199,11 @@
       ignoredMessages++;
       return outbox.actions();
     }
-    sender.recordOwnVersion(message.epoch(), message.incarnation());
+    sender.recordReportedVersion(message.epoch(), message.incarnation());
     if (message.epoch() < sender.epoch()) {
-      // A late message of an earlier process, or of one that needs a later epoch: its clock was set
-      // back, or the recorded epoch is wrong. The answer contains what is recorded.
+      // Either a late message from an earlier process, or the sender needs a later epoch because
+      // its clock was set back or the recorded epoch is wrong. The answer carries the recorded
+      // epoch.
       ignoredMessages++;
       if (sender.recordIgnored(now, settings.interval())) {
         outbox.add(
@@ -230,12 +234,12 @@
             GossipUpdate.NO_ACCUSER,
             null);
     if (alive.isNewerThan(sender.epoch(), sender.incarnation())) {
-      transitions.renew(sender, alive, "its own message", now);
+      transitions.adoptNewerVersion(sender, alive, "its own message", now);
     }
   }
 
   private void applyUpdate(GossipUpdate update, Member reporter) {
-    if (!updates.apply(update, reporter, now)) {
+    if (!updateHandler.apply(update, reporter, now)) {
       ignoredMessages++;
     }
   }
@@ -247,7 +251,7 @@
       case RELAY -> prober.onRelayRequest(message, now);
       case NACK -> prober.onNack(message);
       case SYNC -> {
-        // Its updates, which every kind may carry, have been applied.
+        // The updates, which messages of every kind may carry, have already been applied.
       }
     }
   }
@@ -269,18 +273,18 @@
   }
 
   /**
-   * Publishes bytes of other subsystems to all members, which takes some intervals.
+   * Publishes bytes of other subsystems to all members; dissemination takes some intervals.
    *
    * @throws IllegalArgumentException if there are more than {@link
    *     ReachabilityReport#MAX_PAYLOAD_BYTES}
    */
   public void publish(byte[] payload) {
-    reachability.publish(payload);
+    reachabilityPublisher.publish(payload);
   }
 
-  /** Announces that this instance is about to end. */
-  public List<MembershipAction> leave(double at) {
-    begin(at);
+  /** Announces that this instance is leaving. */
+  public List<MembershipAction> leave(double time) {
+    begin(time);
     local.leave();
     composer.disseminate(local.update());
     table
@@ -289,8 +293,8 @@
     return outbox.actions();
   }
 
-  private void begin(double at) {
-    now = Math.max(now, at);
+  private void begin(double time) {
+    now = Math.max(now, time);
     outbox.begin();
   }
 
@@ -305,6 +309,6 @@
   }
 
   private void refreshReachability() {
-    reachability.refresh(now - FailureDetector.SENDING_INTERVALS * settings.interval());
+    reachabilityPublisher.refresh(now - FailureDetector.SENDING_INTERVALS * settings.interval());
   }
 }
--- a/src/main/java/bitternpulley/membership/MembershipTable.java
+++ b/src/main/java/bitternpulley/membership/MembershipTable.java
@@ -9,15 +9,17 @@
 import java.util.function.Predicate;
 
 /**
- * The other members, by number. It holds the configured members only, so that gossip cannot make it
- * grow.
+ * The other members, by number. The table holds only configured members, so that gossip cannot make
+ * it grow.
  */
 final class MembershipTable {
-  /** In a fleet of at most this size, all members give evidence within a suspicion. */
-  private static final int SMALL_FLEET = 16;
+  /**
+   * In a fleet of at most this size, every member gives evidence that it runs within a suspicion.
+   */
+  private static final int MAX_SMALL_FLEET = 16;
 
-  /** In a larger fleet, the least number of members whose answers make a majority meaningful. */
-  private static final int MIN_SAMPLE = 8;
+  /** In a larger fleet, the minimum number of members that make a majority meaningful. */
+  private static final int MIN_MAJORITY_SAMPLE = 8;
 
   private static final int NOT_COUNTED = -1;
 
@@ -32,21 +34,20 @@
     digest = new ViewDigest(self);
   }
 
-  /**
-   * The other member of this number; null for this instance itself and for unconfigured numbers.
-   */
+  /** The member with this number; null for this instance itself and for unconfigured numbers. */
   Member find(int number) {
     return byNumber.get(number);
   }
 
-  void configure(int number, double now) {
+  /** Adds a configured member; ignores this instance itself. */
+  void add(int number, double now) {
     if (number != self) {
       byNumber.put(number, new Member(number, now));
       invalidate();
     }
   }
 
-  /** Has to be called after a member's process, state or payload has changed. */
+  /** Must be called after a member's process, state or payload has changed. */
   void onChanged(Member member) {
     invalidate();
     suspects.remove(member);
@@ -60,17 +61,17 @@
     digest.invalidate();
   }
 
-  /** A copy of the list of current suspects. */
+  /** The current suspects, as a copy. */
   List<Member> suspects() {
     return List.copyOf(suspects);
   }
 
-  /** All other members by number. */
+  /** All other members, in order of their numbers. */
   Collection<Member> all() {
     return byNumber.values();
   }
 
-  /** Number of active members, this instance included. */
+  /** Number of active members, including this instance. */
   int activeCount() {
     if (activeCount == NOT_COUNTED) {
       activeCount = 1 + (int) byNumber.values().stream().filter(Member::isActive).count();
@@ -90,9 +91,10 @@
   }
 
   /**
-   * Whether there was evidence of more than half of the active members since that time, this
-   * instance included: of the two sides of a partition at most one can see a majority. In a large
-   * fleet not all members are probed in that time, so only those probed or with evidence count.
+   * Whether more than half of the active members, including this instance, have given evidence
+   * since {@code time} that they run; at most one side of a partition can see a majority. In a
+   * large fleet not all members are probed in that time, so only those with evidence, suspects and
+   * members with a failed probe count.
    */
   boolean hasMajoritySince(double time) {
     int considered = 1;
@@ -101,7 +103,7 @@
     for (Member member : byNumber.values()) {
       boolean isResponsive = member.isAlive() && member.lastEvidenceAt() > time;
       if (member.isActive()
-          && (active <= SMALL_FLEET
+          && (active <= MAX_SMALL_FLEET
               || isResponsive
               || member.isSuspect()
               || member.lastProbeFailureAt() > time)) {
@@ -111,16 +113,16 @@
     }
     return 2 * responsive > considered
         && responsive > 1
-        && considered >= Math.min(active, MIN_SAMPLE);
+        && considered >= Math.min(active, MIN_MAJORITY_SAMPLE);
   }
 
-  /** Digest of the view of an instance that runs as the process of this epoch. */
+  /** Digest of this instance's view; {@code ownEpoch} is the epoch of this instance. */
   int viewDigest(long ownEpoch) {
-    return digest.view(ownEpoch, byNumber.values());
+    return digest.viewDigest(ownEpoch, byNumber.values());
   }
 
-  /** Digest of the payloads known, including this instance's own of that count. */
-  int payloadDigest(long ownEpoch, int ownCount) {
-    return digest.payloads(ownEpoch, ownCount, byNumber.values());
+  /** Digest of the known payloads, including this instance's own with that sequence number. */
+  int payloadDigest(long ownEpoch, int ownSequenceNumber) {
+    return digest.payloadDigest(ownEpoch, ownSequenceNumber, byNumber.values());
   }
 }
--- a/src/main/java/bitternpulley/membership/MessageComposer.java
+++ b/src/main/java/bitternpulley/membership/MessageComposer.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Composes messages: each carries queued updates of states and payloads, or, for a sync, a page of
- * what is known.
+ * Composes messages. A sync message carries a page of the known states or payloads; any other
+ * message carries queued updates of states and payloads.
  */
 final class MessageComposer {
   private final LocalMember local;
@@ -13,7 +13,7 @@
   private final DisseminationQueue states = new DisseminationQueue();
   private final DisseminationQueue payloads = new DisseminationQueue();
   private final AntiEntropy antiEntropy;
-  private boolean isPayloadTurn;
+  private boolean putsPayloadsFirst;
 
   MessageComposer(LocalMember local, MembershipTable table) {
     this.local = local;
@@ -21,43 +21,43 @@
     antiEntropy = new AntiEntropy(local, table);
   }
 
-  /** Queues the state of a member. */
+  /** Queues an update of a member's state. */
   void disseminate(GossipUpdate update) {
     states.add(update);
   }
 
-  /** Queues the first contact with a member, which may wait. */
+  /** Queues an update about the first contact with a member, which may wait for other updates. */
   void disseminateLater(GossipUpdate update) {
     states.addDeferrable(update);
   }
 
-  /** Queues the payload of a member. */
+  /** Queues an update of a member's payload. */
   void disseminatePayload(GossipUpdate update) {
     payloads.add(update);
   }
 
   /** A message of any kind but sync, with queued updates. */
   GossipMessage compose(Kind kind, int receiver, int sequence, int target) {
-    // In every second message half of the space is for payloads: the first contacts of a starting
-    // fleet fill all messages for minutes.
-    isPayloadTurn = !isPayloadTurn;
+    // Every second message offers half of its space to payloads first: the updates about first
+    // contacts of a starting fleet would otherwise fill all messages for minutes.
+    putsPayloadsFirst = !putsPayloadsFirst;
     Member member = table.find(receiver);
     List<GossipUpdate> updates;
-    if (member != null && member.needsOwnRecord()) {
-      // It learns first what it has to refute.
+    if (member != null && member.needsUpdateAboutItself()) {
+      // The update that the receiver may have to refute comes first.
       updates =
           states.takeAfter(
               member.update(local.number()),
               table.activeCount(),
               GossipMessage.UPDATE_BYTES,
               GossipMessage.MAX_UPDATES);
-      fill(updates, payloads);
-    } else if (isPayloadTurn) {
+      fillRemainingSpace(updates, payloads);
+    } else if (putsPayloadsFirst) {
       updates = takeFirst(payloads, GossipMessage.UPDATE_BYTES / 2);
-      fill(updates, states);
+      fillRemainingSpace(updates, states);
     } else {
       updates = takeFirst(states, GossipMessage.UPDATE_BYTES);
-      fill(updates, payloads);
+      fillRemainingSpace(updates, payloads);
     }
     return message(kind, sequence, target, updates);
   }
@@ -66,7 +66,7 @@
     return queue.take(table.activeCount(), bytes, GossipMessage.MAX_UPDATES);
   }
 
-  private void fill(List<GossipUpdate> updates, DisseminationQueue queue) {
+  private void fillRemainingSpace(List<GossipUpdate> updates, DisseminationQueue queue) {
     int bytesUsed = updates.stream().mapToInt(GossipUpdate::maxEncodedBytes).sum();
     updates.addAll(
         queue.take(
@@ -92,7 +92,7 @@
 
   /** Digest of the payloads that this instance knows. */
   int payloadDigest() {
-    return table.payloadDigest(local.epoch(), local.payloadCount());
+    return table.payloadDigest(local.epoch(), local.payloadSequenceNumber());
   }
 
   private GossipMessage message(Kind kind, int sequence, int target, List<GossipUpdate> updates) {
--- a/src/main/java/bitternpulley/membership/ProbeResults.java
+++ b/src/main/java/bitternpulley/membership/ProbeResultHandler.java
@@ -1,12 +1,12 @@
 package bitternpulley.membership;
 
-/** Updates members' states by the results of this instance's own probes. */
-final class ProbeResults implements ProbeListener {
+/** Updates the states of members according to the results of this instance's own probes. */
+final class ProbeResultHandler implements ProbeListener {
   private final int self;
   private final MemberTransitions transitions;
   private final CheckQueue checks;
 
-  ProbeResults(int self, MemberTransitions transitions, CheckQueue checks) {
+  ProbeResultHandler(int self, MemberTransitions transitions, CheckQueue checks) {
     this.self = self;
     this.transitions = transitions;
     this.checks = checks;
@@ -18,17 +18,17 @@
       target.suspicion().recordProbeFailure(sentAt);
     }
     if (target.isActive()) {
-      transitions.suspect(target, self, "no ack, direct or through relays", now);
+      transitions.suspect(target, self, "no ack received directly or through relays", now);
     }
-    // A second failure is needed for a verdict by the end of the suspicion.
-    if (target.isSuspect() && !target.suspicion().hasFailedTwice()) {
+    // To declare the target dead at the end of the suspicion, a second failure is needed by then.
+    if (target.isSuspect() && !target.suspicion().hasRequiredFailures()) {
       checks.request(target);
     }
   }
 
   @Override
   public void onProbeAnswered(Member target, int ackSender, double now) {
-    // Whether the direct path is cut or only lost one message shows at once.
+    // An immediate check distinguishes a cut direct path from the loss of a single message.
     if (target.isReachedIndirectly() && !target.isUnreachableDirectly()) {
       checks.request(target);
     }
--- a/src/main/java/bitternpulley/membership/UpdateHandler.java
+++ b/src/main/java/bitternpulley/membership/UpdateHandler.java
@@ -1,8 +1,8 @@
 package bitternpulley.membership;
 
 /**
- * Applies the updates that messages carry. Reports of others never make a member dead: an
- * accusation at most makes it suspect and causes a check by this instance.
+ * Applies the updates that messages carry. A report from another member never makes a member dead:
+ * an accusation at most makes the member suspect and causes a check by this instance.
  */
 final class UpdateHandler {
   private final LocalMember local;
@@ -33,7 +33,7 @@
     this.checks = checks;
   }
 
-  /** Applies an update that {@code reporter} sent; false where it is about no possible member. */
+  /** Applies an update from {@code reporter}; false if implausible or about an unknown member. */
   boolean apply(GossipUpdate update, Member reporter, double now) {
     if (!GossipLimits.isPlausible(update.epoch(), update.incarnation(), now)) {
       return false;
@@ -92,8 +92,8 @@
     if (!update.isNewerThan(member.epoch(), member.incarnation())) {
       return;
     }
-    if (member.confirmsEpoch(update.epoch(), reporter)) {
-      transitions.renew(member, update, "reported by member " + reporter, now);
+    if (member.confirmEpoch(update.epoch(), reporter)) {
+      transitions.adoptNewerVersion(member, update, "reported by member " + reporter, now);
     } else {
       checks.request(member);
     }
@@ -104,22 +104,23 @@
       member.learnMetadata(update);
       return;
     }
-    MemberMetadata before = member.metadata();
+    MemberMetadata recorded = member.metadata();
     if (member.correctMetadata(update)) {
       outbox.add(
-          new MembershipAction.MetadataCorrected(member.number(), before, member.metadata()));
+          new MembershipAction.MetadataCorrected(member.number(), recorded, member.metadata()));
     }
   }
 
-  /** Handles an update by which an active member is suspect, dead or has left. */
+  /** Handles an update that claims that an active member is suspect, dead or has left. */
   private void applyAccusation(Member member, GossipUpdate update, double now) {
     boolean isNewer = update.isNewerThan(member.epoch(), member.incarnation());
     if (isNewer && member.isKnown()) {
-      // The accused process or incarnation is unknown here; a check makes the member report it.
+      // This instance does not know the accused process or incarnation; a check makes the member
+      // report it.
       checks.request(member);
     } else if (isNewer) {
-      // A member that died before first contact cannot report its version itself.
-      member.adoptVersion(update);
+      // A member that died before first contact cannot report its epoch and incarnation itself.
+      member.setVersion(update);
       table.onChanged(member);
       accuse(member, update, now);
     } else if (update.isSameVersion(member.epoch(), member.incarnation())) {
@@ -132,7 +133,7 @@
     if (isLeaving) {
       member.recordLeaveReport();
     }
-    // Evidence of this instance's own, if recent, outweighs an accusation.
+    // Recent evidence from the member outweighs an accusation by another member.
     boolean hasRecentEvidence = member.lastEvidenceAt() >= now - settings.interval();
     if (member.isSuspect() || isLeaving || !hasRecentEvidence) {
       transitions.suspect(member, update.accuser(), describe(update), now);
@@ -150,7 +151,7 @@
 
   private static String describe(GossipUpdate accusation) {
     return accusation.accuser() < 0
-        ? "reported to leave"
+        ? "reported as leaving"
         : "reported by member " + accusation.accuser();
   }
 }
--- a/src/main/java/bitternpulley/membership/ViewDigest.java
+++ b/src/main/java/bitternpulley/membership/ViewDigest.java
@@ -3,39 +3,42 @@
 import java.util.Collection;
 
 /**
- * Digests of a view and of the payloads in it, by which instances detect a difference. Computed
- * only after a change, since every message carries them.
+ * Digests of a view and of the payloads in it, by which instances detect that they differ. They are
+ * recomputed only after a change, since every message carries them.
  */
 final class ViewDigest {
   private static final long NOT_COMPUTED = 0;
 
   private final int self;
   private long computedForEpoch = NOT_COMPUTED;
-  private int view;
-  private int payloads;
+  private int viewDigest;
+  private int payloadDigest;
 
   ViewDigest(int self) {
     this.self = self;
   }
 
-  /** A member has changed. */
+  /** Must be called when a member has changed. */
   void invalidate() {
     computedForEpoch = NOT_COMPUTED;
   }
 
   /**
-   * Equal on instances that hold the same members to be active, dead and left. Suspicion is
-   * transient and does not count.
+   * Digest that is equal on instances that see the same members as active, dead and left. Suspicion
+   * is transient and does not count.
    */
-  int view(long ownEpoch, Collection<Member> others) {
+  int viewDigest(long ownEpoch, Collection<Member> others) {
     computeIfNeeded(ownEpoch, others);
-    return view;
+    return viewDigest;
   }
 
-  /** Equal on instances that know the same payloads; {@code ownCount} is that of this instance. */
-  int payloads(long ownEpoch, int ownCount, Collection<Member> others) {
+  /**
+   * Digest that is equal on instances that know the same payloads; {@code ownSequenceNumber} is
+   * that of this instance's payload.
+   */
+  int payloadDigest(long ownEpoch, int ownSequenceNumber, Collection<Member> others) {
     computeIfNeeded(ownEpoch, others);
-    return payloads + (ownCount == 0 ? 0 : mix(self, ownEpoch, ownCount));
+    return payloadDigest + (ownSequenceNumber == 0 ? 0 : mix(self, ownEpoch, ownSequenceNumber));
   }
 
   private void computeIfNeeded(long ownEpoch, Collection<Member> others) {
@@ -43,20 +46,20 @@
       return;
     }
     computedForEpoch = ownEpoch;
-    view = mix(self, ownEpoch, 0);
-    payloads = 0;
+    viewDigest = mix(self, ownEpoch, 0);
+    payloadDigest = 0;
     for (Member member : others) {
       if (member.isKnown() || !member.isActive()) {
-        view += mix(member.number(), member.epoch(), stateCode(member));
+        viewDigest += mix(member.number(), member.epoch(), stateCode(member));
       }
-      payloads +=
+      payloadDigest +=
           member.payload() == null
               ? 0
               : mix(member.number(), member.epoch(), member.payload().count());
     }
   }
 
-  /** Part of the protocol: all members have to compute the same digest. */
+  /** These codes are part of the protocol: all members must compute the same digest. */
   private static int stateCode(Member member) {
     return switch (member.state()) {
       case ALIVE, SUSPECT -> 0;
