--- a/src/main/java/bitternpulley/membership/MembershipAction.java
+++ b/src/main/java/bitternpulley/membership/MembershipAction.java
@@ -16,13 +16,17 @@
    * A member's state changed.
    *
    * @param number the member
-   * @param metadata its metadata, or null where that is unknown
-   * @param before its previous state
-   * @param now its state from now on
+   * @param metadata the member's metadata, or null if unknown
+   * @param previousState the state before the change
+   * @param newState the state after the change
    * @param evidence the reason, for the log
    */
   record StateChanged(
-      int number, MemberMetadata metadata, MemberState before, MemberState now, String evidence)
+      int number,
+      MemberMetadata metadata,
+      MemberState previousState,
+      MemberState newState,
+      String evidence)
       implements MembershipAction {
     @Override
     public String toString() {
@@ -30,9 +34,9 @@
           + number
           + (metadata == null ? "" : " (" + metadata.name() + ")")
           + " is "
-          + lowerCase(now)
+          + lowerCase(newState)
           + ", was "
-          + lowerCase(before)
+          + lowerCase(previousState)
           + ": "
           + evidence;
     }
@@ -43,17 +47,17 @@
   }
 
   /**
-   * A member reported other metadata of itself than others had reported.
+   * A member's report of its own metadata differs from what other members had reported.
    *
    * @param number the member
-   * @param before the metadata recorded until now
-   * @param now its own report, which replaces that
+   * @param recorded the metadata recorded until now
+   * @param reported the member's own report, which replaces the recorded metadata
    */
-  record MetadataCorrected(int number, MemberMetadata before, MemberMetadata now)
+  record MetadataCorrected(int number, MemberMetadata recorded, MemberMetadata reported)
       implements MembershipAction {
     @Override
     public String toString() {
-      return "member " + number + " reports " + now + ", was recorded as " + before;
+      return "member " + number + " reports " + reported + ", was recorded as " + recorded;
     }
   }
 
@@ -61,8 +65,8 @@
    * A member published a new payload.
    *
    * @param number the member
-   * @param epoch start of its process
-   * @param reachability what the payload contains
+   * @param epoch epoch of the member's process
+   * @param reachability the decoded payload
    */
   record PayloadReceived(int number, long epoch, ReachabilityReport reachability)
       implements MembershipAction {
@@ -76,14 +80,15 @@
    * All messages of a member have been ignored for some intervals.
    *
    * @param number the member
-   * @param recordedEpoch start of its process as recorded here
-   * @param reportedEpoch start of its process as its messages have it, which is earlier
+   * @param recordedEpoch the epoch of the member's process that this instance has recorded
+   * @param reportedEpoch the epoch that the member's messages carry, which is earlier
    */
   record MemberIgnored(int number, long recordedEpoch, long reportedEpoch)
       implements MembershipAction {}
 
   /**
-   * This instance resumed after a pause and withholds verdicts until it had time to receive again.
+   * This instance resumed after a pause and declares no member dead until it has had time to
+   * receive messages again.
    *
    * @param pausedForMs ms during which it did not run
    */
--- a/src/test/java/bitternpulley/membership/DetectionTimeTable.java
+++ b/src/test/java/bitternpulley/membership/DetectionTimeTable.java
@@ -7,15 +7,15 @@
 import java.util.stream.IntStream;
 
 /**
- * The tables of docs/membership.md, in virtual time: {@code make table-membership}. {@link
- * BasicSwimDetector} runs with the same seeds for comparison. Times are ms.
+ * Prints the tables of docs/membership.md, measured in virtual time: {@code make table-membership}.
+ * {@link BasicSwimDetector} runs with the same seeds for comparison. Times are ms.
  */
 final class DetectionTimeTable {
   private static final double SETTLING_MS = 30_000;
   private static final double SETTLING_MS_PER_MEMBER = 2;
   private static final double MS_PER_MINUTE = 60_000;
   private static final double MS_PER_DAY = 86_400_000;
-  private static final double REST_S = 10;
+  private static final double IDLE_S = 10;
   private static final int MEMORY_INSTANCES = 20;
 
   private enum Detector {
@@ -51,8 +51,8 @@
   private DetectionTimeTable() {}
 
   /**
-   * Prints all tables; or one line of them: {@code detect MEMBERS SEEDS}, {@code churn MEMBERS},
-   * {@code deaths MEMBERS LOSS MS}.
+   * Prints all tables, or with arguments only one line: {@code detect MEMBERS SEEDS}, {@code churn
+   * MEMBERS} or {@code deaths MEMBERS LOSS MS}.
    */
   public static void main(String[] args) {
     if (args.length > 0) {
@@ -74,7 +74,7 @@
               Double.parseDouble(args[2]),
               Double.parseDouble(args[3]),
               Detector.OWN);
-      default -> throw new IllegalArgumentException(args[0] + " is no line of the table");
+      default -> throw new IllegalArgumentException("unknown table line: " + args[0]);
     }
   }
 
@@ -99,7 +99,10 @@
     System.out.println(String.format(Locale.ROOT, format, values));
   }
 
-  /** One in ten members restarts within a minute. */
+  /**
+   * Restarts one member in ten within a minute, and prints the time until all members know the new
+   * processes.
+   */
   private static void printChurn(int members) {
     SimulatedCluster cluster = Detector.OWN.cluster(members, 1);
     cluster.run(SETTLING_MS + SETTLING_MS_PER_MEMBER * members);
@@ -115,12 +118,12 @@
       cluster.run(2000);
     }
     print(
-        "own, %d members, one in ten started anew in a minute: all known as they run after "
-            + "%.0f ms more; %d verdicts of death",
-        members, cluster.now() - from, cluster.deathVerdicts().size());
+        "own, %d members, one in ten restarted within a minute: all running processes known after "
+            + "a further %.0f ms; %d death declarations",
+        members, cluster.now() - from, cluster.deathDeclarations().size());
   }
 
-  /** Whether all members know the running processes of these. */
+  /** Whether all members know the running processes of the members with these numbers. */
   private static boolean allKnowProcesses(SimulatedCluster cluster, int[] numbers) {
     return IntStream.range(0, cluster.size())
         .allMatch(
@@ -137,7 +140,7 @@
       long before = usedMemory();
       Arrays.setAll(instances, index -> memberThatKnowsAll(members));
       print(
-          "%d members: %d bytes a member, all heard of (%d)",
+          "%d members: %d bytes per member, all known (%d)",
           members,
           (usedMemory() - before) / instances.length / members,
           instances[0].members().size());
@@ -176,31 +179,36 @@
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
 
-  /** The time from a kill until all live members know. */
+  /** Prints the time from the kill of a member until all running members see it as dead. */
   private static void printDetection(Sample sample, Detector detector) {
     int members = sample.members();
     int seeds = sample.seeds();
     double[] detectionMs = new double[seeds];
     double messages = 0;
-    double falseVerdicts = 0;
+    double falseDeclarations = 0;
     for (int run = 0; run < seeds; run++) {
       SimulatedCluster cluster = detector.cluster(members, run + 1);
       cluster.run(SETTLING_MS + SETTLING_MS_PER_MEMBER * members);
       long before = cluster.sentMessages();
-      cluster.run(1000 * REST_S);
-      messages += (cluster.sentMessages() - before) / REST_S / members / seeds;
+      cluster.run(1000 * IDLE_S);
+      messages += (cluster.sentMessages() - before) / IDLE_S / members / seeds;
       int killed = new Random(run).nextInt(members);
       cluster.clearStateChanges();
       cluster.kill(killed);
       detectionMs[run] =
-          cluster.runUntil(120_000, "all know", () -> cluster.allHold(killed, MemberState.DEAD));
-      falseVerdicts +=
-          cluster.deathVerdicts().stream().filter(verdict -> verdict.member() != killed).count();
+          cluster.runUntil(
+              120_000,
+              "all see the member as dead",
+              () -> cluster.isSeenByAllAs(killed, MemberState.DEAD));
+      falseDeclarations +=
+          cluster.deathDeclarations().stream()
+              .filter(declaration -> declaration.member() != killed)
+              .count();
     }
     Arrays.sort(detectionMs);
     print(
-        "%s, %d members, %d seeds: all know after median %.0f p99 %.0f worst %.0f ms;"
-            + " %.1f messages/s each; %.0f verdicts on others",
+        "%s, %d members, %d seeds: seen as dead by all after median %.0f p99 %.0f worst %.0f ms;"
+            + " %.1f messages/s per member; %.0f death declarations of others",
         detector.label,
         members,
         seeds,
@@ -208,10 +216,13 @@
         detectionMs[(int) Math.ceil(0.99 * seeds) - 1],
         detectionMs[seeds - 1],
         messages,
-        falseVerdicts);
+        falseDeclarations);
   }
 
-  /** Nobody is killed; one in ten members is paused for 1 to 5 s each minute. */
+  /**
+   * Prints the rate of false death declarations. No member is killed; each minute one member in ten
+   * is paused for 1 to 5 s.
+   */
   private static void printFalseDeaths(
       Sample sample, double lossRate, double ms, Detector detector) {
     int members = sample.members();
@@ -222,11 +233,11 @@
       cluster.clearStateChanges();
       cluster.setNetwork(NetworkConditions.NORMAL.withLossRate(lossRate));
       runWithPauses(cluster, new Random(run), ms);
-      deaths += cluster.deathVerdicts().size();
+      deaths += cluster.deathDeclarations().size();
     }
     double days = sample.seeds() * members * ms / MS_PER_DAY;
     print(
-        "%s, %d members, loss %.2f: %.0f verdicts of death an instance-day (%d in %.2f)",
+        "%s, %d members, loss %.2f: %.0f death declarations per instance-day (%d in %.2f)",
         detector.label, members, lossRate, deaths / days, deaths, days);
   }
 
--- a/src/test/java/bitternpulley/membership/MembershipDetectionTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipDetectionTest.java
@@ -1,7 +1,7 @@
 package bitternpulley.membership;
 
 import static bitternpulley.membership.MembershipScenarios.SEEDS;
-import static bitternpulley.membership.MembershipScenarios.assertNoDeathVerdicts;
+import static bitternpulley.membership.MembershipScenarios.assertNoDeathDeclarations;
 import static bitternpulley.membership.MembershipScenarios.forEachSeed;
 import static bitternpulley.membership.MembershipScenarios.seedOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,49 +12,58 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How soon deaths are detected, and that message loss causes none, in virtual time by seed. */
+/**
+ * Tests how soon dead members are detected, and that message loss causes no false declarations, in
+ * virtual time with fixed seeds.
+ */
 class MembershipDetectionTest {
   private static final int SMALL_FLEET = 12;
 
   @ParameterizedTest
   @ValueSource(ints = {5, SMALL_FLEET, 100})
-  void detectsADeathWithinSecondsWithoutFalseVerdicts(int size) {
+  void detectsDeadMemberWithinSecondsWithoutFalseDeclarations(int size) {
     double maxDetectionMs = size <= SMALL_FLEET ? 11_000 : 13_000;
     forEachSeed(
         size,
         cluster -> {
           cluster.kill(2);
           double detectionMs =
-              cluster.runUntil(30_000, "all know", () -> cluster.allHold(2, MemberState.DEAD));
+              cluster.runUntil(
+                  30_000,
+                  "all see member as dead",
+                  () -> cluster.isSeenByAllAs(2, MemberState.DEAD));
           assertTrue(detectionMs <= maxDetectionMs, seedOf(cluster) + ": " + detectionMs);
           cluster.run(5000);
-          assertNoDeathVerdicts(cluster, 2);
+          assertNoDeathDeclarations(cluster, 2);
           assertTrue(cluster.viewsEqual());
         });
   }
 
   @Test
-  void detectsDeathOfHalfTheFleetAndOfAllButOneWithoutAMajority() {
+  void detectsDeathOfHalfTheFleetAndOfAllButOneWithoutMajority() {
     forEachSeed(
         12,
         cluster -> {
           IntStream.range(0, 6).forEach(cluster::kill);
-          cluster.runUntil(60_000, "half", () -> allHoldDeadBelow(cluster, 6));
+          cluster.runUntil(60_000, "half seen as dead", () -> allSeeMembersBelowAsDead(cluster, 6));
           assertTrue(
-              cluster.deathVerdicts().stream().allMatch(verdict -> verdict.member() < 6),
+              cluster.deathDeclarations().stream()
+                  .allMatch(declaration -> declaration.member() < 6),
               seedOf(cluster));
           IntStream.range(6, 11).forEach(cluster::kill);
-          cluster.runUntil(60_000, "all but one", () -> allHoldDeadBelow(cluster, 11));
+          cluster.runUntil(
+              60_000, "all but one seen as dead", () -> allSeeMembersBelowAsDead(cluster, 11));
         });
   }
 
-  private static boolean allHoldDeadBelow(SimulatedCluster cluster, int border) {
-    return IntStream.range(0, border).allMatch(number -> cluster.allHold(number, MemberState.DEAD));
+  private static boolean allSeeMembersBelowAsDead(SimulatedCluster cluster, int limit) {
+    return IntStream.range(0, limit)
+        .allMatch(number -> cluster.isSeenByAllAs(number, MemberState.DEAD));
   }
 
   @ParameterizedTest
   @CsvSource({"0.05,30", "0.2,100", "0.4,400"})
-  void lossDelayAndDuplicationCauseNoDeathVerdicts(double lossRate, double maxDelayMs) {
+  void declaresNoMemberDeadOnLossDelayAndDuplication(double lossRate, double maxDelayMs) {
     NetworkConditions poor =
         NetworkConditions.NORMAL
             .withLossRate(lossRate)
@@ -65,30 +74,32 @@
         cluster -> {
           cluster.setNetwork(poor);
           cluster.run(60_000);
-          assertNoDeathVerdicts(cluster);
+          assertNoDeathDeclarations(cluster);
           cluster.setNetwork(NetworkConditions.NORMAL.withDuplicationRate(0.1));
           cluster.runUntil(30_000, "views equal", cluster::viewsEqual);
         });
   }
 
-  /** Updates about first contacts must not delay those about a death. */
+  /** Updates about first contacts must not delay updates about a dead member. */
   @Test
-  void detectsADeathInTimeWhileALargeFleetStarts() {
+  void detectsDeadMemberInTimeWhileLargeFleetStarts() {
     SimulatedCluster cluster = new SimulatedCluster(400, 1, MembershipSettings.DEFAULT);
     cluster.run(30_000);
     cluster.kill(7);
     double detectionMs =
-        cluster.runUntil(60_000, "all know", () -> cluster.allHold(7, MemberState.DEAD));
+        cluster.runUntil(
+            60_000, "all see member as dead", () -> cluster.isSeenByAllAs(7, MemberState.DEAD));
     assertTrue(detectionMs <= 10_000, detectionMs + " ms");
   }
 
   @Test
-  void declaresAConfiguredMemberThatNeverStartedDead() {
+  void declaresNeverStartedMemberDead() {
     for (long seed = 1; seed <= SEEDS; seed++) {
       SimulatedCluster cluster = new SimulatedCluster(6, seed, MembershipSettings.DEFAULT);
       cluster.kill(5);
-      cluster.runUntil(40_000, "never there", () -> cluster.allHold(5, MemberState.DEAD));
-      assertNoDeathVerdicts(cluster, 5);
+      cluster.runUntil(
+          40_000, "missing member seen as dead", () -> cluster.isSeenByAllAs(5, MemberState.DEAD));
+      assertNoDeathDeclarations(cluster, 5);
     }
   }
 }
--- a/src/test/java/bitternpulley/membership/MembershipHealingTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipHealingTest.java
@@ -10,30 +10,38 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Wrong values of a member that another one has accepted, in virtual time by seed. */
+/**
+ * Tests that wrong values that one member has accepted about another are corrected, in virtual time
+ * with fixed seeds.
+ */
 class MembershipHealingTest {
   private static final int SEEDS = 3;
-  private static final int HOLDER = 0;
+  private static final int OBSERVER = 0;
   private static final int SUBJECT = 1;
   private static final int REPORTER = 2;
 
-  /** Ms by which an accepted epoch is later than the subject's own. */
+  /** Ms by which the wrong epoch is later than the subject's own. */
   private static final int EPOCH_LEAD_MS = 14;
 
-  /** Every member probes every other within a round; one more for the answer to be disseminated. */
+  /**
+   * Time for every member to probe every other in one round, and for the answers to be disseminated
+   * in another.
+   */
   private static double twoRounds(SimulatedCluster cluster) {
     return 2 * cluster.size() * MembershipSettings.DEFAULT.interval() + 5000;
   }
 
-  /** Regression: the subject never learned of a later epoch that another member had accepted. */
+  /**
+   * Regression: the subject never learned that another member had accepted a later epoch for it.
+   */
   @ParameterizedTest
   @CsvSource({"3,2", "3,6", "3,20", "5,2", "5,6", "5,20", "20,2", "20,6", "20,20"})
-  void aWrongLaterEpochHealsOnceTheSubjectCanBeReached(int size, int cutSeconds) {
+  void correctsWrongLaterEpochOnceSubjectIsReachable(int size, int cutSeconds) {
     for (long seed = 1; seed <= SEEDS; seed++) {
       SimulatedCluster cluster = settledCluster(size, seed);
-      cluster.cut(HOLDER, SUBJECT);
+      cluster.cut(OBSERVER, SUBJECT);
       long wrongEpoch = cluster.member(SUBJECT).epoch() + EPOCH_LEAD_MS;
-      cluster.deliver(SUBJECT, HOLDER, GossipMessages.ping(SUBJECT, wrongEpoch, 1));
+      cluster.deliver(SUBJECT, OBSERVER, GossipMessages.ping(SUBJECT, wrongEpoch, 1));
       cluster.run(cutSeconds * 1000.0);
       cluster.healAll();
       cluster.runUntil(
@@ -41,23 +49,26 @@
     }
   }
 
-  /** Regression: nothing was logged while a member was ignored for minutes. */
+  /** Regression: nothing was logged while the messages of a member were ignored for minutes. */
   @Test
-  void warnsOnceOfAMemberWhoseMessagesAreIgnored() {
+  void warnsOnceAboutMemberWithIgnoredMessages() {
     SimulatedCluster cluster = settledCluster(5, 1);
-    cluster.cut(HOLDER, SUBJECT);
+    cluster.cut(OBSERVER, SUBJECT);
     long epoch = cluster.member(SUBJECT).epoch();
-    cluster.deliver(SUBJECT, HOLDER, GossipMessages.ping(SUBJECT, epoch + EPOCH_LEAD_MS, 1));
+    cluster.deliver(SUBJECT, OBSERVER, GossipMessages.ping(SUBJECT, epoch + EPOCH_LEAD_MS, 1));
     cluster.run(60_000);
     assertEquals(
         List.of(new MembershipAction.MemberIgnored(SUBJECT, epoch + EPOCH_LEAD_MS, epoch)),
         cluster.warnings());
   }
 
-  /** A restart that is not noticed otherwise, with an epoch before that of the earlier process. */
+  /**
+   * The restart is too quick to be noticed otherwise, and the epoch of the new process is earlier
+   * than that of the previous one.
+   */
   @ParameterizedTest
   @ValueSource(ints = {3, 5, 20})
-  void aQuickRestartWithTheClockSetBackIsAccepted(int size) {
+  void acceptsQuickRestartWithClockSetBack(int size) {
     for (long seed = 1; seed <= SEEDS; seed++) {
       SimulatedCluster cluster = settledCluster(size, seed);
       cluster.kill(SUBJECT);
@@ -74,10 +85,10 @@
     }
   }
 
-  /** Regression: a wrong zone of a member stayed until it restarted. */
+  /** Regression: a wrong zone stayed recorded until the member restarted. */
   @ParameterizedTest
   @ValueSource(ints = {5, 20})
-  void wrongMetadataHealsByTheSubjectsOwnReport(int size) {
+  void correctsWrongMetadataByReportOfSubject(int size) {
     for (long seed = 1; seed <= SEEDS; seed++) {
       SimulatedCluster cluster = new SimulatedCluster(size, seed, MembershipSettings.DEFAULT);
       MemberMetadata wrong = new MemberMetadata("n" + SUBJECT, "spoiled", "r", "b");
@@ -91,21 +102,24 @@
               wrong);
       cluster.deliver(
           REPORTER,
-          HOLDER,
+          OBSERVER,
           GossipMessages.sync(REPORTER, cluster.member(REPORTER).epoch(), report));
       cluster.runUntil(
-          5000, "wrong zone recorded", () -> wrong.equals(metadataAt(cluster, HOLDER)));
+          5000, "wrong zone recorded", () -> wrong.equals(metadataAt(cluster, OBSERVER)));
       MemberMetadata right = cluster.member(SUBJECT).members().get(SUBJECT).metadata();
       cluster.runUntil(
           tenSyncRounds(cluster),
-          "zone corrected at all",
+          "zone corrected on all members",
           () ->
               IntStream.range(0, size)
                   .allMatch(observer -> right.equals(metadataAt(cluster, observer))));
     }
   }
 
-  /** A member sends its own metadata to one other every ten intervals. */
+  /**
+   * Time for ten rounds of syncs. A member sends its own metadata to one other member every ten
+   * intervals, so a round takes ten intervals per member of the cluster.
+   */
   private static double tenSyncRounds(SimulatedCluster cluster) {
     return 10 * cluster.size() * 10 * MembershipSettings.DEFAULT.interval();
   }
--- a/src/test/java/bitternpulley/membership/MembershipHostileMemberTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipHostileMemberTest.java
@@ -1,6 +1,6 @@
 package bitternpulley.membership;
 
-import static bitternpulley.membership.MembershipScenarios.assertNoDeathVerdicts;
+import static bitternpulley.membership.MembershipScenarios.assertNoDeathDeclarations;
 import static bitternpulley.membership.MembershipScenarios.forEachSeed;
 import static bitternpulley.membership.MembershipScenarios.seedOf;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -10,15 +10,18 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** A member that sends too much or false claims, in virtual time by seed. */
+/**
+ * Tests the protection against a member that sends too many messages or false claims, in virtual
+ * time with fixed seeds.
+ */
 class MembershipHostileMemberTest {
-  private static final int LIAR = 6;
+  private static final int HOSTILE_MEMBER = 6;
   private static final MemberState[] ACCUSATIONS = {
     MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT
   };
 
   @Test
-  void limitsTheAnswersToAFloodingMember() {
+  void limitsAnswersToFloodingMember() {
     forEachSeed(
         5,
         cluster -> {
@@ -33,13 +36,13 @@
           assertTrue(answers < 600, seedOf(cluster) + ": " + answers);
           assertTrue(receiver.ignoredMessages() > ignored + 9000);
           cluster.run(20_000);
-          assertNoDeathVerdicts(cluster);
+          assertNoDeathDeclarations(cluster);
           assertTrue(cluster.viewsEqual(), seedOf(cluster));
         });
   }
 
   @Test
-  void falseAccusationsRemoveNobodyFromAnyView() {
+  void removesNoMemberOnFalseAccusations() {
     forEachSeed(
         7,
         cluster -> {
@@ -50,15 +53,17 @@
           assertEquals(
               List.of(),
               cluster.stateChanges().stream()
-                  .filter(change -> change.member() != LIAR && isRemoval(change.now()))
+                  .filter(
+                      change ->
+                          change.member() != HOSTILE_MEMBER && isRemoval(change.newState()))
                   .toList(),
               seedOf(cluster));
           cluster.runUntil(
               30_000,
-              "calm",
+              "all alive",
               () ->
-                  IntStream.range(0, LIAR)
-                      .allMatch(number -> cluster.allHold(number, MemberState.ALIVE)));
+                  IntStream.range(0, HOSTILE_MEMBER)
+                      .allMatch(number -> cluster.isSeenByAllAs(number, MemberState.ALIVE)));
         });
   }
 
@@ -67,7 +72,7 @@
   }
 
   private static void accuseAll(SimulatedCluster cluster, int round) {
-    for (int accused = 0; accused < LIAR; accused++) {
+    for (int accused = 0; accused < HOSTILE_MEMBER; accused++) {
       GossipUpdate accusation =
           new GossipUpdate(
               accused,
@@ -77,9 +82,9 @@
               round % 6,
               null);
       cluster.deliver(
-          LIAR,
-          (accused + 1 + round) % LIAR,
-          GossipMessages.sync(LIAR, cluster.member(LIAR).epoch(), accusation));
+          HOSTILE_MEMBER,
+          (accused + 1 + round) % HOSTILE_MEMBER,
+          GossipMessages.sync(HOSTILE_MEMBER, cluster.member(HOSTILE_MEMBER).epoch(), accusation));
     }
   }
 }
--- a/src/test/java/bitternpulley/membership/MembershipPartitionTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipPartitionTest.java
@@ -1,6 +1,6 @@
 package bitternpulley.membership;
 
-import static bitternpulley.membership.MembershipScenarios.assertNoDeathVerdicts;
+import static bitternpulley.membership.MembershipScenarios.assertNoDeathDeclarations;
 import static bitternpulley.membership.MembershipScenarios.forEachSeed;
 import static bitternpulley.membership.MembershipScenarios.seedOf;
 import static bitternpulley.membership.MembershipScenarios.settledCluster;
@@ -12,21 +12,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Network paths cut in one direction or both, in virtual time by seed. */
+/** Tests network paths that are cut in one or both directions, in virtual time with fixed seeds. */
 class MembershipPartitionTest {
   @Test
-  void halvesThatDeclaredEachOtherDeadReuniteAfterHealing() {
+  void reunitesHalvesThatDeclaredEachOtherDead() {
     forEachSeed(
         6,
         cluster -> {
           cluster.partitionAt(3);
-          cluster.runUntil(60_000, "each half is alone", () -> halvesHoldEachOtherDead(cluster));
+          cluster.runUntil(
+              60_000, "each half declares the other dead", () -> halvesSeeEachOtherAsDead(cluster));
           cluster.healAll();
           cluster.runUntil(30_000, "reunited", () -> cluster.allAlive() && cluster.viewsEqual());
         });
   }
 
-  private static boolean halvesHoldEachOtherDead(SimulatedCluster cluster) {
+  private static boolean halvesSeeEachOtherAsDead(SimulatedCluster cluster) {
     return IntStream.range(0, 3)
         .allMatch(
             low ->
@@ -38,17 +39,17 @@
   }
 
   @Test
-  void aOneWayCutBetweenTwoKeepsViewsEqualWithoutFlapping() {
+  void keepsViewsEqualWithoutFlappingDuringOneWayCut() {
     forEachSeed(
         7,
         cluster -> {
           cluster.cut(0, 1);
           cluster.run(60_000);
-          assertNoDeathVerdicts(cluster);
+          assertNoDeathDeclarations(cluster);
           assertTrue(cluster.viewsEqual(), seedOf(cluster));
           long suspicions =
               cluster.stateChanges().stream()
-                  .filter(change -> change.now() == MemberState.SUSPECT)
+                  .filter(change -> change.newState() == MemberState.SUSPECT)
                   .count();
           assertTrue(
               suspicions <= 6, seedOf(cluster) + ": " + suspicions + " suspicions in a minute");
@@ -56,40 +57,40 @@
   }
 
   @Test
-  void aMemberThatReceivesNothingStaysAliveAndDeclaresNobodyDead() {
+  void declaresNoMemberDeadWhileOneReceivesNothing() {
     forEachSeed(
         7,
         cluster -> {
           IntStream.range(1, 7).forEach(number -> cluster.cut(number, 0));
           cluster.run(15_000);
-          assertNoDeathVerdicts(cluster);
+          assertNoDeathDeclarations(cluster);
           cluster.healAll();
           cluster.runUntil(
               20_000,
               "healed",
-              () -> cluster.allHold(0, MemberState.ALIVE) && cluster.viewsEqual());
+              () -> cluster.isSeenByAllAs(0, MemberState.ALIVE) && cluster.viewsEqual());
         });
   }
 
   @Test
-  void aMemberThatNobodyReceivesFromIsDeadUntilItIsHealed() {
+  void declaresMemberDeadWhileNoneReceivesItsMessages() {
     forEachSeed(
         7,
         cluster -> {
           IntStream.range(1, 7).forEach(number -> cluster.cut(0, number));
-          cluster.runUntil(30_000, "dead", () -> cluster.allHold(0, MemberState.DEAD));
-          assertNoDeathVerdicts(cluster, 0);
+          cluster.runUntil(30_000, "dead", () -> cluster.isSeenByAllAs(0, MemberState.DEAD));
+          assertNoDeathDeclarations(cluster, 0);
           cluster.healAll();
           cluster.runUntil(
               20_000,
               "healed",
-              () -> cluster.allHold(0, MemberState.ALIVE) && cluster.viewsEqual());
+              () -> cluster.isSeenByAllAs(0, MemberState.ALIVE) && cluster.viewsEqual());
         });
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void onlyTheMajorityDeclaresAPartitionedZoneDeadAndItRejoins(boolean isFlapping) {
+  void declaresPartitionedZoneDeadOnlyOnMajoritySideUntilItRejoins(boolean isFlapping) {
     forEachSeed(
         7,
         cluster -> {
@@ -103,36 +104,38 @@
           }
           cluster.healAll();
           assertTrue(
-              cluster.deathVerdicts().stream()
-                  .allMatch(verdict -> verdict.member() < 3 && verdict.observer() >= 3),
-              seedOf(cluster) + ": " + cluster.deathVerdicts());
+              cluster.deathDeclarations().stream()
+                  .allMatch(declaration -> declaration.member() < 3 && declaration.observer() >= 3),
+              seedOf(cluster) + ": " + cluster.deathDeclarations());
           cluster.runUntil(20_000, "healed", cluster::viewsEqual);
           cluster.runUntil(20_000, "all alive", cluster::allAlive);
         });
   }
 
   @Test
-  void membersThatCannotReachEachOtherStayAliveThroughRelays() {
+  void keepsMutuallyUnreachableMembersAliveThroughRelays() {
     forEachSeed(
         3,
         cluster -> {
           cluster.cut(0, 2);
           cluster.cut(2, 0);
           cluster.run(60_000);
-          assertNoDeathVerdicts(cluster);
+          assertNoDeathDeclarations(cluster);
         });
   }
 
   @Test
-  void allLearnWhichPathIsCutAndInWhichDirection() {
+  void reportsCutPathAndItsDirectionToAllMembers() {
     forEachSeed(
         7,
         cluster -> {
           cluster.cut(0, 1);
           cluster.runUntil(
-              60_000, "reported by both", () -> allHoldPathBetweenFirstTwoCut(cluster));
+              60_000,
+              "cut path reported by both members",
+              () -> allReportPathBetweenFirstTwoMembersCut(cluster));
           cluster.run(30_000);
-          assertTrue(allHoldPathBetweenFirstTwoCut(cluster), seedOf(cluster));
+          assertTrue(allReportPathBetweenFirstTwoMembersCut(cluster), seedOf(cluster));
           assertTrue(
               IntStream.range(0, 7)
                   .noneMatch(observer -> reachability(cluster, observer, 1).receivesFrom(0)),
@@ -151,7 +154,7 @@
         });
   }
 
-  private static boolean allHoldPathBetweenFirstTwoCut(SimulatedCluster cluster) {
+  private static boolean allReportPathBetweenFirstTwoMembersCut(SimulatedCluster cluster) {
     return IntStream.range(0, cluster.size())
         .allMatch(
             observer ->
@@ -165,19 +168,19 @@
   }
 
   @Test
-  void messageLossIsRarelyReportedAsACutPath() {
-    int reported = 0;
+  void rarelyReportsMessageLossAsCutPath() {
+    int reportedCuts = 0;
     for (long seed = 1; seed <= 5; seed++) {
       SimulatedCluster cluster = settledCluster(10, seed);
       cluster.setNetwork(NetworkConditions.NORMAL.withLossRate(0.2));
       for (int second = 0; second < 120; second++) {
         cluster.run(1000);
-        reported +=
+        reportedCuts +=
             IntStream.range(0, 10)
                 .map(member -> reachability(cluster, 0, member).unreachable().size())
                 .sum();
       }
     }
-    assertTrue(reported <= 300, "of 54,000 paths and seconds, " + reported + " reported as cut");
+    assertTrue(reportedCuts <= 300, reportedCuts + " of 54,000 path-seconds were reported as cut");
   }
 }
--- a/src/test/java/bitternpulley/membership/MembershipPauseTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipPauseTest.java
@@ -1,6 +1,6 @@
 package bitternpulley.membership;
 
-import static bitternpulley.membership.MembershipScenarios.assertNoDeathVerdicts;
+import static bitternpulley.membership.MembershipScenarios.assertNoDeathDeclarations;
 import static bitternpulley.membership.MembershipScenarios.forEachSeed;
 import static bitternpulley.membership.MembershipScenarios.seedOf;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -12,23 +12,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Members that were paused or are slow, in virtual time by seed. */
+/** Tests members that were paused or are slow, in virtual time with fixed seeds. */
 class MembershipPauseTest {
   @ParameterizedTest
   @CsvSource({"300,1", "3000,1", "3000,3", "300,3"})
-  void shortPausesCauseNoDeathVerdicts(double ms, int pausedMembers) {
+  void declaresNoMemberDeadAfterShortPauses(double ms, int pausedMembers) {
     forEachSeed(
         7,
         cluster -> {
           IntStream.range(0, pausedMembers).forEach(number -> cluster.pause(number, ms));
           cluster.run(ms + 20_000);
-          assertNoDeathVerdicts(cluster);
+          assertNoDeathDeclarations(cluster);
           assertTrue(cluster.viewsEqual(), seedOf(cluster));
         });
   }
 
   @Test
-  void reportsAPauseAndPingsOthersAtOnce() {
+  void reportsPauseAndPingsOthersImmediately() {
     Membership membership =
         new Membership(
             0,
@@ -49,35 +49,42 @@
   }
 
   @Test
-  void aSlowMemberLowersItsLocalHealthAndRarelySuspectsOthers() {
+  void raisesLocalHealthScoreOfSlowMemberThatRarelySuspectsOthers() {
     forEachSeed(
         7,
         cluster -> {
           cluster.delayDelivery(3, 1000);
           cluster.run(60_000);
-          assertNoDeathVerdicts(cluster);
+          assertNoDeathDeclarations(cluster);
           assertTrue(cluster.member(3).localHealth() > 0, seedOf(cluster));
           long suspicions =
               cluster.stateChanges().stream()
-                  .filter(change -> change.observer() == 3 && change.now() == MemberState.SUSPECT)
+                  .filter(
+                      change ->
+                          change.observer() == 3 && change.newState() == MemberState.SUSPECT)
                   .count();
           assertTrue(
               suspicions <= 15,
-              seedOf(cluster) + ": it suspected others " + suspicions + " times in a minute");
+              seedOf(cluster)
+                  + ": the slow member suspected others "
+                  + suspicions
+                  + " times in a minute");
         });
   }
 
   @Test
-  void aMemberPausedForLongRejoinsAndDeclaresNobodyDead() {
+  void rejoinsAfterLongPauseWithoutDeclaringOthersDead() {
     forEachSeed(
         7,
         cluster -> {
           cluster.pause(0, 30_000);
           cluster.run(30_000);
-          assertTrue(cluster.allHold(0, MemberState.DEAD), seedOf(cluster));
+          assertTrue(cluster.isSeenByAllAs(0, MemberState.DEAD), seedOf(cluster));
           cluster.runUntil(
-              15_000, "back", () -> cluster.allHold(0, MemberState.ALIVE) && cluster.viewsEqual());
-          assertNoDeathVerdicts(cluster, 0);
+              15_000,
+              "rejoined",
+              () -> cluster.isSeenByAllAs(0, MemberState.ALIVE) && cluster.viewsEqual());
+          assertNoDeathDeclarations(cluster, 0);
         });
   }
 }
--- a/src/test/java/bitternpulley/membership/MembershipPayloadTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipPayloadTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What members publish to all others, in virtual time by seed. */
+/** Tests payloads that members publish to all others, in virtual time with fixed seeds. */
 class MembershipPayloadTest {
   private static final int PUBLISHER = 1;
-  private static final int LIAR = 6;
+  private static final int HOSTILE_MEMBER = 6;
 
   private static byte[] payloadSeenBy(SimulatedCluster cluster, int observer) {
     return cluster.member(observer).members().get(PUBLISHER).reachability().payload();
@@ -27,7 +27,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {7, 100})
-  void theLatestPayloadReachesAllMembersDespiteLoss(int size) {
+  void disseminatesLatestPayloadToAllMembersDespiteLoss(int size) {
     forEachSeed(
         size,
         cluster -> {
@@ -37,14 +37,14 @@
           cluster.member(PUBLISHER).publish(first);
           cluster.run(100);
           cluster.member(PUBLISHER).publish(second);
-          cluster.runUntil(30_000, "all receive it", () -> allSee(cluster, second));
+          cluster.runUntil(30_000, "all receive second payload", () -> allSee(cluster, second));
           cluster.run(10_000);
           assertTrue(allSee(cluster, second), seedOf(cluster));
         });
   }
 
   @Test
-  void aRestartClearsThePayloadAndTheNextOneIsTaken() {
+  void clearsPayloadOnRestartAndAcceptsNextOne() {
     forEachSeed(
         5,
         cluster -> {
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void aPayloadForgedInAMembersNameIsCorrectedByIt() {
+  void correctsPayloadForgedInNameOfMember() {
     forEachSeed(
         7,
         cluster -> {
@@ -94,6 +94,9 @@
             GossipUpdate.NO_ACCUSER,
             null,
             forged);
-    cluster.deliver(LIAR, 2, GossipMessages.sync(LIAR, cluster.member(LIAR).epoch(), update));
+    cluster.deliver(
+        HOSTILE_MEMBER,
+        2,
+        GossipMessages.sync(HOSTILE_MEMBER, cluster.member(HOSTILE_MEMBER).epoch(), update));
   }
 }
--- a/src/test/java/bitternpulley/membership/MembershipScenarios.java
+++ b/src/test/java/bitternpulley/membership/MembershipScenarios.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 
-/** What the tests of membership in a simulated cluster share. */
+/** Helpers for the membership tests that use a simulated cluster. */
 final class MembershipScenarios {
-  /** Seeds of each scenario. */
+  /** Number of seeds with which each scenario runs. */
   static final int SEEDS = 10;
 
   private static final double MAX_START_MS = 60_000;
@@ -16,7 +16,7 @@
 
   private MembershipScenarios() {}
 
-  /** A cluster whose members have found each other. */
+  /** Creates a cluster and runs it until all members have found each other. */
   static SimulatedCluster settledCluster(int size, long seed) {
     SimulatedCluster cluster = new SimulatedCluster(size, seed, MembershipSettings.DEFAULT);
     cluster.runUntil(MAX_START_MS, "all find each other", cluster::viewsEqual);
@@ -25,19 +25,21 @@
     return cluster;
   }
 
-  /** Runs a scenario on a settled cluster of each seed. */
+  /** Runs a scenario on a settled cluster for each seed. */
   static void forEachSeed(int size, Consumer<SimulatedCluster> scenario) {
     for (long seed = 1; seed <= SEEDS; seed++) {
       scenario.accept(settledCluster(size, seed));
     }
   }
 
-  /** Asserts that there is no verdict of death but on these members. */
-  static void assertNoDeathVerdicts(SimulatedCluster cluster, int... except) {
+  /** Asserts that no members other than these have been declared dead. */
+  static void assertNoDeathDeclarations(SimulatedCluster cluster, int... except) {
     assertEquals(
         List.of(),
-        cluster.deathVerdicts().stream()
-            .filter(verdict -> IntStream.of(except).noneMatch(dead -> dead == verdict.member()))
+        cluster.deathDeclarations().stream()
+            .filter(
+                declaration ->
+                    IntStream.of(except).noneMatch(dead -> dead == declaration.member()))
             .toList(),
         seedOf(cluster));
   }
--- a/src/test/java/bitternpulley/membership/MembershipTraceTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipTraceTest.java
@@ -11,21 +11,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every message and every change of state in seeded runs with loss, cuts, pauses and restarts, as a
- * digest of numbers.
+ * Compares all messages and state changes of seeded runs with a recording, as digests of numbers.
+ * The runs cover normal operation, message loss, cut paths, pauses and restarts.
  */
 class MembershipTraceTest {
-  private static final Path RECORDED = Path.of("src/test/resources/traces/membership.txt");
+  private static final Path RECORDED_DIGESTS = Path.of("src/test/resources/traces/membership.txt");
 
   private static final List<GossipMessage.Kind> KINDS = List.of(GossipMessage.Kind.values());
   private static final List<MemberState> STATES = List.of(MemberState.values());
 
   private interface Scenario {
-    void plan(SimulatedCluster cluster);
+    void schedule(SimulatedCluster cluster);
   }
 
-  private static String digestOf(int count, long seed, Scenario scenario) {
-    SimulatedCluster cluster = new SimulatedCluster(count, seed, MembershipSettings.DEFAULT);
+  private static String digestOf(int size, long seed, Scenario scenario) {
+    SimulatedCluster cluster = new SimulatedCluster(size, seed, MembershipSettings.DEFAULT);
     TraceDigest digest = new TraceDigest();
     cluster.observeMessages(
         message ->
@@ -49,7 +49,7 @@
                                 + STATES.indexOf(update.state()) * 3L
                                 + update.accuser())
                     .sum()));
-    scenario.plan(cluster);
+    scenario.schedule(cluster);
     cluster.run(60_000);
     cluster
         .stateChanges()
@@ -58,18 +58,18 @@
                 digest.add(
                     change.observer(),
                     change.member(),
-                    STATES.indexOf(change.before()),
-                    STATES.indexOf(change.now()),
-                    change.at()));
+                    STATES.indexOf(change.previousState()),
+                    STATES.indexOf(change.newState()),
+                    change.time()));
     return digest.end();
   }
 
-  private static void lose(SimulatedCluster cluster) {
+  private static void applyMessageLoss(SimulatedCluster cluster) {
     cluster.setNetwork(
         NetworkConditions.NORMAL.withLossRate(0.15).withDuplicationRate(0.05).withMaxDelayMs(60));
   }
 
-  private static void cut(SimulatedCluster cluster) {
+  private static void scheduleCuts(SimulatedCluster cluster) {
     for (int i = 0; i < 4; i++) {
       int number = i;
       cluster.schedule(cluster.now() + 8000 + 500 * i, () -> cluster.cut(number, 8 - number));
@@ -78,14 +78,14 @@
     }
   }
 
-  private static void pause(SimulatedCluster cluster) {
+  private static void schedulePauses(SimulatedCluster cluster) {
     cluster.schedule(cluster.now() + 8000, () -> cluster.pause(2, 4000));
     cluster.schedule(cluster.now() + 20_000, () -> cluster.pause(3, 25_000));
     cluster.delayDelivery(4, 700);
     cluster.setClockOffset(5, 250);
   }
 
-  private static void restart(SimulatedCluster cluster) {
+  private static void scheduleRestarts(SimulatedCluster cluster) {
     cluster.schedule(cluster.now() + 8000, () -> cluster.kill(1));
     cluster.schedule(cluster.now() + 25_000, () -> cluster.start(1));
     cluster.schedule(cluster.now() + 30_000, () -> cluster.kill(6));
@@ -96,15 +96,16 @@
   }
 
   @Test
-  void actsAsRecorded() throws IOException {
+  void reproducesRecordedTraces() throws IOException {
     List<String> digests = new ArrayList<>();
     for (long seed = 1; seed <= 3; seed++) {
       digests.add("calm " + seed + " " + digestOf(9, seed, cluster -> {}));
-      digests.add("loss " + seed + " " + digestOf(9, seed, MembershipTraceTest::lose));
-      digests.add("cuts " + seed + " " + digestOf(9, seed, MembershipTraceTest::cut));
-      digests.add("pauses " + seed + " " + digestOf(9, seed, MembershipTraceTest::pause));
-      digests.add("restarts " + seed + " " + digestOf(9, seed, MembershipTraceTest::restart));
+      digests.add("loss " + seed + " " + digestOf(9, seed, MembershipTraceTest::applyMessageLoss));
+      digests.add("cuts " + seed + " " + digestOf(9, seed, MembershipTraceTest::scheduleCuts));
+      digests.add("pauses " + seed + " " + digestOf(9, seed, MembershipTraceTest::schedulePauses));
+      digests.add(
+          "restarts " + seed + " " + digestOf(9, seed, MembershipTraceTest::scheduleRestarts));
     }
-    assertEquals(Files.readString(RECORDED).trim(), String.join("\n", digests));
+    assertEquals(Files.readString(RECORDED_DIGESTS).trim(), String.join("\n", digests));
   }
 }
--- a/src/test/java/bitternpulley/membership/SimulatedCluster.java
+++ b/src/test/java/bitternpulley/membership/SimulatedCluster.java
@@ -12,19 +12,20 @@
 import java.util.stream.IntStream;
 
 /**
- * Many instances in virtual time, with a network that by seed loses, delays, duplicates and cuts
- * messages, in one direction or both. Times are ms.
+ * Runs many instances in virtual time. The simulated network loses, delays and duplicates messages
+ * at random, by seed, and paths can be cut in one or both directions. Times are ms.
  */
 final class SimulatedCluster {
   private static final double MIN_DELAY_MS = 0.5;
   private static final double POLL_MS = 50;
 
   /** A change of {@code member}'s state in the view of {@code observer}. */
-  record StateChange(int observer, int member, MemberState before, MemberState now, double at) {}
+  record StateChange(
+      int observer, int member, MemberState previousState, MemberState newState, double time) {}
 
-  private record ScheduledTask(double at, long order, Runnable task) {}
+  private record ScheduledTask(double dueAt, long sequence, Runnable task) {}
 
-  /** A simulated instance: the program's own state machine, or one to compare it with. */
+  /** A simulated instance: {@link Membership}, or a detector to compare it with. */
   interface Instance {
     List<MembershipAction> tick(double now);
 
@@ -35,7 +36,7 @@
     double tickInterval();
   }
 
-  /** Creates an instance for each start of a member. */
+  /** Creates an instance whenever a member starts. */
   interface InstanceFactory {
     Instance create(int number, long epoch, long seed, double now);
   }
@@ -70,8 +71,8 @@
     double clockOffset;
     double deliveryDelay;
 
-    boolean isSameStart(int start) {
-      return isRunning && starts == start;
+    boolean isCurrentProcess(int startNumber) {
+      return isRunning && starts == startNumber;
     }
   }
 
@@ -82,7 +83,8 @@
   private final Set<Long> cuts = new HashSet<>();
   private final PriorityQueue<ScheduledTask> tasks =
       new PriorityQueue<>(
-          Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
+          Comparator.comparingDouble(ScheduledTask::dueAt)
+              .thenComparingLong(ScheduledTask::sequence));
   private final List<StateChange> stateChanges = new ArrayList<>();
   private final List<MembershipAction.MemberIgnored> warnings = new ArrayList<>();
   private NetworkConditions network = NetworkConditions.NORMAL;
@@ -91,7 +93,7 @@
   private long scheduledTasks;
   private double now = 1_000_000_000;
 
-  /** A cluster of the program's own state machine. */
+  /** Creates a cluster of {@link Membership} instances. */
   SimulatedCluster(int size, long seed, MembershipSettings settings) {
     this(
         size,
@@ -108,7 +110,7 @@
                     now)));
   }
 
-  /** A cluster of instances that the factory creates. */
+  /** Creates a cluster of instances from the factory. */
   SimulatedCluster(int size, long seed, InstanceFactory factory) {
     this.seed = seed;
     this.factory = factory;
@@ -129,7 +131,7 @@
     return nodes.size();
   }
 
-  /** The state machine of a member of a cluster of the program's own. */
+  /** The state machine of a member; the cluster must consist of {@link Membership} instances. */
   Membership member(int number) {
     return ((MembershipInstance) nodes.get(number).instance).membership();
   }
@@ -138,12 +140,12 @@
     return sentMessages;
   }
 
-  /** All changes of state so far, or since {@link #clearStateChanges}. */
+  /** All state changes since the start or the last {@link #clearStateChanges}. */
   List<StateChange> stateChanges() {
     return stateChanges;
   }
 
-  /** All warnings of ignored members so far. */
+  /** All warnings about ignored members so far. */
   List<MembershipAction.MemberIgnored> warnings() {
     return warnings;
   }
@@ -152,9 +154,9 @@
     stateChanges.clear();
   }
 
-  /** The verdicts of death among the changes of state. */
-  List<StateChange> deathVerdicts() {
-    return stateChanges.stream().filter(change -> change.now() == MemberState.DEAD).toList();
+  /** The state changes by which members were declared dead. */
+  List<StateChange> deathDeclarations() {
+    return stateChanges.stream().filter(change -> change.newState() == MemberState.DEAD).toList();
   }
 
   /** Passes each message to the observer when it is sent. */
@@ -171,37 +173,39 @@
     Node node = nodes.get(number);
     node.isRunning = true;
     node.starts++;
-    int start = node.starts;
+    int startNumber = node.starts;
     node.instance =
         factory.create(
             number,
             (long) (now + node.clockOffset) + node.starts,
             random.nextLong(),
             now + node.clockOffset);
-    tick(number, start);
+    tick(number, startNumber);
   }
 
-  private void tick(int number, int start) {
+  private void tick(int number, int startNumber) {
     Node node = nodes.get(number);
-    if (!node.isSameStart(start)) {
+    if (!node.isCurrentProcess(startNumber)) {
       return;
     }
     if (now < node.pausedUntil) {
-      schedule(node.pausedUntil, () -> tick(number, start));
+      schedule(node.pausedUntil, () -> tick(number, startNumber));
       return;
     }
     perform(number, node.instance.tick(now + node.clockOffset));
-    schedule(now + node.instance.tickInterval() + random.nextDouble(), () -> tick(number, start));
+    schedule(
+        now + node.instance.tickInterval() + random.nextDouble(), () -> tick(number, startNumber));
   }
 
-  /** Performs the actions that a member has returned. */
+  /** Performs the actions that the state machine of a member returned. */
   void perform(int number, List<MembershipAction> actions) {
     for (MembershipAction action : actions) {
       if (action instanceof MembershipAction.Send send) {
         send(number, send);
       } else if (action instanceof MembershipAction.StateChanged change) {
         stateChanges.add(
-            new StateChange(number, change.number(), change.before(), change.now(), now));
+            new StateChange(
+                number, change.number(), change.previousState(), change.newState(), now));
       } else if (action instanceof MembershipAction.MemberIgnored warning) {
         warnings.add(warning);
       }
@@ -225,50 +229,55 @@
       return;
     }
     Node receiver = nodes.get(to);
-    int start = receiver.starts;
+    int startNumber = receiver.starts;
     schedule(
         now + MIN_DELAY_MS + network.maxDelayMs() * random.nextDouble() + receiver.deliveryDelay,
-        () -> receive(to, start, message));
+        () -> receive(to, startNumber, message));
   }
 
-  private void receive(int to, int start, GossipMessage message) {
+  private void receive(int to, int startNumber, GossipMessage message) {
     Node node = nodes.get(to);
-    if (!node.isSameStart(start)) {
+    if (!node.isCurrentProcess(startNumber)) {
       return;
     }
     if (now < node.pausedUntil) {
-      schedule(node.pausedUntil, () -> receive(to, start, message)); // waits in the socket
+      // The message stays in the socket buffer.
+      schedule(node.pausedUntil, () -> receive(to, startNumber, message));
     } else {
       perform(to, node.instance.onMessage(message, now + node.clockOffset));
     }
   }
 
-  void schedule(double at, Runnable task) {
-    tasks.add(new ScheduledTask(at, scheduledTasks++, task));
+  void schedule(double dueAt, Runnable task) {
+    tasks.add(new ScheduledTask(dueAt, scheduledTasks++, task));
   }
 
   /** Advances the time. */
   SimulatedCluster run(double ms) {
     double end = now + ms;
-    while (!tasks.isEmpty() && tasks.peek().at() <= end) {
+    while (!tasks.isEmpty() && tasks.peek().dueAt() <= end) {
       ScheduledTask next = tasks.poll();
-      now = Math.max(now, next.at());
+      now = Math.max(now, next.dueAt());
       next.task().run();
     }
     now = end;
     return this;
   }
 
-  /** Runs until the condition holds, and returns for how long; fails, with the seed, after that. */
+  /**
+   * Runs until the condition is true and returns the elapsed time. Fails with a message that
+   * contains the seed if the condition is still false after {@code maxMs}.
+   */
   double runUntil(double maxMs, String description, BooleanSupplier condition) {
-    double from = now;
+    double startedAt = now;
     while (!condition.getAsBoolean()) {
-      if (now > from + maxMs) {
-        throw new AssertionError("seed " + seed + ": not within " + maxMs + " ms: " + description);
+      if (now > startedAt + maxMs) {
+        throw new AssertionError(
+            "seed " + seed + ": condition not met within " + maxMs + " ms: " + description);
       }
       run(POLL_MS);
     }
-    return now - from;
+    return now - startedAt;
   }
 
   void kill(int number) {
@@ -279,7 +288,7 @@
     nodes.get(number).pausedUntil = now + ms;
   }
 
-  /** Delivers all messages to a member later by so much, as if it lacked processor time. */
+  /** Delays all messages to a member by {@code ms}, as if the member lacked CPU time. */
   void delayDelivery(int number, double ms) {
     nodes.get(number).deliveryDelay = ms;
   }
@@ -288,7 +297,7 @@
     nodes.get(number).clockOffset = ms;
   }
 
-  /** Drops all messages in this direction. */
+  /** Drops all messages from one member to the other from now on. */
   void cut(int from, int to) {
     cuts.add(path(from, to));
   }
@@ -297,10 +306,10 @@
     cuts.remove(path(from, to));
   }
 
-  /** Drops all messages between the members below {@code border} and the others. */
-  void partitionAt(int border) {
-    for (int low = 0; low < border; low++) {
-      for (int high = border; high < size(); high++) {
+  /** Drops all messages between the members numbered below {@code limit} and the others. */
+  void partitionAt(int limit) {
+    for (int low = 0; low < limit; low++) {
+      for (int high = limit; high < size(); high++) {
         cut(low, high);
         cut(high, low);
       }
@@ -320,16 +329,16 @@
     return nodes.get(number).isRunning;
   }
 
-  /** Whether each other running member holds this one to be in that state. */
-  boolean allHold(int number, MemberState state) {
+  /** Whether all other running members see the member in this state. */
+  boolean isSeenByAllAs(int number, MemberState state) {
     return IntStream.range(0, size())
         .filter(observer -> observer != number && isRunning(observer))
         .allMatch(observer -> nodes.get(observer).instance.stateOf(number) == state);
   }
 
-  /** Whether all members are held to be alive. */
+  /** Whether all members are seen as alive by all other running members. */
   boolean allAlive() {
-    return IntStream.range(0, size()).allMatch(number -> allHold(number, MemberState.ALIVE));
+    return IntStream.range(0, size()).allMatch(number -> isSeenByAllAs(number, MemberState.ALIVE));
   }
 
   boolean viewsEqual() {
