--- a/src/test/java/bitternpulley/membership/BasicSwimDetector.java
+++ b/src/test/java/bitternpulley/membership/BasicSwimDetector.java
@@ -12,9 +12,10 @@
 import java.util.stream.IntStream;
 
 /**
- * Basic SWIM for comparison, without suspicion and local health: a member that answers neither
- * directly nor through relays is dead, and every member believes it; a member that sends a message
- * again is alive again. Interval, time-outs and relays are those of {@link Membership}.
+ * A basic SWIM failure detector without suspicion and local health, for comparison. A member that
+ * answers neither directly nor through relays is declared dead, and the other members accept this
+ * report. A dead member becomes alive when a message from it arrives. Interval, time-outs and
+ * relays are those of {@link Membership}.
  */
 final class BasicSwimDetector implements SimulatedCluster.Instance {
   private static final int TICKS_PER_INTERVAL = 10;
@@ -89,7 +90,9 @@
         .forEach(relay -> send(relay, Kind.RELAY, probe.sequence(), probe.target()));
   }
 
-  /** Pings the next member of the round; a dead one only in order to detect its return. */
+  /**
+   * Pings the next member of the round; a ping to a dead member only serves to detect its return.
+   */
   private void probeNext(double now) {
     if (round.isEmpty()) {
       List<Integer> members = otherMembers();
@@ -127,7 +130,7 @@
       case RELAY -> relay(message);
       case ACK -> onAck(message);
       case NACK, SYNC -> {
-        // Basic SWIM has neither.
+        // Basic SWIM does not use these kinds.
       }
     }
     return actions;
@@ -167,13 +170,13 @@
     }
   }
 
-  private void changeState(int number, MemberState next, int incarnation) {
+  private void changeState(int number, MemberState newState, int incarnation) {
     incarnations[number] = incarnation;
-    if (states[number] != next) {
+    if (states[number] != newState) {
       actions.add(
-          new MembershipAction.StateChanged(number, null, states[number], next, "basic SWIM"));
-      states[number] = next;
-      updates.add(new GossipUpdate(number, 1, incarnation, next, self, null));
+          new MembershipAction.StateChanged(number, null, states[number], newState, "basic SWIM"));
+      states[number] = newState;
+      updates.add(new GossipUpdate(number, 1, incarnation, newState, self, null));
     }
   }
 
--- a/src/test/java/bitternpulley/membership/CheckBudgetTest.java
+++ b/src/test/java/bitternpulley/membership/CheckBudgetTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** The probes that a member sends out of turn. */
+/** Tests the budget for checks, which are probes that a member sends outside its rounds. */
 public class CheckBudgetTest {
   private static final int MEMBERS = 200;
   private static final long EPOCH = 1_000_000;
@@ -17,8 +17,8 @@
   private static final double INITIAL_BUDGET = 8;
 
   /**
-   * Probes of the round, one per interval of a second, and checks, which have an initial budget and
-   * one more per interval.
+   * Round probes, one per interval of 1 s, plus checks, which have an initial budget and gain one
+   * per interval.
    */
   private static final int MAX_PROBES = (int) (DURATION_S + INITIAL_BUDGET + DURATION_S) + 2;
 
@@ -38,7 +38,7 @@
     return member;
   }
 
-  /** A report by one member that another one is suspect, a different pair each time. */
+  /** A report by one member that another is suspect; each index gives a different pair. */
   private static GossipMessage suspicionReport(int index) {
     int reporter = 1 + index % (MEMBERS - 1);
     int suspect = 1 + (index + MEMBERS / 2) % (MEMBERS - 1);
@@ -47,7 +47,7 @@
   }
 
   @Test
-  public void checksOfSuspectsThatAnswerStayWithinABudget() {
+  public void limitsChecksOfRespondingSuspectsToBudget() {
     Membership member = memberThatKnowsAll();
     int probes = 0;
     int reports = 0;
@@ -65,6 +65,6 @@
       }
     }
     assertTrue(probes <= MAX_PROBES, probes + " probes in " + DURATION_S + " s, of " + MAX_PROBES);
-    assertTrue(probes >= DURATION_S, "the round goes on: " + probes);
+    assertTrue(probes >= DURATION_S, "round probes must continue: " + probes);
   }
 }
--- a/src/test/java/bitternpulley/membership/GossipMessages.java
+++ b/src/test/java/bitternpulley/membership/GossipMessages.java
@@ -3,7 +3,7 @@
 import bitternpulley.membership.GossipMessage.Kind;
 import java.util.List;
 
-/** Messages of incarnation 0 for tests, whose digests match no view. */
+/** Creates messages of incarnation 0 for tests; their digests match no view. */
 final class GossipMessages {
   private static final int NO_TARGET = 0;
 
--- a/src/test/java/bitternpulley/membership/HollowMembers.java
+++ b/src/test/java/bitternpulley/membership/HollowMembers.java
@@ -5,8 +5,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Members without a broker or network: the program's own state machines in virtual time, whose
- * messages an observer can count. Times are ms.
+ * Members without a broker or network: the production state machines run in virtual time, and an
+ * observer can count their messages. Times are ms.
  */
 public final class HollowMembers {
   private static final double SETTLING_MS = 30_000;
@@ -15,7 +15,7 @@
 
   private final SimulatedCluster cluster;
 
-  /** Members that have found each other. */
+  /** Creates members and runs them until they have found each other. */
   public HollowMembers(int count, long seed) {
     cluster = new SimulatedCluster(count, seed, MembershipSettings.DEFAULT);
     cluster.run(SETTLING_MS + SETTLING_MS_PER_MEMBER * count);
@@ -32,7 +32,7 @@
     cluster.run(ms);
   }
 
-  /** Restarts randomly chosen members one after the other, evenly over this time. */
+  /** Restarts randomly chosen members one after the other, evenly distributed over {@code ms}. */
   public void runWithRestarts(int restarts, double ms) {
     Random random = new Random(cluster.seed());
     for (int restart = 0; restart < restarts; restart++) {
@@ -43,12 +43,12 @@
     }
   }
 
-  /** Kills every n-th member at once. */
+  /** Kills every n-th member at the same time. */
   public void killEvery(int nth) {
     IntStream.range(0, cluster.size()).filter(number -> number % nth == 0).forEach(cluster::kill);
   }
 
-  /** Drops this share of the messages from now on. */
+  /** Drops this fraction of the messages from now on. */
   public void setLossRate(double rate) {
     cluster.setNetwork(NetworkConditions.NORMAL.withLossRate(rate));
   }
--- a/src/test/java/bitternpulley/membership/NetworkConditions.java
+++ b/src/test/java/bitternpulley/membership/NetworkConditions.java
@@ -3,9 +3,9 @@
 /**
  * How a simulated network treats messages.
  *
- * @param lossRate share of messages dropped
+ * @param lossRate fraction of messages dropped
  * @param maxDelayMs upper bound of the random part of a message's delay
- * @param duplicationRate share of messages delivered twice
+ * @param duplicationRate fraction of messages delivered twice
  */
 record NetworkConditions(double lossRate, double maxDelayMs, double duplicationRate) {
   /** No loss, no duplicates, delays of a few ms. */
