--- a/src/main/java/bitternpulley/membership/MembershipTable.java
+++ b/src/main/java/bitternpulley/membership/MembershipTable.java
@@ -13,12 +13,10 @@
  * it grow.
  */
 final class MembershipTable {
-  /**
-   * In a fleet of at most this size, every member gives evidence that it runs within a suspicion.
-   */
+  /** In a fleet of at most this size, every member gives evidence during one suspicion. */
   private static final int MAX_SMALL_FLEET = 16;
 
-  /** In a larger fleet, the minimum number of members that make a majority meaningful. */
+  /** In a larger fleet, the minimum number of members considered for a meaningful majority. */
   private static final int MIN_MAJORITY_SAMPLE = 8;
 
   private static final int NOT_COUNTED = -1;
@@ -93,8 +91,8 @@
   /**
    * Whether more than half of the active members, including this instance, have given evidence
    * since {@code time} that they run; at most one side of a partition can see a majority. In a
-   * large fleet not all members are probed in that time, so only those with evidence, suspects and
-   * members with a failed probe count.
+   * large fleet not all members are probed in that time, so only members that gave evidence, are
+   * suspect or failed a probe are considered.
    */
   boolean hasMajoritySince(double time) {
     int considered = 1;
--- a/src/main/java/bitternpulley/membership/package-info.java
+++ b/src/main/java/bitternpulley/membership/package-info.java
@@ -10,8 +10,8 @@
  * probes the suspect itself, directly and through relays. Each instance considers its own health
  * first: an instance that is slow, was paused or does not hear from a majority postpones declaring
  * others dead. The package knows nothing about queries. Invariants: a member's (epoch, incarnation)
- * never decreases; the work for one message and the bytes sent in one message are bounded, whatever
- * a received message contains; the table holds only configured members.
+ * never decreases; the work and bytes of one message are bounded, whatever it contains; the table
+ * holds only configured members.
  *
  * <p>Start reading at {@link bitternpulley.membership.Membership}, the only entry point, which the
  * broker calls. {@link bitternpulley.membership.Prober} sends probes, {@link
