--- a/src/main/java/bitternpulley/net/AcceptLoop.java
+++ b/src/main/java/bitternpulley/net/AcceptLoop.java
@@ -4,14 +4,14 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** Accepts connections of a listener, one after the other, as long as its server has capacity. */
+/** Accepts connections from a listener, one at a time, while the server has capacity. */
 final class AcceptLoop {
   private static final System.Logger LOG = System.getLogger(AcceptLoop.class.getName());
 
-  /** Pause after a failure, which is what a shortage of file descriptors causes. */
+  /** Pause after a failed accept, which is caused by a shortage of file descriptors. */
   private static final double ACCEPT_RETRY_MS = 50;
 
-  /** What follows a failure to accept. */
+  /** What to do after a failed accept. */
   enum FailureAction {
     /** Try again after a pause. */
     RETRY,
@@ -44,7 +44,7 @@
     this.onAccepted = onAccepted;
   }
 
-  /** Accepts the next connection, unless one is awaited already or there is no capacity. */
+  /** Accepts the next connection, unless an accept is in progress or there is no capacity. */
   void acceptNext() {
     if (accepting || !listener.isOpen() || !hasCapacity.getAsBoolean()) {
       return;
--- a/src/main/java/bitternpulley/net/AddressListener.java
+++ b/src/main/java/bitternpulley/net/AddressListener.java
@@ -28,7 +28,7 @@
     return new AddressListener(loop, channel);
   }
 
-  /** Binds an address that other processes may bind in the same way at the same time. */
+  /** Binds an address that other processes can bind at the same time with SO_REUSEPORT. */
   static AddressListener bindShared(EventLoop loop, HostPort address, int backlog)
       throws IOException {
     AsynchronousServerSocketChannel channel = AsynchronousServerSocketChannel.open(loop.group());
@@ -50,12 +50,12 @@
         new CompletionHandler<AsynchronousSocketChannel, Void>() {
           @Override
           public void completed(AsynchronousSocketChannel accepted, Void attachment) {
-            loop.socketTurn(armedAt, () -> onAccepted.accept(new Connection(loop, accepted)));
+            loop.runInSocketTurn(armedAt, () -> onAccepted.accept(new Connection(loop, accepted)));
           }
 
           @Override
           public void failed(Throwable error, Void attachment) {
-            loop.inTurn(() -> onFailure.accept(error));
+            loop.runInTurn(() -> onFailure.accept(error));
           }
         });
   }
--- a/src/main/java/bitternpulley/net/BacklogBarrier.java
+++ b/src/main/java/bitternpulley/net/BacklogBarrier.java
@@ -7,34 +7,34 @@
 import java.nio.channels.CompletionHandler;
 
 /**
- * Finds out when all has been read that arrived while the event loop did not run. It sends a marker
- * from the timer thread through the channel group several times in a row: the thread that polls the
- * sockets runs a marker only after a poll that came after it, so that everything that was ready
+ * Determines when everything that arrived while the event loop did not run has been read. It sends
+ * several markers in a row from the timer thread through the channel group. The thread that polls
+ * the sockets runs a marker only after a poll that follows the marker, so everything that was ready
  * before an earlier marker has been handled by then.
  */
 final class BacklogBarrier {
   /**
-   * Markers at least. The first may have been sent before the loop stopped, the results of one poll
-   * are handled in any order, and a read beyond the JDK's limit of nested completions is found by
-   * one more poll.
+   * Minimum number of markers. The first may have been sent before the loop stopped, the results of
+   * one poll are handled in any order, and a read beyond the JDK's limit of nested completions
+   * needs one more poll.
    */
-  private static final int MARKERS = 4;
+  private static final int MIN_MARKERS = 4;
 
-  private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
+  private static final ByteBuffer EMPTY_BUFFER = ByteBuffer.allocate(0);
 
   private final EventLoop loop;
   private final AsynchronousChannelGroup group;
-  private final Runnable passed;
+  private final Runnable onPassed;
   private AsynchronousSocketChannel closedChannel;
   private boolean isRunning;
   private int markersReturned;
-  private boolean hasAccepted;
+  private boolean hasAcceptedSinceMarker;
 
-  /** Creates a barrier that runs {@code passed} in a turn of the loop when all has been read. */
-  BacklogBarrier(EventLoop loop, AsynchronousChannelGroup group, Runnable passed) {
+  /** Creates a barrier that runs {@code onPassed} in a turn of the loop once everything is read. */
+  BacklogBarrier(EventLoop loop, AsynchronousChannelGroup group, Runnable onPassed) {
     this.loop = loop;
     this.group = group;
-    this.passed = passed;
+    this.onPassed = onPassed;
   }
 
   /** Starts again from the first marker. */
@@ -47,16 +47,16 @@
   }
 
   /**
-   * Records that a connection was accepted. Those that wait are accepted one after each poll, so
-   * only two markers without a connection between them show that no more wait.
+   * Records that a connection was accepted. Waiting connections are accepted one per poll, so only
+   * two markers without a connection between them show that no more are waiting.
    */
   void connectionAccepted() {
-    hasAccepted = true;
+    hasAcceptedSinceMarker = true;
   }
 
   /**
-   * Runs on the timer thread, whose operations complete on the polling thread. Any operation on a
-   * closed channel completes at once.
+   * Runs on the timer thread; operations that start there complete on the polling thread. Any
+   * operation on a closed channel completes at once.
    */
   private void sendMarker() {
     try {
@@ -65,32 +65,32 @@
         closedChannel.close();
       }
     } catch (IOException noDescriptor) {
-      isRunning = false; // the gap then ends by its length
+      isRunning = false; // EventLoopLag then assumes that reading takes as long as the gap
       return;
     }
     closedChannel.read(
-        NOTHING,
+        EMPTY_BUFFER,
         null,
         new CompletionHandler<Integer, Void>() {
           @Override
           public void completed(Integer count, Void attachment) {
-            loop.inTurn(BacklogBarrier.this::markerReturned);
+            loop.runInTurn(BacklogBarrier.this::markerReturned);
           }
 
           @Override
           public void failed(Throwable closed, Void attachment) {
-            loop.inTurn(BacklogBarrier.this::markerReturned);
+            loop.runInTurn(BacklogBarrier.this::markerReturned);
           }
         });
   }
 
   private void markerReturned() {
     markersReturned++;
-    boolean isPassed = markersReturned >= MARKERS && !hasAccepted;
-    hasAccepted = false;
+    boolean isPassed = markersReturned >= MIN_MARKERS && !hasAcceptedSinceMarker;
+    hasAcceptedSinceMarker = false;
     if (isPassed) {
       isRunning = false;
-      passed.run();
+      onPassed.run();
     } else {
       loop.schedule(0, this::sendMarker);
     }
--- a/src/main/java/bitternpulley/net/Connection.java
+++ b/src/main/java/bitternpulley/net/Connection.java
@@ -11,20 +11,20 @@
 import java.util.concurrent.Future;
 
 /**
- * One TCP connection: hands what it reads to its owner piece by piece and writes in order, with a
- * callback for each last byte written. All calls come in turns of the event loop, and the owner is
- * notified of the end exactly once.
+ * One TCP connection. It passes received bytes to its owner as they arrive and writes buffers in
+ * order, with a callback after the last byte of each. All calls are made in turns of the event
+ * loop, and the owner is notified of the end exactly once.
  */
 public final class Connection {
   private static final System.Logger LOG = System.getLogger(Connection.class.getName());
 
-  /** Time that a peer gets to end its side after this side has ended. */
-  private static final double LINGER_MS = 2000;
+  /** Default time that the peer has to close its side after this side was shut down. */
+  private static final double DEFAULT_LINGER_MS = 2000;
 
-  /** Bytes that are read and discarded at most before the connection is closed. */
+  /** Maximum number of bytes read and discarded before the connection is closed. */
   private static final long MAX_DISCARDED_BYTES = 96L << 20;
 
-  /** Target of all discarding reads of all connections; its content is never looked at. */
+  /** Buffer for discarded input, shared by all connections; its content is never used. */
   private static final ByteBuffer DISCARD_BUFFER = ByteBuffer.allocateDirect(512 * 1024);
 
   /** Pause between discarding reads: few large reads cost far less than many small ones. */
@@ -56,14 +56,14 @@
   private boolean closing;
   private boolean lingering;
 
-  /** Whether what arrives is read and discarded. */
+  /** Whether input is read and discarded. */
   private boolean discarding;
 
   private boolean endedByPeer;
   private boolean closed;
   private boolean reading;
   private boolean paused;
-  private double linger = LINGER_MS;
+  private double lingerTimeout = DEFAULT_LINGER_MS;
   private long discardedBytes;
 
   private Connection(
@@ -80,7 +80,7 @@
     this(loop, channel, channel::shutdownOutput, ReadBuffer.MAX_BYTES);
   }
 
-  /** Creates an accepted connection, whose requests are read in as few pieces as possible. */
+  /** Creates an accepted connection that reads requests in as few pieces as possible. */
   Connection(EventLoop loop, AsynchronousSocketChannel channel) {
     this(loop, channel, ReadBuffer.MAX_BYTES);
   }
@@ -95,18 +95,18 @@
   }
 
   /**
-   * Connects within {@code timeout} ms and runs {@code connected} then; when the peer refuses or
-   * the time is over, the owner's {@code closed} is called.
+   * Connects within {@code timeout} ms and then runs {@code onConnected}. If the peer refuses the
+   * connection or the time-out expires, the owner's {@code closed} is called.
    *
    * @throws UncheckedIOException when no socket can be opened
    */
   public static Connection open(
-      EventLoop loop, HostPort address, double timeout, Owner owner, Runnable connected) {
+      EventLoop loop, HostPort address, double timeout, Owner owner, Runnable onConnected) {
     try {
       AsynchronousSocketChannel channel = AsynchronousSocketChannel.open(loop.group());
       Connection connection = new Connection(loop, channel, ReadBuffer.MIN_BYTES);
       connection.owner = owner;
-      connection.connect(channel, address, timeout, connected);
+      connection.connect(channel, address, timeout, onConnected);
       return connection;
     } catch (IOException exception) {
       throw new UncheckedIOException(exception);
@@ -114,7 +114,7 @@
   }
 
   private void connect(
-      AsynchronousSocketChannel socket, HostPort address, double timeout, Runnable connected) {
+      AsynchronousSocketChannel socket, HostPort address, double timeout, Runnable onConnected) {
     Future<?> timer = loop.after(timeout, this::close);
     socket.connect(
         address.address(),
@@ -123,7 +123,7 @@
             ignored -> {
               timer.cancel(false);
               if (!closed) {
-                connected.run();
+                onConnected.run();
                 read();
               }
             }));
@@ -140,17 +140,17 @@
     return new CompletionHandler<>() {
       @Override
       public void completed(T result, Void attachment) {
-        loop.socketTurn(armedAt, () -> runClosingOnError(action, result));
+        loop.runInSocketTurn(armedAt, () -> runClosingOnError(action, result));
       }
 
       @Override
       public void failed(Throwable error, Void attachment) {
-        loop.inTurn(Connection.this::close);
+        loop.runInTurn(Connection.this::close);
       }
     };
   }
 
-  /** Supervised boundary: a message that makes its handler fail ends its own connection only. */
+  /** Supervised boundary: an exception in a handler closes only the connection concerned. */
   private <T> void runClosingOnError(CompletionAction<T> action, T result) {
     try {
       action.run(result);
@@ -195,30 +195,27 @@
   }
 
   /**
-   * Stops reading until this side has ended: for a peer that may end its side and still waits for a
-   * response.
+   * Stops reading until this side is shut down, for a peer that may half-close the connection and
+   * still wait for a response.
    */
   void pause() {
     paused = true;
   }
 
   /**
-   * Reads and discards what the peer sends from now on, up to a limit. Reading goes on because the
-   * end of the peer's side would not be noticed otherwise.
+   * Reads and discards all further input, up to a limit. Without reading, the end of the peer's
+   * side would go unnoticed.
    */
   void discardInput() {
     discarding = true;
   }
 
-  /**
-   * Queues bytes behind those that wait; {@code written} runs once the kernel has taken the last of
-   * them.
-   */
-  public void write(ByteBuffer bytes, Runnable written) {
+  /** Queues bytes; {@code onWritten} runs once the kernel has taken the last of them. */
+  public void write(ByteBuffer bytes, Runnable onWritten) {
     if (closed || closing) {
       return;
     }
-    if (!writes.add(bytes, written)) {
+    if (!writes.add(bytes, onWritten)) {
       LOG.log(
           Level.WARNING,
           "Closing a connection whose peer reads too slowly, queued bytes: "
@@ -229,23 +226,24 @@
     writes.flush();
   }
 
-  /** Removes bytes that wait to be written; returns false when some of them may have been sent. */
+  /** Removes queued bytes; returns false when some of them may have been sent. */
   public boolean cancelWrite(ByteBuffer bytes) {
     return writes.cancel(bytes);
   }
 
   /**
-   * Closes the connection once all that waits is written: a half-close, then a lingering close.
-   * Bytes that cross it are read and discarded, so that no reset destroys what was written before.
+   * Closes the connection once all queued bytes are written: a half-close, then a lingering close.
+   * Bytes that the peer sends meanwhile are read and discarded, so that no reset destroys what was
+   * written before.
    */
   public void closeGracefully() {
     closing = true;
     writes.flush();
   }
 
-  /** Closes gracefully, where the peer gets {@code lingerMs} at most to end its side. */
+  /** Closes gracefully, giving the peer at most {@code lingerMs} to close its side. */
   void closeGracefully(double lingerMs) {
-    linger = lingerMs;
+    lingerTimeout = lingerMs;
     closeGracefully();
   }
 
@@ -256,27 +254,27 @@
   }
 
   /**
-   * Ends this side, then reads and discards until the peer ends its own. Closing with unread bytes
-   * would send a reset, which may overtake the last response.
+   * Shuts down this side, then reads and discards until the peer closes its own. Closing with
+   * unread bytes would send a reset, which may overtake the last response.
    */
   private void linger() {
     lingering = true;
     discarding = true;
     try {
       output.shutdown();
-      loop.schedule(linger, this::close);
+      loop.schedule(lingerTimeout, this::close);
       read();
     } catch (IOException exception) {
       close();
     }
   }
 
-  /** Returns whether the kernel has taken all that was to be written. */
+  /** Returns whether the kernel has taken all queued bytes. */
   boolean hasWrittenAll() {
     return writes.isEmpty();
   }
 
-  /** Returns whether this side has ended and the peer's has not. */
+  /** Returns whether this side is shut down and the peer's side is still open. */
   boolean isLingering() {
     return lingering && !closed;
   }
@@ -286,7 +284,7 @@
     return closed;
   }
 
-  /** Returns whether the peer ended its side in order, not by a reset or a time-out. */
+  /** Returns whether the peer closed its side by an orderly close, not by a reset or a time-out. */
   boolean isEndedByPeer() {
     return endedByPeer;
   }
--- a/src/main/java/bitternpulley/net/DatagramLink.java
+++ b/src/main/java/bitternpulley/net/DatagramLink.java
@@ -9,31 +9,31 @@
 import java.nio.channels.DatagramChannel;
 
 /**
- * One UDP socket. The JDK has no asynchronous datagram channels, so a thread of its own receives
- * and hands each datagram to the event loop. It receives the next one only after that, so no queue
- * grows here.
+ * One UDP socket. The JDK has no asynchronous datagram channels, so a dedicated thread receives
+ * datagrams and passes each one to the event loop. It receives the next datagram only after the
+ * previous one is handled, so no queue grows here.
  */
 public final class DatagramLink {
   private static final System.Logger LOG = System.getLogger(DatagramLink.class.getName());
 
   /** Receives datagrams. */
-  public interface Owner {
+  public interface Handler {
     /** Handles a datagram; the bytes are valid only during the call. */
     void received(byte[] bytes, int length, InetSocketAddress from);
   }
 
   private final EventLoop loop;
   private final DatagramChannel channel;
-  private final Owner owner;
+  private final Handler handler;
 
   /**
    * Opens and binds a socket. A datagram of more than {@code maxBytes} is delivered truncated to
    * {@code maxBytes + 1}, so that its length shows that it was too long.
    */
-  public DatagramLink(EventLoop loop, HostPort address, int maxBytes, Owner owner)
+  public DatagramLink(EventLoop loop, HostPort address, int maxBytes, Handler handler)
       throws IOException {
     this.loop = loop;
-    this.owner = owner;
+    this.handler = handler;
     channel = DatagramChannel.open();
     try {
       channel.bind(address.address());
@@ -52,18 +52,18 @@
       try {
         buffer.clear();
         SocketAddress from = channel.receive(buffer);
-        loop.inTurn(
-            () -> owner.received(buffer.array(), buffer.position(), (InetSocketAddress) from));
+        loop.runInTurn(
+            () -> handler.received(buffer.array(), buffer.position(), (InetSocketAddress) from));
       } catch (ClosedChannelException exception) {
         return;
       } catch (IOException | RuntimeException exception) {
-        // Supervised boundary: one failed datagram must not end the thread that receives them all.
+        // Supervised boundary: one failed datagram must not end the receiving thread.
         LOG.log(Level.WARNING, "Receiving a datagram failed", exception);
       }
     }
   }
 
-  /** Sends a datagram; like any datagram it may be lost, so a failure is only logged. */
+  /** Sends a datagram. A failure is only logged, as any datagram may be lost. */
   public void send(byte[] bytes, InetSocketAddress to) {
     try {
       channel.send(ByteBuffer.wrap(bytes), to);
--- a/src/main/java/bitternpulley/net/EventLoop.java
+++ b/src/main/java/bitternpulley/net/EventLoop.java
@@ -13,10 +13,11 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Runs all completions and timers one at a time, each in a turn of its own. Completions run on the
- * thread that polls the sockets, which saves a hand-over to another thread; timers have a thread of
- * their own, and one lock serializes both. The queues are bounded by what feeds them: each channel
- * has at most one read and one write in progress, and each request a bounded number of timers.
+ * Runs all completions and timers one at a time, each in its own turn. Completions run on the
+ * thread that polls the sockets, which avoids handing them to another thread. Timers run on a
+ * separate thread, and one lock serializes both threads. The queues are bounded by their sources:
+ * each channel has at most one read and one write in progress, and each request a bounded number of
+ * timers.
  */
 public final class EventLoop {
   private static final System.Logger LOG = System.getLogger(EventLoop.class.getName());
@@ -29,7 +30,10 @@
 
   private static final double NANOS_PER_MS = 1e6;
 
-  /** Shorter lags change a latency by little, and are usual where processor time is scarce. */
+  /**
+   * Lag from which a pause is reported. Shorter lags change latencies little, and are usual where
+   * processor time is scarce.
+   */
   private static final double MIN_PAUSE_MS = 100;
 
   private final DoubleSupplier clock;
@@ -69,30 +73,31 @@
     return group;
   }
 
-  /** Returns the time in ms by which ages of connections and lag of turns are measured. */
+  /** Returns the loop's time in ms, by which connection ages and turn lags are measured. */
   public double now() {
     return clock.getAsDouble();
   }
 
-  /** Starts to measure the loop's own lag, which counts as zero until then. */
+  /** Starts to measure the lag of the loop, which counts as zero until then. */
   public void startLagMonitor() {
     lag.tick(now());
     schedule(EventLoopLag.TICK_INTERVAL_MS, this::startLagMonitor);
   }
 
-  /** Returns for how many ms the bytes read in this turn may have lain unread. */
+  /** Returns the time in ms that the bytes read in this turn may have waited to be read. */
   double unreadMs() {
     return lag.unreadMs(now());
   }
 
   /**
-   * Has each time in which the loop did not run, in ms, reported before anything else is handled.
+   * Sets the listener that is told the length in ms of each time span in which the loop did not
+   * run, before anything else is handled.
    */
   public void onPause(DoubleConsumer listener) {
     pauseListener = listener;
   }
 
-  /** Records that a connection was accepted, behind which others may wait. */
+  /** Records that a connection was accepted; more may be waiting. */
   void connectionAccepted() {
     backlog.connectionAccepted();
   }
@@ -102,14 +107,12 @@
     return lag.worstLagMs(now());
   }
 
-  /**
-   * Runs a task in a turn of its own: at once, or at the end of the current turn if there is one.
-   */
+  /** Runs a task in its own turn: at once, or at the end of the current turn if there is one. */
   public void execute(Runnable task) {
     if (isInTurn()) {
       deferredTasks.add(task);
     } else {
-      inTurn(task);
+      runInTurn(task);
     }
   }
 
@@ -121,15 +124,15 @@
     return turnLock.getHoldCount() == 1;
   }
 
-  /** Runs a task in a turn of its own after a delay in ms; the returned future cancels it. */
+  /** Runs a task in its own turn after a delay in ms; the returned future cancels the task. */
   public Future<?> after(double ms, Runnable task) {
     long now = System.nanoTime();
     long due = now + (long) (Math.max(0, ms) * NANOS_PER_MS);
     long delay = due + TIMER_RESOLUTION_NS - Math.floorMod(due, TIMER_RESOLUTION_NS) - now;
-    return timers.schedule(() -> inTurn(task), delay, TimeUnit.NANOSECONDS);
+    return timers.schedule(() -> runInTurn(task), delay, TimeUnit.NANOSECONDS);
   }
 
-  /** Runs a task in a turn of its own after a delay in ms, for callers that never cancel it. */
+  /** Runs a task in its own turn after a delay in ms, for callers that never cancel the task. */
   public void schedule(double ms, Runnable task) {
     Future<?> unused = after(ms, task);
   }
@@ -137,8 +140,8 @@
   /**
    * Runs a task in a turn for the result of a socket operation that was armed at {@code armedAt}.
    */
-  void socketTurn(double armedAt, Runnable task) {
-    inTurn(
+  void runInSocketTurn(double armedAt, Runnable task) {
+    runInTurn(
         () -> {
           if (isInOutermostTurn()) {
             lag.socketTurnStarted(now(), armedAt);
@@ -150,8 +153,8 @@
         });
   }
 
-  /** Runs a task while nothing else of the loop runs, then the tasks that it deferred. */
-  void inTurn(Runnable task) {
+  /** Runs a task while no other task of the loop runs, then the tasks that it deferred. */
+  void runInTurn(Runnable task) {
     turnLock.lock();
     try {
       if (isInOutermostTurn()) {
@@ -178,8 +181,7 @@
   }
 
   /**
-   * Supervised boundary: the loop outlives a failed task, and an executor would swallow what the
-   * task throws.
+   * Supervised boundary: the loop survives a failed task; an executor would swallow the exception.
    */
   private static void runLoggingErrors(Runnable task) {
     try {
--- a/src/main/java/bitternpulley/net/InheritedListener.java
+++ b/src/main/java/bitternpulley/net/InheritedListener.java
@@ -11,8 +11,8 @@
 
 /**
  * Accepts connections from the listening socket that the process inherited as descriptor 0 and that
- * other processes may hold as well. The JDK offers it as a selectable channel only, so a thread of
- * its own selects it and all connections accepted from it.
+ * other processes may share. The JDK provides it only as a selectable channel, so a dedicated
+ * thread selects it and all connections accepted from it.
  */
 public final class InheritedListener implements Listener {
   private static final System.Logger LOG = System.getLogger(InheritedListener.class.getName());
@@ -55,7 +55,7 @@
       try {
         selector.select(selected -> ((Runnable) selected.attachment()).run());
       } catch (IOException | RuntimeException exception) {
-        // Supervised boundary: the fault of one connection must not end the thread of them all.
+        // Supervised boundary: the failure of one connection must not end the selector thread.
         LOG.log(Level.ERROR, "Selecting the inherited sockets failed", exception);
       }
     }
@@ -74,14 +74,14 @@
     try {
       accepted = open ? channel.accept() : null;
       if (accepted == null) {
-        return; // accepted by another process, or left to it
+        return; // another process accepted the connection, or this one no longer accepts any
       }
       key.interestOpsAnd(0);
       Connection connection = new Connection(loop, new SelectableByteChannel(accepted, selector));
-      loop.inTurn(() -> onAccepted.accept(connection));
+      loop.runInTurn(() -> onAccepted.accept(connection));
     } catch (IOException exception) {
       key.interestOpsAnd(0);
-      loop.inTurn(() -> onFailure.accept(exception));
+      loop.runInTurn(() -> onFailure.accept(exception));
     }
   }
 
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Never closes the channel: the JDK would then redirect descriptors 0 to 2 to /dev/null, and the
-   * log with them.
+   * Stops accepting without closing the channel: on close, the JDK would redirect descriptors 0 to
+   * 2 to /dev/null, and the log with them.
    */
   @Override
   public void close() {
--- a/src/main/java/bitternpulley/net/Listener.java
+++ b/src/main/java/bitternpulley/net/Listener.java
@@ -2,10 +2,10 @@
 
 import java.util.function.Consumer;
 
-/** A listening socket. It is called, and calls back, in turns of the event loop. */
+/** A listening socket. Calls and callbacks are made in turns of the event loop. */
 interface Listener {
   /**
-   * Accepts one connection, now or when one arrives. The caller asks for the next one only after
+   * Accepts one connection, now or when one arrives. The caller may accept the next one only after
    * one of the two callbacks has run.
    */
   void accept(Consumer<Connection> onAccepted, Consumer<Throwable> onFailure);
--- a/src/main/java/bitternpulley/net/ReadBuffer.java
+++ b/src/main/java/bitternpulley/net/ReadBuffer.java
@@ -3,14 +3,14 @@
 import java.nio.ByteBuffer;
 
 /**
- * The read buffer of one connection. Its size follows what the last read brought, because thousands
- * of connections to servers, nearly all of them idle, must not each hold the memory of a busy one.
+ * The read buffer of one connection. Its size follows the size of the last read, because thousands
+ * of connections to servers, nearly all of them idle, must not each use the memory of a busy one.
  */
 final class ReadBuffer {
-  /** The largest size in bytes. */
+  /** Maximum size in bytes. */
   static final int MAX_BYTES = 8 * 1024;
 
-  /** The smallest size in bytes where this program connects: several responses of a server. */
+  /** Minimum size in bytes for outgoing connections; several responses of a server fit. */
   static final int MIN_BYTES = 512;
 
   private static final int GROWTH_FACTOR = 4;
@@ -30,12 +30,12 @@
     return buffer.clear();
   }
 
-  /** Returns the buffer, set to hand out what was read. */
+  /** Returns the buffer, prepared for consuming the bytes that were read. */
   ByteBuffer flip() {
     return buffer.flip();
   }
 
-  /** Adapts the size for the next read to the bytes that the last one brought. */
+  /** Adapts the size for the next read to the number of bytes of the last one. */
   void adapt(int count) {
     int size = buffer.capacity();
     if (count == size && size < MAX_BYTES) {
--- a/src/main/java/bitternpulley/net/SelectableByteChannel.java
+++ b/src/main/java/bitternpulley/net/SelectableByteChannel.java
@@ -13,7 +13,7 @@
 
 /**
  * Adapts a selectable channel to completion handlers, with at most one read and one write in
- * progress, which is what {@link Connection} needs.
+ * progress, as {@link Connection} requires.
  */
 final class SelectableByteChannel implements AsynchronousByteChannel {
   private record PendingOperation<A>(
@@ -34,23 +34,23 @@
   private final SocketChannel channel;
   private final Selector selector;
   private final SelectionKey key;
-  private volatile PendingOperation<?> reader;
-  private volatile PendingOperation<?> writer;
+  private volatile PendingOperation<?> pendingRead;
+  private volatile PendingOperation<?> pendingWrite;
 
-  /** Registers a connection; called on the thread of the selector. */
+  /** Registers a connection; must be called on the selector thread. */
   SelectableByteChannel(SocketChannel channel, Selector selector) throws IOException {
     this.channel = channel;
     this.selector = selector;
     channel.configureBlocking(false);
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     key = channel.register(selector, 0);
-    key.attach((Runnable) this::ready);
+    key.attach((Runnable) this::onReady);
   }
 
   @Override
   public <A> void read(ByteBuffer to, A attachment, CompletionHandler<Integer, ? super A> handler) {
-    reader = new PendingOperation<>(to, attachment, handler);
-    await(SelectionKey.OP_READ);
+    pendingRead = new PendingOperation<>(to, attachment, handler);
+    awaitReadiness(SelectionKey.OP_READ);
   }
 
   @Override
@@ -67,26 +67,26 @@
     if (count > 0) {
       operation.completed(count);
     } else {
-      writer = operation;
-      await(SelectionKey.OP_WRITE);
+      pendingWrite = operation;
+      awaitReadiness(SelectionKey.OP_WRITE);
     }
   }
 
-  private void await(int operations) {
+  private void awaitReadiness(int operations) {
     if (key.isValid()) {
       key.interestOpsOr(operations);
       selector.wakeup();
     }
   }
 
-  private void ready() {
+  private void onReady() {
     if (key.isValid() && key.isReadable()) {
-      PendingOperation<?> operation = reader;
+      PendingOperation<?> operation = pendingRead;
       key.interestOpsAnd(~SelectionKey.OP_READ);
       perform(operation, SocketChannel::read);
     }
     if (key.isValid() && key.isWritable()) {
-      PendingOperation<?> operation = writer;
+      PendingOperation<?> operation = pendingWrite;
       key.interestOpsAnd(~SelectionKey.OP_WRITE);
       perform(operation, SocketChannel::write);
     }
@@ -103,14 +103,14 @@
     operation.completed(count);
   }
 
-  /** Ends this side of the connection. */
+  /** Shuts down this side of the connection. */
   void shutdownOutput() throws IOException {
     channel.shutdownOutput();
   }
 
   /**
-   * Closes without completing what is pending, since its caller has closed it. The selector has to
-   * run once to release the descriptor.
+   * Closes without completing pending operations, since their caller closes the channel. The
+   * selector has to run once to release the descriptor.
    */
   @Override
   public void close() throws IOException {
@@ -125,7 +125,7 @@
 
   @Override
   public Future<Integer> read(ByteBuffer to) {
-    throw new UnsupportedOperationException("reads use completion handlers");
+    throw new UnsupportedOperationException("only reads with a completion handler are supported");
   }
 
   @Override
--- a/src/main/java/bitternpulley/net/StreamServer.java
+++ b/src/main/java/bitternpulley/net/StreamServer.java
@@ -3,16 +3,16 @@
 import java.io.IOException;
 import java.util.function.Function;
 
-/** Accepts connections whose protocol is up to their owners, for emulators of other servers. */
+/** Accepts connections and leaves the protocol to their owners; used by server emulators. */
 public final class StreamServer {
   private static final int BACKLOG = 512;
 
-  private final Function<Connection, Connection.Owner> owners;
+  private final Function<Connection, Connection.Owner> ownerFactory;
   private AcceptLoop acceptLoop;
 
-  /** Creates a server; {@code owners} returns the owner of each connection as it is accepted. */
-  public StreamServer(Function<Connection, Connection.Owner> owners) {
-    this.owners = owners;
+  /** Creates a server; {@code ownerFactory} returns the owner of each accepted connection. */
+  public StreamServer(Function<Connection, Connection.Owner> ownerFactory) {
+    this.ownerFactory = ownerFactory;
   }
 
   /** Starts to listen and returns the bound address; port 0 stands for any free port. */
@@ -24,7 +24,7 @@
             listener,
             AcceptLoop.FailureAction.STOP,
             () -> true,
-            connection -> connection.start(owners.apply(connection)));
+            connection -> connection.start(ownerFactory.apply(connection)));
     loop.execute(acceptLoop::acceptNext);
     return new HostPort(address.host(), listener.port());
   }
--- a/src/main/java/bitternpulley/net/WriteQueue.java
+++ b/src/main/java/bitternpulley/net/WriteQueue.java
@@ -7,17 +7,17 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Future;
 
-/** Writes buffers to a channel in order, one at a time; all calls come in turns of the loop. */
+/** Writes buffers to a channel in order, one at a time; all calls are made in turns of the loop. */
 final class WriteQueue {
   private static final System.Logger LOG = System.getLogger(WriteQueue.class.getName());
 
-  /** Bytes that may be queued; a peer that reads so slowly is disconnected. */
+  /** Maximum number of queued bytes; a peer that reads too slowly for it is disconnected. */
   private static final int MAX_PENDING_BYTES = 1 << 20;
 
-  /** Interval at which a write that the kernel could not take at once is looked at again. */
+  /** Interval at which a write that the kernel could not take at once is checked. */
   private static final double WRITE_POLL_MS = 4;
 
-  /** Time that one write may wait for the peer to read. */
+  /** Maximum time that one write waits for the peer to read. */
   private static final double WRITE_STALL_TIMEOUT_MS = 3000;
 
   private record PendingWrite(ByteBuffer bytes, Runnable onWritten) {}
@@ -34,7 +34,7 @@
 
   /**
    * Creates a queue that runs {@code onDrained} after each flush that leaves it empty, and {@code
-   * onFailure} when the connection cannot go on.
+   * onFailure} when the connection cannot continue.
    */
   WriteQueue(
       EventLoop loop, AsynchronousByteChannel channel, Runnable onDrained, Runnable onFailure) {
@@ -46,7 +46,7 @@
 
   /**
    * Adds bytes; {@code onWritten} runs once the kernel has taken the last of them. Returns false
-   * when more is queued than may be.
+   * when too many bytes are queued.
    */
   boolean add(ByteBuffer bytes, Runnable onWritten) {
     pendingBytes += bytes.remaining();
@@ -73,10 +73,10 @@
     while (!writing && !closed && !pendingWrites.isEmpty()) {
       PendingWrite next = pendingWrites.peek();
       writing = true;
-      Future<Integer> attempt = channel.write(next.bytes);
-      recordProgress(next, attempt);
+      Future<Integer> result = channel.write(next.bytes);
+      recordProgress(next, result);
       if (writing) {
-        pollWrite(next, attempt);
+        pollWrite(next, result);
         failIfStalled(completedWrites);
       }
     }
@@ -86,17 +86,17 @@
   }
 
   /**
-   * Records what was written. Writes use a future, because only these are attempted at once: with a
-   * completion handler, a channel group of one thread postpones a write made in a timer's turn, or
-   * behind several others, until it has handled everything that had arrived before. A response
-   * decided in time would then leave after its client.
+   * Records what was written. Writes use a future, because only writes with a future start at once.
+   * With a completion handler, a channel group of one thread postpones a write made in a timer's
+   * turn, or after several others, until it has handled everything that arrived before. A response
+   * decided in time would then be sent after its client has disconnected.
    */
-  private void recordProgress(PendingWrite write, Future<Integer> attempt) {
-    if (closed || !attempt.isDone()) {
+  private void recordProgress(PendingWrite write, Future<Integer> result) {
+    if (closed || !result.isDone()) {
       return;
     }
     try {
-      pendingBytes -= attempt.get();
+      pendingBytes -= result.get();
       writing = false;
       completedWrites++;
       if (!write.bytes.hasRemaining()) {
@@ -108,27 +108,29 @@
     } catch (InterruptedException exception) {
       throw new IllegalStateException("Interrupted although the write was complete", exception);
     } catch (RuntimeException exception) {
-      // Supervised boundary: a failed callback ends its own connection and nothing else.
+      // Supervised boundary: a failed callback closes only its own connection.
       LOG.log(Level.ERROR, "Handling a completed write failed; closing the connection", exception);
       onFailure.run();
     }
   }
 
-  /** The kernel takes no more because the peer does not read; this is rare, so polling will do. */
-  private void pollWrite(PendingWrite write, Future<Integer> attempt) {
+  /** Polls a write that waits for the peer to read; this is rare, so polling is sufficient. */
+  private void pollWrite(PendingWrite write, Future<Integer> result) {
     loop.schedule(
         WRITE_POLL_MS,
         () -> {
-          recordProgress(write, attempt);
+          recordProgress(write, result);
           if (writing && !closed) {
-            pollWrite(write, attempt);
+            pollWrite(write, result);
           } else {
             flush();
           }
         });
   }
 
-  /** A peer that stops reading would otherwise hold its connection forever. */
+  /**
+   * Fails a stalled write; a peer that stops reading would otherwise keep its connection forever.
+   */
   private void failIfStalled(long completedBefore) {
     loop.schedule(
         WRITE_STALL_TIMEOUT_MS,
@@ -139,17 +141,17 @@
         });
   }
 
-  /** Returns whether nothing waits to be written. */
+  /** Returns whether no writes are queued. */
   boolean isEmpty() {
     return pendingWrites.isEmpty();
   }
 
-  /** Returns the bytes that wait to be written. */
+  /** Returns the number of queued bytes. */
   int pendingBytes() {
     return pendingBytes;
   }
 
-  /** Drops what waits; nothing is written any more. */
+  /** Drops the queued writes; nothing is written afterwards. */
   void close() {
     closed = true;
     pendingWrites.clear();
--- a/src/test/java/bitternpulley/net/ConnectionTest.java
+++ b/src/test/java/bitternpulley/net/ConnectionTest.java
@@ -16,10 +16,10 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** One connection to a peer whose side the test plays. */
+/** Tests a connection to a peer whose side the test plays. */
 public class ConnectionTest implements Connection.Owner {
-  private static final int PATIENCE_MS = 30_000;
-  private static final int PIECE = 64 * 1024;
+  private static final int TIMEOUT_MS = 30_000;
+  private static final int PIECE_BYTES = 64 * 1024;
 
   private final CountDownLatch connected = new CountDownLatch(1);
   private int writtenPieces;
@@ -31,17 +31,17 @@
 
   @Override
   public void closed() {
-    // the peer ends it
+    // the peer closes the connection
   }
 
   private static ByteBuffer piece(int content) {
-    byte[] bytes = new byte[PIECE];
+    byte[] bytes = new byte[PIECE_BYTES];
     Arrays.fill(bytes, (byte) content);
     return ByteBuffer.wrap(bytes);
   }
 
   @Test
-  public void cancelsAQueuedWriteUnlessItHasStarted() throws Exception {
+  public void cancelsQueuedWriteUnlessItHasStarted() throws Exception {
     EventLoop loop = new EventLoop();
     try (ServerSocket server = new ServerSocket()) {
       server.setReceiveBufferSize(4096);
@@ -57,13 +57,13 @@
                       this,
                       connected::countDown));
       try (Socket peer = server.accept()) {
-        peer.setSoTimeout(PATIENCE_MS);
-        assertTrue(connected.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
+        peer.setSoTimeout(TIMEOUT_MS);
+        assertTrue(connected.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
         int[] sent = new int[1];
-        loop.inTurn(
+        loop.runInTurn(
             () -> {
               ByteBuffer started;
-              do { // until the kernel does not take all of one
+              do { // until the kernel takes only a part of a piece
                 started = piece(1);
                 connection[0].write(started, () -> writtenPieces++);
                 sent[0]++;
@@ -73,27 +73,27 @@
               connection[0].write(piece(3), () -> writtenPieces++);
               assertFalse(connection[0].cancelWrite(started), "the kernel has taken a part of it");
               assertTrue(connection[0].cancelWrite(queued));
-              assertFalse(connection[0].cancelWrite(queued), "only once");
+              assertFalse(connection[0].cancelWrite(queued), "a write can be cancelled only once");
             });
-        assertEquals(read(peer, sent[0] + 1), "1".repeat(sent[0]) + "3");
+        assertEquals(readPieces(peer, sent[0] + 1), "1".repeat(sent[0]) + "3");
       }
     }
   }
 
   @Test
-  public void adaptsTheReadBufferToWhatArrives() throws Exception {
+  public void adaptsReadBufferSizeToSizeOfLastRead() throws Exception {
     EventLoop loop = new EventLoop();
-    LinkedBlockingQueue<Integer> read = new LinkedBlockingQueue<>();
-    Connection.Owner counts =
+    LinkedBlockingQueue<Integer> readSizes = new LinkedBlockingQueue<>();
+    Connection.Owner sizeRecorder =
         new Connection.Owner() {
           @Override
           public void received(ByteBuffer bytes) {
-            read.add(bytes.remaining());
+            readSizes.add(bytes.remaining());
           }
 
           @Override
           public void closed() {
-            // the peer ends it
+            // the peer closes the connection
           }
         };
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -105,35 +105,35 @@
                       loop,
                       new HostPort("127.0.0.1", server.getLocalPort()),
                       5000,
-                      counts,
+                      sizeRecorder,
                       () -> {}));
       try (Socket peer = server.accept()) {
-        peer.getOutputStream().write(new byte[PIECE]);
-        await(read, PIECE);
+        peer.getOutputStream().write(new byte[PIECE_BYTES]);
+        awaitBytes(readSizes, PIECE_BYTES);
         int[] size = new int[1];
-        loop.inTurn(() -> size[0] = connection[0].readBufferSize());
+        loop.runInTurn(() -> size[0] = connection[0].readBufferSize());
         assertTrue(size[0] > 512, "grown to " + size[0]);
         peer.getOutputStream().write(new byte[10]);
-        await(read, 10);
-        loop.inTurn(() -> size[0] = connection[0].readBufferSize());
+        awaitBytes(readSizes, 10);
+        loop.runInTurn(() -> size[0] = connection[0].readBufferSize());
         assertEquals(size[0], 512);
       }
     }
   }
 
-  private static void await(LinkedBlockingQueue<Integer> read, int bytes)
+  private static void awaitBytes(LinkedBlockingQueue<Integer> readSizes, int bytes)
       throws InterruptedException {
-    for (int left = bytes; left > 0; ) {
-      Integer next = read.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
-      assertTrue(next != null, left + " bytes did not come");
-      left -= next;
+    for (int remaining = bytes; remaining > 0; ) {
+      Integer size = readSizes.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+      assertTrue(size != null, remaining + " bytes did not arrive");
+      remaining -= size;
     }
   }
 
-  private static String read(Socket peer, int pieces) throws IOException {
+  private static String readPieces(Socket peer, int count) throws IOException {
     StringBuilder contents = new StringBuilder();
-    for (int i = 0; i < pieces; i++) {
-      byte[] piece = peer.getInputStream().readNBytes(PIECE);
+    for (int i = 0; i < count; i++) {
+      byte[] piece = peer.getInputStream().readNBytes(PIECE_BYTES);
       byte first = piece[0];
       for (byte next : piece) {
         assertEquals(next, first);
--- a/src/test/java/bitternpulley/net/EventLoopLagTest.java
+++ b/src/test/java/bitternpulley/net/EventLoopLagTest.java
@@ -7,14 +7,14 @@
 import org.testng.annotations.Test;
 
 /**
- * Ticks and turns in virtual time, as they come to a loop that is on time, is stopped, or has a
- * long turn.
+ * Tests the lag measurement with ticks and turns in virtual time: of a loop that is on time, of one
+ * that is stopped and of one that has a long turn.
  */
 public class EventLoopLagTest {
   private EventLoopLag lag;
 
   @BeforeMethod
-  public void fresh() {
+  public void createLag() {
     lag = new EventLoopLag();
   }
 
@@ -28,15 +28,15 @@
 
   @Test
   public void reportsNothingUnreadWhileOnTime() {
-    EventLoopLag fresh = new EventLoopLag();
-    fresh.turnStarted(5000);
-    assertEquals(fresh.unreadMs(5000), 0.0, "no beat yet");
+    EventLoopLag newLag = new EventLoopLag();
+    newLag.turnStarted(5000);
+    assertEquals(newLag.unreadMs(5000), 0.0, "no tick yet");
     for (double now = 0; now < 1000; now += 27) {
-      fresh.tick(now);
-      fresh.turnStarted(now + 13);
-      assertEquals(fresh.unreadMs(now + 13), 0.0);
+      newLag.tick(now);
+      newLag.turnStarted(now + 13);
+      assertEquals(newLag.unreadMs(now + 13), 0.0);
     }
-    assertEquals(fresh.worstLagMs(1000), 0.0);
+    assertEquals(newLag.worstLagMs(1000), 0.0);
   }
 
   @Test
@@ -44,20 +44,20 @@
     runOnTime(0, 1000);
     lag.turnStarted(1150);
     assertEquals(lag.unreadMs(1150), 150.0);
-    // It makes no difference whether the tick or a socket has the first turn after the pause, nor
+    // It makes no difference whether the tick or a socket has the first turn after the pause, or
     // how many turns follow.
     lag.tick(1150);
     lag.turnStarted(1170);
     assertEquals(lag.unreadMs(1170), 170.0, "still being read");
     runOnTime(1175, 1400);
-    assertEquals(lag.unreadMs(1400), 0.0, "all of it is read by now");
+    assertEquals(lag.unreadMs(1400), 0.0, "the backlog is read by now");
     assertEquals(lag.worstLagMs(1400), 150.0);
     runOnTime(1400, 20_000);
     assertEquals(lag.worstLagMs(20_000), 0.0, "out of the window");
   }
 
   @Test
-  public void countsNothingAsUnreadOnceTheBacklogOfAPauseIsRead() {
+  public void countsNothingAsUnreadOnceBacklogOfPauseIsRead() {
     runOnTime(0, 1000);
     assertEquals(lag.turnStarted(1700), 700.0, "a late turn leaves a backlog");
     lag.tick(1700);
@@ -67,7 +67,7 @@
     assertEquals(lag.worstLagMs(1710), 700.0);
   }
 
-  /** Regression: the second of two pauses counted from the start of the first. */
+  /** Regression: the second of two pauses was counted from the start of the first one. */
   @Test
   public void countsTheSecondPauseFromItsOwnStart() {
     runOnTime(0, 1000);
@@ -79,7 +79,7 @@
     assertEquals(lag.unreadMs(1700), 250.0);
   }
 
-  /** A long turn, as before the JIT has compiled it, hides what arrives just as a pause does. */
+  /** Bytes stay unread during a long turn, as before JIT compilation, just as during a pause. */
   @Test
   public void countsALongTurnFromItsStart() {
     EventLoopLag longTurn = new EventLoopLag();
@@ -89,7 +89,7 @@
     assertEquals(longTurn.unreadMs(410), 400.0);
   }
 
-  /** Timers may be on time while the results of one poll are handled turn by turn. */
+  /** Timers can be on time while the results of one poll are handled in separate turns. */
   @Test
   public void countsBytesAsUnreadWhileTheResultsOfOnePollAreHandled() {
     runOnTime(0, 1000);
@@ -112,9 +112,9 @@
     assertEquals(lag.unreadMs(now + 20), 0.0);
   }
 
-  /** An instance that is always a little late must not count its queries as minutes old. */
+  /** An instance that is always slightly late must not count its queries as minutes old. */
   @Test
-  public void doesNotAccumulateLastingLag() {
+  public void doesNotAccumulateConstantLag() {
     EventLoopLag slow = new EventLoopLag();
     for (double now = 0; now < 60_000; now += 80) {
       slow.turnStarted(now);
--- a/src/test/java/bitternpulley/net/HttpServerHarness.java
+++ b/src/test/java/bitternpulley/net/HttpServerHarness.java
@@ -13,15 +13,15 @@
 import org.testng.annotations.BeforeMethod;
 
 /**
- * A server and plain sockets as its clients, for tests of what is due when a connection ends. Races
- * are forced by blocking the event loop: what a test writes meanwhile lies in the sockets when the
- * server does what ends the connection.
+ * A server and plain sockets as its clients, for tests of how connections end. Tests force races by
+ * blocking the event loop: the bytes that a test writes meanwhile are still unread in the sockets
+ * when the server ends the connection.
  */
 public abstract class HttpServerHarness implements HttpServer.Handler {
-  /** Longest wait for anything, in ms. */
-  static final int PATIENCE_MS = 30_000;
+  /** Time limit of each wait, in ms. */
+  static final int TIMEOUT_MS = 30_000;
 
-  /** More than one read takes, so that bytes lie unread when the connection ends. */
+  /** Longer than one read, so that bytes are unread when the connection ends. */
   static final String LONG_REQUEST = request("/long", "x".repeat(40_000));
 
   private static final String CONTENT_LENGTH = "Content-Length: ";
@@ -32,14 +32,14 @@
   /** Exchanges of the requests whose targets begin with {@code /held}. */
   final List<HttpServer.Exchange> openExchanges = new CopyOnWriteArrayList<>();
 
-  /** Number of held requests whose client disconnected. */
+  /** Number of clients that disconnected while their request was held. */
   final AtomicInteger disconnects = new AtomicInteger();
 
   EventLoop loop;
   HttpServer server;
   HostPort address;
 
-  /** Starts a server with many connections and the usual time-outs. */
+  /** Starts a server with many connections and the default time-outs. */
   @BeforeMethod
   public void startServer() throws IOException {
     handled.clear();
@@ -48,19 +48,19 @@
     listen(1000, HttpServer.Timeouts.DEFAULT);
   }
 
-  /** Replaces the server by one with other limits. */
+  /** Replaces the server with one that has other limits. */
   final void listen(int connections, HttpServer.Timeouts timeouts) throws IOException {
     createServer(connections, timeouts);
     address = server.listen(new HostPort("127.0.0.1", 0));
   }
 
-  /** Replaces the server by one that does not listen yet. */
+  /** Replaces the server with one that does not listen yet. */
   final void createServer(int connections, HttpServer.Timeouts timeouts) {
     loop = new EventLoop();
     server = new HttpServer(loop, 64 * 1024, connections, timeouts, this);
   }
 
-  /** Holds the requests that ask for it and answers all others at once. */
+  /** Keeps requests for {@code /held} targets open and answers all others at once. */
   @Override
   public void handle(HttpServer.Request request, HttpServer.Exchange exchange) {
     handled.add(request.head().target());
@@ -84,50 +84,51 @@
   /** Connects and writes a text. */
   final Socket connect(String text) throws IOException {
     Socket socket = new Socket(address.host(), address.port());
-    socket.setSoTimeout(PATIENCE_MS);
+    socket.setSoTimeout(TIMEOUT_MS);
     write(socket, text);
     return socket;
   }
 
-  static void write(Socket to, String text) throws IOException {
-    to.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+  static void write(Socket socket, String text) throws IOException {
+    socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
   }
 
-  static String readLine(Socket from) throws IOException {
+  static String readLine(Socket socket) throws IOException {
     StringBuilder line = new StringBuilder();
-    for (int next = from.getInputStream().read();
+    for (int next = socket.getInputStream().read();
         next >= 0 && next != '\n';
-        next = from.getInputStream().read()) {
+        next = socket.getInputStream().read()) {
       line.append((char) next);
     }
     return line.toString().strip();
   }
 
   /** Reads one response whose body is short and returns its status. */
-  static int readStatus(Socket from) throws IOException {
-    String first = readLine(from);
-    assertTrue(first.startsWith("HTTP/1.1 "), "instead of a response: '" + first + "'");
-    int status = Integer.parseInt(first.split(" ", 3)[1]);
+  static int readStatus(Socket socket) throws IOException {
+    String statusLine = readLine(socket);
+    assertTrue(statusLine.startsWith("HTTP/1.1 "), "not a response: '" + statusLine + "'");
+    int status = Integer.parseInt(statusLine.split(" ", 3)[1]);
     int length = 0;
-    for (String line = readLine(from); !line.isEmpty(); line = readLine(from)) {
+    for (String line = readLine(socket); !line.isEmpty(); line = readLine(socket)) {
       length =
           line.startsWith(CONTENT_LENGTH)
               ? Integer.parseInt(line.substring(CONTENT_LENGTH.length()))
               : length;
     }
-    from.getInputStream().readNBytes(length);
+    socket.getInputStream().readNBytes(length);
     return status;
   }
 
-  static void awaitCondition(String what, BooleanSupplier holds) throws InterruptedException {
-    long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-    while (!holds.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, what);
+  static void awaitCondition(String description, BooleanSupplier condition)
+      throws InterruptedException {
+    long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+    while (!condition.getAsBoolean()) {
+      assertTrue(System.nanoTime() < deadline, description);
       Thread.sleep(1);
     }
   }
 
-  /** What a test does while the event loop is blocked. */
+  /** An action of a test while the event loop is blocked. */
   interface Action {
     void run() throws IOException;
   }
@@ -135,7 +136,7 @@
   /** Runs an action during which the server reads and writes nothing. */
   final void whileLoopIsBlocked(Action action) throws IOException {
     IOException[] failure = new IOException[1];
-    loop.inTurn(
+    loop.runInTurn(
         () -> {
           try {
             action.run();
--- a/src/test/java/bitternpulley/net/HttpShutdownTest.java
+++ b/src/test/java/bitternpulley/net/HttpShutdownTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What clients receive while a server starts to accept, drains and stops. */
+/** Tests what clients receive while a server starts to accept, drains and stops. */
 public class HttpShutdownTest extends HttpServerHarness {
   @Test
-  public void answersARequestReadBeforeTheServerStops() throws Exception {
+  public void answersRequestReadBeforeServerStops() throws Exception {
     try (Socket client = connect(request("/first", ""))) {
       assertEquals(readStatus(client), 200);
       write(client, request("/held", ""));
@@ -27,9 +27,9 @@
     }
   }
 
-  /** The kernel has accepted connections that the server has not when it stops. */
+  /** When the server stops, the kernel has accepted connections that the server has not. */
   @Test
-  public void servesConnectionsInTheBacklogBeforeTheListenerCloses() throws Exception {
+  public void servesConnectionsInBacklogBeforeListenerCloses() throws Exception {
     List<Socket> clients = new ArrayList<>();
     whileLoopIsBlocked(
         () -> {
@@ -44,17 +44,17 @@
       assertEquals(socket.getInputStream().read(), -1);
       socket.close();
     }
-    awaitCondition("no work is left", () -> busy() == 0);
+    awaitCondition("no work is left", () -> pendingWork() == 0);
   }
 
   /** The client has connected, and its first request is on its way. */
   @Test
-  public void servesTheFirstRequestOfANewConnectionAfterListeningStops() throws Exception {
+  public void servesFirstRequestOfNewConnectionAfterListeningStops() throws Exception {
     try (Socket other = connect(request("/other", ""));
         Socket fresh = connect("")) {
       assertEquals(readStatus(other), 200);
-      try (Socket behind = connect(request("/behind", ""))) {
-        assertEquals(readStatus(behind), 200, "so the new connection was accepted before");
+      try (Socket later = connect(request("/behind", ""))) {
+        assertEquals(readStatus(later), 200, "so the fresh connection was accepted before");
         whileLoopIsBlocked(
             () -> {
               server.drain();
@@ -66,9 +66,9 @@
     }
   }
 
-  /** A process that exits earlier would reset a client that still reads its response. */
+  /** If the process exited earlier, a client that still reads its response would be reset. */
   @Test
-  public void staysBusyUntilTheClientHasEndedItsSide() throws Exception {
+  public void reportsPendingWorkUntilClientHasClosedItsSide() throws Exception {
     try (Socket client = connect(request("/held", ""))) {
       awaitCondition("the request is in progress", () -> openExchanges.size() == 1);
       whileLoopIsBlocked(
@@ -77,19 +77,19 @@
             server.stopListening();
             openExchanges.get(0).reply(errorResponse(200, "fine"));
           });
-      awaitCondition("no more connections are accepted", () -> !accepts());
-      assertEquals(busy(), 1, "its client has not read it yet");
+      awaitCondition("no more connections are accepted", () -> !acceptsConnections());
+      assertEquals(pendingWork(), 1, "the client has not read its response yet");
       assertEquals(readStatus(client), 200);
       assertEquals(client.getInputStream().read(), -1);
     }
-    awaitCondition("its client has disconnected", () -> busy() == 0);
+    awaitCondition("the client has disconnected", () -> pendingWork() == 0);
   }
 
-  /** The platform would kill the process before a response to such a late request. */
+  /** The platform would kill the process before it could respond to a request this late. */
   @Test
-  public void rejectsAnIncompleteRequestOnceListeningHasStopped() throws Exception {
+  public void rejectsIncompleteRequestOnceListeningHasStopped() throws Exception {
     try (Socket client = connect(LONG_REQUEST.substring(0, 20_000))) {
-      awaitCondition("the request has begun", () -> busy() == 2);
+      awaitCondition("the request has begun", () -> pendingWork() == 2);
       whileLoopIsBlocked(
           () -> {
             server.drain();
@@ -101,27 +101,27 @@
     assertEquals(handled, List.of());
   }
 
-  /** Connections that are held back wait in the kernel. */
+  /** Connections that are held back wait in the kernel's backlog. */
   @Test
   public void servesHeldBackConnectionsOnceTheyAreAccepted() throws Exception {
     createServer(100, HttpServer.Timeouts.DEFAULT);
     server.holdBackConnections();
     address = server.listen(new HostPort("127.0.0.1", 0));
     try (Socket client = connect(request("/early", ""))) {
-      loop.inTurn(() -> assertEquals(handled, List.of()));
+      loop.runInTurn(() -> assertEquals(handled, List.of()));
       loop.execute(server::acceptConnections);
       assertEquals(readStatus(client), 200);
     }
   }
 
-  private int busy() {
+  private int pendingWork() {
     int[] count = new int[1];
-    loop.inTurn(() -> count[0] = server.countPendingWork());
+    loop.runInTurn(() -> count[0] = server.countPendingWork());
     return count[0];
   }
 
   @SuppressWarnings("try") // the connection itself is under test
-  private boolean accepts() {
+  private boolean acceptsConnections() {
     try (Socket probe = new Socket(address.host(), address.port())) {
       return true;
     } catch (IOException e) {
