--- a/src/main/java/bitternpulley/net/FrameCodec.java
+++ b/src/main/java/bitternpulley/net/FrameCodec.java
@@ -5,21 +5,21 @@
 import java.util.function.Consumer;
 
 /**
- * Encodes and decodes frames: a length of four bytes, least significant first, that covers letter
- * and rest; a letter; the rest.
+ * Encodes and decodes frames. A frame consists of a four-byte little-endian length, which counts
+ * the type code and the payload; a type code of one byte; and the payload.
  */
 public final class FrameCodec {
-  /** The largest length of a frame in bytes; anything longer is an error of the peer. */
+  /** Maximum length of a frame in bytes; a longer frame is an error of the peer. */
   public static final int MAX_FRAME_BYTES = 64 * 1024;
 
   private static final int LENGTH_BYTES = 4;
-  private static final int LETTER_BYTES = 1;
+  private static final int TYPE_CODE_BYTES = 1;
 
   /**
    * One frame.
    *
-   * @param letter the type of the frame
-   * @param rest the bytes behind the letter
+   * @param letter the type code of the frame
+   * @param rest the payload
    */
   @SuppressWarnings("ArrayRecordComponent") // Frames are never compared, and a copy would cost.
   public record Frame(char letter, byte[] rest) {}
@@ -29,12 +29,12 @@
   private ByteBuffer body;
 
   /** Returns the bytes of a frame. */
-  public static ByteBuffer encode(char letter, byte[] rest) {
-    return ByteBuffer.allocate(LENGTH_BYTES + LETTER_BYTES + rest.length)
+  public static ByteBuffer encode(char typeCode, byte[] payload) {
+    return ByteBuffer.allocate(LENGTH_BYTES + TYPE_CODE_BYTES + payload.length)
         .order(ByteOrder.LITTLE_ENDIAN)
-        .putInt(LETTER_BYTES + rest.length)
-        .put((byte) letter)
-        .put(rest)
+        .putInt(TYPE_CODE_BYTES + payload.length)
+        .put((byte) typeCode)
+        .put(payload)
         .flip();
   }
 
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Decodes bytes that arrive in pieces of any size and hands on each frame as it completes.
+   * Decodes bytes that arrive in pieces of any size and passes on each frame as it completes.
    *
-   * @throws FrameException on a length that no frame may have
+   * @throws FrameException when a frame has an invalid length
    */
   public void read(ByteBuffer in, Consumer<Frame> frames) {
     while (in.hasRemaining()) {
@@ -68,7 +68,7 @@
     }
     int length = lengthBytes.flip().getInt();
     lengthBytes.clear();
-    if (length < LETTER_BYTES || length > MAX_FRAME_BYTES) {
+    if (length < TYPE_CODE_BYTES || length > MAX_FRAME_BYTES) {
       throw new FrameException("a frame of " + length + " bytes");
     }
     body = ByteBuffer.allocate(length);
@@ -82,11 +82,11 @@
   }
 
   private Frame takeFrame() {
-    byte[] rest = new byte[body.capacity() - LETTER_BYTES];
+    byte[] payload = new byte[body.capacity() - TYPE_CODE_BYTES];
     body.flip();
-    char letter = (char) (body.get() & 0xff);
-    body.get(rest);
+    char typeCode = (char) (body.get() & 0xff);
+    body.get(payload);
     body = null;
-    return new Frame(letter, rest);
+    return new Frame(typeCode, payload);
   }
 }
--- a/src/main/java/bitternpulley/net/FrameException.java
+++ b/src/main/java/bitternpulley/net/FrameException.java
@@ -1,8 +1,6 @@
 package bitternpulley.net;
 
-/**
- * A frame from a peer whose length no frame may have; the connection cannot be read any further.
- */
+/** Thrown when a peer's frame has an invalid length; its connection cannot be read any further. */
 public final class FrameException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/bitternpulley/net/HostPort.java
+++ b/src/main/java/bitternpulley/net/HostPort.java
@@ -24,7 +24,7 @@
    */
   public static HostPort parse(String text) {
     int colon = text.lastIndexOf(':');
-    // The pattern also rejects digits out of range, which the JDK would look up as a name.
+    // The pattern also rejects numbers out of range, which the JDK would look up as a host name.
     if (colon <= 0
         || !text.substring(colon + 1).matches("[0-9]{1,5}")
         || !HOST.matcher(text.substring(0, colon)).matches()) {
--- a/src/main/java/bitternpulley/net/HostPortException.java
+++ b/src/main/java/bitternpulley/net/HostPortException.java
@@ -1,6 +1,6 @@
 package bitternpulley.net;
 
-/** A text from outside that is not an address of numbers and a port. */
+/** Thrown when an external text is not a numeric address with a port. */
 public final class HostPortException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/bitternpulley/net/LineServer.java
+++ b/src/main/java/bitternpulley/net/LineServer.java
@@ -5,17 +5,17 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Accepts connections that send one line each and receive one line in response. */
+/** Serves connections on which the client sends one line and receives one line in response. */
 public final class LineServer {
   private static final int BACKLOG = 64;
 
-  /** Connections at once; a further one evicts the one that has been silent for longest. */
+  /** Maximum number of connections; a further one evicts the one that has been silent longest. */
   private static final int MAX_SESSIONS = 16;
 
-  /** Handles lines; every call comes in a turn of the event loop. */
+  /** Handles lines; all calls are made in turns of the event loop. */
   public interface Handler {
     /** Handles a complete line; the response may be given at any time, once. */
-    void line(String line, Consumer<String> answer);
+    void line(String line, Consumer<String> response);
 
     /** Returns the response to a line that is too long. */
     String lineTooLong();
@@ -45,7 +45,7 @@
     connection.start(session);
   }
 
-  /** Silent connections must not keep out the rest. */
+  /** Evicts a connection at the limit, so that silent connections do not keep out others. */
   private void evictIfFull() {
     if (sessions.size() >= MAX_SESSIONS) {
       sessions.stream()
--- a/src/main/java/bitternpulley/net/LineSession.java
+++ b/src/main/java/bitternpulley/net/LineSession.java
@@ -8,7 +8,7 @@
 final class LineSession implements Connection.Owner {
   private static final int MAX_LINE_LENGTH = 512;
 
-  /** Time to send the line and to read the response. */
+  /** Time that the client has to send the line and to read the response. */
   private static final double SESSION_TIMEOUT_MS = 10_000;
 
   private final Connection connection;
@@ -42,7 +42,7 @@
     }
   }
 
-  /** A client that ends its side behind its line still receives the response. */
+  /** Stops reading, so that a client that half-closes after its line still gets the response. */
   private void stopReading() {
     lineReceived = true;
     connection.pause();
@@ -53,7 +53,7 @@
     connection.closeGracefully();
   }
 
-  /** Returns whether the line, or too long a line, has arrived. */
+  /** Returns whether the line has arrived or is too long. */
   boolean hasReceivedLine() {
     return lineReceived;
   }
