--- a/src/main/java/bitternpulley/net/DrainState.java
+++ b/src/main/java/bitternpulley/net/DrainState.java
@@ -1,26 +1,26 @@
 package bitternpulley.net;
 
 /**
- * Whether a server sends its clients away, and what that means for idle connections and incomplete
- * requests. A server drains (each response ends its connection), is quiesced (the same, but it can
- * be undone and connections are accepted all the while) or stops listening.
+ * Whether a server is draining, quiesced or no longer listening, and what that means for idle
+ * connections and incomplete requests. A draining server closes each connection after its response.
+ * A quiesced server does the same, but keeps accepting connections, and quiescing can be undone.
  */
 final class DrainState {
-  /** While quiesced, an idle connection gets this time for a request that is on its way. */
+  /** Time that an idle connection of a quiesced server has for a request that is on its way. */
   private static final double QUIESCED_IDLE_MS = 1000;
 
   /**
-   * Time after the call to quiesce by which earlier requests must be complete: 4 s after the call
-   * no request older than 2 s may be open.
+   * Time after quiescing by which requests that began earlier must be complete: 4 s after
+   * quiescing, no request older than 2 s may be open.
    */
   private static final double QUIESCED_REQUEST_MS = 1800;
 
-  /** A connection that was opened so recently is about to send its first request. */
+  /** A connection younger than this is expected to send its first request soon. */
   private static final double FIRST_REQUEST_GRACE_MS = 150;
 
   /**
    * Time after the server stopped listening by which a request must be complete; the platform kills
-   * the process soon after.
+   * the process soon afterwards.
    */
   private static final double LAST_REQUEST_MS = 200;
 
@@ -40,8 +40,8 @@
   }
 
   /** Enters or leaves the quiesced state. */
-  void quiesce(boolean on) {
-    quiesced = on;
+  void quiesce(boolean enabled) {
+    quiesced = enabled;
     quiescedAt = loop.now();
   }
 
@@ -55,20 +55,20 @@
     return stoppedAt;
   }
 
-  /** Returns whether a response ends its connection. */
+  /** Returns whether a connection is closed after its response. */
   boolean closesAfterResponse() {
     return draining || quiesced;
   }
 
-  /** Returns whether a connection that has been idle for {@code age} ms is closed. */
-  boolean closesIdle(double age, boolean hasServedRequest) {
+  /** Returns whether a connection that has been idle for {@code idleMs} is closed. */
+  boolean closesIdle(double idleMs, boolean hasServedRequest) {
     boolean quiescedIdle =
-        quiesced && loop.now() - quiescedAt > QUIESCED_IDLE_MS && age > QUIESCED_IDLE_MS;
+        quiesced && loop.now() - quiescedAt > QUIESCED_IDLE_MS && idleMs > QUIESCED_IDLE_MS;
     return quiescedIdle
-        || (loop.now() >= stoppedAt && (hasServedRequest || age > FIRST_REQUEST_GRACE_MS));
+        || (loop.now() >= stoppedAt && (hasServedRequest || idleMs > FIRST_REQUEST_GRACE_MS));
   }
 
-  /** Returns whether a request that began at {@code startedAt} is too late to be handled. */
+  /** Returns whether a request that began at {@code startedAt} is rejected as too late. */
   boolean rejectsRequest(double startedAt) {
     boolean quiescedRequest =
         quiesced
--- a/src/main/java/bitternpulley/net/HttpClient.java
+++ b/src/main/java/bitternpulley/net/HttpClient.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * Sends HTTP/1.1 requests over a pool of a bounded number of connections, one request at a time on
- * each.
+ * Sends HTTP/1.1 requests over a bounded pool of connections, with one request at a time on each
+ * connection.
  */
 public final class HttpClient {
-  /** How a call ended without a response. */
+  /** Why a call ended without a response. */
   public enum Failure {
     /** No byte of the request was sent. */
     NEVER_SENT,
-    /** No byte of the request was sent, because the connection was not up in time. */
+    /** No byte of the request was sent, because no connection was established in time. */
     NOT_IN_TIME,
     /** The server may have received the request. */
     MAYBE_SENT
@@ -35,18 +35,18 @@
     }
   }
 
-  /** Receives the end of a call, once; a call that was dropped has none. */
+  /** Receives the outcome of a call, once; never called for a cancelled call. */
   public interface ResponseHandler {
     /** Handles the response. */
     void response(Response response);
 
     /** Handles the end of a call without a response. */
-    void failed(Failure how, String why);
+    void failed(Failure failure, String reason);
   }
 
   /** A call in progress. */
   public interface Call {
-    /** Drops the call and closes its connection, so that the server may stop working on it. */
+    /** Cancels the call and closes its connection, so that the server can stop working on it. */
     void cancel();
 
     /** Returns whether some bytes of the request may have been sent. */
@@ -67,7 +67,7 @@
    * @param loop runs its callbacks
    * @param maxBodyBytes limit of the body of a response
    * @param maxConnections limit of open connections to all addresses together
-   * @param connectTimeout ms for a connection to come up
+   * @param connectTimeout time in ms to establish a connection
    * @param idleTimeout ms after which an unused connection is closed
    */
   public HttpClient(
@@ -85,25 +85,25 @@
 
   /**
    * Sends a request, given as the bytes of its head and body; returns null when no more connections
-   * may be opened.
+   * can be opened.
    */
-  public Call send(HostPort address, ByteBuffer request, ResponseHandler done) {
-    return send(address, request, Double.POSITIVE_INFINITY, done);
+  public Call send(HostPort address, ByteBuffer request, ResponseHandler handler) {
+    return send(address, request, Double.POSITIVE_INFINITY, handler);
   }
 
   /**
    * Sends a request like {@link #send(HostPort, ByteBuffer, ResponseHandler)}, unless its
-   * connection comes up only after {@code sendBy}, in ms of the loop's clock: then the call ends
-   * unsent.
+   * connection is established only after {@code sendBy}, in ms of the loop's clock: then the call
+   * fails without sending the request.
    */
-  public Call send(HostPort address, ByteBuffer request, double sendBy, ResponseHandler done) {
+  public Call send(HostPort address, ByteBuffer request, double sendBy, ResponseHandler handler) {
     ArrayDeque<PooledConnection> idle = idleConnections.get(address);
     PooledConnection connection = idle == null ? null : idle.pollLast();
     if (connection == null) {
       connection = connect(address);
     }
     if (connection != null) {
-      connection.begin(request, sendBy, done);
+      connection.begin(request, sendBy, handler);
     }
     return connection;
   }
@@ -118,7 +118,7 @@
       openConnections++;
       return connection;
     } catch (UncheckedIOException exception) {
-      // Without a socket there is no connection that could report the end of the call.
+      // Without a socket, there is no connection that could report the failure.
       return null;
     }
   }
--- a/src/main/java/bitternpulley/net/HttpException.java
+++ b/src/main/java/bitternpulley/net/HttpException.java
@@ -1,6 +1,6 @@
 package bitternpulley.net;
 
-/** A message that violates HTTP/1.1 or a limit of this program, with the status for its sender. */
+/** Thrown when a message violates HTTP/1.1 or a limit; carries the status for its sender. */
 public final class HttpException extends RuntimeException {
   private static final long serialVersionUID = 1L;
   private final int status;
--- a/src/main/java/bitternpulley/net/HttpExchange.java
+++ b/src/main/java/bitternpulley/net/HttpExchange.java
@@ -1,6 +1,6 @@
 package bitternpulley.net;
 
-/** One request of a session until its response. */
+/** One request of a session, until its response is given. */
 final class HttpExchange implements HttpServer.Exchange {
   private final HttpSession session;
   private final boolean keepAlive;
@@ -21,11 +21,11 @@
   }
 
   @Override
-  public void onDisconnect(Runnable gone) {
-    onDisconnect = gone;
+  public void onDisconnect(Runnable callback) {
+    onDisconnect = callback;
   }
 
-  /** Notifies the handler that the client disconnected, unless the response was given. */
+  /** Notifies the handler that the client disconnected, unless the response is already given. */
   void clientDisconnected() {
     if (!replied && onDisconnect != null) {
       onDisconnect.run();
--- a/src/main/java/bitternpulley/net/HttpHead.java
+++ b/src/main/java/bitternpulley/net/HttpHead.java
@@ -14,7 +14,7 @@
 public record HttpHead(String method, String target, String version, Map<String, String> headers) {
   private static final String HTTP_1_0 = "HTTP/1.0";
 
-  /** Returns the value of a header, or null; upper and lower case of the name are the same. */
+  /** Returns the value of a header, or null; the name is case-insensitive. */
   public String header(String name) {
     return headers.get(name.toLowerCase(Locale.ROOT));
   }
--- a/src/main/java/bitternpulley/net/HttpMessageAggregator.java
+++ b/src/main/java/bitternpulley/net/HttpMessageAggregator.java
@@ -5,7 +5,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Collects the pieces of each message; the parser's limit on bodies bounds what is buffered. */
+/** Collects the body of each message; the parser's limit on bodies bounds the buffer. */
 final class HttpMessageAggregator implements HttpParser.Sink {
   private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
   private final Consumer<HttpHead> onHead;
--- a/src/main/java/bitternpulley/net/HttpParser.java
+++ b/src/main/java/bitternpulley/net/HttpParser.java
@@ -11,10 +11,10 @@
  * parser must not be used any more.
  */
 public final class HttpParser {
-  /** Limit of a start line and headers together, and of the trailers. */
+  /** Maximum size of a start line and headers together, and of the trailers. */
   private static final int MAX_HEAD_BYTES = 16 * 1024;
 
-  /** Limit of the size line of a chunk with its extensions. */
+  /** Maximum size of the size line of a chunk, with its extensions. */
   private static final int MAX_CHUNK_LINE_BYTES = 256;
 
   /** Receives messages as they are parsed. */
@@ -29,23 +29,23 @@
     void end();
   }
 
-  /** What the next byte belongs to. */
+  /** The part of a message to which the next byte belongs. */
   private enum State {
-    START,
+    START_LINE,
     HEADERS,
-    FIXED,
-    TO_CLOSE,
+    FIXED_LENGTH_BODY,
+    BODY_UNTIL_CLOSE,
     CHUNK_SIZE,
-    CHUNK,
+    CHUNK_DATA,
     CHUNK_END,
     TRAILERS
   }
 
-  private final boolean responses;
+  private final boolean parsesResponses;
   private final long maxBodyBytes;
   private final Sink sink;
   private final StringBuilder currentLine = new StringBuilder();
-  private State state = State.START;
+  private State state = State.START_LINE;
   private int headBytes;
 
   /** The words of the start line; of a response: version, status, reason phrase. */
@@ -55,7 +55,7 @@
   private String version;
   private Map<String, String> headers = new HashMap<>();
 
-  /** Bytes left of a body of fixed length, or of a chunk. */
+  /** Remaining bytes of a fixed-length body or of a chunk. */
   private long remainingBytes;
 
   private long bodyBytes;
@@ -63,31 +63,31 @@
   /**
    * Creates a parser.
    *
-   * @param responses whether it parses responses, else requests
-   * @param maxBodyBytes limit of a body
+   * @param parsesResponses whether to parse responses; otherwise requests
+   * @param maxBodyBytes maximum size of a body
    * @param sink receives the messages
    */
-  public HttpParser(boolean responses, long maxBodyBytes, Sink sink) {
-    this.responses = responses;
+  public HttpParser(boolean parsesResponses, long maxBodyBytes, Sink sink) {
+    this.parsesResponses = parsesResponses;
     this.maxBodyBytes = maxBodyBytes;
     this.sink = sink;
   }
 
   /** Returns true between messages. */
-  public boolean idle() {
-    return state == State.START && currentLine.length() == 0;
+  public boolean isBetweenMessages() {
+    return state == State.START_LINE && currentLine.length() == 0;
   }
 
   /**
-   * Handles the end of the connection; returns true when it completes a message or falls between
-   * two.
+   * Handles the end of the connection; returns true when it completes a message or when no message
+   * is incomplete.
    */
-  public boolean ended() {
-    if (state == State.TO_CLOSE) {
+  public boolean handleEndOfConnection() {
+    if (state == State.BODY_UNTIL_CLOSE) {
       finish();
       return true;
     }
-    return idle();
+    return isBetweenMessages();
   }
 
   /**
@@ -96,7 +96,7 @@
    * @throws HttpException when a message violates HTTP/1.1 or a limit
    */
   public boolean read(ByteBuffer in) {
-    while (in.hasRemaining() || (state == State.FIXED && remainingBytes == 0)) {
+    while (in.hasRemaining() || (state == State.FIXED_LENGTH_BODY && remainingBytes == 0)) {
       if (step(in)) {
         return true;
       }
@@ -106,9 +106,9 @@
 
   private boolean step(ByteBuffer in) {
     return switch (state) {
-      case START -> readStartLine(in);
+      case START_LINE -> readStartLine(in);
       case HEADERS -> readHeader(in);
-      case FIXED, CHUNK, TO_CLOSE -> readBody(in);
+      case FIXED_LENGTH_BODY, CHUNK_DATA, BODY_UNTIL_CLOSE -> readBody(in);
       case CHUNK_SIZE -> readChunkSize(in);
       case CHUNK_END -> readChunkEnd(in);
       case TRAILERS -> readTrailer(in);
@@ -138,7 +138,9 @@
 
   private boolean readBody(ByteBuffer in) {
     int size =
-        state == State.TO_CLOSE ? in.remaining() : (int) Math.min(remainingBytes, in.remaining());
+        state == State.BODY_UNTIL_CLOSE
+            ? in.remaining()
+            : (int) Math.min(remainingBytes, in.remaining());
     if (size > 0) {
       countBody(size);
       ByteBuffer piece = in.duplicate().limit(in.position() + size);
@@ -146,17 +148,17 @@
       remainingBytes -= size;
       sink.body(piece);
     }
-    if (state == State.CHUNK && remainingBytes == 0) {
+    if (state == State.CHUNK_DATA && remainingBytes == 0) {
       state = State.CHUNK_END;
     }
-    return state == State.FIXED && remainingBytes == 0 && finish();
+    return state == State.FIXED_LENGTH_BODY && remainingBytes == 0 && finish();
   }
 
   private boolean readChunkSize(ByteBuffer in) {
     String line = takeLine(in, MAX_CHUNK_LINE_BYTES);
     if (line != null) {
       remainingBytes = parseChunkSize(line);
-      state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
+      state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK_DATA;
     }
     return false;
   }
@@ -186,7 +188,7 @@
     }
   }
 
-  /** Returns a line without its end, or null while it is not complete. */
+  /** Returns a line without its line end, or null while the line is incomplete. */
   private String takeLine(ByteBuffer in, int maxBytes) {
     while (in.hasRemaining()) {
       char next = (char) (in.get() & 0xff);
@@ -214,7 +216,7 @@
 
   private void parseStartLine(String line) {
     String[] words = line.split(" ", 3);
-    if (responses) {
+    if (parsesResponses) {
       require(
           words.length >= 2
               && words[0].startsWith("HTTP/1.")
@@ -252,32 +254,36 @@
   private boolean finishHead() {
     HttpHead head = new HttpHead(method, target, version, Map.copyOf(headers));
     String length = head.header("content-length");
-    String coding = head.header("transfer-encoding");
-    require(length == null || coding == null, "a length and a transfer coding together");
+    String transferCoding = head.header("transfer-encoding");
+    require(length == null || transferCoding == null, "a length and a transfer coding together");
     require(length == null || length.matches("[0-9]{1,12}"), "not a length");
     require(
-        coding == null || coding.equalsIgnoreCase("chunked"),
+        transferCoding == null || transferCoding.equalsIgnoreCase("chunked"),
         "a transfer coding other than chunked");
     boolean bodiless = isBodilessResponse();
     remainingBytes = length == null || bodiless ? 0 : Long.parseLong(length);
     requireBodySize(remainingBytes);
     sink.head(head);
-    if (coding != null) {
+    if (transferCoding != null) {
       headBytes = 0;
       state = State.CHUNK_SIZE;
     } else {
-      state = responses && length == null && !bodiless ? State.TO_CLOSE : State.FIXED;
+      state =
+          parsesResponses && length == null && !bodiless
+              ? State.BODY_UNTIL_CLOSE
+              : State.FIXED_LENGTH_BODY;
     }
-    return state == State.FIXED && remainingBytes == 0 && finish();
+    return state == State.FIXED_LENGTH_BODY && remainingBytes == 0 && finish();
   }
 
-  /** The target of a response is its status. */
+  /** Returns whether a response has no body because of its status, which is its target. */
   private boolean isBodilessResponse() {
-    return responses && (target.startsWith("1") || target.equals("204") || target.equals("304"));
+    return parsesResponses
+        && (target.startsWith("1") || target.equals("204") || target.equals("304"));
   }
 
   private boolean finish() {
-    state = State.START;
+    state = State.START_LINE;
     headers = new HashMap<>();
     headBytes = 0;
     bodyBytes = 0;
@@ -292,9 +298,9 @@
     return Long.parseLong(digits, 16);
   }
 
-  private static void require(boolean holds, String otherwise) {
-    if (!holds) {
-      throw new HttpException(400, otherwise);
+  private static void require(boolean condition, String message) {
+    if (!condition) {
+      throw new HttpException(400, message);
     }
   }
 }
--- a/src/main/java/bitternpulley/net/HttpResponseEncoder.java
+++ b/src/main/java/bitternpulley/net/HttpResponseEncoder.java
@@ -26,7 +26,7 @@
         .flip();
   }
 
-  /** Returns the interim response to a client that asks before it sends a body. */
+  /** Returns the interim response to a client that sends {@code Expect: 100-continue}. */
   static ByteBuffer encodeContinue() {
     return ascii("HTTP/1.1 100 Continue\r\n\r\n");
   }
--- a/src/main/java/bitternpulley/net/HttpServer.java
+++ b/src/main/java/bitternpulley/net/HttpServer.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Listens for HTTP/1.1 and hands complete requests to a handler, one at a time from each
- * connection. It accepts, sweeps and stops; the limits on connections are in {@link
- * HttpSessionRegistry} and the rules for sending clients away in {@link DrainState}.
+ * Listens for HTTP/1.1 connections and passes complete requests to a handler, one at a time from
+ * each connection. It accepts connections, checks time-outs and stops; the limits on connections
+ * are in {@link HttpSessionRegistry} and the rules for draining in {@link DrainState}.
  */
 public final class HttpServer {
   private static final int BACKLOG = 512;
@@ -16,8 +16,8 @@
 
   /**
    * When the server stops listening, the kernel may already hold connections that were not accepted
-   * yet. The backlog counts as empty after this time without a connection, and is awaited for
-   * {@link #MAX_BACKLOG_WAIT_MS} at most.
+   * yet. The backlog counts as empty after this time without a new connection; the server waits for
+   * this at most {@link #MAX_BACKLOG_WAIT_MS}.
    */
   private static final double BACKLOG_EMPTY_MS = 30;
 
@@ -31,7 +31,7 @@
    * @param keepAlive until the next request begins
    */
   public record Timeouts(double firstByte, double request, double keepAlive) {
-    /** Closes a bad connection within 3 s; a good one that is closed costs little to reopen. */
+    /** Closes a faulty connection within 3 s; reopening a good one costs little. */
     public static final Timeouts DEFAULT = new Timeouts(2000, 2200, 5000);
   }
 
@@ -40,10 +40,10 @@
    *
    * @param head its start line and headers
    * @param body its body, empty when there is none
-   * @param unreadMs ms for which its last bytes may have lain unread because the event loop was
-   *     late
-   * @param worstLagMs worst lag in ms of the event loop in the last seconds, which the response may
-   *     meet too
+   * @param unreadMs time in ms that its last bytes may have waited to be read because the event
+   *     loop was late
+   * @param worstLagMs worst lag in ms of the event loop in the last seconds, which may delay the
+   *     response as well
    */
   @SuppressWarnings("ArrayRecordComponent") // Requests are never compared, and a copy would cost.
   public record Request(HttpHead head, byte[] body, double unreadMs, double worstLagMs) {
@@ -53,12 +53,12 @@
     }
   }
 
-  /** Handles requests; every call comes in a turn of the event loop. */
+  /** Handles requests; all calls are made in turns of the event loop. */
   public interface Handler {
     /** Handles a request; the response may be given at any time. */
     void handle(Request request, Exchange exchange);
 
-    /** Returns the response to an unusable message, in the format of this handler. */
+    /** Returns the response to a request that cannot be handled, in this handler's format. */
     Response errorResponse(int status, String reason);
   }
 
@@ -66,19 +66,19 @@
    * A response.
    *
    * @param status the status code
-   * @param headers values by header name, written as they are
+   * @param headers values by header name, written unchanged
    * @param body the body
    */
   @SuppressWarnings("ArrayRecordComponent") // Responses are never compared, and a copy would cost.
   public record Response(int status, Map<String, String> headers, byte[] body) {}
 
-  /** Connects a request with its client until the response. */
+  /** A request that awaits its response. */
   public interface Exchange {
     /** Sends the response; a second one is ignored. */
     void reply(Response response);
 
-    /** Sets what runs when the client disconnects before the response. */
-    void onDisconnect(Runnable gone);
+    /** Sets the callback that runs when the client disconnects before the response. */
+    void onDisconnect(Runnable callback);
   }
 
   private final EventLoop loop;
@@ -108,7 +108,7 @@
 
   /**
    * Starts to listen and returns the bound address. When {@code shared}, other processes that also
-   * share it may listen there at the same time.
+   * share the address can listen on it at the same time.
    */
   public HostPort listen(HostPort address, boolean shared) throws IOException {
     AddressListener listener =
@@ -147,7 +147,7 @@
     holdingBack = true;
   }
 
-  /** Accepts the connections that were held back, and all that follow. */
+  /** Accepts the connections that were held back, and all later ones. */
   public void acceptConnections() {
     holdingBack = false;
     if (acceptLoop != null) {
@@ -155,7 +155,7 @@
     }
   }
 
-  /** Ends what takes too long; one timer for all connections in place of one for each. */
+  /** Applies the time-outs of all connections, with one timer instead of one per connection. */
   private void sweep() {
     sessions.sweep();
     acceptLoop.acceptNext();
@@ -164,18 +164,19 @@
     }
   }
 
-  /** Ends each connection with its next response from now on. */
+  /** From now on, closes each connection after its next response. */
   public void drain() {
     drainState.drain();
   }
 
   /**
-   * Sends clients away, or stops doing so; connections are accepted and served all the while.
+   * Enters or leaves the quiesced state, in which idle connections are closed, and others after
+   * their responses, while new connections are still accepted and served.
    *
-   * @param on whether clients are sent away
+   * @param enabled whether the server is quiesced
    */
-  public void quiesce(boolean on) {
-    drainState.quiesce(on);
+  public void quiesce(boolean enabled) {
+    drainState.quiesce(enabled);
   }
 
   /** Accepts no more connections. */
@@ -186,8 +187,8 @@
   }
 
   /**
-   * Accepts the connections that already wait in the kernel, then no more, and closes those that
-   * are idle; the others end with their responses.
+   * Accepts the connections that already wait in the kernel, then no more. Idle connections are
+   * closed at once, the others after their responses.
    */
   public void stopListening() {
     drainState.stopListening();
@@ -211,14 +212,14 @@
   }
 
   /**
-   * Returns, once no more connections are accepted, the number of those that have work left, if
-   * only the client's end of them.
+   * Returns the number of connections with pending work, which includes waiting for the client to
+   * close its side; one more while connections are still accepted.
    */
   public int countPendingWork() {
     return sessions.countPendingWork() + (acceptLoop != null && acceptLoop.isOpen() ? 1 : 0);
   }
 
-  /** Returns the number of connections whose response is due or not completely written. */
+  /** Returns the number of connections whose response is pending or not completely written. */
   public int countPendingResponses() {
     return sessions.countPendingResponses();
   }
@@ -247,7 +248,7 @@
 
   /** Returns whether a connection stays open after the response that is being written. */
   boolean keepsConnections() {
-    return !drainState.closesAfterResponse() && !sessions.isCrowded();
+    return !drainState.closesAfterResponse() && !sessions.hasTooManyUnused();
   }
 
   /** Removes a connection that has ended and accepts another one if there is capacity. */
@@ -256,7 +257,7 @@
     acceptLoop.acceptNext();
   }
 
-  /** Accepts another connection if there is capacity, which an idle connection may provide. */
+  /** Accepts another connection if there is capacity, or if an idle connection can be evicted. */
   void acceptIfCapacity() {
     acceptLoop.acceptNext();
   }
--- a/src/main/java/bitternpulley/net/HttpSession.java
+++ b/src/main/java/bitternpulley/net/HttpSession.java
@@ -4,33 +4,33 @@
 import java.nio.ByteBuffer;
 
 /**
- * One client's connection: idle, receiving a request, handling one, or ending. It reads in each of
- * these states, so that a client that disconnects is noticed at once.
+ * One client connection: idle, receiving a request, handling one, or closing. It keeps reading in
+ * each of these states, so that a disconnect of the client is noticed at once.
  */
 final class HttpSession implements Connection.Owner {
   /** The order in which sessions are evicted when a server has no capacity left. */
   enum EvictionOrder {
-    /** The client has sent nothing yet, or only its end of the connection is missing. */
+    /** The client has sent nothing yet, or the server only waits for it to close its side. */
     SILENT,
     /** No request is in progress. */
     IDLE,
     /** A request is incomplete. */
-    PARTIAL,
-    /** The session is busy, or too young to be judged. */
+    INCOMPLETE,
+    /** The session is busy, or too young to be evicted. */
     NEVER
   }
 
   private static final System.Logger LOG = System.getLogger(HttpSession.class.getName());
 
   /**
-   * Time that the client of an idle connection gets to end its side after this one: a request that
-   * crossed the close arrives by then and is discarded.
+   * Time that the client of an idle connection has to close its side after this side was shut down.
+   * A request that crossed the close arrives within this time and is discarded.
    */
   private static final double IDLE_LINGER_MS = 25;
 
   /**
-   * When a request may have lain unread for longer than this, the sockets are polled once more
-   * before it is handled, as its client may have disconnected.
+   * When a request may have waited longer than this to be read, the sockets are polled once more
+   * before it is handled, because its client may have disconnected.
    */
   private static final double RECHECK_AFTER_MS = 50;
 
@@ -45,15 +45,15 @@
   private final PipelineBuffer pipeline = new PipelineBuffer();
   private boolean pipelineOverflowed;
   private HttpExchange exchange;
-  private boolean ending;
+  private boolean closing;
   private int requestCount;
   private long bufferedBytes;
 
-  /** When the bytes that were read last may have arrived. */
+  /** Earliest time at which the bytes read last may have arrived. */
   private double arrivedAt;
 
-  /** When the connection was opened, its request begun or its last response written. */
-  private double since;
+  /** When the connection was opened, its request began or its last response was written. */
+  private double stateChangedAt;
 
   HttpSession(HttpServer server, Connection connection, int maxBodyBytes) {
     this.server = server;
@@ -62,47 +62,47 @@
     this.loop = server.loop();
     this.connection = connection;
     this.parser = new HttpParser(false, maxBodyBytes, aggregator);
-    this.since = loop.now();
+    this.stateChangedAt = loop.now();
   }
 
   private boolean isIdle() {
-    return exchange == null && parser.idle() && !ending;
+    return exchange == null && parser.isBetweenMessages() && !closing;
   }
 
   private boolean isReceivingRequest() {
-    return exchange == null && !ending && !parser.idle();
+    return exchange == null && !closing && !parser.isBetweenMessages();
   }
 
-  private double age() {
-    return loop.now() - since;
+  private double msInState() {
+    return loop.now() - stateChangedAt;
   }
 
   /** Returns whether the client has kept the connection idle for {@code ms} after a response. */
   boolean isUnusedFor(double ms) {
-    return requestCount > 0 && isIdle() && age() > ms;
+    return requestCount > 0 && isIdle() && msInState() > ms;
   }
 
   /**
-   * Returns whether the session has work left. This includes a first request that may be on its
-   * way, and the client's end of the connection: a process that exits before it would send a reset
-   * to a client that is still reading its response.
+   * Returns whether the session has pending work. This includes a first request that may be on its
+   * way, and waiting for the client to close its side: a process that exits earlier would send a
+   * reset to a client that is still reading its response.
    */
   boolean hasPendingWork() {
     return requestCount == 0
         || exchange != null
-        || ending
-        || !parser.idle()
+        || closing
+        || !parser.isBetweenMessages()
         || !connection.hasWrittenAll();
   }
 
-  /** Returns whether a request is in progress, or its response not completely written. */
+  /** Returns whether a request is in progress or its response is not completely written. */
   boolean hasPendingResponse() {
     return exchange != null || !connection.hasWrittenAll();
   }
 
-  /** Returns when this session may be evicted, relative to others. */
+  /** Returns the rank of this session in the order of eviction. */
   EvictionOrder evictionOrder() {
-    boolean withinGrace = sessions.isWithinGrace(age());
+    boolean withinGrace = sessions.isWithinGrace(msInState());
     if (isIdle() && requestCount > 0) {
       return EvictionOrder.IDLE;
     }
@@ -112,13 +112,16 @@
     if (isIdle() || connection.isLingering()) {
       return EvictionOrder.SILENT;
     }
-    return exchange != null || ending ? EvictionOrder.NEVER : EvictionOrder.PARTIAL;
+    return exchange != null || closing ? EvictionOrder.NEVER : EvictionOrder.INCOMPLETE;
   }
 
-  /** Returns whether this session is evicted before another; of equals, the longest unchanged. */
+  /**
+   * Returns whether this session is evicted before another; of two with the same rank, the one that
+   * has been in its state for longer comes first.
+   */
   boolean isEvictedBefore(HttpSession other) {
     int order = evictionOrder().compareTo(other.evictionOrder());
-    return order < 0 || (order == 0 && since < other.since);
+    return order < 0 || (order == 0 && stateChangedAt < other.stateChangedAt);
   }
 
   /** Ends the session so that another client can be served. */
@@ -128,44 +131,44 @@
     } else if (isIdle()) {
       closeIdle();
     } else {
-      refuse(503, "there is no room");
+      rejectAndClose(503, "there is no room");
     }
   }
 
-  /** Ends connections that stay unused and requests that stay incomplete. */
+  /** Closes the connection if it stays idle, or rejects its request if that stays incomplete. */
   void enforceTimeouts() {
     if (isIdle() && isIdleTimeOver()) {
       closeIdle();
-    } else if (isReceivingRequest() && drainState.rejectsRequest(since)) {
-      refuse(503, "clients are being sent away");
-    } else if (isReceivingRequest() && age() > server.timeouts().request()) {
-      refuse(408, "the request did not end in time");
+    } else if (isReceivingRequest() && drainState.rejectsRequest(stateChangedAt)) {
+      rejectAndClose(503, "clients are being sent away");
+    } else if (isReceivingRequest() && msInState() > server.timeouts().request()) {
+      rejectAndClose(408, "the request did not end in time");
     }
   }
 
   private boolean isIdleTimeOver() {
     HttpServer.Timeouts timeouts = server.timeouts();
-    return age() > (requestCount == 0 ? timeouts.firstByte() : timeouts.keepAlive())
-        || drainState.closesIdle(age(), requestCount > 0);
+    return msInState() > (requestCount == 0 ? timeouts.firstByte() : timeouts.keepAlive())
+        || drainState.closesIdle(msInState(), requestCount > 0);
   }
 
   /**
-   * Closes an idle connection in order: a request that crosses the close is not read, and its
+   * Closes an idle connection gracefully: a request that crosses the close is discarded, and its
    * client sees no reset.
    */
   private void closeIdle() {
-    ending = true;
+    closing = true;
     connection.closeGracefully(IDLE_LINGER_MS);
   }
 
-  private void refuse(int status, String reason) {
-    ending = true;
+  private void rejectAndClose(int status, String reason) {
+    closing = true;
     pipeline.clear();
     recordBuffered(0);
     send(server.handler().errorResponse(status, reason), false);
   }
 
-  /** Records the bytes buffered here; returns false when all sessions together buffer too much. */
+  /** Records this session's buffered bytes; returns false when all sessions buffer too much. */
   private boolean recordBuffered(long bytes) {
     boolean fits = sessions.recordBuffered(bufferedBytes, bytes);
     bufferedBytes = bytes;
@@ -175,37 +178,39 @@
   @Override
   public void received(ByteBuffer bytes) {
     double earliest = loop.now() - loop.unreadMs();
-    // What a client sends after a response cannot have arrived before it was written.
+    // What a client sends after a response cannot have arrived before the response was written.
     arrivedAt =
-        requestCount > 0 && isIdle() ? Math.max(earliest, Math.min(since, loop.now())) : earliest;
+        requestCount > 0 && isIdle()
+            ? Math.max(earliest, Math.min(stateChangedAt, loop.now()))
+            : earliest;
     parseRequests(bytes);
-    if (bytes.hasRemaining() && !ending) {
+    if (bytes.hasRemaining() && !closing) {
       bufferPipelined(bytes);
     }
   }
 
   private void parseRequests(ByteBuffer bytes) {
-    while (exchange == null && bytes.hasRemaining() && !ending) {
+    while (exchange == null && bytes.hasRemaining() && !closing) {
       parse(bytes);
     }
   }
 
   private void parse(ByteBuffer bytes) {
-    if (parser.idle()) {
-      since = loop.now();
+    if (parser.isBetweenMessages()) {
+      stateChangedAt = loop.now();
     }
     try {
       parser.read(bytes);
-      // Many large bodies at once may exceed the memory although none of them is too large.
+      // Many bodies together may exceed the memory although each is within its limit.
       if (!recordBuffered(aggregator.bufferedBytes()) && aggregator.bufferedBytes() > 0) {
         throw new HttpException(503, "too much is being sent at once");
       }
     } catch (HttpException exception) {
-      refuse(exception.status(), exception.getMessage());
+      rejectAndClose(exception.status(), exception.getMessage());
     }
   }
 
-  /** Buffers what arrives while a request is in progress. */
+  /** Buffers bytes that arrive while a request is in progress. */
   private void bufferPipelined(ByteBuffer bytes) {
     if (pipelineOverflowed) {
       return;
@@ -215,22 +220,21 @@
       pipeline.append(bytes);
       return;
     }
-    // Reading goes on, because the client's end of the connection behind this would not be noticed
-    // otherwise.
+    // Reading continues because a disconnect behind these bytes would go unnoticed otherwise.
     pipelineOverflowed = true;
     recordBuffered(pipeline.size());
     connection.discardInput();
   }
 
-  /** Continues with what arrived while the last request was in progress. */
+  /** Continues with the bytes that arrived while the last request was in progress. */
   private void resumePipelined() {
     parseRequests(pipeline.startReading());
-    if (ending) {
+    if (closing) {
       return;
     }
     pipeline.finishReading();
     if (exchange == null && pipelineOverflowed) {
-      refuse(413, "more was sent ahead than is kept");
+      rejectAndClose(413, "more was sent ahead than is kept");
     } else {
       recordBuffered(pipeline.size() + aggregator.bufferedBytes());
     }
@@ -243,15 +247,15 @@
   }
 
   /**
-   * Hands on a complete request at the end of the turn, when the client's end of the connection, if
-   * it lies behind the request, has been read: a request whose client has left is not handled.
+   * Passes on a complete request at the end of the turn. A disconnect that directly follows the
+   * request has been read by then, and a request whose client has disconnected is not handled.
    */
   private void onRequest(HttpHead head, byte[] body) {
     sessions.markUsed(this);
     requestCount++;
-    HttpExchange next = new HttpExchange(this, head.keepAlive());
-    exchange = next;
-    Runnable handle = () -> handle(head, body, next);
+    HttpExchange newExchange = new HttpExchange(this, head.keepAlive());
+    exchange = newExchange;
+    Runnable handle = () -> handle(head, body, newExchange);
     if (loop.unreadMs() > RECHECK_AFTER_MS) {
       loop.schedule(0, handle);
     } else {
@@ -259,38 +263,43 @@
     }
   }
 
-  private void handle(HttpHead head, byte[] body, HttpExchange next) {
+  private void handle(HttpHead head, byte[] body, HttpExchange newExchange) {
     if (connection.isClosed()) {
       return;
     }
-    if (drainState.rejectsRequest(since)) {
-      refuse(503, "clients are being sent away");
+    if (drainState.rejectsRequest(stateChangedAt)) {
+      rejectAndClose(503, "clients are being sent away");
       return;
     }
     try {
       double unread = loop.now() - arrivedAt;
-      server.handler().handle(new HttpServer.Request(head, body, unread, loop.worstLagMs()), next);
+      server
+          .handler()
+          .handle(new HttpServer.Request(head, body, unread, loop.worstLagMs()), newExchange);
     } catch (RuntimeException exception) {
       // Supervised boundary: a request whose handler fails still gets a response.
       LOG.log(Level.ERROR, "Handling a request failed", exception);
-      next.reply(server.handler().errorResponse(500, "failed"));
+      newExchange.reply(server.handler().errorResponse(500, "failed"));
     }
   }
 
-  /** Writes a response, after which the connection stays open if {@code keepAlive} and allowed. */
+  /**
+   * Writes a response. The connection stays open afterwards if {@code keepAlive} is set and the
+   * server keeps connections open.
+   */
   void send(HttpServer.Response response, boolean keepAlive) {
     boolean staysOpen = keepAlive && server.keepsConnections();
     connection.write(
         HttpResponseEncoder.encode(response, staysOpen), () -> responseWritten(staysOpen));
     if (!staysOpen) {
-      ending = true;
+      closing = true;
       connection.closeGracefully();
     }
   }
 
   private void responseWritten(boolean staysOpen) {
     exchange = null;
-    since = loop.now();
+    stateChangedAt = loop.now();
     if (staysOpen && (pipeline.size() > 0 || pipelineOverflowed)) {
       resumePipelined();
     }
--- a/src/main/java/bitternpulley/net/PipelineBuffer.java
+++ b/src/main/java/bitternpulley/net/PipelineBuffer.java
@@ -2,32 +2,35 @@
 
 import java.nio.ByteBuffer;
 
-/** Holds the bytes of one client that arrive while an earlier request of it is in progress. */
+/** Buffers the bytes that a client sends while its previous request is in progress. */
 final class PipelineBuffer {
-  /** Bytes that are held of one client; what exceeds them is answered with an error in its turn. */
+  /**
+   * Maximum bytes buffered for one client. Requests beyond it are rejected after the responses to
+   * the buffered requests.
+   */
   private static final int MAX_BYTES = 256 * 1024;
 
   private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
-  /** Filled up to the position. */
+  /** Contains bytes up to its position. */
   private ByteBuffer buffer = EMPTY;
 
-  /** Returns the number of bytes held. */
+  /** Returns the number of buffered bytes. */
   int size() {
     return buffer.position();
   }
 
-  /** Returns the number of bytes held once {@code bytes} are added. */
+  /** Returns the number of buffered bytes after {@code bytes} are added. */
   int sizeWith(ByteBuffer bytes) {
     return buffer.position() + bytes.remaining();
   }
 
-  /** Returns whether {@code size} bytes may be held. */
+  /** Returns whether {@code size} bytes can be buffered. */
   static boolean fits(int size) {
     return size <= MAX_BYTES;
   }
 
-  /** Adds bytes that fit. */
+  /** Adds bytes, for which {@link #fits} must be true. */
   void append(ByteBuffer bytes) {
     int size = sizeWith(bytes);
     if (size > buffer.capacity()) {
@@ -38,12 +41,12 @@
     buffer.put(bytes);
   }
 
-  /** Returns the bytes to be read; {@link #finishReading} or {@link #clear} follows. */
+  /** Returns the bytes to read; the caller then calls {@link #finishReading} or {@link #clear}. */
   ByteBuffer startReading() {
     return buffer.flip();
   }
 
-  /** Keeps what was not read. */
+  /** Keeps the bytes that were not read. */
   void finishReading() {
     buffer.compact();
     if (buffer.position() == 0) {
--- a/src/main/java/bitternpulley/net/PooledConnection.java
+++ b/src/main/java/bitternpulley/net/PooledConnection.java
@@ -14,7 +14,7 @@
   private final Connection connection;
   private ByteBuffer request;
   private double sendBy;
-  private HttpClient.ResponseHandler done;
+  private HttpClient.ResponseHandler handler;
   private boolean connected;
   private boolean written;
   private int useCount;
@@ -41,13 +41,13 @@
     write();
   }
 
-  /** Starts a call; its request is written as soon as the connection is up. */
-  void begin(ByteBuffer newRequest, double newSendBy, HttpClient.ResponseHandler newDone) {
+  /** Starts a call; its request is written as soon as the connection is established. */
+  void begin(ByteBuffer newRequest, double newSendBy, HttpClient.ResponseHandler newHandler) {
     useCount++;
     sendBy = newSendBy;
     request = newRequest;
     written = false;
-    done = newDone;
+    handler = newHandler;
     if (connected) {
       write();
     }
@@ -55,7 +55,7 @@
 
   private void write() {
     if (request != null && loop.now() > sendBy) {
-      endWithout(HttpClient.Failure.NOT_IN_TIME, "there was no connection in time");
+      failWith(HttpClient.Failure.NOT_IN_TIME, "there was no connection in time");
       connection.close();
     } else if (request != null) {
       connection.write(request, () -> written = true);
@@ -82,7 +82,7 @@
 
   @Override
   public void cancel() {
-    done = null;
+    handler = null;
     request = null;
     connection.close();
   }
@@ -90,8 +90,8 @@
   @Override
   public void received(ByteBuffer bytes) {
     try {
-      if (done == null) {
-        connection.close(); // there is no request that this could respond to
+      if (handler == null) {
+        connection.close(); // no request is in progress
       } else if (parser.read(bytes) && response != null) {
         complete(bytes.hasRemaining());
       }
@@ -109,40 +109,43 @@
   }
 
   /**
-   * Hands on the response. When more bytes follow it, the response is good, but nothing later on
-   * this connection could be assigned to a request, so it is closed.
+   * Passes on the response. When more bytes follow it, the response is valid, but later bytes could
+   * not be assigned to a request, so the connection is closed.
    */
   private void complete(boolean hasMoreBytes) {
     HttpClient.Response received = response;
-    HttpClient.ResponseHandler receiver = done;
+    HttpClient.ResponseHandler completedHandler = handler;
     response = null;
-    done = null;
+    handler = null;
     request = null;
     if (keepAlive && !hasMoreBytes && !connection.isClosed()) {
       client.release(this);
     } else {
       connection.close();
     }
-    receiver.response(received);
+    completedHandler.response(received);
   }
 
-  private void fail(String why) {
-    endWithout(written ? HttpClient.Failure.MAYBE_SENT : HttpClient.Failure.NEVER_SENT, why);
+  private void fail(String reason) {
+    failWith(written ? HttpClient.Failure.MAYBE_SENT : HttpClient.Failure.NEVER_SENT, reason);
   }
 
-  private void endWithout(HttpClient.Failure how, String why) {
-    HttpClient.ResponseHandler receiver = done;
-    done = null;
-    if (receiver != null) {
-      receiver.failed(how, why);
+  private void failWith(HttpClient.Failure failure, String reason) {
+    HttpClient.ResponseHandler completedHandler = handler;
+    handler = null;
+    if (completedHandler != null) {
+      completedHandler.failed(failure, reason);
     }
   }
 
   @Override
   public void closed() {
     client.remove(this);
-    // A body without a length is complete only if the server ended the connection in order.
-    if (done != null && connection.isEndedByPeer() && parser.ended() && response != null) {
+    // A body without a length is complete only after an orderly close by the server.
+    if (handler != null
+        && connection.isEndedByPeer()
+        && parser.handleEndOfConnection()
+        && response != null) {
       complete(true);
     } else {
       fail("the connection broke");
--- a/src/test/java/bitternpulley/net/HttpClientTest.java
+++ b/src/test/java/bitternpulley/net/HttpClientTest.java
@@ -15,22 +15,22 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Calls to a server whose side the test plays. */
+/** Tests calls to a server whose side the test plays. */
 public class HttpClientTest implements HttpClient.ResponseHandler {
-  private static final int PATIENCE_MS = 30_000;
+  private static final int TIMEOUT_MS = 30_000;
 
-  private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
   private EventLoop loop;
   private HttpClient client;
   private ServerSocket server;
 
   @BeforeMethod
   public void startClientAndServer() throws IOException {
-    ends.clear();
+    outcomes.clear();
     loop = new EventLoop();
     client = new HttpClient(loop, 1000, 4, 5000, 5000);
     server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-    server.setSoTimeout(PATIENCE_MS);
+    server.setSoTimeout(TIMEOUT_MS);
   }
 
   @AfterMethod
@@ -40,27 +40,27 @@
 
   @Override
   public void response(HttpClient.Response response) {
-    ends.add(response.status() + " " + new String(response.body(), StandardCharsets.US_ASCII));
+    outcomes.add(response.status() + " " + new String(response.body(), StandardCharsets.US_ASCII));
   }
 
   @Override
-  public void failed(HttpClient.Failure how, String why) {
-    ends.add(how.toString());
+  public void failed(HttpClient.Failure failure, String reason) {
+    outcomes.add(failure.toString());
   }
 
   private void send(double sendBy) {
-    HostPort at = new HostPort("127.0.0.1", server.getLocalPort());
+    HostPort address = new HostPort("127.0.0.1", server.getLocalPort());
     loop.execute(
         () ->
             client.send(
-                at,
+                address,
                 ByteBuffer.wrap("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)),
                 sendBy,
                 this));
   }
 
-  private String next() throws InterruptedException {
-    return ends.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+  private String nextOutcome() throws InterruptedException {
+    return outcomes.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
   private void respondWithoutLength(boolean reset) throws IOException {
@@ -75,24 +75,24 @@
   }
 
   @Test
-  public void acceptsAResponseWithoutLengthThatEndsWithTheConnection() throws Exception {
+  public void acceptsResponseWithoutLengthThatEndsWithOrderlyClose() throws Exception {
     respondWithoutLength(false);
-    assertEquals(next(), "200 {\"half\":1}");
+    assertEquals(nextOutcome(), "200 {\"half\":1}");
   }
 
   @Test
-  public void rejectsAResponseWithoutLengthThatEndsWithAReset() throws Exception {
+  public void rejectsResponseWithoutLengthThatEndsWithReset() throws Exception {
     respondWithoutLength(true);
-    assertEquals(next(), "MAYBE_SENT");
+    assertEquals(nextOutcome(), "MAYBE_SENT");
   }
 
   @Test
-  public void endsUnsentWhenTheConnectionComesUpTooLate() throws Exception {
+  public void failsWithoutSendingWhenConnectionIsEstablishedTooLate() throws Exception {
     send(loop.now());
     try (Socket socket = server.accept()) {
-      assertEquals(next(), "NOT_IN_TIME");
-      socket.setSoTimeout(PATIENCE_MS);
-      assertEquals(socket.getInputStream().read(), -1, "not a byte");
+      assertEquals(nextOutcome(), "NOT_IN_TIME");
+      socket.setSoTimeout(TIMEOUT_MS);
+      assertEquals(socket.getInputStream().read(), -1, "no byte is sent");
     }
   }
 }
--- a/src/test/java/bitternpulley/net/HttpCloseRaceTest.java
+++ b/src/test/java/bitternpulley/net/HttpCloseRaceTest.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** Requests that cross the close of their connection. The client never sees a reset. */
+/** Tests requests that cross the close of their connection. The client must never see a reset. */
 public class HttpCloseRaceTest extends HttpServerHarness {
-  private void closeWhileARequestArrives(Action close) throws Exception {
+  private void closeWhileRequestArrives(Action close) throws Exception {
     try (Socket client = connect(request("/first", ""))) {
       assertEquals(readStatus(client), 200);
       whileLoopIsBlocked(
@@ -20,23 +20,25 @@
             write(client, LONG_REQUEST);
             close.run();
           });
-      assertEquals(
-          client.getInputStream().read(), -1, "an orderly close, with no byte of a response");
+      assertEquals(client.getInputStream().read(), -1, "an orderly close without a response");
     }
-    assertEquals(handled, List.of("/first"), "no request behind the close is handled");
+    assertEquals(handled, List.of("/first"), "no request after the close is handled");
   }
 
   @Test
-  public void closesAnIdleConnectionWithoutResetWhenARequestCrosses() throws Exception {
-    closeWhileARequestArrives(
+  public void closesIdleConnectionWithoutResetWhenRequestCrosses() throws Exception {
+    closeWhileRequestArrives(
         () -> {
           server.drain();
           server.stopListening();
         });
   }
 
-  /** A complete response or an orderly close; never a reset, nor a request handled unanswered. */
-  private void assertAnsweredOrClosedInOrder(Socket client, String target) throws IOException {
+  /**
+   * Checks that the client receives a complete response or an orderly close, never a reset, and
+   * that every handled request has a response.
+   */
+  private void assertAnsweredOrClosedWithoutReset(Socket client, String target) throws IOException {
     int first = client.getInputStream().read();
     assertEquals(
         first < 0 ? 0 : handled.stream().filter(target::equals).count(), first < 0 ? 0 : 1);
@@ -51,27 +53,28 @@
    * either order is correct.
    */
   @Test(invocationCount = 20)
-  public void answersOrClosesInOrderWhenARequestCrossesTheIdleTimeout() throws Exception {
+  public void answersOrClosesWithoutResetWhenRequestCrossesIdleTimeout() throws Exception {
     listen(1000, new HttpServer.Timeouts(2000, 2200, 20));
     try (Socket client = connect(request("/first", ""))) {
       assertEquals(readStatus(client), 200);
-      double from = loop.now();
+      double start = loop.now();
       whileLoopIsBlocked(
           () -> {
-            while (loop.now() < from + 30) {
+            while (loop.now() < start + 30) {
               Thread.onSpinWait();
             }
             write(client, LONG_REQUEST);
           });
-      assertAnsweredOrClosedInOrder(client, "/long");
+      assertAnsweredOrClosedWithoutReset(client, "/long");
     }
   }
 
   /**
-   * The connection idle longest is evicted for a new one while its next request lies in the socket.
+   * The connection idle for longest is evicted for a new one while its next request is unread in
+   * the socket.
    */
   @Test(invocationCount = 5)
-  public void answersOrClosesInOrderWhenARequestCrossesItsEviction() throws Exception {
+  public void answersOrClosesWithoutResetWhenRequestCrossesEviction() throws Exception {
     int maxConnections = 16;
     listen(maxConnections, HttpServer.Timeouts.DEFAULT);
     List<Socket> clients = new ArrayList<>();
@@ -84,7 +87,7 @@
           write(clients.get(0), LONG_REQUEST);
           clients.add(connect(request("/newcomer", "")));
         });
-    assertAnsweredOrClosedInOrder(clients.get(0), "/long");
+    assertAnsweredOrClosedWithoutReset(clients.get(0), "/long");
     Socket newcomer = clients.get(clients.size() - 1);
     assertEquals(readStatus(newcomer), 200);
     for (Socket socket : clients) {
@@ -93,24 +96,24 @@
   }
 
   @Test
-  public void closesInOrderWhenARequestCrossesTheCloseOfAQuiescedServer() throws Exception {
+  public void closesWithoutResetWhenRequestCrossesCloseByQuiescedServer() throws Exception {
     try (Socket client = connect(request("/first", ""))) {
       assertEquals(readStatus(client), 200);
       loop.execute(() -> server.quiesce(true));
-      // The client writes when the close has arrived, as one would that has not noticed it yet.
+      // The client writes after the close has arrived, like a client that has not noticed it yet.
       assertEquals(client.getInputStream().read(), -1);
       write(client, request("/behind", ""));
     }
     try (Socket other = connect(request("/other", ""))) {
       assertEquals(readStatus(other), 200);
-      assertEquals(other.getInputStream().read(), -1, "the response ends it");
+      assertEquals(other.getInputStream().read(), -1, "the response closes the connection");
     }
-    assertEquals(handled, List.of("/first", "/other"), "no request behind the close is handled");
+    assertEquals(handled, List.of("/first", "/other"), "no request after the close is handled");
   }
 
-  /** Unread bytes at the close would cause a reset that destroys the response. */
+  /** Closing with unread bytes would cause a reset that destroys the response. */
   @Test
-  public void deliversTheLastResponseCompletelyWhateverIsSentBehindTheRequest() throws Exception {
+  public void deliversLastResponseCompletelyWhenMoreRequestsFollow() throws Exception {
     try (Socket client = connect(request("/held", ""))) {
       awaitCondition("the request is in progress", () -> openExchanges.size() == 1);
       whileLoopIsBlocked(
--- a/src/test/java/bitternpulley/net/HttpDisconnectTest.java
+++ b/src/test/java/bitternpulley/net/HttpDisconnectTest.java
@@ -7,16 +7,16 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Clients that disconnect while the server owes them a response. */
+/** Tests clients that disconnect while their response is pending. */
 public class HttpDisconnectTest extends HttpServerHarness {
-  private void disconnectWhileRequestsAreHeld(int clients, String behind, boolean reset)
+  private void disconnectWhileRequestsArePending(int clients, String pipelined, boolean reset)
       throws Exception {
-    List<Socket> all = new ArrayList<>();
+    List<Socket> sockets = new ArrayList<>();
     for (int i = 0; i < clients; i++) {
-      all.add(connect(request("/held", "") + behind));
+      sockets.add(connect(request("/held", "") + pipelined));
     }
     awaitCondition("all requests are in progress", () -> openExchanges.size() == clients);
-    for (Socket socket : all) {
+    for (Socket socket : sockets) {
       socket.setSoLinger(reset, 0);
       socket.close();
     }
@@ -25,36 +25,36 @@
   }
 
   @Test
-  public void noticesAClientThatDisconnects() throws Exception {
-    disconnectWhileRequestsAreHeld(1, "", false);
+  public void noticesDisconnect() throws Exception {
+    disconnectWhileRequestsArePending(1, "", false);
   }
 
   @Test
-  public void noticesAClientThatDisconnectsByReset() throws Exception {
-    disconnectWhileRequestsAreHeld(1, request("/ahead", ""), true);
+  public void noticesDisconnectByReset() throws Exception {
+    disconnectWhileRequestsArePending(1, request("/ahead", ""), true);
   }
 
   @Test
-  public void noticesTwoHundredClientsThatDisconnectAtOnce() throws Exception {
-    disconnectWhileRequestsAreHeld(200, "", false);
+  public void noticesDisconnectOfTwoHundredClientsAtOnce() throws Exception {
+    disconnectWhileRequestsArePending(200, "", false);
   }
 
-  /** The end of the connection lies unread behind what was sent ahead. */
+  /** The disconnect is unread behind the pipelined requests. */
   @Test
-  public void noticesTheDisconnectBehindPipelinedRequests() throws Exception {
-    disconnectWhileRequestsAreHeld(3, request("/ahead", "x").repeat(1000), false);
+  public void noticesDisconnectAfterPipelinedRequests() throws Exception {
+    disconnectWhileRequestsArePending(3, request("/ahead", "x").repeat(1000), false);
   }
 
-  /** The same when more was sent ahead than is buffered. */
+  /** The disconnect is unread behind more pipelined requests than the server buffers. */
   @Test
-  public void noticesTheDisconnectBehindMorePipelinedBytesThanAreBuffered() throws Exception {
-    disconnectWhileRequestsAreHeld(2, request("/ahead", "x".repeat(1000)).repeat(2000), false);
+  public void noticesDisconnectAfterMorePipelinedBytesThanAreBuffered() throws Exception {
+    disconnectWhileRequestsArePending(2, request("/ahead", "x".repeat(1000)).repeat(2000), false);
   }
 
-  /** The client has left before its request is read. */
+  /** The client disconnects before its request is read. */
   @SuppressWarnings("try") // the early close is the disconnect under test
   @Test
-  public void doesNotHandleARequestWhoseClientHasDisconnected() throws Exception {
+  public void doesNotHandleRequestWhoseClientHasDisconnected() throws Exception {
     try (Socket first = connect(request("/first", ""))) {
       assertEquals(readStatus(first), 200);
       whileLoopIsBlocked(
@@ -69,9 +69,9 @@
     assertEquals(handled, List.of("/first", "/next"));
   }
 
-  /** A timer may fire in the turn in which its client disconnects or is answered. */
+  /** A timer may fire in the turn in which the client disconnects or receives its response. */
   @Test
-  public void ignoresASecondResponseAndOneAfterTheDisconnect() throws Exception {
+  public void ignoresSecondResponseAndResponseAfterDisconnect() throws Exception {
     try (Socket client = connect(request("/held", ""))) {
       awaitCondition("the request is in progress", () -> openExchanges.size() == 1);
       whileLoopIsBlocked(
--- a/src/test/java/bitternpulley/net/HttpParserTest.java
+++ b/src/test/java/bitternpulley/net/HttpParserTest.java
@@ -13,14 +13,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The grammar and the limits of the HTTP parser, and those of frames and addresses. */
+/** Tests the grammar and the limits of the HTTP parser, of frames and of addresses. */
 public class HttpParserTest {
   private final List<String> seen = new ArrayList<>();
 
-  private HttpParser parser(boolean responses, long maxBodyBytes) {
+  private HttpParser parser(boolean parsesResponses, long maxBodyBytes) {
     seen.clear();
     return new HttpParser(
-        responses,
+        parsesResponses,
         maxBodyBytes,
         new HttpParser.Sink() {
           private final StringBuilder body = new StringBuilder();
@@ -48,28 +48,28 @@
   }
 
   @Test
-  public void parsesTheSameWhateverThePieces() {
-    String two =
+  public void parsesMessagesSplitAnywhere() {
+    String messages =
         "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
             + "POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
             + "2;e=1\r\nde\r\n1\r\nf\r\n0\r\nT: x\r\n\r\n";
     HttpParser whole = parser(false, 10);
-    ByteBuffer all = bytes(two);
+    ByteBuffer all = bytes(messages);
     assertTrue(whole.read(all));
-    assertTrue(all.hasRemaining(), "a message at a time");
+    assertTrue(all.hasRemaining(), "reads one message at a time");
     assertTrue(whole.read(all));
     List<String> expected = List.of("POST /a", "abc", "POST /b", "def");
     assertEquals(seen, expected);
     HttpParser split = parser(false, 10);
-    for (int i = 0; i < two.length(); i++) {
-      split.read(bytes(String.valueOf(two.charAt(i))));
+    for (int i = 0; i < messages.length(); i++) {
+      split.read(bytes(String.valueOf(messages.charAt(i))));
     }
     assertEquals(seen, expected);
-    assertTrue(split.idle());
+    assertTrue(split.isBetweenMessages());
   }
 
   @DataProvider
-  public Object[][] broken() {
+  public Object[][] invalidRequests() {
     return new Object[][] {
       {"GET / HTTP/2\r\n\r\n", 400},
       {"get / HTTP/1.1\r\n\r\n", 400},
@@ -90,36 +90,36 @@
     };
   }
 
-  @Test(dataProvider = "broken")
-  public void rejectsViolationsOfTheGrammarOrALimit(String text, int status) {
+  @Test(dataProvider = "invalidRequests")
+  public void rejectsViolationsOfGrammarOrLimits(String text, int status) {
     HttpParser parser = parser(false, 10);
     assertEquals(
         expectThrows(HttpException.class, () -> parser.read(bytes(text))).status(), status);
   }
 
   @Test
-  public void endsAResponseWithoutLengthWithTheConnection() {
+  public void endsResponseWithoutLengthAtEndOfConnection() {
     HttpParser parser = parser(true, 10);
     assertFalse(parser.read(bytes("HTTP/1.1 200 OK\r\n\r\nabc")));
-    assertTrue(parser.ended());
+    assertTrue(parser.handleEndOfConnection());
     assertEquals(seen, List.of("HTTP/1.1 200", "abc"));
-    HttpParser cut = parser(true, 10);
-    cut.read(bytes("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc"));
-    assertFalse(cut.ended());
+    HttpParser truncated = parser(true, 10);
+    truncated.read(bytes("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc"));
+    assertFalse(truncated.handleEndOfConnection());
   }
 
   @Test
-  public void decodesFramesInAnyPiecesAndRejectsImpossibleLengths() {
+  public void decodesFramesSplitAnywhereAndRejectsInvalidLengths() {
     FrameCodec codec = new FrameCodec();
     List<String> frames = new ArrayList<>();
-    ByteBuffer two =
+    ByteBuffer encoded =
         ByteBuffer.allocate(100)
             .put(FrameCodec.encode('1', "abc".getBytes(StandardCharsets.US_ASCII)))
             .put(FrameCodec.encode('3', new byte[0]))
             .flip();
-    while (two.hasRemaining()) {
+    while (encoded.hasRemaining()) {
       codec.read(
-          ByteBuffer.wrap(new byte[] {two.get()}),
+          ByteBuffer.wrap(new byte[] {encoded.get()}),
           frame ->
               frames.add(frame.letter() + new String(frame.rest(), StandardCharsets.US_ASCII)));
     }
--- a/src/test/java/bitternpulley/net/HttpServerTest.java
+++ b/src/test/java/bitternpulley/net/HttpServerTest.java
@@ -16,11 +16,11 @@
 import org.testng.annotations.Test;
 
 /**
- * What no client of the real program can cause: a handler that throws, and limits that are very
- * low.
+ * Tests what clients of the complete program cannot cause: a handler that throws, and very low
+ * limits.
  */
 public class HttpServerTest implements HttpServer.Handler {
-  private static final int PATIENCE_MS = 30_000;
+  private static final int TIMEOUT_MS = 30_000;
   private HostPort address;
 
   @BeforeMethod
@@ -33,7 +33,7 @@
   @Override
   public void handle(HttpServer.Request request, HttpServer.Exchange exchange) {
     if (request.head().target().equals("/throw")) {
-      throw new IllegalStateException("as asked for");
+      throw new IllegalStateException("requested by the test");
     }
     exchange.reply(errorResponse(200, "fine"));
   }
@@ -45,37 +45,37 @@
 
   private Socket connect(String text) throws IOException {
     Socket socket = new Socket(address.host(), address.port());
-    socket.setSoTimeout(PATIENCE_MS);
+    socket.setSoTimeout(TIMEOUT_MS);
     socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     return socket;
   }
 
-  private static String firstLine(Socket socket) throws IOException {
+  private static String readLine(Socket socket) throws IOException {
     StringBuilder line = new StringBuilder();
-    for (int b = socket.getInputStream().read();
-        b >= 0 && b != '\r';
-        b = socket.getInputStream().read()) {
-      line.append((char) b);
+    for (int next = socket.getInputStream().read();
+        next >= 0 && next != '\r';
+        next = socket.getInputStream().read()) {
+      line.append((char) next);
     }
     return line.toString();
   }
 
   @Test
-  public void answersARequestWhoseHandlerThrows() throws IOException {
+  public void answersRequestWhoseHandlerThrows() throws IOException {
     try (Socket socket = connect("GET /throw HTTP/1.1\r\n\r\n")) {
-      assertEquals(firstLine(socket), "HTTP/1.1 500 Internal Server Error");
+      assertEquals(readLine(socket), "HTTP/1.1 500 Internal Server Error");
     }
   }
 
   @Test
-  public void rejectsARequestThatStaysIncomplete() throws IOException {
+  public void rejectsRequestThatStaysIncomplete() throws IOException {
     try (Socket socket = connect("POST /half HTTP/1.1\r\nContent-Le")) {
-      assertEquals(firstLine(socket), "HTTP/1.1 408 Request Timeout");
+      assertEquals(readLine(socket), "HTTP/1.1 408 Request Timeout");
     }
   }
 
   @Test
-  public void closesAConnectionThatStaysSilent() throws IOException {
+  public void closesConnectionThatStaysSilent() throws IOException {
     HttpServer server =
         new HttpServer(new EventLoop(), 100, 2, new HttpServer.Timeouts(50, 10_000, 10_000), this);
     address = server.listen(new HostPort("127.0.0.1", 0));
@@ -84,43 +84,50 @@
     }
   }
 
-  /** Many bodies may exceed the memory although none of them is too large. */
+  /** Many bodies together may exceed the memory although each is within its limit. */
   @Test
   public void limitsIncompleteBodiesOfAllConnectionsTogether() throws IOException {
-    int most = 2 << 20;
+    int maxBodyBytes = 2 << 20;
     HttpServer server =
         new HttpServer(
-            new EventLoop(), most, 3, new HttpServer.Timeouts(10_000, 10_000, 10_000), this);
+            new EventLoop(),
+            maxBodyBytes,
+            3,
+            new HttpServer.Timeouts(10_000, 10_000, 10_000),
+            this);
     address = server.listen(new HostPort("127.0.0.1", 0));
-    String part =
-        "POST / HTTP/1.1\r\nContent-Length: " + most + "\r\n\r\n" + "x".repeat(most - 1000);
-    try (Socket first = connect(part);
-        Socket second = connect(part);
-        Socket third = connect(part)) {
-      List<Socket> left = new ArrayList<>(List.of(first, second, third));
-      Socket refused = null;
-      while (refused == null) {
-        for (Socket socket : left) {
-          refused = socket.getInputStream().available() > 0 ? socket : refused;
+    String incompleteRequest =
+        "POST / HTTP/1.1\r\nContent-Length: "
+            + maxBodyBytes
+            + "\r\n\r\n"
+            + "x".repeat(maxBodyBytes - 1000);
+    try (Socket first = connect(incompleteRequest);
+        Socket second = connect(incompleteRequest);
+        Socket third = connect(incompleteRequest)) {
+      List<Socket> remaining = new ArrayList<>(List.of(first, second, third));
+      Socket rejected = null;
+      while (rejected == null) {
+        for (Socket socket : remaining) {
+          rejected = socket.getInputStream().available() > 0 ? socket : rejected;
         }
       }
-      assertEquals(firstLine(refused), "HTTP/1.1 503 Service Unavailable");
-      left.remove(refused);
-      for (Socket socket : left) {
+      assertEquals(readLine(rejected), "HTTP/1.1 503 Service Unavailable");
+      remaining.remove(rejected);
+      for (Socket socket : remaining) {
         socket.getOutputStream().write(new byte[1000]);
-        assertEquals(firstLine(socket), "HTTP/1.1 200 OK", "the others are served");
+        assertEquals(readLine(socket), "HTTP/1.1 200 OK", "the others are served");
       }
     }
   }
 
   @Test
-  public void evictsTheConnectionIdleLongest() throws IOException {
+  public void evictsConnectionIdleForLongest() throws IOException {
     try (Socket first = connect("GET / HTTP/1.1\r\n\r\n")) {
-      assertEquals(firstLine(first), "HTTP/1.1 200 OK");
+      assertEquals(readLine(first), "HTTP/1.1 200 OK");
       try (Socket second = connect("GET / HTTP/1.1\r\n\r\n");
           Socket third = connect("GET / HTTP/1.1\r\n\r\n")) {
-        assertEquals(firstLine(second), "HTTP/1.1 200 OK");
-        assertEquals(firstLine(third), "HTTP/1.1 200 OK");
+        assertEquals(readLine(second), "HTTP/1.1 200 OK");
+        assertEquals(readLine(third), "HTTP/1.1 200 OK");
         first.getInputStream().readAllBytes();
         assertTrue(first.getInputStream().read() < 0, "evicted");
       }
@@ -129,28 +136,28 @@
 
   /** Clients that keep unused connections would otherwise leave none for the others. */
   @Test
-  public void closesConnectionsAfterTheirResponseWhileManyAreUnused() throws IOException {
+  public void closesConnectionsAfterResponseWhileManyAreUnused() throws IOException {
     HttpServer server =
         new HttpServer(
             new EventLoop(), 100, 40, new HttpServer.Timeouts(60_000, 60_000, 60_000), this);
     address = server.listen(new HostPort("127.0.0.1", 0));
-    List<Socket> kept = new ArrayList<>();
+    List<Socket> clients = new ArrayList<>();
     try {
-      boolean ended = false;
-      while (!ended && kept.size() < 20_000) {
-        if (kept.size() > 30) {
-          kept.remove(20).close(); // the first ones stay unused
+      boolean closesAfterResponse = false;
+      while (!closesAfterResponse && clients.size() < 20_000) {
+        if (clients.size() > 30) {
+          clients.remove(20).close(); // the first ones stay unused
         }
         Socket socket = connect("GET / HTTP/1.1\r\n\r\n");
-        kept.add(socket);
-        assertEquals(firstLine(socket), "HTTP/1.1 200 OK");
-        String more = firstLine(socket);
-        ended = (more + firstLine(socket)).contains("Connection: close");
+        clients.add(socket);
+        assertEquals(readLine(socket), "HTTP/1.1 200 OK");
+        String header = readLine(socket);
+        closesAfterResponse = (header + readLine(socket)).contains("Connection: close");
       }
-      assertTrue(ended);
-      assertTrue(kept.size() > 10, "not where there are few");
+      assertTrue(closesAfterResponse);
+      assertTrue(clients.size() > 10, "not while there are few connections");
     } finally {
-      for (Socket socket : kept) {
+      for (Socket socket : clients) {
         socket.close();
       }
     }
@@ -167,7 +174,7 @@
                   .repeat(count)
                   .getBytes(StandardCharsets.US_ASCII));
       for (int i = 0; i < count; i++) {
-        assertEquals(firstLine(socket), "HTTP/1.1 200 OK", "answer " + i);
+        assertEquals(readLine(socket), "HTTP/1.1 200 OK", "response " + i);
         socket.getInputStream().skipNBytes("\nContent-Length: 4\r\n\r\nfine".length());
       }
     }
@@ -177,12 +184,16 @@
   public void answersPipelinedRequestsInOrder() throws IOException {
     try (Socket socket =
         connect("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nConnection: close\r\n\r\n")) {
-      String all = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-      assertEquals(all.split("HTTP/1.1 200 OK", -1).length, 3, all);
+      String responses =
+          new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+      assertEquals(responses.split("HTTP/1.1 200 OK", -1).length, 3, responses);
     }
   }
 
-  /** Answers {@code /timer} in a timer's turn and is busy for a while with every other request. */
+  /**
+   * Answers {@code /timer} in a timer's turn and is busy for {@link #BUSY_MS} with every other
+   * request.
+   */
   private final class SlowHandler implements HttpServer.Handler {
     private static final int TIMER_MS = 100;
     private static final int BUSY_MS = 20;
@@ -204,8 +215,8 @@
             () -> exchange.reply(errorResponse(200, String.valueOf(handledRequests.get()))));
         return;
       }
-      long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(BUSY_MS);
-      while (System.nanoTime() < end) {
+      long busyUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(BUSY_MS);
+      while (System.nanoTime() < busyUntil) {
         Thread.onSpinWait();
       }
       handledRequests.incrementAndGet();
@@ -220,28 +231,30 @@
 
   /** A response decided in a timer's turn must not wait behind the backlog of reads. */
   @Test
-  public void writesATimersResponseBeforeTheBacklogIsHandled() throws Exception {
+  public void writesResponseOfTimerBeforeBacklogIsHandled() throws Exception {
     EventLoop loop = new EventLoop();
-    int busy = 40;
+    int busyClients = 40;
     SlowHandler handler = new SlowHandler(loop);
     HttpServer server = new HttpServer(loop, 100, 100, HttpServer.Timeouts.DEFAULT, handler);
     address = server.listen(new HostPort("127.0.0.1", 0));
-    List<Socket> all = new ArrayList<>();
-    for (int i = 0; i < busy; i++) {
-      all.add(connect(""));
+    List<Socket> sockets = new ArrayList<>();
+    for (int i = 0; i < busyClients; i++) {
+      sockets.add(connect(""));
     }
     try (Socket waiting = connect("GET /timer HTTP/1.1\r\n\r\n")) {
-      assertTrue(handler.received.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
-      for (Socket socket : all) {
+      assertTrue(handler.received.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+      for (Socket socket : sockets) {
         socket
             .getOutputStream()
             .write("GET /busy HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       }
-      firstLine(waiting);
+      readLine(waiting);
       int handled = handler.handledRequests.get();
-      assertTrue(handled < busy / 2, "answered after " + handled + " of " + busy + " others");
+      assertTrue(
+          handled < busyClients / 2,
+          "answered after " + handled + " of " + busyClients + " others");
     } finally {
-      for (Socket socket : all) {
+      for (Socket socket : sockets) {
         socket.close();
       }
     }
--- a/src/test/java/bitternpulley/net/HttpSlowClientTest.java
+++ b/src/test/java/bitternpulley/net/HttpSlowClientTest.java
@@ -7,32 +7,32 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** Clients that send more than is buffered, or do not read what they receive. */
+/** Tests clients that send more than the server buffers, or do not read their response. */
 public class HttpSlowClientTest extends HttpServerHarness {
   @Test
-  public void answersPipelinedRequestsInOrderAndRejectsWhatExceedsTheBuffer() throws Exception {
-    // Far more than the kernel buffers: once it is written, the server has read more than it
+  public void answersPipelinedRequestsInOrderAndRejectsRequestsBeyondBuffer() throws Exception {
+    // Far more than the kernel buffers: once all of it is written, the server has read more than it
     // buffers.
-    int sent = 400;
+    int requestCount = 400;
     try (Socket client = connect(request("/held", ""))) {
       awaitCondition("the request is in progress", () -> openExchanges.size() == 1);
-      write(client, request("/ahead", "x".repeat(60_000)).repeat(sent));
+      write(client, request("/ahead", "x".repeat(60_000)).repeat(requestCount));
       loop.execute(() -> openExchanges.get(0).reply(errorResponse(200, "at last")));
       assertEquals(readStatus(client), 200);
       int answered = 0;
-      int last = readStatus(client);
-      while (last == 200) {
+      int status = readStatus(client);
+      while (status == 200) {
         answered++;
-        last = readStatus(client);
+        status = readStatus(client);
       }
-      assertEquals(last, 413, "after " + answered);
-      assertEquals(answered, 4, "as many as are buffered");
+      assertEquals(status, 413, "number of responses before: " + answered);
+      assertEquals(answered, 4, "as many requests as are buffered");
       assertEquals(client.getInputStream().read(), -1);
     }
   }
 
   @Test
-  public void servesOthersWhileOneClientDoesNotRead() throws Exception {
+  public void servesOtherClientsWhileOneDoesNotRead() throws Exception {
     try (Socket slow = new Socket()) {
       slow.setReceiveBufferSize(2048);
       slow.connect(new InetSocketAddress(address.host(), address.port()));
