--- a/src/main/java/bitternpulley/platform/Discovery.java
+++ b/src/main/java/bitternpulley/platform/Discovery.java
@@ -9,92 +9,96 @@
 import java.util.function.Consumer;
 
 /**
- * Watches discovery for good: a watch that ends is followed by another, from the last revision on.
- * One that becomes unresponsive is still read until the next one is alive, whichever of the two
- * delivers first.
+ * Client of service discovery that keeps watching: after a watch ends, another one resumes from the
+ * last revision received. A watch that becomes unresponsive is still read until the next one is
+ * alive, and endpoint lists are accepted from both of them.
  */
 public final class Discovery {
   private static final System.Logger LOG = System.getLogger(Discovery.class.getName());
 
   /**
-   * The first and the longest backoff before the next watch, in ms. A server that drains while
-   * discovery recovers must receive nothing 250 ms after that.
+   * The shortest and the longest backoff before the next watch, in ms. If a server starts draining
+   * while discovery recovers, nothing may be sent to the server later than 250 ms after the
+   * recovery.
    */
   private static final double MIN_BACKOFF_MS = 50;
 
   private static final double MAX_BACKOFF_MS = 250;
 
-  /** The largest share of a backoff that is taken off at random, so that instances spread. */
-  private static final double JITTER = 0.5;
+  /**
+   * The maximum share of a backoff that is subtracted at random, so that instances do not reconnect
+   * simultaneously.
+   */
+  private static final double MAX_JITTER_SHARE = 0.5;
 
   private final EventLoop loop;
   private final List<String> zones;
   private final Consumer<EndpointList> onList;
   private final DiscoveryWatch.Listener watchListener = new WatchListener();
   private final Random random = new Random();
-  private HostPort agent;
+  private HostPort agentAddress;
   private long revision;
   private double backoff = MIN_BACKOFF_MS;
 
-  /** Messages that could not be used; none of them changed anything. */
+  /** Number of invalid messages; none of them changed any state. */
   private long invalidMessages;
 
   private DiscoveryWatch current;
 
   /**
-   * The last watch that was alive, read until the current one is: it became unresponsive, or leads
-   * to the address before. May be null.
+   * The last watch that was alive. It became unresponsive or leads to the previous address, and is
+   * read until the current watch is alive. May be null.
    */
   private DiscoveryWatch previous;
 
   /**
    * Creates a client of discovery.
    *
-   * @param loop runs all of it
-   * @param agent the address of discovery's agent
-   * @param zones the names of zones that the settings number
+   * @param loop the event loop to run on
+   * @param agentAddress the address of the discovery agent
+   * @param zones the zone names; the settings refer to a zone by its index
    * @param revision the last revision known
    * @param onList receives the endpoint lists and the changes to them
    */
   public Discovery(
       EventLoop loop,
-      HostPort agent,
+      HostPort agentAddress,
       List<String> zones,
       long revision,
       Consumer<EndpointList> onList) {
     this.loop = loop;
-    this.agent = agent;
+    this.agentAddress = agentAddress;
     this.zones = zones;
     this.revision = revision;
     this.onList = onList;
   }
 
-  /** Starts to watch. */
+  /** Starts watching. */
   public void start() {
     current = newWatch();
     current.open();
   }
 
   private DiscoveryWatch newWatch() {
-    return new DiscoveryWatch(loop, agent, zones, watchListener);
+    return new DiscoveryWatch(loop, agentAddress, zones, watchListener);
   }
 
   /**
-   * Watches at another address from the last revision on; the old watch is read until the new one
-   * is alive.
+   * Switches to another address and resumes there from the last revision. The old watch is read
+   * until the new one is alive.
    */
   public void moveTo(HostPort address) {
-    if (address.equals(agent)) {
+    if (address.equals(agentAddress)) {
       return;
     }
-    LOG.log(Level.INFO, "Discovery moves from " + agent + " to " + address);
-    agent = address;
+    LOG.log(Level.INFO, "Discovery agent changed from " + agentAddress + " to " + address);
+    agentAddress = address;
     backoff = MIN_BACKOFF_MS;
-    replace();
+    replaceWatch();
   }
 
-  /** Opens another watch. Of those before it, the last that was alive is still read. */
-  private void replace() {
+  /** Opens another watch. The last of the earlier watches that was alive is still read. */
+  private void replaceWatch() {
     DiscoveryWatch replaced = current;
     if (replaced.hasBeenAlive()) {
       closePrevious();
@@ -113,7 +117,7 @@
     }
   }
 
-  /** Receives what the watches report. */
+  /** Handles the events of the watches. */
   private final class WatchListener implements DiscoveryWatch.Listener {
     @Override
     public boolean isCurrent(DiscoveryWatch watch) {
@@ -128,13 +132,13 @@
     @Override
     public void onEndpointList(DiscoveryWatch watch, EndpointList list) {
       if (list.revision() < revision) {
-        // An agent may lag behind the one before it, and list servers that have been removed.
+        // An agent may lag behind the previous one and list servers that have been removed.
         LOG.log(
             Level.WARNING,
             "Ignored endpoint list revision "
                 + list.revision()
                 + " of discovery at "
-                + watch.agent()
+                + watch.agentAddress()
                 + ", which is older than revision "
                 + revision);
         return;
@@ -157,7 +161,7 @@
       LOG.log(
           Level.WARNING,
           "Closing a watch of discovery at "
-              + watch.agent()
+              + watch.agentAddress()
               + " after an invalid message, number "
               + invalidMessages
               + " so far: "
@@ -167,8 +171,9 @@
     @Override
     public void onUnresponsive(DiscoveryWatch watch) {
       LOG.log(
-          Level.INFO, "Discovery at " + watch.agent() + " is unresponsive; opening another watch");
-      replace();
+          Level.INFO,
+          "Discovery at " + watch.agentAddress() + " is unresponsive; opening another watch");
+      replaceWatch();
     }
 
     @Override
@@ -177,7 +182,7 @@
         return;
       }
       current = newWatch();
-      loop.schedule(backoff * (1 - JITTER * random.nextDouble()), current::open);
+      loop.schedule(backoff * (1 - MAX_JITTER_SHARE * random.nextDouble()), current::open);
       backoff = Math.min(2 * backoff, MAX_BACKOFF_MS);
     }
   }
--- a/src/main/java/bitternpulley/platform/DiscoveryWatch.java
+++ b/src/main/java/bitternpulley/platform/DiscoveryWatch.java
@@ -18,32 +18,38 @@
 import java.util.function.Consumer;
 
 /**
- * One watch of discovery: a request whose chunked answer stays open and holds endpoint lists. It
- * decodes these and checks that the agent stays alive; {@link Discovery} decides what follows.
+ * One watch of discovery: a request whose chunked response stays open and carries endpoint lists.
+ * This class decodes the lists and checks that the agent stays alive; {@link Discovery} decides how
+ * to react.
  */
 final class DiscoveryWatch implements Connection.Owner, HttpParser.Sink, JsonObjectStream.Sink {
   private static final System.Logger LOG = System.getLogger(DiscoveryWatch.class.getName());
 
   private static final double CONNECT_TIMEOUT_MS = 500;
 
-  /** How long the head of the answer may take, in ms; an agent answers at once. */
-  private static final double HEAD_TIMEOUT_MS = 1000;
+  /**
+   * Maximum time until the response head is received, in ms; an agent normally responds at once.
+   */
+  private static final double RESPONSE_HEAD_TIMEOUT_MS = 1000;
 
   /**
-   * How long the first list or empty line may take from when the connection is up, in ms. An empty
-   * line comes every 2 s.
+   * Maximum time from the connection being established to the first list or blank line, in ms. The
+   * agent sends a blank line every 2 s.
    */
   private static final double FIRST_LINE_TIMEOUT_MS = 2200;
 
   /**
-   * How long each further list or empty line may take, in ms. What discovery sends counts as
-   * received 6 s later, which leaves the time for three attempts.
+   * Maximum time between lists or blank lines, in ms. What discovery sends counts as received 6 s
+   * later, which leaves time for three attempts.
    */
   private static final double LINE_TIMEOUT_MS = 3000;
 
-  /** What a watch reports. */
+  /** Receives the events of a watch. */
   interface Listener {
-    /** Whether this watch is still the newest one, so that it has to be opened and be alive. */
+    /**
+     * Returns whether this watch is still the newest one. Only the newest one has to be opened and
+     * checked for liveness.
+     */
     boolean isCurrent(DiscoveryWatch watch);
 
     /** The last revision received by any watch. */
@@ -52,27 +58,27 @@
     /** A list was received. */
     void onEndpointList(DiscoveryWatch watch, EndpointList list);
 
-    /** A list or an empty line was received. */
+    /** A list or a blank line was received. */
     void onAlive(DiscoveryWatch watch);
 
-    /** What the agent sent cannot be used; the watch closes. */
+    /** The agent sent an invalid message; the watch closes. */
     void onInvalidMessage(DiscoveryWatch watch, RuntimeException defect);
 
-    /** A watch that was alive has received nothing for too long. */
+    /** A watch that had been alive received nothing within the timeout. */
     void onUnresponsive(DiscoveryWatch watch);
 
-    /** The connection has ended, or could not be opened. */
+    /** The connection was closed, or could not be opened. */
     void onClosed(DiscoveryWatch watch);
   }
 
   private final EventLoop loop;
-  private final HostPort agent;
+  private final HostPort agentAddress;
   private final List<String> zones;
   private final Listener listener;
   private final HttpParser parser = new HttpParser(true, Long.MAX_VALUE, this);
   private final JsonObjectStream objects = new JsonObjectStream(this);
   private Connection connection;
-  private boolean hasHead;
+  private boolean headReceived;
   private boolean hasBeenAlive;
   private double connectedAt;
   private double lastAliveAt;
@@ -80,29 +86,29 @@
   /**
    * Creates a watch that is not open.
    *
-   * @param loop runs all of it
-   * @param agent the address of discovery's agent
-   * @param zones the names of zones that the settings number
-   * @param listener receives what the watch reports
+   * @param loop the event loop to run on
+   * @param agentAddress the address of the discovery agent
+   * @param zones the zone names; the settings refer to a zone by its index
+   * @param listener receives the events of the watch
    */
-  DiscoveryWatch(EventLoop loop, HostPort agent, List<String> zones, Listener listener) {
+  DiscoveryWatch(EventLoop loop, HostPort agentAddress, List<String> zones, Listener listener) {
     this.loop = loop;
-    this.agent = agent;
+    this.agentAddress = agentAddress;
     this.zones = zones;
     this.listener = listener;
   }
 
-  /** Connects, unless the watch has been replaced meanwhile. */
+  /** Connects, unless the watch has been replaced in the meantime. */
   void open() {
     if (!listener.isCurrent(this)) {
       return;
     }
     try {
-      connection = Connection.open(loop, agent, CONNECT_TIMEOUT_MS, this, this::sendRequest);
+      connection = Connection.open(loop, agentAddress, CONNECT_TIMEOUT_MS, this, this::sendRequest);
     } catch (UncheckedIOException failure) {
       LOG.log(
           Level.WARNING,
-          "Cannot open a socket to discovery at " + agent + ": " + failure.getMessage());
+          "Cannot open a socket to discovery at " + agentAddress + ": " + failure.getMessage());
       closed();
     }
   }
@@ -113,12 +119,12 @@
     }
   }
 
-  /** The address of the agent it leads to. */
-  HostPort agent() {
-    return agent;
+  /** The address of the agent that is watched. */
+  HostPort agentAddress() {
+    return agentAddress;
   }
 
-  /** Whether it has received a list or an empty line. */
+  /** Whether the watch has received a list or a blank line. */
   boolean hasBeenAlive() {
     return hasBeenAlive;
   }
@@ -128,7 +134,7 @@
         "GET /api/targets?watch=1&from="
             + listener.revision()
             + " HTTP/1.1\r\nHost: "
-            + agent
+            + agentAddress
             + "\r\n\r\n";
     connection.write(ByteBuffer.wrap(request.getBytes(StandardCharsets.US_ASCII)), () -> {});
     connectedAt = loop.now();
@@ -136,12 +142,12 @@
     scheduleLivenessCheck();
   }
 
-  /** Until when the next sign of life has to be received, in ms. */
+  /** Time by which the response head, or the next list or blank line, has to be received, in ms. */
   private double livenessDeadline() {
     if (hasBeenAlive) {
       return lastAliveAt + LINE_TIMEOUT_MS;
     }
-    return connectedAt + (hasHead ? FIRST_LINE_TIMEOUT_MS : HEAD_TIMEOUT_MS);
+    return connectedAt + (headReceived ? FIRST_LINE_TIMEOUT_MS : RESPONSE_HEAD_TIMEOUT_MS);
   }
 
   private void scheduleLivenessCheck() {
@@ -176,7 +182,7 @@
     if (head.status() != 200) {
       throw new HttpException(502, "status " + head.status());
     }
-    hasHead = true;
+    headReceived = true;
   }
 
   @Override
@@ -192,23 +198,26 @@
   @Override
   public void object(byte[] text) {
     try {
-      Consumer<ConfigurationException> invalidEntries =
+      Consumer<ConfigurationException> onInvalidEntry =
           defect ->
               LOG.log(
                   Level.WARNING,
                   "Ignored an invalid entry of the endpoint list of discovery at "
-                      + agent
+                      + agentAddress
                       + ": "
                       + defect.getMessage());
       listener.onEndpointList(
-          this, EndpointList.read(StrictJson.read(text), zones, invalidEntries));
+          this, EndpointList.read(StrictJson.read(text), zones, onInvalidEntry));
       markAlive();
     } catch (IOException failure) {
       throw new UncheckedIOException(failure);
     }
   }
 
-  /** Only complete and valid input counts: an answered watch may stay silent, or send garbage. */
+  /**
+   * Called only for complete and valid input: an agent may accept the watch and then stay silent or
+   * send invalid data.
+   */
   private void markAlive() {
     lastAliveAt = loop.now();
     hasBeenAlive = true;
--- a/src/main/java/bitternpulley/platform/JsonObjectStream.java
+++ b/src/main/java/bitternpulley/platform/JsonObjectStream.java
@@ -5,19 +5,19 @@
 import java.nio.ByteBuffer;
 
 /**
- * Splits a stream of bytes into the JSON objects that it holds. Line ends do not matter: an object
- * may span several lines and arrive in pieces of any size. Between objects only white space is
- * allowed, whose line ends are reported as signs of life.
+ * Splits a stream of bytes into JSON objects. Line ends within an object do not matter: an object
+ * may span several lines and arrive in pieces of any size. Only white space is allowed between
+ * objects; its line ends are reported because the sender uses them as heartbeats.
  */
 final class JsonObjectStream {
   private static final int MAX_OBJECT_BYTES = 1 << 20;
 
-  /** Receives what the stream holds, in order. */
+  /** Receives the contents of the stream, in order. */
   interface Sink {
-    /** A complete object, in the bytes received. */
+    /** Receives the bytes of a complete object. */
     void object(byte[] text);
 
-    /** A line end between objects: the sender is alive. */
+    /** Called at each line end between objects, which shows that the sender is alive. */
     void blankLine();
   }
 
@@ -31,7 +31,7 @@
     this.sink = sink;
   }
 
-  /** Reads further bytes; throws HttpException where the stream holds anything but objects. */
+  /** Reads further bytes; throws HttpException if the stream contains anything but objects. */
   void read(ByteBuffer bytes) {
     while (bytes.hasRemaining()) {
       byte next = bytes.get();
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Only braces are counted: in valid JSON the brackets of a list are closed before those of the
-   * object around it, and the parser rejects all other texts.
+   * Counts only braces: in valid JSON, an array within an object ends before the object does, and
+   * the JSON parser rejects invalid text later.
    */
   private void readWithinObject(byte next) {
     if (text.size() >= MAX_OBJECT_BYTES) {
--- a/src/test/java/bitternpulley/platform/DiscoveryTest.java
+++ b/src/test/java/bitternpulley/platform/DiscoveryTest.java
@@ -21,12 +21,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The watches, whose other side the test plays step by step. */
+/** The watches of discovery; the test plays the agent step by step. */
 public class DiscoveryTest {
-  private static final int PATIENCE_MS = 30_000;
+  private static final int TIMEOUT_MS = 30_000;
 
-  /** What an unresponsive watch missed counts as received this long after its last line. */
-  private static final long RECEIVED_AFTER_MS = 6000;
+  /** Time after the last line of a watch when what it missed counts as received. */
+  private static final long COUNTS_AS_RECEIVED_AFTER_MS = 6000;
 
   private final BlockingQueue<EndpointList> received = new LinkedBlockingQueue<>();
   private EventLoop loop;
@@ -34,7 +34,7 @@
   private ServerSocket agent;
 
   @BeforeMethod
-  public void begin() throws IOException {
+  public void setUp() throws IOException {
     received.clear();
     loop = new EventLoop();
     agent = listen();
@@ -43,13 +43,13 @@
   }
 
   @AfterMethod
-  public void end() throws IOException {
+  public void tearDown() throws IOException {
     agent.close();
   }
 
   private static ServerSocket listen() throws IOException {
     ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    listener.setSoTimeout(PATIENCE_MS);
+    listener.setSoTimeout(TIMEOUT_MS);
     return listener;
   }
 
@@ -57,9 +57,11 @@
     return new HostPort("127.0.0.1", listener.getLocalPort());
   }
 
-  /** Accepts the next watch, checks that it resumes from this revision, and sends the head. */
-  private static Socket watch(ServerSocket listener, int revision) throws IOException {
-    Socket watch = unanswered(listener, revision);
+  /**
+   * Accepts the next watch, checks that it resumes from this revision, and sends the response head.
+   */
+  private static Socket acceptWatch(ServerSocket listener, int revision) throws IOException {
+    Socket watch = acceptWatchWithoutResponse(listener, revision);
     watch
         .getOutputStream()
         .write(
@@ -69,9 +71,10 @@
   }
 
   /** Accepts the next watch and checks that it resumes from this revision. */
-  private static Socket unanswered(ServerSocket listener, int revision) throws IOException {
+  private static Socket acceptWatchWithoutResponse(ServerSocket listener, int revision)
+      throws IOException {
     Socket watch = listener.accept();
-    watch.setSoTimeout(PATIENCE_MS);
+    watch.setSoTimeout(TIMEOUT_MS);
     ByteArrayOutputStream head = new ByteArrayOutputStream();
     while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
       head.write(watch.getInputStream().read());
@@ -101,15 +104,15 @@
         + "\",\"size\":1.0,\"up_since_ms\":0}]}";
   }
 
-  private long next() throws InterruptedException {
-    EndpointList list = received.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+  private long nextRevision() throws InterruptedException {
+    EndpointList list = received.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     assertTrue(list != null, "no list was received");
     return list.revision();
   }
 
   @Test
   public void readsAnIndentedListThatArrivesByteByByte() throws Exception {
-    try (Socket watch = watch(agent, 41)) {
+    try (Socket watch = acceptWatch(agent, 41)) {
       String text =
           list(42, "draining").replace(",", ",\r\n  ").replace("[", "[\n    ")
               + "\n\n"
@@ -118,44 +121,44 @@
       for (int i = 0; i < text.length(); i++) {
         sendChunk(watch, text.substring(i, i + 1));
       }
-      assertEquals(next(), 42);
-      assertEquals(next(), 43);
+      assertEquals(nextRevision(), 42);
+      assertEquals(nextRevision(), 43);
     }
   }
 
-  /** A string may hold brackets and quotes, which end no object. */
+  /** Strings may contain brackets and quotes, which must not end an object. */
   @Test
   public void readsAllListsOfOneChunk() throws Exception {
-    try (Socket watch = watch(agent, 41)) {
+    try (Socket watch = acceptWatch(agent, 41)) {
       sendChunk(
           watch,
           list(42, "up").replace("s{1}", "s}\\\"]{1")
               + list(43, "draining")
               + "\n \t\n"
               + list(44, "up"));
-      assertEquals(next(), 42);
-      assertEquals(next(), 43);
-      assertEquals(next(), 44);
+      assertEquals(nextRevision(), 42);
+      assertEquals(nextRevision(), 43);
+      assertEquals(nextRevision(), 44);
     }
   }
 
   @Test
   public void ignoresAnOlderRevision() throws Exception {
-    try (Socket watch = watch(agent, 41)) {
+    try (Socket watch = acceptWatch(agent, 41)) {
       sendChunk(watch, list(45, "up") + "\n" + list(44, "draining") + "\n" + list(46, "up") + "\n");
-      assertEquals(next(), 45);
-      assertEquals(next(), 46);
+      assertEquals(nextRevision(), 45);
+      assertEquals(nextRevision(), 46);
     }
   }
 
-  /** A drain has to be received as soon as discovery can be reached. */
+  /** A drain has to be received as soon as discovery is reachable. */
   @Test
-  public void resumesAtOnceFromTheLastRevisionAfterAResetOrAnEnd() throws Exception {
+  public void resumesImmediatelyFromLastRevisionAfterResetOrEnd() throws Exception {
     int revision = 41;
     for (boolean reset : new boolean[] {true, false, true, false}) {
-      try (Socket watch = watch(agent, revision)) {
+      try (Socket watch = acceptWatch(agent, revision)) {
         sendChunk(watch, list(++revision, "up") + "\n");
-        assertEquals(next(), revision);
+        assertEquals(nextRevision(), revision);
         if (reset) {
           watch.setSoLinger(true, 0);
         } else {
@@ -163,44 +166,44 @@
         }
       }
     }
-    watch(agent, revision).close();
+    acceptWatch(agent, revision).close();
   }
 
-  /** After earlier failures the backoff is long. */
+  /** The backoff grows with each earlier failure. */
   @Test
   public void resetsTheBackoffAfterAWatchThatWasAlive() throws Exception {
     for (int i = 0; i < 6; i++) {
-      unanswered(agent, 41).close();
+      acceptWatchWithoutResponse(agent, 41).close();
     }
-    try (Socket watch = watch(agent, 41)) {
-      // An empty line is a sign of life before the first list.
+    try (Socket watch = acceptWatch(agent, 41)) {
+      // A blank line before the first list shows that the agent is alive.
       sendChunk(watch, "\n");
       sendChunk(watch, list(42, "up") + "\n");
-      assertEquals(next(), 42);
+      assertEquals(nextRevision(), 42);
     }
     long ended = System.nanoTime();
-    watch(agent, 42).close();
+    acceptWatch(agent, 42).close();
     assertTrue(
         System.nanoTime() - ended < 200_000_000,
-        "the first wait is at most 50 ms, the longest 250");
+        "the first backoff is at most 50 ms, the longest 250 ms");
   }
 
-  private interface Misbehaviour {
-    void on(Socket watch) throws IOException;
+  private interface WatchFault {
+    void apply(Socket watch) throws IOException;
   }
 
-  /** Checks that another watch delivers before what this one missed counts as received. */
-  private void assertReplacedInTime(Misbehaviour misbehaviour) throws Exception {
-    try (Socket silent = watch(agent, 41)) {
+  /** Checks that a replacement delivers the missed list before that list counts as received. */
+  private void assertReplacedInTime(WatchFault fault) throws Exception {
+    try (Socket silent = acceptWatch(agent, 41)) {
       sendChunk(silent, list(42, "up") + "\n");
-      assertEquals(next(), 42);
-      long since = System.nanoTime();
-      misbehaviour.on(silent);
-      try (Socket fresh = watch(agent, 42)) {
-        sendChunk(fresh, list(43, "draining") + "\n");
-        assertEquals(next(), 43);
-        long ms = (System.nanoTime() - since) / 1_000_000;
-        assertTrue(ms < RECEIVED_AFTER_MS, "after " + ms + " ms");
+      assertEquals(nextRevision(), 42);
+      long start = System.nanoTime();
+      fault.apply(silent);
+      try (Socket replacement = acceptWatch(agent, 42)) {
+        sendChunk(replacement, list(43, "draining") + "\n");
+        assertEquals(nextRevision(), 43);
+        long ms = (System.nanoTime() - start) / 1_000_000;
+        assertTrue(ms < COUNTS_AS_RECEIVED_AFTER_MS, "after " + ms + " ms");
       }
     }
   }
@@ -215,7 +218,7 @@
     assertReplacedInTime(watch -> sendChunk(watch, list(43, "draining").substring(0, 50)));
   }
 
-  /** Bytes without a complete list are no sign of life. */
+  /** Bytes without a complete list do not show that the agent is alive. */
   @Test
   public void replacesAWatchThatTricklesAnEndlessListInTime() throws Exception {
     assertReplacedInTime(
@@ -238,55 +241,59 @@
         });
   }
 
-  /** Such a watch must not take the time in which the next one could deliver. */
+  /**
+   * A replacement without any list must itself be replaced early enough for the next one to deliver
+   * in time.
+   */
   @Test
-  public void replacesAWatchThatIsAnsweredAndThenSilentInTime() throws Exception {
-    try (Socket silent = watch(agent, 41)) {
+  public void replacesAWatchThatIsSilentAfterItsResponseHeadInTime() throws Exception {
+    try (Socket silent = acceptWatch(agent, 41)) {
       sendChunk(silent, list(42, "up") + "\n");
-      assertEquals(next(), 42);
-      long since = System.nanoTime();
-      try (Socket mute = watch(agent, 42);
-          Socket fresh = watch(agent, 42)) {
-        sendChunk(fresh, list(43, "draining") + "\n");
-        assertEquals(next(), 43);
-        long ms = (System.nanoTime() - since) / 1_000_000;
-        assertTrue(ms < RECEIVED_AFTER_MS, "after " + ms + " ms");
-        assertEquals(mute.getInputStream().read(), -1, "it has been closed");
+      assertEquals(nextRevision(), 42);
+      long start = System.nanoTime();
+      try (Socket headOnly = acceptWatch(agent, 42);
+          Socket replacement = acceptWatch(agent, 42)) {
+        sendChunk(replacement, list(43, "draining") + "\n");
+        assertEquals(nextRevision(), 43);
+        long ms = (System.nanoTime() - start) / 1_000_000;
+        assertTrue(ms < COUNTS_AS_RECEIVED_AFTER_MS, "after " + ms + " ms");
+        assertEquals(
+            headOnly.getInputStream().read(), -1, "the silent replacement has been closed");
       }
     }
   }
 
-  /** It may deliver after all, before the next one does. */
+  /** The unresponsive watch may deliver a list before its replacement does. */
   @SuppressWarnings("try") // the connection itself is under test
   @Test
   public void readsAnUnresponsiveWatchUntilTheNextIsAlive() throws Exception {
-    try (Socket silent = watch(agent, 41)) {
+    try (Socket silent = acceptWatch(agent, 41)) {
       sendChunk(silent, list(42, "up") + "\n");
-      assertEquals(next(), 42);
-      try (Socket mute = unanswered(agent, 42)) {
+      assertEquals(nextRevision(), 42);
+      try (Socket unanswered = acceptWatchWithoutResponse(agent, 42)) {
         sendChunk(silent, list(43, "draining") + "\n");
-        assertEquals(next(), 43);
+        assertEquals(nextRevision(), 43);
       }
     }
   }
 
   @Test
-  public void readsTheOldWatchAndRetriesTheNewAddressWhereItRefuses() throws Exception {
-    HostPort moved = new HostPort("127.0.0.1", Ports.free(List.of("127.0.0.1")));
-    try (Socket old = watch(agent, 41)) {
+  public void readsTheOldWatchAndRetriesWhileTheNewAddressRefuses() throws Exception {
+    HostPort newAddress = new HostPort("127.0.0.1", Ports.free(List.of("127.0.0.1")));
+    try (Socket old = acceptWatch(agent, 41)) {
       sendChunk(old, list(42, "up") + "\n");
-      assertEquals(next(), 42);
-      loop.execute(() -> discovery.moveTo(moved));
+      assertEquals(nextRevision(), 42);
+      loop.execute(() -> discovery.moveTo(newAddress));
       sendChunk(old, list(43, "draining") + "\n");
-      assertEquals(next(), 43);
-      try (ServerSocket there =
-          new ServerSocket(moved.port(), 50, InetAddress.getLoopbackAddress())) {
-        there.setSoTimeout(PATIENCE_MS);
-        try (Socket fresh = watch(there, 43)) {
-          sendChunk(fresh, list(44, "up") + "\n");
-          assertEquals(next(), 44);
-          old.setSoTimeout(PATIENCE_MS);
-          assertEquals(old.getInputStream().read(), -1, "only now is it closed");
+      assertEquals(nextRevision(), 43);
+      try (ServerSocket newAgent =
+          new ServerSocket(newAddress.port(), 50, InetAddress.getLoopbackAddress())) {
+        newAgent.setSoTimeout(TIMEOUT_MS);
+        try (Socket replacement = acceptWatch(newAgent, 43)) {
+          sendChunk(replacement, list(44, "up") + "\n");
+          assertEquals(nextRevision(), 44);
+          old.setSoTimeout(TIMEOUT_MS);
+          assertEquals(old.getInputStream().read(), -1, "the old watch is closed only now");
         }
       }
     }
@@ -294,16 +301,16 @@
 
   @SuppressWarnings("try") // the connection itself is under test
   @Test
-  public void readsTheOldWatchAndRetriesTheNewAddressWhereItIsSilent() throws Exception {
-    try (Socket old = watch(agent, 41);
+  public void readsTheOldWatchAndRetriesWhileTheNewAddressIsSilent() throws Exception {
+    try (Socket old = acceptWatch(agent, 41);
         ServerSocket silent = listen()) {
       sendChunk(old, list(42, "up") + "\n");
-      assertEquals(next(), 42);
+      assertEquals(nextRevision(), 42);
       loop.execute(() -> discovery.moveTo(addressOf(silent)));
-      try (Socket first = unanswered(silent, 42);
-          Socket second = unanswered(silent, 42)) {
+      try (Socket first = acceptWatchWithoutResponse(silent, 42);
+          Socket second = acceptWatchWithoutResponse(silent, 42)) {
         sendChunk(old, list(43, "draining") + "\n");
-        assertEquals(next(), 43, "the old one is still read");
+        assertEquals(nextRevision(), 43, "the old watch is still read");
       }
     }
   }
@@ -311,14 +318,14 @@
   @Test
   public void invalidMessageEndsItsWatchAndNothingElse() throws Exception {
     for (String bad : List.of("]", "{\"revision\":42}", "{]}", "x".repeat(10))) {
-      try (Socket watch = watch(agent, 41)) {
+      try (Socket watch = acceptWatch(agent, 41)) {
         sendChunk(watch, bad + "\n");
         assertEquals(watch.getInputStream().read(), -1, bad);
       }
     }
-    try (Socket watch = watch(agent, 41)) {
+    try (Socket watch = acceptWatch(agent, 41)) {
       sendChunk(watch, list(42, "up"));
-      assertEquals(next(), 42);
+      assertEquals(nextRevision(), 42);
     }
   }
 }
