--- a/src/main/java/bitternpulley/platform/ConnectionPrewarmer.java
+++ b/src/main/java/bitternpulley/platform/ConnectionPrewarmer.java
@@ -12,36 +12,39 @@
 import java.util.function.Consumer;
 
 /**
- * Pre-warms connections: opens one to each listed server at a steady pace, so that a first query
- * need not open one to every server of a large fleet at once. It keeps the servers of the list that
- * are still to be connected, each once.
+ * Pre-warms connections: opens one to each listed server at a steady rate, so that the first query
+ * need not connect to every server of a large fleet at once. Each server of the list that still has
+ * to be connected is kept once.
  */
 public final class ConnectionPrewarmer {
-  /** Ms between turns, so that restarted instances do not connect to a server all at once. */
-  private static final double TURN_INTERVAL_MS = 10;
+  /**
+   * Interval between batches, in ms. Keeps restarted instances from all connecting to a server at
+   * the same time.
+   */
+  private static final double BATCH_INTERVAL_MS = 10;
 
   /**
-   * Within which time all connections are opened, in ms, with several in a turn where servers are
-   * many: well before the first of them is closed as idle.
+   * Time within which connections to all servers are opened, in ms; with many servers, a batch
+   * opens several. Well below the time after which the first of them would be closed as idle.
    */
   private static final double MAX_DURATION_MS = 4000;
 
-  /** The start is delayed by up to this time at random, in ms, so that instances spread. */
+  /** Maximum random delay of the start, in ms, so that instances do not start simultaneously. */
   private static final double MAX_START_DELAY_MS = 200;
 
   private final EventLoop loop;
   private final Random random;
   private final Consumer<String> openConnection;
-  private final Set<String> waiting = new LinkedHashSet<>();
-  private int serversPerTurn = 1;
+  private final Set<String> unconnectedServers = new LinkedHashSet<>();
+  private int batchSize = 1;
   private boolean enabled;
   private boolean running;
 
   /**
    * Creates a pre-warmer that is not enabled.
    *
-   * @param loop runs all of it
-   * @param seed of its random choices
+   * @param loop the event loop to run on
+   * @param seed the seed of the random choices
    * @param openConnection opens a connection to a server that has none
    */
   public ConnectionPrewarmer(EventLoop loop, long seed, Consumer<String> openConnection) {
@@ -50,47 +53,48 @@
     this.openConnection = openConnection;
   }
 
-  /** Enables it: from now on connections are opened. */
+  /** Starts opening connections. */
   public void enable() {
     enabled = true;
-    run();
+    startIfNeeded();
   }
 
-  /** Adds the live servers of an endpoint list, and removes those that accept no new parts. */
+  /** Adds the live servers of an endpoint list, and removes servers that accept no new parts. */
   public void onEndpointList(EndpointList list) {
     List<String> liveServers = new ArrayList<>();
     for (EndpointList.Entry entry : list.entries()) {
       if (entry.endpoint().state() == Router.ServerState.LIVE) {
         liveServers.add(entry.endpoint().server());
       } else {
-        waiting.remove(entry.endpoint().server());
+        unconnectedServers.remove(entry.endpoint().server());
       }
     }
     Collections.shuffle(liveServers, random);
-    waiting.addAll(liveServers);
-    int neededPerTurn = (int) Math.ceil(waiting.size() * TURN_INTERVAL_MS / MAX_DURATION_MS);
-    serversPerTurn = Math.max(serversPerTurn, neededPerTurn);
-    run();
+    unconnectedServers.addAll(liveServers);
+    int neededBatchSize =
+        (int) Math.ceil(unconnectedServers.size() * BATCH_INTERVAL_MS / MAX_DURATION_MS);
+    batchSize = Math.max(batchSize, neededBatchSize);
+    startIfNeeded();
   }
 
-  private void run() {
-    if (enabled && !running && !waiting.isEmpty()) {
+  private void startIfNeeded() {
+    if (enabled && !running && !unconnectedServers.isEmpty()) {
       running = true;
-      loop.schedule(MAX_START_DELAY_MS * random.nextDouble(), this::runTurn);
+      loop.schedule(MAX_START_DELAY_MS * random.nextDouble(), this::openBatch);
     }
   }
 
-  private void runTurn() {
-    if (waiting.isEmpty()) {
+  private void openBatch() {
+    if (unconnectedServers.isEmpty()) {
       running = false;
-      serversPerTurn = 1;
+      batchSize = 1;
       return;
     }
-    for (int opened = 0; opened < serversPerTurn && !waiting.isEmpty(); opened++) {
-      String server = waiting.iterator().next();
-      waiting.remove(server);
+    for (int opened = 0; opened < batchSize && !unconnectedServers.isEmpty(); opened++) {
+      String server = unconnectedServers.iterator().next();
+      unconnectedServers.remove(server);
       openConnection.accept(server);
     }
-    loop.schedule(TURN_INTERVAL_MS, this::runTurn);
+    loop.schedule(BATCH_INTERVAL_MS, this::openBatch);
   }
 }
--- a/src/main/java/bitternpulley/platform/PlatformQuery.java
+++ b/src/main/java/bitternpulley/platform/PlatformQuery.java
@@ -6,16 +6,16 @@
 import java.util.List;
 
 /**
- * A client's query, as {@link QueryCodec} decoded it.
+ * A client's query, as decoded by {@link QueryCodec}.
  *
- * @param id the request's id, given by its client
- * @param queryClass the position of its query class in the settings
- * @param timeLeft ms that its client will still wait
- * @param retry whether its client marked it as a retry
- * @param idempotencyKey its idempotency key; null outside the keyed classes
- * @param filter the query's text, which each part carries
- * @param parts its parts
- * @param exchange receives its answer
+ * @param id the request id, chosen by the client
+ * @param queryClass the index of the query class in the settings
+ * @param timeLeft how long the client will still wait, in ms
+ * @param retry whether the client marked the request as a retry
+ * @param idempotencyKey the idempotency key; null unless the query class requires one
+ * @param filter the text of the query, which is sent with each part
+ * @param parts the parts of the query
+ * @param exchange receives the answer
  */
 record PlatformQuery(
     String id,
--- a/src/main/java/bitternpulley/platform/QueryCodec.java
+++ b/src/main/java/bitternpulley/platform/QueryCodec.java
@@ -21,14 +21,17 @@
 import java.util.regex.Pattern;
 
 /**
- * Decodes clients' queries and encodes their answers. The only class that knows the client
- * protocol's headers and JSON fields.
+ * Decodes clients' queries and encodes the answers. The headers and JSON fields of the client
+ * protocol are known only to this class.
  */
 final class QueryCodec {
   private static final JsonFactory JSON = new JsonFactory();
 
-  /** The form of ids and keys: they go into lines of frames, where no other character may stand. */
-  private static final Pattern WORD = Pattern.compile("[0-9A-Za-z_-]{1,64}");
+  /**
+   * Format of request ids and idempotency keys. They become part of the lines of frames, which
+   * allow no other characters.
+   */
+  private static final Pattern IDENTIFIER = Pattern.compile("[0-9A-Za-z_-]{1,64}");
 
   private static final Pattern SECONDS = Pattern.compile("[0-9]{1,6}(\\.[0-9]{1,9})?");
 
@@ -36,7 +39,7 @@
 
   private static final double MICROS_PER_MS = 1000;
 
-  /** How far the sum of a query's weights may be from 1, for rounding. */
+  /** Maximum difference between 1 and the sum of the weights of a query, to allow for rounding. */
   private static final double WEIGHT_SUM_TOLERANCE = 0.001;
 
   private QueryCodec() {}
@@ -44,7 +47,7 @@
   /**
    * Decodes a request.
    *
-   * @throws HttpException with the status to answer, where the request is not a valid query
+   * @throws HttpException with the status to respond with, if the request is not a valid query
    */
   static PlatformQuery decode(
       HttpServer.Request request, Settings settings, HttpServer.Exchange exchange) {
@@ -54,12 +57,12 @@
     }
     Settings.QueryClass queryClass = settings.classes().get(classIndex);
     boolean isKeyed = queryClass.idempotency() == Settings.Idempotency.KEYED;
-    String idempotencyKey = isKeyed ? word(request, "Idempotency-Key") : null;
+    String idempotencyKey = isKeyed ? identifierHeader(request, "Idempotency-Key") : null;
     JsonNode body = body(request.body());
     JsonNode filter = body.path("filter");
     require(filter.isTextual(), "'filter' is not text");
     return new PlatformQuery(
-        word(request, "Request-Id"),
+        identifierHeader(request, "Request-Id"),
         classIndex,
         timeLeft(request, queryClass),
         "1".equals(request.head().header("Client-Retry")),
@@ -79,9 +82,11 @@
     throw new HttpException(404, "no class is called so");
   }
 
-  private static String word(HttpServer.Request request, String header) {
+  private static String identifierHeader(HttpServer.Request request, String header) {
     String value = request.head().header(header);
-    require(value != null && WORD.matcher(value).matches(), header + " is missing or not one word");
+    require(
+        value != null && IDENTIFIER.matcher(value).matches(),
+        header + " is missing or not one word");
     return value;
   }
 
@@ -138,8 +143,8 @@
         shard.intValue(), weight.doubleValue(), work.asDouble(0) / MICROS_PER_MS);
   }
 
-  private static void require(boolean isMet, String defect) {
-    if (!isMet) {
+  private static void require(boolean condition, String defect) {
+    if (!condition) {
       throw new HttpException(400, defect);
     }
   }
--- a/src/main/java/bitternpulley/platform/QueryFront.java
+++ b/src/main/java/bitternpulley/platform/QueryFront.java
@@ -20,11 +20,11 @@
 import java.util.function.Supplier;
 
 /**
- * The client side of the platform's protocol: receives queries, delivers final answers, and answers
- * the health and readiness checks.
+ * The client side of the platform's protocol: receives queries, delivers final answers, and
+ * responds to health and readiness checks.
  */
 public final class QueryFront implements HttpServer.Handler {
-  private static final String OWN_PATHS = "/-/";
+  private static final String INTERNAL_PATH_PREFIX = "/-/";
   private static final String HEALTH_PATH = "/-/healthy";
   private static final String READINESS_PATH = "/-/ready";
 
@@ -36,17 +36,17 @@
   private final BooleanSupplier isReady;
   private final Supplier<TenantIdentification> tenantIdentification;
 
-  /** The ids of the requests without a final answer. */
-  private final Set<String> pendingIds = new HashSet<>();
+  /** Ids of the requests that have no final answer yet. */
+  private final Set<String> pendingRequestIds = new HashSet<>();
 
   /**
    * Creates a front.
    *
    * @param settings the routing settings, which name the query classes
    * @param broker receives the requests
-   * @param servers sends the requests' attempts
+   * @param servers sends the attempts of the requests
    * @param isReady whether the readiness check succeeds
-   * @param tenantIdentification gives the identification of the contracts in force
+   * @param tenantIdentification returns the tenant identification of the contracts in force
    */
   public QueryFront(
       Settings settings,
@@ -64,7 +64,7 @@
   @Override
   public void handle(HttpServer.Request request, HttpServer.Exchange exchange) {
     String path = request.head().target().split("\\?", 2)[0];
-    if (path.startsWith(OWN_PATHS)) {
+    if (path.startsWith(INTERNAL_PATH_PREFIX)) {
       exchange.reply(checkResponse(path));
       return;
     }
@@ -85,14 +85,14 @@
 
   private void submit(HttpServer.Request request, HttpServer.Exchange exchange) {
     PlatformQuery query = QueryCodec.decode(request, settings, exchange);
-    if (!pendingIds.add(query.id())) {
-      // The ids of parts derive from that of the request, so two parts would share one id.
+    if (!pendingRequestIds.add(query.id())) {
+      // Part ids are derived from the request id, so parts of both requests would have the same id.
       throw new HttpException(409, "Request-Id is that of an open request");
     }
     long id = broker.nextId();
     exchange.onDisconnect(
         () -> {
-          pendingIds.remove(query.id());
+          pendingRequestIds.remove(query.id());
           broker.submit(new Event.ClientDisconnected(id));
         });
     broker.submit(
@@ -112,7 +112,8 @@
   }
 
   /**
-   * What a retry has in common with the request before it: class and body; 0 if nobody needs it.
+   * Returns a hash of the query class and the body, which a retry has in common with the original
+   * request; 0 if no tenants are identified.
    */
   private long fingerprint(byte[] body, int queryClass) {
     return tenantIdentification.get() == TenantIdentification.NONE
@@ -132,10 +133,10 @@
         text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Delivers a final answer. */
+  /** Delivers the final answer to the client. */
   public void reply(Effect.Reply reply) {
     PlatformQuery query = (PlatformQuery) reply.request().payload();
-    pendingIds.remove(query.id());
+    pendingRequestIds.remove(query.id());
     query.exchange().reply(response(reply));
   }
 
--- a/src/test/java/bitternpulley/platform/ConnectionPrewarmerTest.java
+++ b/src/test/java/bitternpulley/platform/ConnectionPrewarmerTest.java
@@ -16,9 +16,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Connections opened ahead of the first parts, one after the other. */
+/** Opening connections ahead of the first parts, at a limited rate. */
 public class ConnectionPrewarmerTest {
-  private static final int PATIENCE_S = 30;
+  private static final int TIMEOUT_S = 30;
 
   private EventLoop loop;
   private BlockingQueue<String> opened;
@@ -37,19 +37,21 @@
   }
 
   @BeforeMethod
-  public void create() {
+  public void setUp() {
     loop = new EventLoop();
     opened = new LinkedBlockingQueue<>();
     prewarmer = new ConnectionPrewarmer(loop, 7, opened::add);
   }
 
-  private String next() throws InterruptedException {
-    return opened.poll(PATIENCE_S, TimeUnit.SECONDS);
+  private String nextOpened() throws InterruptedException {
+    return opened.poll(TIMEOUT_S, TimeUnit.SECONDS);
   }
 
-  /** Restarted instances must not connect to each server all at once, nor in the same order. */
+  /**
+   * Restarted instances must not connect to a server all at the same time, nor in the same order.
+   */
   @Test
-  public void connectsToEachServerOnceAtAPaceInRandomOrder() throws InterruptedException {
+  public void connectsToEachServerOnceInRandomOrderAtLimitedRate() throws InterruptedException {
     loop.execute(
         () -> {
           prewarmer.onEndpointList(liveServers(12));
@@ -58,16 +60,16 @@
     long before = System.nanoTime();
     List<String> order = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      order.add(next());
+      order.add(nextOpened());
     }
-    assertTrue(System.nanoTime() - before >= 100_000_000, "a pace is kept");
+    assertTrue(System.nanoTime() - before >= 100_000_000, "the rate is limited");
     List<String> listed = IntStream.range(0, 12).mapToObj(i -> "s" + i).toList();
     assertEquals(order.stream().sorted().toList(), listed.stream().sorted().toList());
     assertTrue(!order.equals(listed), order.toString());
   }
 
   @Test
-  public void connectsOnlyWhenEnabledAndNotToDrainingServers() throws InterruptedException {
+  public void connectsOnlyAfterEnableAndNotToDrainingServers() throws InterruptedException {
     loop.execute(
         () -> {
           prewarmer.onEndpointList(liveServers(2));
@@ -78,10 +80,10 @@
           assertTrue(opened.isEmpty());
           prewarmer.enable();
         });
-    assertEquals(Stream.of(next(), next()).sorted().toList(), List.of("s1", "s2"));
+    assertEquals(Stream.of(nextOpened(), nextOpened()).sorted().toList(), List.of("s1", "s2"));
     loop.execute(
         () -> prewarmer.onEndpointList(list(Stream.of(entry(3, Router.ServerState.LIVE)))));
-    assertEquals(next(), "s3", "a server that joins later is connected as well");
+    assertEquals(nextOpened(), "s3", "a server that joins later is connected too");
   }
 
   /** The first connections must not be closed as idle before the last is opened. */
@@ -92,11 +94,13 @@
           prewarmer.onEndpointList(liveServers(3500));
           prewarmer.enable();
         });
-    next();
+    nextOpened();
     long before = System.nanoTime();
     for (int i = 1; i < 3500; i++) {
-      next();
+      nextOpened();
     }
-    assertTrue(System.nanoTime() - before <= 12_000_000_000L, "within the least idle time of 12 s");
+    assertTrue(
+        System.nanoTime() - before <= 12_000_000_000L,
+        "all opened within the shortest idle timeout of 12 s");
   }
 }
