--- a/src/main/java/bitternpulley/platform/BoundedRecentSet.java
+++ b/src/main/java/bitternpulley/platform/BoundedRecentSet.java
@@ -3,29 +3,32 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The most recently added names, up to a bound; the oldest is dropped first. */
+/**
+ * A set of strings that keeps the most recently added values up to a capacity; the oldest is
+ * evicted first.
+ */
 final class BoundedRecentSet {
   private final int capacity;
-  private final Set<String> names = new LinkedHashSet<>();
+  private final Set<String> values = new LinkedHashSet<>();
 
   BoundedRecentSet(int capacity) {
     this.capacity = capacity;
   }
 
-  /** Adds a name. One that is present keeps its age. */
-  void add(String name) {
-    names.add(name);
-    if (names.size() > capacity) {
-      names.remove(names.iterator().next());
+  /** Adds a value. Adding a value that is already present does not refresh its age. */
+  void add(String value) {
+    values.add(value);
+    if (values.size() > capacity) {
+      values.remove(values.iterator().next());
     }
   }
 
-  boolean contains(String name) {
-    return names.contains(name);
+  boolean contains(String value) {
+    return values.contains(value);
   }
 
-  /** Removes a name; returns false where it was not present. */
-  boolean remove(String name) {
-    return names.remove(name);
+  /** Removes a value; returns false if it was not present. */
+  boolean remove(String value) {
+    return values.remove(value);
   }
 }
--- a/src/main/java/bitternpulley/platform/FrameType.java
+++ b/src/main/java/bitternpulley/platform/FrameType.java
@@ -1,10 +1,10 @@
 package bitternpulley.platform;
 
-/** The types of frame in the protocol with slot servers, each with its letter on the wire. */
+/** The types of frames in the protocol with slot servers, each with its letter on the wire. */
 enum FrameType {
-  /** Parts to answer, as one call. */
+  /** One or more parts to answer, as one call. */
   CALL('1'),
-  /** Cancels one part. */
+  /** The cancellation of one part. */
   CANCEL('2'),
   /** A health check, or the answer to one. */
   HEALTH_CHECK('3'),
@@ -12,7 +12,7 @@
   LOAD_REQUEST('4'),
   /** The result of one part. */
   RESULT('5'),
-  /** The slot server could not use the last frame and closes the connection. */
+  /** An error report: the slot server could not use the last frame and closes the connection. */
   PROTOCOL_ERROR('X');
 
   private static final FrameType[] VALUES = values();
@@ -27,7 +27,7 @@
     return letter;
   }
 
-  /** The type with this letter; null where there is none. */
+  /** Returns the type with this letter, or null if there is none. */
   static FrameType ofLetter(char letter) {
     for (FrameType type : VALUES) {
       if (type.letter == letter) {
--- a/src/main/java/bitternpulley/platform/PartValue.java
+++ b/src/main/java/bitternpulley/platform/PartValue.java
@@ -3,8 +3,10 @@
 import bitternpulley.broker.Payload;
 import java.nio.charset.StandardCharsets;
 
-/** The value of a part as a slot server gave it: plain text, as {@link SlotFrames} has checked. */
-@SuppressWarnings("ArrayRecordComponent") // Values are never compared, and a copy would cost.
+/**
+ * The value of a part as received from a slot server: plain text, validated by {@link SlotFrames}.
+ */
+@SuppressWarnings("ArrayRecordComponent") // Never compared; a defensive copy would cost time.
 record PartValue(byte[] bytes) implements Payload {
   /** The value as text. */
   String text() {
--- a/src/main/java/bitternpulley/platform/PartsInFlight.java
+++ b/src/main/java/bitternpulley/platform/PartsInFlight.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /**
- * The parts in flight on one connection, by attempt and by id on the wire, and the ids of those
- * that were cancelled or answered recently.
+ * Tracks the parts in flight on one connection, by attempt and by id on the wire, and remembers the
+ * ids of parts that were cancelled or answered recently.
  */
 final class PartsInFlight {
   private static final int MAX_CANCELLED_IDS = 256;
@@ -23,12 +23,13 @@
   private final Set<SlotCall> calls = new LinkedHashSet<>();
 
   /**
-   * All attempts at a part share its id. After a cancellation the next one needs another
-   * connection, where a late result of the cancelled one cannot be mistaken for its own.
+   * All attempts at a part use the same id on the wire. After a cancellation, the next attempt has
+   * to use another connection, so that a late result of the cancelled attempt cannot be mistaken
+   * for the result of the next one.
    */
   private final BoundedRecentSet cancelledIds = new BoundedRecentSet(MAX_CANCELLED_IDS);
 
-  /** A result that repeats one of these is a duplicate, which does no harm. */
+  /** A further result for one of these ids is a harmless duplicate. */
   private final BoundedRecentSet answeredIds = new BoundedRecentSet(MAX_ANSWERED_IDS);
 
   boolean isEmpty() {
@@ -52,8 +53,8 @@
     return parts.get(attempt);
   }
 
-  /** The attempt in flight at the part with this id; null where there is none. */
-  AttemptId attemptAt(String partId) {
+  /** Returns the attempt in flight at the part with this id, or null if there is none. */
+  AttemptId attemptFor(String partId) {
     return attemptsByPartId.get(partId);
   }
 
@@ -72,7 +73,9 @@
     return List.copyOf(calls);
   }
 
-  /** Whether none of these ids was used by a part in flight or by one cancelled recently. */
+  /**
+   * Returns whether none of these ids belongs to a part in flight or to a recently cancelled part.
+   */
   boolean areUnused(List<String> partIds) {
     return partIds.stream()
         .noneMatch(id -> cancelledIds.contains(id) || attemptsByPartId.containsKey(id));
@@ -90,7 +93,7 @@
     return call;
   }
 
-  /** Removes a part, and its call with the last of them. */
+  /** Removes a part, and also its call if no other part of the call remains. */
   void remove(AttemptId attempt) {
     SlotCall.Part part = parts.remove(attempt);
     part.call().remove(attempt);
@@ -106,36 +109,37 @@
     calls.clear();
   }
 
-  void noteCancelled(String partId) {
+  void recordCancelled(String partId) {
     cancelledIds.add(partId);
   }
 
-  void noteAnswered(String partId) {
+  void recordAnswered(String partId) {
     answeredIds.add(partId);
   }
 
   /**
-   * Accepts a result for a part that is not in flight: one late result of a cancelled part, or a
-   * duplicate. Returns false where it is neither.
+   * Accepts a result for a part that is not in flight, if it is the first late result of a
+   * cancelled part or a duplicate. Returns false otherwise.
    */
-  boolean acceptStrayResult(String partId) {
+  boolean acceptUnmatchedResult(String partId) {
     return cancelledIds.remove(partId) || answeredIds.contains(partId);
   }
 
   /**
-   * The attempt whose result these bytes were most likely meant to be: the only one in flight, or
-   * the only one whose id they hold; null where several may be meant.
+   * Finds the attempt whose result these bytes were most likely meant to be: the only attempt in
+   * flight, or the only one whose part id occurs in the bytes. Returns null if there is no such
+   * attempt.
    */
-  AttemptId attributeTo(String received) {
+  AttemptId findAttemptByResult(String received) {
     if (parts.size() == 1) {
       return parts.keySet().iterator().next();
     }
-    List<AttemptId> named = new ArrayList<>();
+    List<AttemptId> candidates = new ArrayList<>();
     for (SlotCall.Part part : parts.values()) {
       if (received.contains(part.id() + " ")) {
-        named.add(part.attempt().id());
+        candidates.add(part.attempt().id());
       }
     }
-    return named.size() == 1 ? named.get(0) : null;
+    return candidates.size() == 1 ? candidates.get(0) : null;
   }
 }
--- a/src/main/java/bitternpulley/platform/ResultStatus.java
+++ b/src/main/java/bitternpulley/platform/ResultStatus.java
@@ -2,7 +2,7 @@
 
 import bitternpulley.routing.Router.Outcome;
 
-/** How a slot server says that it ended a part, each with its code on the wire. */
+/** The status of a part in the result of a slot server, each with its code on the wire. */
 enum ResultStatus {
   /** The part was answered; its value follows. */
   SERVED("S", Outcome.OK),
@@ -25,12 +25,12 @@
     return code;
   }
 
-  /** The outcome of an attempt that ended so. */
+  /** The outcome of an attempt that ended with this status. */
   Outcome outcome() {
     return outcome;
   }
 
-  /** The status with this code; null where there is none. */
+  /** Returns the status with this code, or null if there is none. */
   static ResultStatus ofCode(String code) {
     for (ResultStatus status : VALUES) {
       if (status.code.equals(code)) {
--- a/src/main/java/bitternpulley/platform/SlotCall.java
+++ b/src/main/java/bitternpulley/platform/SlotCall.java
@@ -7,17 +7,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** A call to a slot server: the parts that one frame carries, and whether it has been written. */
+/**
+ * A call to a slot server: the parts that one frame carries, and whether the frame has been
+ * written.
+ */
 final class SlotCall {
   /**
    * One part of a call.
    *
-   * @param call the call it belongs to
+   * @param call the call that the part belongs to
    * @param attempt the attempt at the part
-   * @param id its id on the wire
-   * @param section its section of the call's frame
+   * @param id the id of the part on the wire
+   * @param section the section of the call's frame for this part
    */
-  @SuppressWarnings("ArrayRecordComponent") // Parts are never compared, and the section is shared.
+  @SuppressWarnings("ArrayRecordComponent") // Parts are never compared, and the array is shared.
   record Part(SlotCall call, Effect.StartAttempt attempt, String id, byte[] section) {}
 
   private final Map<AttemptId, Part> parts = new LinkedHashMap<>();
@@ -45,7 +48,7 @@
     return parts.values().stream().map(Part::attempt).toList();
   }
 
-  /** The attempts that may not be sent any more at this time, in ms. */
+  /** Returns the attempts that may no longer be sent at this time, in ms. */
   List<AttemptId> expiredAt(double now) {
     return parts.entrySet().stream()
         .filter(p -> now > p.getValue().attempt().sendBy())
@@ -56,15 +59,15 @@
   /**
    * Encodes the parts as the frame to write.
    *
-   * @param reads how often the connection was read before
+   * @param reads the number of reads from the connection so far
    */
   ByteBuffer encode(long reads) {
     readsBeforeWrite = reads;
-    frame = SlotFrames.call(parts.values().stream().map(Part::section).toList());
+    frame = SlotFrames.encodeCall(parts.values().stream().map(Part::section).toList());
     return frame;
   }
 
-  /** The frame encoded last. */
+  /** The last frame encoded. */
   ByteBuffer frame() {
     return frame;
   }
@@ -73,12 +76,12 @@
     written = true;
   }
 
-  /** Whether the frame's last byte was written, so that the parts may have run. */
+  /** Whether the last byte of the frame was written, so that the parts may have run. */
   boolean isWritten() {
     return written;
   }
 
-  /** How often the connection had been read when the frame was handed over for writing. */
+  /** The number of reads from the connection before the frame was queued for writing. */
   long readsBeforeWrite() {
     return readsBeforeWrite;
   }
--- a/src/main/java/bitternpulley/platform/SlotConnection.java
+++ b/src/main/java/bitternpulley/platform/SlotConnection.java
@@ -15,27 +15,29 @@
 import java.util.List;
 
 /**
- * One connection to a slot server: connects, sends calls and cancellations, and ends. It reports
- * the end of each attempt to its owner exactly once.
+ * One connection to a slot server: connects, sends calls and cancellations, and closes. The end of
+ * each attempt is reported to the owner exactly once.
  */
 final class SlotConnection implements Connection.Owner {
   private static final System.Logger LOG = System.getLogger(SlotConnection.class.getName());
 
-  /** How long a frame may take to arrive completely once it has begun, in ms. */
+  /** Maximum time from the first byte of a frame to its last, in ms. */
   private static final double FRAME_TIMEOUT_MS = 300;
 
-  /** The longest delay of a cancellation, as a share of the connect timeout. */
+  /**
+   * Maximum time allowed for a cancellation to reach the server, as a share of the connect timeout.
+   */
   private static final double MAX_CANCEL_DELAY_SHARE = 0.1;
 
-  /** What is refused answers within this share of the connect timeout. */
-  private static final double REFUSAL_SHARE = 0.5;
+  /** A connection that fails within this share of the connect timeout counts as refused. */
+  private static final double MAX_REFUSAL_TIME_SHARE = 0.5;
 
   /**
    * The clock and the time limits of connections.
    *
    * @param clock the time in ms
-   * @param connectTimeout how long a connection may take to come up, in ms
-   * @param idleTimeout how long a connection may be idle, in ms
+   * @param connectTimeout the maximum time to establish a connection, in ms
+   * @param idleTimeout the maximum time that a connection may be idle, in ms
    */
   record Timing(Clock clock, double connectTimeout, double idleTimeout) {}
 
@@ -49,21 +51,21 @@
   private final Connection connection;
   private final double openedAt;
 
-  /** Whether it has come up. */
+  /** Whether the connection has been established. */
   private boolean connected;
 
-  /** Whether it takes no further calls. */
+  /** Whether the connection takes no further calls. */
   private boolean retired;
 
-  /** Whether nothing more is read from it. */
+  /** Whether input is no longer processed. */
   private boolean ended;
 
   private boolean descriptorReleased;
 
-  /** How often it was read. */
+  /** Number of reads from the connection. */
   private long reads;
 
-  /** How long a cancellation is given to reach the server, in ms. */
+  /** Time allowed for a cancellation to reach the server, in ms. */
   private double cancelDelay;
 
   private double idleSince;
@@ -71,7 +73,7 @@
   /**
    * Starts to connect.
    *
-   * @throws java.io.UncheckedIOException where no socket can be opened
+   * @throws java.io.UncheckedIOException if no socket can be opened
    */
   SlotConnection(
       EventLoop loop, Timing timing, SlotConnectionOwner owner, String server, HostPort address) {
@@ -88,7 +90,7 @@
 
   private void onConnected() {
     connected = true;
-    // Connecting takes a round trip and some work on both sides: a cancellation is faster.
+    // Connecting takes a round trip and some work on both sides; a cancellation takes less time.
     cancelDelay =
         Math.min(timing.clock().now() - openedAt, MAX_CANCEL_DELAY_SHARE * timing.connectTimeout());
     inFlight.calls().forEach(this::send);
@@ -106,7 +108,7 @@
     return inFlight.isEmpty();
   }
 
-  /** When its last part ended, in ms. */
+  /** When the last part ended, in ms. */
   double idleSince() {
     return idleSince;
   }
@@ -125,20 +127,20 @@
     return inFlight.callCount();
   }
 
-  /** Whether it leads to this address and may carry parts with these ids. */
+  /** Whether the connection leads to this address and may carry parts with these ids. */
   boolean accepts(HostPort serverAddress, List<String> partIds) {
     return address.equals(serverAddress) && !connection.isClosed() && inFlight.areUnused(partIds);
   }
 
-  /** Sends these attempts as one call, once the connection is up. */
-  void call(List<Effect.StartAttempt> attempts) {
+  /** Sends these attempts as one call, once the connection is established. */
+  void startCall(List<Effect.StartAttempt> attempts) {
     SlotCall call = inFlight.add(attempts);
     if (connected) {
       send(call);
     }
   }
 
-  /** Writes a call without the attempts that waited for the connection for too long. */
+  /** Writes a call without the attempts that waited too long for the connection. */
   private void send(SlotCall call) {
     List<AttemptId> expired = call.expiredAt(timing.clock().now());
     expired.forEach(this::remove);
@@ -153,8 +155,8 @@
   }
 
   /**
-   * Takes an attempt out of its call before that is written; returns false where a byte of the call
-   * may have been sent.
+   * Removes an attempt from its call before the call is written; returns false if a byte of the
+   * call may have been sent.
    */
   private boolean removeUnsent(AttemptId attempt) {
     SlotCall call = inFlight.get(attempt).call();
@@ -168,7 +170,7 @@
     return true;
   }
 
-  /** Ends an attempt as not sent, unless a byte of it may have been sent. */
+  /** Ends an attempt as not sent, unless a byte of its call may have been sent. */
   void cancelUnsent(AttemptId attempt) {
     if (removeUnsent(attempt)) {
       reportNotSent(List.of(attempt));
@@ -176,7 +178,7 @@
   }
 
   /**
-   * Cancels an attempt and reports {@link Event.AttemptCancelled} once the cancellation has had the
+   * Cancels an attempt and reports {@link Event.AttemptCancelled} once the cancellation has had
    * time to reach the server.
    */
   void cancel(AttemptId attempt) {
@@ -185,21 +187,24 @@
       owner.onEvent(new Event.AttemptCancelled(attempt));
       return;
     }
-    inFlight.noteCancelled(part.id());
+    inFlight.recordCancelled(part.id());
     if (part.call().readsBeforeWrite() == reads) {
       // Nothing was received since the call was written, so the connection may have died silently.
       retire();
     }
-    closeUnlessEnded(attempt);
+    scheduleCloseUnlessEnded(attempt);
     connection.write(
-        SlotFrames.cancel(part.id()),
+        SlotFrames.encodeCancel(part.id()),
         () -> {
           loop.schedule(cancelDelay, () -> reportCancelled(attempt));
         });
   }
 
-  /** A server that reads no more never sees the cancellation, so its connection has to end. */
-  private void closeUnlessEnded(AttemptId attempt) {
+  /**
+   * Closes the connection if the attempt does not end: a server that has stopped reading never sees
+   * the cancellation.
+   */
+  private void scheduleCloseUnlessEnded(AttemptId attempt) {
     var unused =
         loop.after(
             timing.connectTimeout(),
@@ -211,8 +216,9 @@
   }
 
   /**
-   * Runs only when the cancellation has had time to arrive: the next attempt may go to a nearer
-   * server, where it must not overtake the cancellation and run concurrently.
+   * Runs only after the cancellation has had time to arrive: the next attempt may go to a nearer
+   * server, where it must not overtake the cancellation and run concurrently with the cancelled
+   * one.
    */
   private void reportCancelled(AttemptId attempt) {
     if (inFlight.contains(attempt)) {
@@ -221,7 +227,9 @@
     }
   }
 
-  /** Closes a connection that is not up yet; the attempts that wait for it end as not sent. */
+  /**
+   * Closes a connection that is not yet established; the attempts that wait for it end as not sent.
+   */
   void cancelAllUnsent() {
     List<AttemptId> attempts = inFlight.attempts();
     attempts.forEach(this::remove);
@@ -230,8 +238,8 @@
   }
 
   /**
-   * Reports in a later turn of the loop, since the owner may respond to one end by cancelling
-   * another attempt, with no write between.
+   * Reports in a later turn of the event loop, since the owner may respond to the end of one
+   * attempt by cancelling another, whose call may not have been written yet.
    */
   private void reportNotSent(List<AttemptId> attempts) {
     if (attempts.isEmpty()) {
@@ -252,7 +260,7 @@
     }
   }
 
-  /** Closes the connection; what is in flight ends when that is reported back. */
+  /** Closes the connection; attempts in flight end when the close is reported back. */
   void close() {
     retire();
     connection.close();
@@ -260,8 +268,8 @@
   }
 
   /**
-   * A closed connection frees its descriptor at once. If that counted only when the close is
-   * reported back, a server could seem unreachable for want of a descriptor.
+   * Reports the descriptor as free as soon as the connection is closed. If it counted as free only
+   * when the close is reported back, a server could seem unreachable for lack of a descriptor.
    */
   private void releaseDescriptor() {
     if (!descriptorReleased) {
@@ -275,7 +283,10 @@
     owner.onRetired(this);
   }
 
-  /** Whether a result is valid depends on what follows it, so all that was read counts together. */
+  /**
+   * Processes all bytes of one read together, since the validity of a result depends on what
+   * follows it.
+   */
   @Override
   public void received(ByteBuffer bytes) {
     if (ended) {
@@ -287,50 +298,51 @@
     try {
       reader.read(bytes, endedAttempts);
       if (reader.isWithinFrame()) {
-        awaitRestOfFrame(reader.framesRead());
+        scheduleFrameTimeout(reader.framesRead());
       }
     } catch (ProtocolException failure) {
-      failOn(failure, StandardCharsets.ISO_8859_1.decode(received).toString(), endedAttempts);
+      closeAfterViolation(
+          failure, StandardCharsets.ISO_8859_1.decode(received).toString(), endedAttempts);
     }
     endedAttempts.forEach(owner::onEvent);
   }
 
-  private void awaitRestOfFrame(int framesBefore) {
+  private void scheduleFrameTimeout(int framesBefore) {
     var unused =
         loop.after(
             FRAME_TIMEOUT_MS,
             () -> {
               if (!ended && reader.framesRead() == framesBefore && reader.isWithinFrame()) {
-                failOnIncompleteFrame();
+                closeAfterIncompleteFrame();
               }
             });
   }
 
-  private void failOnIncompleteFrame() {
+  private void closeAfterIncompleteFrame() {
     List<Event.AttemptEnded> endedAttempts = new ArrayList<>();
     ProtocolException violation =
         new ProtocolException(
             server, "frame", "it is incomplete " + FRAME_TIMEOUT_MS + " ms after its first byte");
-    failOn(violation, "", endedAttempts);
+    closeAfterViolation(violation, "", endedAttempts);
     endedAttempts.forEach(owner::onEvent);
   }
 
   /**
    * Closes the connection after a violation of the protocol, and adds the ends of the attempts in
-   * flight: one that the violation can be attributed to has failed, the others are cancelled, which
-   * does not count against the server. Where none is in flight, the result before the violation may
-   * have been cut short.
+   * flight. An attempt that the violation can be attributed to has failed; the others are
+   * cancelled, which does not count against the server. If no attempt is in flight, the result
+   * before the violation may have been truncated.
    */
-  private void failOn(
+  private void closeAfterViolation(
       ProtocolException violation, String received, List<Event.AttemptEnded> endedAttempts) {
     LOG.log(
         Level.WARNING,
         "Protocol violation by " + violation.getMessage() + "; closing connection to " + address);
     List<AttemptId> remaining = inFlight.attempts();
     if (remaining.isEmpty() && !endedAttempts.isEmpty()) {
-      failIfCutShort(endedAttempts);
+      failIfTruncated(endedAttempts);
     }
-    AttemptId failed = inFlight.attributeTo(received);
+    AttemptId failed = inFlight.findAttemptByResult(received);
     for (AttemptId attempt : remaining) {
       remove(attempt);
       Outcome outcome = attempt.equals(failed) ? Outcome.ERROR : Outcome.CANCELLED;
@@ -340,7 +352,7 @@
     close();
   }
 
-  private static void failIfCutShort(List<Event.AttemptEnded> endedAttempts) {
+  private static void failIfTruncated(List<Event.AttemptEnded> endedAttempts) {
     int lastIndex = endedAttempts.size() - 1;
     Event.AttemptEnded last = endedAttempts.get(lastIndex);
     if (last.outcome() == Outcome.OK && !SlotFrames.isCompleteValue((PartValue) last.value())) {
@@ -356,8 +368,8 @@
     if (!connected && wasRefused() && reassignCalls()) {
       return;
     }
-    // All are removed before the first is reported: the owner may respond to one end by cancelling
-    // another attempt that was in flight here.
+    // All parts are removed before the first end is reported: the owner may respond to an end by
+    // cancelling another attempt that was in flight on this connection.
     List<SlotCall.Part> remaining = inFlight.parts();
     remaining.forEach(part -> remove(part.attempt().id()));
     for (SlotCall.Part part : remaining) {
@@ -367,11 +379,11 @@
   }
 
   /**
-   * A process that does not run, or accepts no more connections, refuses at once; a longer wait
-   * comes from the network or the handshake.
+   * Whether the server refused the connection. A process that is not running, or accepts no more
+   * connections, refuses at once; a longer wait is caused by the network or the handshake.
    */
   private boolean wasRefused() {
-    return timing.clock().now() - openedAt < REFUSAL_SHARE * timing.connectTimeout();
+    return timing.clock().now() - openedAt < MAX_REFUSAL_TIME_SHARE * timing.connectTimeout();
   }
 
   private boolean reassignCalls() {
--- a/src/main/java/bitternpulley/platform/SlotConnectionOwner.java
+++ b/src/main/java/bitternpulley/platform/SlotConnectionOwner.java
@@ -5,12 +5,12 @@
 import bitternpulley.broker.Event;
 import java.util.List;
 
-/** What a connection to a slot server reports to its owner. */
+/** Receives the events of a connection to a slot server. */
 interface SlotConnectionOwner {
   /** An attempt has ended or was cancelled. */
   void onEvent(Event event);
 
-  /** The connection carries this attempt no more. */
+  /** The connection no longer carries this attempt. */
   void onAttemptRemoved(AttemptId attempt);
 
   /** The connection takes no further calls; may be reported more than once. */
@@ -20,10 +20,12 @@
   void onDescriptorReleased();
 
   /**
-   * The server refused this connection at once. Calls that wait for it may go over another that is
-   * up: then the server runs and accepts no more connections.
+   * The server refused this connection at once. If another connection to the server is established,
+   * the server is running but accepts no more connections; calls that wait for the refused
+   * connection may then use the established one.
    *
-   * @return whether another connection took them, so that none of the attempts ends by the refusal
+   * @return whether the calls were moved to another connection, so that no attempt ends because of
+   *     the refusal
    */
   boolean reassign(SlotConnection refused, List<List<Effect.StartAttempt>> calls);
 }
--- a/src/main/java/bitternpulley/platform/SlotConnectionPool.java
+++ b/src/main/java/bitternpulley/platform/SlotConnectionPool.java
@@ -13,30 +13,30 @@
 import java.util.Set;
 
 /**
- * The connections to all slot servers: chooses one for each call, opens further ones within the
- * limits, and closes those that are idle for too long.
+ * The connections to all slot servers: selects one for each call, opens further connections within
+ * the limits, and closes connections that are idle for too long.
  */
 final class SlotConnectionPool {
   private static final System.Logger LOG = System.getLogger(SlotConnectionPool.class.getName());
 
-  /** The most connections to one server. */
+  /** Maximum number of connections to one server. */
   private static final int MAX_PER_SERVER = 8;
 
-  /** How long no connection is tried at a server that accepts no more, in ms. */
+  /** How long to open no further connection to a server that refused one, in ms. */
   private static final double REFUSAL_PAUSE_MS = 1000;
 
-  /** Ms between checks for idle connections; one check serves all connections. */
+  /** Interval between checks for idle connections, in ms; one check covers all connections. */
   private static final double IDLE_CHECK_INTERVAL_MS = 1000;
 
   /**
    * The limits of a pool.
    *
-   * @param partsPerConnection the most parts in flight on a connection
-   * @param connections the most connections at a time
-   * @param callsBeforeNext the calls in flight on each connection to a server from which another is
-   *     opened
+   * @param maxPartsPerConnection the maximum number of parts in flight on a connection
+   * @param maxConnections the maximum number of open connections
+   * @param callsBeforeNewConnection the number of calls in flight on each connection to a server at
+   *     which another connection is opened
    */
-  record Limits(int partsPerConnection, int connections, int callsBeforeNext) {}
+  record Limits(int maxPartsPerConnection, int maxConnections, int callsBeforeNewConnection) {}
 
   private final EventLoop loop;
   private final SlotConnection.Timing timing;
@@ -45,13 +45,15 @@
   private final Map<String, HostPort> addresses = new HashMap<>();
   private final Map<String, List<SlotConnection>> connections = new HashMap<>();
 
-  /** Until when no further connection is tried at a server, in ms; only for known servers. */
-  private final Map<String, Double> refusingUntil = new HashMap<>();
+  /**
+   * Time until which no further connection to a server is opened, in ms; only for known servers.
+   */
+  private final Map<String, Double> refusalPauseEnds = new HashMap<>();
 
-  /** Connections that hold a descriptor. */
+  /** Number of connections that hold a descriptor. */
   private int openCount;
 
-  /** Creates an empty pool, whose connections report to this owner. */
+  /** Creates an empty pool; the owner receives the events of its connections. */
   SlotConnectionPool(
       EventLoop loop, SlotConnection.Timing timing, Limits limits, SlotConnectionOwner owner) {
     this.loop = loop;
@@ -66,8 +68,8 @@
   }
 
   private void closeUnneeded() {
-    for (List<SlotConnection> ofServer : List.copyOf(connections.values())) {
-      for (SlotConnection connection : List.copyOf(ofServer)) {
+    for (List<SlotConnection> connectionsToServer : List.copyOf(connections.values())) {
+      for (SlotConnection connection : List.copyOf(connectionsToServer)) {
         if (isUnneeded(connection)) {
           connection.close();
         }
@@ -81,12 +83,12 @@
         || (connection.isIdle() && !addresses.containsKey(connection.server()));
   }
 
-  /** The address of a server; null where it is not known. */
+  /** Returns the address of a server, or null if it is not known. */
   HostPort address(String server) {
     return addresses.get(server);
   }
 
-  /** Sets the address of a server. After a change its idle connections are closed. */
+  /** Sets the address of a server. If the address changed, closes the server's idle connections. */
   void setAddress(String server, HostPort address) {
     HostPort before = addresses.put(server, address);
     if (before != null && !before.equals(address)) {
@@ -94,18 +96,18 @@
     }
   }
 
-  /** Removes all that is known of a server, and closes its idle connections. */
-  void forget(String server) {
+  /** Removes all state of a server, and closes its idle connections. */
+  void removeServer(String server) {
     addresses.remove(server);
-    refusingUntil.remove(server);
+    refusalPauseEnds.remove(server);
     closeIdle(server);
   }
 
-  /** Forgets all other servers. */
+  /** Removes all other servers. */
   void retainOnly(Set<String> servers) {
     for (String server : List.copyOf(addresses.keySet())) {
       if (!servers.contains(server)) {
-        forget(server);
+        removeServer(server);
       }
     }
   }
@@ -118,28 +120,30 @@
   /** Opens a connection to a known server that has none, unless the limit is reached. */
   void openFirst(String server) {
     HostPort address = addresses.get(server);
-    if (address != null && !connections.containsKey(server) && openCount < limits.connections()) {
+    if (address != null
+        && !connections.containsKey(server)
+        && openCount < limits.maxConnections()) {
       open(server, address);
     }
   }
 
   /**
-   * The connection for a call of parts with these ids: that with the fewest parts in flight, or a
-   * new one where all are busy. Returns null where there is none.
+   * Returns the connection for a call of parts with these ids: the one with the fewest parts in
+   * flight, or a new one if all are busy. Returns null if there is none.
    */
   SlotConnection connectionFor(String server, HostPort address, List<String> partIds) {
     closeIdleTooLong(server);
-    List<SlotConnection> ofServer = connections.getOrDefault(server, List.of());
-    SlotConnection leastLoaded = leastLoaded(ofServer, address, partIds);
+    List<SlotConnection> connectionsToServer = connections.getOrDefault(server, List.of());
+    SlotConnection leastLoaded = leastLoaded(connectionsToServer, address, partIds);
     if (leastLoaded != null
-        && (leastLoaded.callCount() < limits.callsBeforeNext()
-            || !mayOpenAnother(server, ofServer.size()))) {
+        && (leastLoaded.callCount() < limits.callsBeforeNewConnection()
+            || !mayOpenAnother(server, connectionsToServer.size()))) {
       return leastLoaded;
     }
-    if (partIds.size() > limits.partsPerConnection()) {
+    if (partIds.size() > limits.maxPartsPerConnection()) {
       return null;
     }
-    if (openCount >= limits.connections() && !closeLongestIdle()) {
+    if (openCount >= limits.maxConnections() && !closeLongestIdle()) {
       LOG.log(
           Level.WARNING, "No descriptor is left for another connection to slot server " + server);
       return null;
@@ -148,8 +152,8 @@
   }
 
   /**
-   * The server closes connections that are idle for too long, perhaps before the next idle check. A
-   * call must not cross that close.
+   * A server closes connections that are idle for too long, possibly before the next idle check.
+   * Closing them here first prevents a call from being sent while the server closes the connection.
    */
   private void closeIdleTooLong(String server) {
     for (SlotConnection connection : connectionsTo(server)) {
@@ -160,10 +164,11 @@
   }
 
   private SlotConnection leastLoaded(
-      List<SlotConnection> ofServer, HostPort address, List<String> partIds) {
+      List<SlotConnection> connectionsToServer, HostPort address, List<String> partIds) {
     SlotConnection leastLoaded = null;
-    for (SlotConnection connection : ofServer) {
-      boolean hasCapacity = connection.partCount() + partIds.size() <= limits.partsPerConnection();
+    for (SlotConnection connection : connectionsToServer) {
+      boolean hasCapacity =
+          connection.partCount() + partIds.size() <= limits.maxPartsPerConnection();
       if (hasCapacity
           && (leastLoaded == null || connection.partCount() < leastLoaded.partCount())
           && connection.accepts(address, partIds)) {
@@ -174,16 +179,21 @@
   }
 
   private boolean mayOpenAnother(String server, int openToServer) {
-    return openToServer < maxPerServer() && openCount < limits.connections() && !isRefusing(server);
+    return openToServer < maxPerServer()
+        && openCount < limits.maxConnections()
+        && !isRefusing(server);
   }
 
-  /** A few servers must not take all connections, so each has an equal share at the most. */
+  /**
+   * Limits each server to an equal share of the connections, so that a few servers cannot take all
+   * of them.
+   */
   private int maxPerServer() {
-    int equalShare = limits.connections() / Math.max(1, addresses.size());
+    int equalShare = limits.maxConnections() / Math.max(1, addresses.size());
     return Math.max(1, Math.min(MAX_PER_SERVER, equalShare));
   }
 
-  /** Opens a connection; returns null where no socket can be opened, which ends the attempt. */
+  /** Opens a connection; returns null if no socket can be opened, which ends the attempt. */
   private SlotConnection open(String server, HostPort address) {
     try {
       SlotConnection opened = new SlotConnection(loop, timing, owner, server, address);
@@ -203,7 +213,7 @@
     }
   }
 
-  /** Closes the connection idle for longest; returns false where none is idle. */
+  /** Closes the connection that has been idle for longest; returns false if none is idle. */
   private boolean closeLongestIdle() {
     Optional<SlotConnection> longestIdle =
         connections.values().stream()
@@ -223,25 +233,27 @@
     }
   }
 
-  /** Whether a connection to a server is up. */
+  /** Whether a connection to a server is established. */
   boolean isConnectedTo(String server) {
     return connections.getOrDefault(server, List.of()).stream()
         .anyMatch(SlotConnection::isConnected);
   }
 
-  /** Notes that a running server refused a connection, as it accepts no more for now. */
-  void noteRefusal(String server) {
-    refusingUntil.put(server, timing.clock().now() + REFUSAL_PAUSE_MS);
+  /** Records that a running server refused a connection because it accepts no more for now. */
+  void recordRefusal(String server) {
+    refusalPauseEnds.put(server, timing.clock().now() + REFUSAL_PAUSE_MS);
   }
 
   private boolean isRefusing(String server) {
-    return timing.clock().now() < refusingUntil.getOrDefault(server, Double.NEGATIVE_INFINITY);
+    return timing.clock().now() < refusalPauseEnds.getOrDefault(server, Double.NEGATIVE_INFINITY);
   }
 
   /** Removes a connection that takes no further calls. */
   void remove(SlotConnection connection) {
-    List<SlotConnection> ofServer = connections.get(connection.server());
-    if (ofServer != null && ofServer.remove(connection) && ofServer.isEmpty()) {
+    List<SlotConnection> connectionsToServer = connections.get(connection.server());
+    if (connectionsToServer != null
+        && connectionsToServer.remove(connection)
+        && connectionsToServer.isEmpty()) {
       connections.remove(connection.server());
     }
   }
--- a/src/main/java/bitternpulley/platform/SlotFrameReader.java
+++ b/src/main/java/bitternpulley/platform/SlotFrameReader.java
@@ -11,7 +11,7 @@
 final class SlotFrameReader {
   private final String server;
   private final PartsInFlight inFlight;
-  private final Consumer<AttemptId> remove;
+  private final Consumer<AttemptId> removeAttempt;
   private final FrameCodec codec = new FrameCodec();
   private int framesRead;
 
@@ -20,18 +20,19 @@
    *
    * @param server the id of the slot server
    * @param inFlight the parts in flight on the connection
-   * @param remove removes an attempt that has ended from these
+   * @param removeAttempt removes an attempt that has ended from the parts in flight
    */
-  SlotFrameReader(String server, PartsInFlight inFlight, Consumer<AttemptId> remove) {
+  SlotFrameReader(String server, PartsInFlight inFlight, Consumer<AttemptId> removeAttempt) {
     this.server = server;
     this.inFlight = inFlight;
-    this.remove = remove;
+    this.removeAttempt = removeAttempt;
   }
 
   /**
-   * Reads further bytes and adds the ends of attempts that they hold to {@code ended}.
+   * Reads further bytes and adds the ends of attempts that they report to {@code ended}.
    *
-   * @throws ProtocolException where the bytes break the protocol; what they held before counts
+   * @throws ProtocolException if the bytes violate the protocol; results before the violation still
+   *     count
    */
   void read(ByteBuffer bytes, List<Event.AttemptEnded> ended) {
     try {
@@ -63,7 +64,7 @@
     switch (type) {
       case RESULT -> acceptResult(SlotFrames.decodeResult(server, frame.rest()), ended);
       case HEALTH_CHECK, LOAD_REQUEST -> {
-        // Nothing here depends on the answers.
+        // The aggregator does not use these frames.
       }
       case PROTOCOL_ERROR ->
           throw new ProtocolException(
@@ -76,12 +77,12 @@
   }
 
   private void acceptResult(SlotFrames.Result result, List<Event.AttemptEnded> ended) {
-    AttemptId attempt = inFlight.attemptAt(result.partId());
+    AttemptId attempt = inFlight.attemptFor(result.partId());
     if (attempt != null) {
-      remove.accept(attempt);
-      inFlight.noteAnswered(result.partId());
+      removeAttempt.accept(attempt);
+      inFlight.recordAnswered(result.partId());
       ended.add(new Event.AttemptEnded(attempt, result.outcome(), result.value()));
-    } else if (!inFlight.acceptStrayResult(result.partId())) {
+    } else if (!inFlight.acceptUnmatchedResult(result.partId())) {
       throw new ProtocolException(
           server, FrameType.RESULT + " frame", "part " + result.partId() + " is not in flight");
     }
--- a/src/main/java/bitternpulley/platform/SlotFrames.java
+++ b/src/main/java/bitternpulley/platform/SlotFrames.java
@@ -12,11 +12,11 @@
 
 /**
  * Encodes and decodes the contents of the frames exchanged with slot servers. Frame letters, result
- * codes and the text forms of lines are known here and in the two enums {@link FrameType} and
- * {@link ResultStatus} only.
+ * codes and the text format of lines are known only here and in the enums {@link FrameType} and
+ * {@link ResultStatus}.
  */
 final class SlotFrames {
-  /** The protocol's form of a complete value. */
+  /** The format of a complete value in the protocol. */
   private static final Pattern COMPLETE_VALUE = Pattern.compile("[0-9a-f]{16}");
 
   private static final byte ASCII_DELETE = 0x7f;
@@ -34,13 +34,18 @@
    */
   record Result(String partId, Outcome outcome, PartValue value) {}
 
-  /** The id of an attempt's part on the wire: the query's id and the shard. */
+  /**
+   * Returns the id of an attempt's part on the wire, which consists of the query's id and the
+   * shard.
+   */
   static String partId(Effect.StartAttempt attempt) {
     PlatformQuery query = (PlatformQuery) attempt.request().payload();
     return query.id() + "." + query.parts().get(attempt.partIndex()).shard();
   }
 
-  /** The section of a call for one part: its line, then the query's text. */
+  /**
+   * Encodes the section of a call frame for one part: a header line, then the text of the query.
+   */
   static byte[] callSection(Effect.StartAttempt attempt, String partId) {
     PlatformQuery query = (PlatformQuery) attempt.request().payload();
     Request.QueryPart part = query.parts().get(attempt.partIndex());
@@ -59,72 +64,79 @@
     return ByteBuffer.allocate(head.length + text.length).put(head).put(text).array();
   }
 
-  /** Whether one frame holds these attempts: it repeats the query's text, which may be long. */
-  static boolean fitOneCall(List<Effect.StartAttempt> attempts) {
+  /**
+   * Whether these attempts fit into one frame, which repeats the text of the query for each of
+   * them.
+   */
+  static boolean fitInOneFrame(List<Effect.StartAttempt> attempts) {
     return attempts.stream().mapToInt(a -> callSection(a, partId(a)).length).sum()
         < FrameCodec.MAX_FRAME_BYTES;
   }
 
-  /** A frame that calls one part or more. */
-  static ByteBuffer call(List<byte[]> sections) {
+  /** Encodes a frame that calls one or more parts. */
+  static ByteBuffer encodeCall(List<byte[]> sections) {
     ByteBuffer rest = ByteBuffer.allocate(sections.stream().mapToInt(s -> s.length).sum());
     sections.forEach(rest::put);
     return FrameCodec.encode(FrameType.CALL.letter(), rest.array());
   }
 
-  /** A frame that cancels a part. */
-  static ByteBuffer cancel(String partId) {
+  /** Encodes a frame that cancels a part. */
+  static ByteBuffer encodeCancel(String partId) {
     return FrameCodec.encode(FrameType.CANCEL.letter(), partId.getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** A frame with the result of a part, as a slot server without load reports sends it. */
-  static ByteBuffer result(String partId, ResultStatus status, String value) {
+  /** Encodes a frame with the result of a part, as a slot server without load reports sends it. */
+  static ByteBuffer encodeResult(String partId, ResultStatus status, String value) {
     String rest = partId + " " + status.code() + " 0 -\n" + value;
     return FrameCodec.encode(FrameType.RESULT.letter(), rest.getBytes(StandardCharsets.US_ASCII));
   }
 
   /**
-   * Decodes the rest of a result frame of this server. Its score and load report are not used, so
-   * they are not checked.
+   * Decodes the content of a result frame from this server, without the frame letter. The score and
+   * the load report are not used and therefore not checked.
    *
-   * @throws ProtocolException where the result cannot be used
+   * @throws ProtocolException if the result cannot be used
    */
-  static Result decodeResult(String server, byte[] rest) {
+  static Result decodeResult(String server, byte[] content) {
     int lineEnd = 0;
-    while (lineEnd < rest.length && rest[lineEnd] != '\n') {
+    while (lineEnd < content.length && content[lineEnd] != '\n') {
       lineEnd++;
     }
-    String[] words = new String(rest, 0, lineEnd, StandardCharsets.ISO_8859_1).split(" ", -1);
-    if (lineEnd == rest.length || words.length < 3 || words[0].isEmpty()) {
+    String[] fields = new String(content, 0, lineEnd, StandardCharsets.ISO_8859_1).split(" ", -1);
+    if (lineEnd == content.length || fields.length < 3 || fields[0].isEmpty()) {
       throw new ProtocolException(server, RESULT_FRAME, "it has no first line of three words");
     }
-    ResultStatus status = ResultStatus.ofCode(words[1]);
+    ResultStatus status = ResultStatus.ofCode(fields[1]);
     if (status == null) {
-      throw new ProtocolException(server, RESULT_FRAME, "its status is '" + words[1] + "'");
+      throw new ProtocolException(server, RESULT_FRAME, "its status is '" + fields[1] + "'");
     }
-    PartValue value = status == ResultStatus.SERVED ? decodeValue(server, rest, lineEnd + 1) : null;
-    return new Result(words[0], status.outcome(), value);
+    PartValue value =
+        status == ResultStatus.SERVED ? decodeValue(server, content, lineEnd + 1) : null;
+    return new Result(fields[0], status.outcome(), value);
   }
 
-  /** A value is one line of plain text: bytes of another frame must not pass for one. */
-  private static PartValue decodeValue(String server, byte[] rest, int from) {
-    for (int index = from; index < rest.length; index++) {
-      if (rest[index] < ' ' || rest[index] == ASCII_DELETE) {
+  /**
+   * Accepts only a single line of plain text, so that bytes of another frame cannot be taken for a
+   * value.
+   */
+  private static PartValue decodeValue(String server, byte[] content, int from) {
+    for (int index = from; index < content.length; index++) {
+      if (content[index] < ' ' || content[index] == ASCII_DELETE) {
         throw new ProtocolException(server, RESULT_FRAME, "its value is not plain text");
       }
     }
-    if (from == rest.length) {
+    if (from == content.length) {
       throw new ProtocolException(server, RESULT_FRAME, "it has no value");
     }
-    return new PartValue(Arrays.copyOfRange(rest, from, rest.length));
+    return new PartValue(Arrays.copyOfRange(content, from, content.length));
   }
 
-  /** The words with which a slot server reports that it could not use a frame. */
-  static String decodeProtocolError(byte[] rest) {
-    return new String(rest, StandardCharsets.ISO_8859_1);
+  /** Decodes the text with which a slot server reports that it could not use a frame. */
+  static String decodeProtocolError(byte[] content) {
+    return new String(content, StandardCharsets.ISO_8859_1);
   }
 
-  /** Whether a value has the full form, so that it was not itself cut short. */
+  /** Whether a value has the complete format, which means that it was not truncated. */
   static boolean isCompleteValue(PartValue value) {
     return COMPLETE_VALUE.matcher(value.text()).matches();
   }
--- a/src/main/java/bitternpulley/platform/SlotServers.java
+++ b/src/main/java/bitternpulley/platform/SlotServers.java
@@ -17,16 +17,19 @@
 
 /**
  * The server side of the platform's protocol: sends attempts in frames over a few connections to
- * each slot server, and reports how they end.
+ * each slot server, and reports the ends of the attempts.
  */
 public final class SlotServers implements Dialect {
   /**
-   * With one call on a connection, no call is lost when the server closes the connection after the
-   * answer to another.
+   * Number of calls that a connection carries before another is opened. With one call, no other
+   * call is lost when the server closes the connection after its answer.
    */
   private static final int CALLS_PER_CONNECTION = 1;
 
-  /** The same where servers are charged for handshakes. */
+  /**
+   * Number of calls that a connection carries before another is opened, if servers are charged for
+   * handshakes.
+   */
   private static final int CALLS_PER_CONNECTION_IF_HANDSHAKES_COSTLY = 8;
 
   private final EventLoop loop;
@@ -34,17 +37,17 @@
   private final SlotConnectionPool pool;
   private final Map<AttemptId, SlotConnection> connectionsByAttempt = new HashMap<>();
 
-  private Consumer<Effect.Reply> answers;
+  private Consumer<Effect.Reply> replyHandler;
 
   /**
    * Creates a dialect without servers.
    *
-   * @param loop runs all of it
+   * @param loop the event loop to run on
    * @param events receives the ends of attempts
    * @param clock the time in ms
-   * @param connections what the slot servers allow of connections
-   * @param connectTimeout how long a connection may take to come up, in ms
-   * @param maxConnections the most connections at a time
+   * @param connections the limits that slot servers set for connections
+   * @param connectTimeout the maximum time to establish a connection, in ms
+   * @param maxConnections the maximum number of open connections
    */
   public SlotServers(
       EventLoop loop,
@@ -65,7 +68,7 @@
             : CALLS_PER_CONNECTION);
   }
 
-  /** As above, where a connection carries this many calls before another is opened. */
+  /** Creates a dialect whose connections carry this many calls before another is opened. */
   SlotServers(
       EventLoop loop,
       Consumer<Event> events,
@@ -86,8 +89,8 @@
   }
 
   /** Sets the receiver of final answers. */
-  public void deliverAnswersTo(Consumer<Effect.Reply> receiver) {
-    this.answers = receiver;
+  public void deliverAnswersTo(Consumer<Effect.Reply> handler) {
+    this.replyHandler = handler;
   }
 
   /** Sets the address of a server. */
@@ -95,9 +98,9 @@
     pool.setAddress(server, address);
   }
 
-  /** Removes a server that has left, so that nothing is kept for it. */
+  /** Removes a server that has left, with all its state. */
   public void forget(String server) {
-    pool.forget(server);
+    pool.removeServer(server);
   }
 
   /** Removes all servers but these. */
@@ -107,7 +110,7 @@
 
   /**
    * Opens a connection to a server that has none, ahead of the first part for it, unless the limit
-   * is reached. Whether it comes up is not reported: the first part finds out.
+   * is reached. A failure to connect is not reported; the first part detects it.
    */
   public void prewarm(String server) {
     pool.openFirst(server);
@@ -115,7 +118,7 @@
 
   @Override
   public void reply(Effect.Reply reply) {
-    answers.accept(reply);
+    replyHandler.accept(reply);
   }
 
   @Override
@@ -123,13 +126,13 @@
     startCall(List.of(attempt));
   }
 
-  /** Sends one call where a connection can carry it, else a call for each attempt. */
+  /** Sends one call if a connection can carry it, otherwise a call for each attempt. */
   @Override
   public void startCall(List<Effect.StartAttempt> attempts) {
     SlotConnection connection = connectionFor(attempts);
     if (connection != null) {
       attempts.forEach(a -> connectionsByAttempt.put(a.id(), connection));
-      connection.call(attempts);
+      connection.startCall(attempts);
     } else if (attempts.size() > 1) {
       attempts.forEach(this::start);
     } else {
@@ -137,11 +140,11 @@
     }
   }
 
-  /** The connection for these attempts as one call; null where there is none. */
+  /** Returns the connection for these attempts as one call, or null if there is none. */
   private SlotConnection connectionFor(List<Effect.StartAttempt> attempts) {
     String server = attempts.get(0).server();
     HostPort address = pool.address(server);
-    if (address == null || (attempts.size() > 1 && !SlotFrames.fitOneCall(attempts))) {
+    if (address == null || (attempts.size() > 1 && !SlotFrames.fitInOneFrame(attempts))) {
       return null;
     }
     List<String> partIds = attempts.stream().map(SlotFrames::partId).toList();
@@ -182,7 +185,7 @@
     pool.closeIdle(server);
   }
 
-  /** Receives what the connections report. */
+  /** Handles the events of the connections. */
   private final class ConnectionReports implements SlotConnectionOwner {
     @Override
     public void onEvent(Event event) {
@@ -210,7 +213,7 @@
       if (!pool.isConnectedTo(server) || pool.address(server) == null) {
         return false;
       }
-      pool.noteRefusal(server);
+      pool.recordRefusal(server);
       for (List<Effect.StartAttempt> call : calls) {
         call.forEach(attempt -> connectionsByAttempt.remove(attempt.id()));
       }
--- a/src/main/java/bitternpulley/platform/SyntheticQueries.java
+++ b/src/main/java/bitternpulley/platform/SyntheticQueries.java
@@ -4,53 +4,57 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Generates well-formed queries, as clients of the platform would send them. */
+/** Generates well-formed queries, like those of the platform's clients. */
 final class SyntheticQueries {
-  /** One in this many queries has as many parts as a client can send. */
-  private static final int LARGEST_EVERY = 10;
+  /** One in this many queries has the largest number of parts that a client can send. */
+  private static final int LARGEST_QUERY_INTERVAL = 10;
 
-  /** The most parts of the other queries. */
-  private static final int MAX_COMMON_PARTS = 8;
+  /** Maximum number of parts of the other queries. */
+  private static final int MAX_SMALL_QUERY_PARTS = 8;
 
-  /** The limit of pending queries has capacity for this many of the largest, counted by parts. */
-  private static final int LARGEST_PENDING = 3;
+  /**
+   * The limit of pending queries, counted by parts, has capacity for this many of the largest
+   * queries.
+   */
+  private static final int LARGEST_QUERIES_PENDING = 3;
 
-  /** The most bytes that one part takes in a body, and the rest of the body. */
-  private static final int PART_BYTES = 64;
+  /** Maximum size of one part in a body, in bytes. */
+  private static final int MAX_PART_BYTES = 64;
 
-  private static final int REST_BYTES = 64;
+  /** Maximum size of the rest of a body, in bytes. */
+  private static final int MAX_OTHER_BODY_BYTES = 64;
 
   private static final double MS_PER_SECOND = 1000;
 
   private final Settings settings;
   private final int maxBodyBytes;
 
-  /** Creates a generator for these settings, whose bodies have this size at the most. */
+  /** Creates a generator for these settings, with a maximum size of the bodies. */
   SyntheticQueries(Settings settings, int maxBodyBytes) {
     this.settings = settings;
     this.maxBodyBytes = maxBodyBytes;
   }
 
-  /** The query with this number; some are as large as a client can send. */
-  String ofAnySize(int number) {
-    boolean isLargest = number % LARGEST_EVERY == LARGEST_EVERY - 1;
-    return isLargest ? request(number, maxParts()) : ofCommonSize(number);
+  /** Returns the query with this number; some are as large as a client can send. */
+  String query(int number) {
+    boolean isLargest = number % LARGEST_QUERY_INTERVAL == LARGEST_QUERY_INTERVAL - 1;
+    return isLargest ? request(number, maxParts()) : smallQuery(number);
   }
 
-  /** The query with this number, with a few parts. */
-  String ofCommonSize(int number) {
-    int parts = Math.min(1 + number % MAX_COMMON_PARTS, settings.layout().shards());
+  /** Returns the query with this number, with only a few parts. */
+  String smallQuery(int number) {
+    int parts = Math.min(1 + number % MAX_SMALL_QUERY_PARTS, settings.layout().shards());
     return request(number, parts);
   }
 
   /**
-   * The parts of the largest query that a client can send: each shard once, in a body that is
-   * accepted, within the limit of pending queries.
+   * Returns the number of parts of the largest query that a client can send: at most one part for
+   * each shard, in a body of accepted size, within the limit of pending queries.
    */
   int maxParts() {
-    int byPending = settings.limits().maxPending() / LARGEST_PENDING - 1;
-    int byBody = (maxBodyBytes - REST_BYTES) / PART_BYTES;
-    return Math.max(1, Math.min(settings.layout().shards(), Math.min(byPending, byBody)));
+    int pendingLimit = settings.limits().maxPending() / LARGEST_QUERIES_PENDING - 1;
+    int bodyLimit = (maxBodyBytes - MAX_OTHER_BODY_BYTES) / MAX_PART_BYTES;
+    return Math.max(1, Math.min(settings.layout().shards(), Math.min(pendingLimit, bodyLimit)));
   }
 
   private String request(int number, int parts) {
--- a/src/main/java/bitternpulley/platform/WarmupQueries.java
+++ b/src/main/java/bitternpulley/platform/WarmupQueries.java
@@ -24,74 +24,76 @@
 
 /**
  * Warms up the JVM before the program is ready: runs synthetic queries through decoding, core,
- * routing policy and encoding, so that the first real queries do not wait for classes to load and
- * code to be compiled. It has its own core, clock and servers, which are discarded: nothing goes
- * over a socket, and nothing is learned from it.
+ * routing policy and encoding, so that the first real queries do not wait for class loading and
+ * compilation. The warm-up uses its own core, clock and servers, which are discarded: nothing is
+ * sent over a socket, and nothing learned is kept.
  */
 public final class WarmupQueries implements Dialect {
   private static final System.Logger LOG = System.getLogger(WarmupQueries.class.getName());
 
-  /** Queries run before the program is ready. */
+  /** Number of queries run before the program is ready. */
   private static final int STARTUP_QUERIES = 150;
 
   /**
-   * The same where very many aggregators share the traffic: each has little of it, and should be
-   * ready soon.
+   * The same in a very large fleet, in which each aggregator has little of the traffic and should
+   * be ready soon.
    */
   private static final int STARTUP_QUERIES_IN_LARGE_FLEET = 20;
 
-  /** How long after the start no more queries are begun, in ms. */
+  /** Time after the start when no more queries are started, in ms. */
   private static final double MAX_STARTUP_MS = 600;
 
-  /** Queries run in all, when the warm-up continues in the background. */
+  /** Total number of queries run if the warm-up continues in the background. */
   private static final int TOTAL_QUERIES = 200;
 
-  /** Ms between queries in the background. */
+  /** Interval between queries in the background, in ms. */
   private static final double BACKGROUND_INTERVAL_MS = 20;
 
-  /** Queries run in one turn of the loop. */
+  /** Number of queries run in one turn of the event loop. */
   private static final int QUERIES_PER_TURN = 5;
 
-  /** Ms of the virtual clock between queries. */
+  /** Interval between queries on the virtual clock, in ms. */
   private static final double VIRTUAL_INTERVAL_MS = 20;
 
   private static final double NANOS_PER_MS = 1e6;
 
-  /** An attempt with a number that this divides fails, is rejected, or has no answer. */
+  /** Every n-th attempt fails. */
   private static final int FAIL_EVERY = 13;
 
+  /** Every n-th attempt is rejected. */
   private static final int REJECT_EVERY = 19;
-  private static final int IGNORE_EVERY = 17;
+  /** Every n-th attempt gets no answer. */
+  private static final int NO_ANSWER_EVERY = 17;
 
   private static final String VALUE = "5be2a07c19f04d63";
 
-  private record Alarm(double time, Runnable task) {}
+  private record ScheduledTask(double time, Runnable task) {}
 
   private final SyntheticQueries queries;
   private final int maxBodyBytes;
   private final EventLoop loop;
   private final Broker broker;
   private final QueryFront front;
-  private final PriorityQueue<Alarm> alarms =
-      new PriorityQueue<>(Comparator.comparingDouble(Alarm::time));
-  private final List<Effect.StartAttempt> unanswered = new ArrayList<>();
+  private final PriorityQueue<ScheduledTask> scheduledTasks =
+      new PriorityQueue<>(Comparator.comparingDouble(ScheduledTask::time));
+  private final List<Effect.StartAttempt> unansweredAttempts = new ArrayList<>();
 
   /** The virtual time in ms. */
   private double time = 1;
 
-  /** Whether clients are served meanwhile, from which large queries would take time. */
+  /** Whether the warm-up runs while clients are served, whom large queries would delay. */
   private boolean inBackground;
 
   private int queriesRun;
-  private int attempts;
+  private int attemptCount;
   private int queriesAnswered;
 
   /**
    * Creates a warm-up.
    *
    * @param settings the routing settings of this instance
-   * @param maxBodyBytes the most bytes of a query's body
-   * @param loop runs all of it
+   * @param maxBodyBytes the maximum size of a query's body
+   * @param loop the event loop to run on
    */
   public WarmupQueries(Settings settings, int maxBodyBytes, EventLoop loop) {
     this.queries = new SyntheticQueries(settings, maxBodyBytes);
@@ -101,7 +103,7 @@
         new Broker(
             new Reducer(settings, 1, time),
             () -> time,
-            (ms, task) -> alarms.add(new Alarm(time + ms, task)));
+            (ms, task) -> scheduledTasks.add(new ScheduledTask(time + ms, task)));
     front = new QueryFront(settings, broker, this, () -> false, () -> TenantIdentification.NONE);
     broker.addDialect(this);
     broker.submit(
@@ -113,14 +115,15 @@
   }
 
   /**
-   * Runs queries, a few in each turn of the loop.
+   * Runs queries, a few in each turn of the event loop.
    *
-   * @param many whether very many aggregators share the traffic, so that a short warm-up has to do
-   * @param done runs when all were run or the time is up
+   * @param largeFleet whether very many aggregators share the traffic, so that a short warm-up has
+   *     to suffice
+   * @param done called when all queries were run or the time is over
    */
-  public void run(boolean many, Runnable done) {
+  public void run(boolean largeFleet, Runnable done) {
     long endNanos = System.nanoTime() + (long) (MAX_STARTUP_MS * NANOS_PER_MS);
-    runTurn(many ? STARTUP_QUERIES_IN_LARGE_FLEET : STARTUP_QUERIES, endNanos, done);
+    runTurn(largeFleet ? STARTUP_QUERIES_IN_LARGE_FLEET : STARTUP_QUERIES, endNanos, done);
   }
 
   private void runTurn(int queryCount, long endNanos, Runnable done) {
@@ -129,14 +132,17 @@
       succeeded = tryRunOne();
     }
     if (succeeded && queriesRun < queryCount && System.nanoTime() < endNanos) {
-      // An alarm, since a task executed now would still run in this turn, before discovery is read.
+      // Scheduled, since execute() would run the task in this turn, before discovery is read.
       loop.schedule(0, () -> runTurn(queryCount, endNanos, done));
     } else {
       done.run();
     }
   }
 
-  /** Continues in the background until the JVM has compiled the code, one query in a turn. */
+  /**
+   * Continues in the background until the JVM has compiled the code, with one query in each turn of
+   * the event loop.
+   */
   public void continueInBackground() {
     inBackground = true;
     if (queriesRun < TOTAL_QUERIES && tryRunOne()) {
@@ -155,8 +161,8 @@
   }
 
   /**
-   * Runs one query; returns false after a failure. A supervised boundary: a defect of the warm-up
-   * must not keep the program from becoming ready.
+   * Runs one query; returns false after a failure. Catches every runtime exception, since a defect
+   * of the warm-up must not keep the program from becoming ready.
    */
   private boolean tryRunOne() {
     try {
@@ -168,30 +174,30 @@
     }
   }
 
-  /** Runs one query and the ends of the attempts that it started. */
+  /** Runs one query, and ends the attempts that it started. */
   void runOne() {
     int number = queriesRun++;
-    String text = inBackground ? queries.ofCommonSize(number) : queries.ofAnySize(number);
-    HttpParser parser = new HttpParser(false, maxBodyBytes, new Client());
+    String text = inBackground ? queries.smallQuery(number) : queries.query(number);
+    HttpParser parser = new HttpParser(false, maxBodyBytes, new SyntheticClient());
     parser.read(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
     time += VIRTUAL_INTERVAL_MS;
-    while (!alarms.isEmpty() && alarms.peek().time() <= time) {
-      alarms.poll().task().run();
+    while (!scheduledTasks.isEmpty() && scheduledTasks.peek().time() <= time) {
+      scheduledTasks.poll().task().run();
     }
-    List<Effect.StartAttempt> started = List.copyOf(unanswered);
-    unanswered.clear();
+    List<Effect.StartAttempt> started = List.copyOf(unansweredAttempts);
+    unansweredAttempts.clear();
     started.forEach(this::answer);
   }
 
-  /** Answers an attempt as a slot server would, through the encoding and decoding of frames. */
+  /** Answers an attempt like a slot server, with encoding and decoding of the frames. */
   private void answer(Effect.StartAttempt attempt) {
-    attempts++;
+    attemptCount++;
     String partId = SlotFrames.partId(attempt);
-    SlotFrames.call(List.of(SlotFrames.callSection(attempt, partId)));
-    if (attempts % IGNORE_EVERY == 0) {
+    SlotFrames.encodeCall(List.of(SlotFrames.callSection(attempt, partId)));
+    if (attemptCount % NO_ANSWER_EVERY == 0) {
       return;
     }
-    ByteBuffer frame = SlotFrames.result(partId, statusOf(attempts), VALUE);
+    ByteBuffer frame = SlotFrames.encodeResult(partId, statusOf(attemptCount), VALUE);
     new FrameCodec().read(frame, f -> submitResult(attempt, f));
   }
 
@@ -209,12 +215,12 @@
 
   @Override
   public void start(Effect.StartAttempt attempt) {
-    unanswered.add(attempt);
+    unansweredAttempts.add(attempt);
   }
 
   @Override
   public void cancel(Effect.CancelAttempt attempt) {
-    SlotFrames.cancel(String.valueOf(attempt.id().part()));
+    SlotFrames.encodeCancel(String.valueOf(attempt.id().part()));
     broker.submit(new Event.AttemptCancelled(attempt.id()));
   }
 
@@ -238,8 +244,8 @@
     // There are no connections.
   }
 
-  /** Hands one parsed query to the front, as a listener would, and counts its answer. */
-  private final class Client implements HttpParser.Sink, HttpServer.Exchange {
+  /** Passes one parsed query to the front, as an HTTP listener would, and counts the answer. */
+  private final class SyntheticClient implements HttpParser.Sink, HttpServer.Exchange {
     private HttpHead requestHead;
     private byte[] requestBody = new byte[0];
 
--- a/src/test/java/bitternpulley/platform/SlotCancellationTest.java
+++ b/src/test/java/bitternpulley/platform/SlotCancellationTest.java
@@ -17,33 +17,33 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Cancellation of parts before and after they were sent. */
+/** Cancellation of parts before and after they are sent. */
 public class SlotCancellationTest extends SlotServersHarness {
 
-  /** A retry waits for a connection, and its idempotency window ends meanwhile. */
+  /** While a retry waits for a connection, its idempotency window may end. */
   @Test
-  public void sendsNothingAfterItsLastSendTime() throws Exception {
+  public void doesNotSendAnAttemptAfterItsSendByTime() throws Exception {
     double[] now = {0};
     servers = builder().clock(() -> now[0]).build();
     loop.execute(
         () -> {
           servers.setAddress("s", address());
           servers.start(new Effect.StartAttempt(new AttemptId(0, 1), request, 0, "s", 2000, 0));
-          now[0] = 1; // before it can come up
+          now[0] = 1; // before the connection is established
           servers.start(attempt(1, 0));
         });
     try (Socket first = server.accept()) {
-      assertEquals(readFrame(first), call(1), "the first frame sent over it");
+      assertEquals(readFrame(first), callFrame(1), "the first frame on the connection");
       assertEquals(outcomes(1), List.of("0 NOT_SENT"));
       start(0, 2);
-      assertEquals(readFrame(first), call(0), "its id has not been used there");
+      assertEquals(readFrame(first), callFrame(0), "its id was not used on the connection");
     }
   }
 
-  /** A drain may be received while a part waits for its connection. */
+  /** A drain may be received while a part waits for a connection. */
   @Test
-  public void cancelUnsentToAServerEndsWhatWaitsForAConnection() throws Exception {
-    // In one turn, so that the connection has no chance to come up in between.
+  public void cancelUnsentToEndsAttemptsThatWaitForAConnection() throws Exception {
+    // In one turn of the event loop, so that the connection cannot be established in between.
     loop.execute(
         () -> {
           servers.start(attempt(0, 0));
@@ -52,80 +52,83 @@
     assertEquals(outcomes(1), List.of("0 NOT_SENT"));
     start(1, 0);
     try (Socket ended = server.accept()) {
-      assertEquals(ended.getInputStream().read(), -1, "not a byte of it was sent");
+      assertEquals(ended.getInputStream().read(), -1, "not a byte of the call was sent");
     }
     try (Socket sent = server.accept()) {
-      assertEquals(readFrame(sent), call(1));
+      assertEquals(readFrame(sent), callFrame(1));
       loop.execute(() -> servers.cancelUnsentTo("s"));
-      answer(sent, 1);
-      assertEquals(outcomes(2), List.of("0 NOT_SENT", "1 OK"), "what was sent is awaited");
+      sendResult(sent, 1);
+      assertEquals(outcomes(2), List.of("0 NOT_SENT", "1 OK"), "a part that was sent is awaited");
     }
   }
 
-  /** The next attempt, at a nearer server, must not overtake the cancellation. */
+  /** The next attempt may go to a nearer server and must not overtake the cancellation. */
   @Test
-  public void reportsACancellationOnceItHasHadTheTimeToArrive() throws Exception {
+  public void reportsACancellationAfterItHadTimeToArrive() throws Exception {
     double[] now = {0};
     servers = builder().clock(() -> now[0]).build();
     loop.execute(
         () -> {
           servers.setAddress("s", address());
           servers.start(attempt(0, 0));
-          now[0] = 80; // the time that the connection takes to come up
+          now[0] = 80; // the time taken to connect
         });
     try (Socket socket = server.accept()) {
-      assertEquals(readFrame(socket), call(0));
+      assertEquals(readFrame(socket), callFrame(0));
       long before = System.nanoTime();
       cancel(0);
-      assertEquals(readFrame(socket), cancellation(0), "it is sent at once");
+      assertEquals(readFrame(socket), cancelFrame(0), "the cancellation is sent at once");
       awaitEvents(1);
       assertEquals(events, List.of(new Event.AttemptCancelled(new AttemptId(0, 0))));
       assertTrue(System.nanoTime() - before >= 80_000_000);
     }
   }
 
-  /** Where cancellation is forbidden, what was sent must not be cancelled. */
+  /** If cancellation is forbidden, a part that was sent must not be cancelled. */
   @Test
   public void cancelUnsentEndsAnAttemptOnlyBeforeItsFirstByte() throws Exception {
     loop.execute(
         () -> {
           servers.start(attempt(0, 0));
-          cancelUnsentNow(0);
+          cancelUnsentOnLoop(0);
         });
     assertEquals(outcomes(1), List.of("0 NOT_SENT"));
     start(1, 0);
     try (Socket socket = server.accept()) {
       assertEquals(
-          readFrame(socket), call(1), "over the connection that is up, and nothing of the other");
-      loop.execute(() -> cancelUnsentNow(1));
-      answer(socket, 1);
+          readFrame(socket),
+          callFrame(1),
+          "over the established connection, without the cancelled part");
+      loop.execute(() -> cancelUnsentOnLoop(1));
+      sendResult(socket, 1);
       assertEquals(outcomes(2), List.of("0 NOT_SENT", "1 OK"));
     }
   }
 
   /**
-   * Connects to a listener until its backlog is full, so that the next connection comes up late.
+   * Connects to a listener until its backlog is full, so that the next connection is established
+   * late.
    */
   private static List<Socket> fillBacklog(ServerSocket listener) throws IOException {
-    List<Socket> accepted = new ArrayList<>();
+    List<Socket> connected = new ArrayList<>();
     try {
       for (int i = 0; i < 16; i++) {
         Socket socket = new Socket();
-        accepted.add(socket);
+        connected.add(socket);
         socket.connect(listener.getLocalSocketAddress(), 200);
       }
-      throw new AssertionError("the backlog is never full");
-    } catch (SocketTimeoutException e) {
-      accepted.remove(accepted.size() - 1).close();
+      throw new AssertionError("the backlog did not become full");
+    } catch (SocketTimeoutException backlogFull) {
+      connected.remove(connected.size() - 1).close();
     }
-    return accepted;
+    return connected;
   }
 
   @Test
-  public void sendsNothingCancelledBeforeALateConnectionIsUp() throws Exception {
+  public void doesNotSendAPartCancelledBeforeTheConnectionIsUp() throws Exception {
     try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      busy.setSoTimeout(PATIENCE_MS);
-      List<Socket> before = fillBacklog(busy);
+      busy.setSoTimeout(TIMEOUT_MS);
+      List<Socket> backlog = fillBacklog(busy);
       loop.execute(() -> servers.setAddress("s", new HostPort("127.0.0.1", busy.getLocalPort())));
       start(0, 0);
       start(1, 0);
@@ -134,14 +137,14 @@
       assertEquals(
           events,
           List.of(new Event.AttemptCancelled(new AttemptId(0, 0))),
-          "at once: it was never sent");
-      for (Socket socket : before) {
+          "reported at once, since the part was never sent");
+      for (Socket socket : backlog) {
         busy.accept().close();
         socket.close();
       }
       try (Socket late = busy.accept()) {
-        assertEquals(readFrame(late), call(1), "and only that");
-        answer(late, 1);
+        assertEquals(readFrame(late), callFrame(1), "only the part that was not cancelled");
+        sendResult(late, 1);
         awaitEvents(2);
         loop.execute(() -> servers.forget("s"));
         assertEquals(late.getInputStream().read(), -1);
@@ -154,14 +157,14 @@
     start(0, 0);
     start(1, 0);
     try (Socket socket = server.accept()) {
-      assertEquals(readFrame(socket), call(0));
-      assertEquals(readFrame(socket), call(1));
+      assertEquals(readFrame(socket), callFrame(0));
+      assertEquals(readFrame(socket), callFrame(1));
       cancel(0);
-      assertEquals(readFrame(socket), cancellation(0));
+      assertEquals(readFrame(socket), cancelFrame(0));
       awaitEvents(1);
       assertEquals(events, List.of(new Event.AttemptCancelled(new AttemptId(0, 0))));
-      answer(socket, 0);
-      socket.getOutputStream().write(result(1, "00000000000000bb"));
+      sendResult(socket, 0);
+      socket.getOutputStream().write(resultFrame(1, "00000000000000bb"));
       awaitEvents(2);
       assertEquals(((Event.AttemptEnded) events.get(1)).attempt(), new AttemptId(1, 0));
       assertEquals(((Event.AttemptEnded) events.get(1)).outcome(), Router.Outcome.OK);
@@ -169,14 +172,14 @@
   }
 
   @Test
-  public void cancelUnsentTakesAPartOutOfItsCall() throws Exception {
+  public void cancelUnsentRemovesAPartFromItsCall() throws Exception {
     loop.execute(
         () -> {
           servers.startCall(List.of(attempt(0, 0), attempt(1, 0), attempt(2, 0)));
-          cancelUnsentNow(1);
+          cancelUnsentOnLoop(1);
         });
     try (Socket first = server.accept()) {
-      assertEquals(readFrame(first), call(0, 2));
+      assertEquals(readFrame(first), callFrame(0, 2));
       assertEquals(outcomes(1), List.of("1 NOT_SENT"));
     }
   }
--- a/src/test/java/bitternpulley/platform/SlotConnectionEndTest.java
+++ b/src/test/java/bitternpulley/platform/SlotConnectionEndTest.java
@@ -9,18 +9,18 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** How attempts end with their connection. */
+/** The outcomes of attempts when their connection ends. */
 public class SlotConnectionEndTest extends SlotServersHarness {
 
   @Test
-  public void partsInFlightOnARetiredConnectionEndWithIt() throws Exception {
+  public void resetsPartsInFlightWhenARetiredConnectionEnds() throws Exception {
     start(0, 0);
     start(1, 0);
     try (Socket first = server.accept()) {
-      assertEquals(readFrame(first), call(0));
-      assertEquals(readFrame(first), call(1));
+      assertEquals(readFrame(first), callFrame(0));
+      assertEquals(readFrame(first), callFrame(1));
       cancel(0);
-      assertEquals(readFrame(first), cancellation(0));
+      assertEquals(readFrame(first), cancelFrame(0));
       awaitEvents(1);
     }
     awaitEvents(2);
@@ -31,9 +31,11 @@
             new Event.AttemptEnded(new AttemptId(1, 0), Router.Outcome.RESET, null)));
   }
 
-  /** The end of one attempt may lead to the cancellation of another on the same connection. */
+  /**
+   * The owner may respond to the end of one attempt by cancelling another on the same connection.
+   */
   @Test
-  public void eachPartOnARefusedConnectionEndsThoughOneIsCancelledMeanwhile() throws Exception {
+  public void endsEachPartOnARefusedConnectionEvenIfOneIsCancelledMeanwhile() throws Exception {
     server.close();
     servers =
         new SlotServersBuilder(
@@ -41,7 +43,7 @@
                 event -> {
                   events.add(event);
                   if (event instanceof Event.AttemptEnded ended && ended.attempt().part() == 0) {
-                    cancelNow(1);
+                    cancelOnLoop(1);
                   }
                 })
             .build();
@@ -55,25 +57,25 @@
     assertEquals(outcomes(3), List.of("0 UNREACHABLE", "1 UNREACHABLE", "2 UNREACHABLE"));
   }
 
-  /** The parts may have run, and the incomplete result does not count. */
+  /** After a reset the parts may have run; the incomplete result does not count. */
   @Test
-  public void resetWithinAResultResetsEachPartOnce() throws Exception {
+  public void resetsEachPartOnceAfterAResetWithinAResult() throws Exception {
     start(0, 0);
     start(1, 0);
     try (Socket socket = server.accept()) {
-      assertEquals(readFrame(socket), call(0));
-      assertEquals(readFrame(socket), call(1));
-      socket.getOutputStream().write(result(0, VALUE), 0, 9);
+      assertEquals(readFrame(socket), callFrame(0));
+      assertEquals(readFrame(socket), callFrame(1));
+      socket.getOutputStream().write(resultFrame(0, VALUE), 0, 9);
       socket.setSoLinger(true, 0);
     }
     assertEquals(outcomes(2), List.of("0 RESET", "1 RESET"));
   }
 
   @Test
-  public void eachPartOfACallIsResetWhenItsConnectionEnds() throws Exception {
+  public void resetsEachPartOfACallWhenItsConnectionEnds() throws Exception {
     startCall(0, 1, 2);
     try (Socket first = server.accept()) {
-      assertEquals(readFrame(first), call(0, 1, 2));
+      assertEquals(readFrame(first), callFrame(0, 1, 2));
     }
     assertEquals(outcomes(3), List.of("0 RESET", "1 RESET", "2 RESET"));
   }
--- a/src/test/java/bitternpulley/platform/SlotConnectionPoolTest.java
+++ b/src/test/java/bitternpulley/platform/SlotConnectionPoolTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Which connection carries a call, and which connections are opened and closed. */
+/** Selection of the connection for a call, and opening and closing of connections. */
 public class SlotConnectionPoolTest extends SlotServersHarness {
 
   @Test
@@ -24,71 +24,74 @@
     start(0, 0);
     start(2, 0);
     try (Socket first = server.accept()) {
-      assertEquals(readFrame(first), call(0));
-      assertEquals(readFrame(first), call(2));
-      answer(first, 2);
+      assertEquals(readFrame(first), callFrame(0));
+      assertEquals(readFrame(first), callFrame(2));
+      sendResult(first, 2);
       assertEquals(outcomes(1), List.of("2 OK"));
       cancel(0);
-      assertEquals(readFrame(first), cancellation(0));
+      assertEquals(readFrame(first), cancelFrame(0));
       start(0, 1);
       try (Socket second = server.accept()) {
-        assertEquals(readFrame(second), call(0));
+        assertEquals(readFrame(second), callFrame(0));
         start(1, 0);
-        assertEquals(readFrame(first), call(1), "other parts still share the first");
+        assertEquals(readFrame(first), callFrame(1), "other parts still use the first connection");
       }
     }
   }
 
-  /** Such a connection may have died silently. */
+  /** A connection without input since the call was written may have died silently. */
   @Test
-  public void retiresAConnectionWithoutInputSinceACancelledPartWasSent() throws Exception {
+  public void retiresAConnectionWithoutInputSinceTheCancelledCallWasSent() throws Exception {
     start(0, 0);
     try (Socket first = server.accept()) {
-      assertEquals(readFrame(first), call(0));
+      assertEquals(readFrame(first), callFrame(0));
       cancel(0);
-      assertEquals(readFrame(first), cancellation(0));
+      assertEquals(readFrame(first), cancelFrame(0));
       assertEquals(first.getInputStream().read(), -1);
       start(1, 0);
       try (Socket second = server.accept()) {
-        assertEquals(readFrame(second), call(1));
+        assertEquals(readFrame(second), callFrame(1));
       }
     }
   }
 
-  /** A connection that ends right after an answer then takes no other call with it. */
+  /** If a connection ends right after an answer, no other call is lost with it. */
   @Test
   public void opensAConnectionForEachCallInFlightByDefault() throws Exception {
-    use(builder().buildWithDefaultCallsPerConnection());
+    useSlotServers(builder().buildWithDefaultCallsPerConnection());
     start(0, 0);
     start(1, 0);
     try (Socket first = server.accept();
         Socket second = server.accept()) {
       List<String> calls = List.of(readFrame(first), readFrame(second));
-      assertTrue(calls.containsAll(List.of(call(0), call(1))), calls.toString());
-      answer(first, calls.indexOf(call(0)) == 0 ? 0 : 1);
+      assertTrue(calls.containsAll(List.of(callFrame(0), callFrame(1))), calls.toString());
+      sendResult(first, calls.indexOf(callFrame(0)) == 0 ? 0 : 1);
       outcomes(1);
       start(2, 0);
-      assertEquals(readFrame(first), call(2), "over the one that is free again");
+      assertEquals(readFrame(first), callFrame(2), "over the connection that is idle again");
     }
   }
 
-  /** Its descriptor counts as free at once, not only when its end is reported. */
+  /**
+   * The descriptor of the closed connection counts as free at once, not only when the close is
+   * reported back.
+   */
   @Test
-  public void closesAnIdleConnectionToConnectToAnotherServer() throws Exception {
-    use(builder().maxConnections(1).buildWithDefaultCallsPerConnection());
+  public void closesAnIdleConnectionAtTheLimitToConnectToAnotherServer() throws Exception {
+    useSlotServers(builder().maxConnections(1).buildWithDefaultCallsPerConnection());
     InetAddress otherAddress = InetAddress.getByAddress(new byte[] {127, 0, 0, 2});
     try (ServerSocket other = new ServerSocket(0, 5, otherAddress)) {
       loop.execute(() -> servers.setAddress("t", new HostPort("127.0.0.2", other.getLocalPort())));
       start(0, 0);
       try (Socket first = server.accept()) {
-        assertEquals(readFrame(first), call(0));
-        answer(first, 0);
+        assertEquals(readFrame(first), callFrame(0));
+        sendResult(first, 0);
         outcomes(1);
         loop.execute(
             () ->
                 servers.start(new Effect.StartAttempt(new AttemptId(1, 0), request, 1, "t", 2000)));
         try (Socket second = other.accept()) {
-          assertEquals(readFrame(second), call(1));
+          assertEquals(readFrame(second), callFrame(1));
           assertEquals(first.getInputStream().read(), -1);
         }
       }
@@ -102,7 +105,7 @@
     try (Socket socket = server.accept()) {
       loop.execute(() -> servers.prewarm("s"));
       start(0, 0);
-      assertEquals(readFrame(socket), call(0));
+      assertEquals(readFrame(socket), callFrame(0));
       server.setSoTimeout(1);
       assertThrows(SocketTimeoutException.class, () -> server.accept());
     }
@@ -115,49 +118,50 @@
   public void closesTheConnectionsOfAForgottenServerOnceTheirPartsHaveEnded() throws Exception {
     start(0, 0);
     try (Socket socket = server.accept()) {
-      assertEquals(readFrame(socket), call(0));
+      assertEquals(readFrame(socket), callFrame(0));
       loop.execute(() -> servers.forget("s"));
-      answer(socket, 0);
-      assertEquals(outcomes(1), List.of("0 OK"), "what is in flight is awaited");
+      sendResult(socket, 0);
+      assertEquals(outcomes(1), List.of("0 OK"), "a part in flight is awaited");
       assertEquals(socket.getInputStream().read(), -1);
     }
   }
 
-  /** A call must not cross the server's own close of such a connection. */
+  /** A call must not be sent while the server closes the idle connection. */
   @Test
-  public void sendsNothingOverAConnectionIdleTooLongBeforeTheIdleCheck() throws Exception {
+  public void doesNotUseAConnectionIdleForTooLongBeforeTheIdleCheck() throws Exception {
     double[] now = {0};
-    use(builder().clock(() -> now[0]).keepAliveMs(1000).build());
+    useSlotServers(builder().clock(() -> now[0]).keepAliveMs(1000).build());
     start(0, 0);
     try (Socket idle = server.accept()) {
-      assertEquals(readFrame(idle), call(0));
-      answer(idle, 0);
+      assertEquals(readFrame(idle), callFrame(0));
+      sendResult(idle, 0);
       assertEquals(outcomes(1), List.of("0 OK"));
       loop.execute(() -> now[0] = 801);
       start(1, 0);
       try (Socket fresh = server.accept()) {
-        assertEquals(readFrame(fresh), call(1));
-        assertEquals(idle.getInputStream().read(), -1, "not a byte of it");
+        assertEquals(readFrame(fresh), callFrame(1));
+        assertEquals(
+            idle.getInputStream().read(), -1, "not a byte was sent over the idle connection");
       }
     }
   }
 
-  /** A server that accepts no more connections must not count as down or restarted. */
+  /** A server that accepts no more connections must not be treated as down or restarted. */
   @Test
-  public void movesCallsOfARefusedConnectionToOneThatIsUp() throws Exception {
+  public void movesCallsOfARefusedConnectionToAnEstablishedOne() throws Exception {
     for (int part = 0; part < 4; part++) {
       start(part, 0);
     }
     try (Socket first = server.accept()) {
       for (int part = 0; part < 4; part++) {
-        assertEquals(readFrame(first), call(part));
+        assertEquals(readFrame(first), callFrame(part));
       }
       server.close();
       start(4, 0);
-      assertEquals(readFrame(first), call(4));
+      assertEquals(readFrame(first), callFrame(4));
       start(5, 0);
-      assertEquals(readFrame(first), call(5));
-      answer(first, 4);
+      assertEquals(readFrame(first), callFrame(5));
+      sendResult(first, 4);
       assertEquals(outcomes(1), List.of("4 OK"));
     }
     awaitEvents(6);
@@ -166,6 +170,6 @@
     assertTrue(
         events.contains(
             new Event.AttemptEnded(new AttemptId(6, 0), Router.Outcome.UNREACHABLE, null)),
-        "with none up a refusal is one");
+        "without an established connection, a refusal ends the attempt");
   }
 }
--- a/src/test/java/bitternpulley/platform/SlotFramesTest.java
+++ b/src/test/java/bitternpulley/platform/SlotFramesTest.java
@@ -34,7 +34,7 @@
     assertNull(rejected.value());
   }
 
-  /** Unusable results, each with its defect. */
+  /** Results that cannot be used, each with its defect. */
   @DataProvider
   public Object[][] unusableResults() {
     return new Object[][] {
@@ -50,7 +50,7 @@
   }
 
   @Test(dataProvider = "unusableResults")
-  public void unusableResultNamesPeerMessageAndDefect(String rest, String defect) {
+  public void unusableResultNamesServerMessageAndDefect(String rest, String defect) {
     try {
       SlotFrames.decodeResult("s-1", bytes(rest));
     } catch (ProtocolException expected) {
@@ -61,7 +61,7 @@
   }
 
   @Test
-  public void frameTypesAreKnownByTheirLetters() {
+  public void findsFrameTypesByTheirLetters() {
     for (FrameType type : FrameType.values()) {
       assertEquals(FrameType.ofLetter(type.letter()), type);
     }
@@ -69,7 +69,7 @@
   }
 
   @Test
-  public void valueIsCompleteOnlyInTheProtocolsForm() {
+  public void valueIsCompleteOnlyInTheFormatOfTheProtocol() {
     assertTrue(SlotFrames.isCompleteValue(new PartValue(bytes("00000000000000aa"))));
     assertFalse(SlotFrames.isCompleteValue(new PartValue(bytes("000000000"))));
   }
--- a/src/test/java/bitternpulley/platform/SlotResultsTest.java
+++ b/src/test/java/bitternpulley/platform/SlotResultsTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Results of parts and calls, and what a violation of the protocol costs. */
+/** Results of parts and calls, and the consequences of protocol violations. */
 public class SlotResultsTest extends SlotServersHarness {
 
   private static void write(Socket socket, byte[] first, byte[] second) throws IOException {
@@ -20,7 +20,7 @@
     socket.getOutputStream().write(both);
   }
 
-  /** One unusable result must not count against the server for all that was in flight. */
+  /** One unusable result must not count against the server for all parts in flight. */
   @Test
   public void unusableResultFailsItsOwnPartAndCancelsTheOthers() throws Exception {
     start(0, 0);
@@ -28,23 +28,27 @@
     start(2, 0);
     try (Socket socket = server.accept()) {
       for (int part = 0; part < 3; part++) {
-        assertEquals(readFrame(socket), call(part));
+        assertEquals(readFrame(socket), callFrame(part));
       }
       byte[] unusable = FrameCodec.encode('5', ascii("q.1 ? 7 -\n" + VALUE)).array();
-      write(socket, result(2, VALUE), unusable);
+      write(socket, resultFrame(2, VALUE), unusable);
       assertEquals(outcomes(3), List.of("0 CANCELLED", "1 ERROR", "2 OK"));
-      assertEquals(socket.getInputStream().read(), -1, "the connection is of no further use");
+      assertEquals(
+          socket.getInputStream().read(), -1, "the connection is closed after the violation");
     }
   }
 
-  /** A value cut short by its length leaves bytes that look like garbage after a valid result. */
+  /**
+   * A frame length that is too small truncates the value, and the rest of the value looks like
+   * garbage after a valid result.
+   */
   @Test
-  public void garbageAfterAResultFailsItOnlyIfItsValueIsCutShort() throws Exception {
+  public void garbageAfterAResultFailsItOnlyIfItsValueIsTruncated() throws Exception {
     for (int part = 0; part < 2; part++) {
       start(part, 0);
       try (Socket socket = server.accept()) {
-        assertEquals(readFrame(socket), call(part));
-        write(socket, result(part, part == 0 ? VALUE : "000000000"), ascii("0000bad"));
+        assertEquals(readFrame(socket), callFrame(part));
+        write(socket, resultFrame(part, part == 0 ? VALUE : "000000000"), ascii("0000bad"));
         outcomes(part + 1);
         assertEquals(socket.getInputStream().read(), -1);
       }
@@ -56,23 +60,23 @@
   public void duplicateResultIsIgnored() throws Exception {
     start(0, 0);
     try (Socket socket = server.accept()) {
-      assertEquals(readFrame(socket), call(0));
-      answer(socket, 0);
+      assertEquals(readFrame(socket), callFrame(0));
+      sendResult(socket, 0);
       assertEquals(outcomes(1), List.of("0 OK"));
       start(1, 0);
-      assertEquals(readFrame(socket), call(1), "over the same connection");
-      answer(socket, 0);
-      socket.getOutputStream().write(result(1, "00000000000000bb"));
+      assertEquals(readFrame(socket), callFrame(1), "over the same connection");
+      sendResult(socket, 0);
+      socket.getOutputStream().write(resultFrame(1, "00000000000000bb"));
       assertEquals(outcomes(2), List.of("0 OK", "1 OK"));
     }
   }
 
   @Test
-  public void resultThatStaysIncompleteFailsItsPart() throws Exception {
+  public void incompleteResultFailsItsPartAfterTheFrameTimeout() throws Exception {
     start(0, 0);
     try (Socket socket = server.accept()) {
-      assertEquals(readFrame(socket), call(0));
-      socket.getOutputStream().write(result(0, VALUE), 0, 9);
+      assertEquals(readFrame(socket), callFrame(0));
+      socket.getOutputStream().write(resultFrame(0, VALUE), 0, 9);
       assertEquals(outcomes(1), List.of("0 ERROR"));
       assertEquals(socket.getInputStream().read(), -1);
     }
@@ -82,27 +86,27 @@
   public void frameRejectedByTheServerFailsItsPart() throws Exception {
     start(0, 0);
     try (Socket socket = server.accept()) {
-      assertEquals(readFrame(socket), call(0));
+      assertEquals(readFrame(socket), callFrame(0));
       socket.getOutputStream().write(FrameCodec.encode('X', ascii("what is this")).array());
       assertEquals(outcomes(1), List.of("0 ERROR"));
       assertEquals(socket.getInputStream().read(), -1);
     }
   }
 
-  /** Servers are charged by the call, not by the part. */
+  /** Servers are charged for each call, not for each part. */
   @Test
-  public void partsOfACallShareAFrameAndEndOneByOne() throws Exception {
+  public void partsOfACallShareAFrameAndEndIndependently() throws Exception {
     startCall(0, 2, 5);
     startCall(1, 3);
     try (Socket first = server.accept()) {
-      assertEquals(readFrame(first), call(0, 2, 5));
-      assertEquals(readFrame(first), call(1, 3));
-      answer(first, 2);
-      answer(first, 3);
+      assertEquals(readFrame(first), callFrame(0, 2, 5));
+      assertEquals(readFrame(first), callFrame(1, 3));
+      sendResult(first, 2);
+      sendResult(first, 3);
       assertEquals(outcomes(2), List.of("2 OK", "3 OK"));
       cancel(5);
-      assertEquals(readFrame(first), cancellation(5), "one part of a call is cancelled by itself");
-      answer(first, 0);
+      assertEquals(readFrame(first), cancelFrame(5), "one part of a call can be cancelled alone");
+      sendResult(first, 0);
       awaitEvents(4);
       assertTrue(events.contains(new Event.AttemptCancelled(new AttemptId(5, 0))));
       assertTrue(
@@ -112,14 +116,14 @@
   }
 
   @Test
-  public void callOfMorePartsThanAConnectionCarriesIsSentPartByPart() throws Exception {
-    use(builder().partsPerConnection(2).build());
+  public void callWithTooManyPartsForAConnectionIsSentPartByPart() throws Exception {
+    useSlotServers(builder().partsPerConnection(2).build());
     startCall(0, 1, 2);
     try (Socket first = server.accept();
         Socket second = server.accept()) {
-      assertEquals(readFrame(first), call(0));
-      assertEquals(readFrame(first), call(1));
-      assertEquals(readFrame(second), call(2));
+      assertEquals(readFrame(first), callFrame(0));
+      assertEquals(readFrame(first), callFrame(1));
+      assertEquals(readFrame(second), callFrame(2));
     }
   }
 }
--- a/src/test/java/bitternpulley/platform/SlotServersBuilder.java
+++ b/src/test/java/bitternpulley/platform/SlotServersBuilder.java
@@ -6,7 +6,7 @@
 import bitternpulley.net.EventLoop;
 import java.util.function.Consumer;
 
-/** Builds slot servers for tests, whose connections carry several calls unless said otherwise. */
+/** Builds slot servers for tests; by default a connection carries several calls. */
 final class SlotServersBuilder {
   private static final double CONNECT_TIMEOUT_MS = 5000;
 
@@ -48,7 +48,9 @@
         loop, events, clock, settings(), CONNECT_TIMEOUT_MS, maxConnections, callsPerConnection);
   }
 
-  /** Builds them as the program does, with the calls for each connection that it chooses. */
+  /**
+   * Builds slot servers as the program does, with the default number of calls for each connection.
+   */
   SlotServers buildWithDefaultCallsPerConnection() {
     return new SlotServers(loop, events, clock, settings(), CONNECT_TIMEOUT_MS, maxConnections);
   }
--- a/src/test/java/bitternpulley/platform/SlotServersHarness.java
+++ b/src/test/java/bitternpulley/platform/SlotServersHarness.java
@@ -22,15 +22,19 @@
 import org.testng.annotations.BeforeMethod;
 
 /**
- * Slot servers with one query of nine parts, and one slot server "s", whose side the test plays.
+ * Provides {@link SlotServers} with one query of nine parts and one slot server "s", which the test
+ * plays.
  */
 abstract class SlotServersHarness {
-  static final int PATIENCE_MS = 30_000;
+  static final int TIMEOUT_MS = 30_000;
 
   /** A complete value of a part. */
   static final String VALUE = "00000000000000aa";
 
-  /** Each test has its own: the end of a connection may be reported after the test that left it. */
+  /**
+   * A new list for each test, since the end of a connection may be reported after the test that
+   * opened it.
+   */
   List<Event> events;
 
   EventLoop loop;
@@ -39,7 +43,7 @@
   Request request;
 
   @BeforeMethod
-  public void listen() throws IOException {
+  public void setUp() throws IOException {
     events = new CopyOnWriteArrayList<>();
     loop = new EventLoop();
     servers = builder().build();
@@ -56,12 +60,12 @@
             parts,
             new PlatformQuery("q", 0, 3000, false, null, "f", parts, null));
     server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-    server.setSoTimeout(PATIENCE_MS);
+    server.setSoTimeout(TIMEOUT_MS);
     setAddress();
   }
 
   @AfterMethod
-  public void close() throws IOException {
+  public void tearDown() throws IOException {
     server.close();
   }
 
@@ -77,18 +81,18 @@
     loop.execute(() -> servers.setAddress("s", address()));
   }
 
-  /** Uses other slot servers, which know the address of the server. */
-  void use(SlotServers others) {
-    servers = others;
+  /** Switches to other slot servers and sets the address of server "s". */
+  void useSlotServers(SlotServers replacement) {
+    servers = replacement;
     setAddress();
   }
 
-  Effect.StartAttempt attempt(int part, int number) {
-    return new Effect.StartAttempt(new AttemptId(part, number), request, part, "s", 2000);
+  Effect.StartAttempt attempt(int part, int attemptNumber) {
+    return new Effect.StartAttempt(new AttemptId(part, attemptNumber), request, part, "s", 2000);
   }
 
-  void start(int part, int number) {
-    loop.execute(() -> servers.start(attempt(part, number)));
+  void start(int part, int attemptNumber) {
+    loop.execute(() -> servers.start(attempt(part, attemptNumber)));
   }
 
   void startCall(Integer... parts) {
@@ -96,21 +100,21 @@
   }
 
   void cancel(int part) {
-    loop.execute(() -> cancelNow(part));
+    loop.execute(() -> cancelOnLoop(part));
   }
 
-  /** Cancels in this turn of the loop. */
-  void cancelNow(int part) {
+  /** Cancels immediately; must be called on the event loop. */
+  void cancelOnLoop(int part) {
     servers.cancel(new Effect.CancelAttempt(new AttemptId(part, 0), request, "s"));
   }
 
-  /** Cancels in this turn of the loop, unless a byte was sent. */
-  void cancelUnsentNow(int part) {
+  /** Cancels immediately, unless a byte was sent; must be called on the event loop. */
+  void cancelUnsentOnLoop(int part) {
     servers.cancelUnsent(new Effect.CancelUnsent(new AttemptId(part, 0), request));
   }
 
   static String readFrame(Socket socket) throws IOException {
-    socket.setSoTimeout(PATIENCE_MS);
+    socket.setSoTimeout(TIMEOUT_MS);
     DataInputStream in = new DataInputStream(socket.getInputStream());
     byte[] frame = in.readNBytes(Integer.reverseBytes(in.readInt()));
     return new String(frame, StandardCharsets.US_ASCII);
@@ -120,35 +124,38 @@
     return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** The frame of a call of these parts. */
-  static String call(int... parts) {
+  /** Returns the text of the frame that calls these parts. */
+  static String callFrame(int... parts) {
     return "1"
         + IntStream.of(parts)
             .mapToObj(part -> "q." + part + " " + part + " d=2000 1\nf")
             .collect(Collectors.joining());
   }
 
-  /** The frame that cancels a part. */
-  static String cancellation(int part) {
+  /** Returns the text of the frame that cancels a part. */
+  static String cancelFrame(int part) {
     return "2q." + part;
   }
 
-  static byte[] result(int part, String value) {
+  static byte[] resultFrame(int part, String value) {
     return FrameCodec.encode('5', ascii("q." + part + " S 7 -\n" + value)).array();
   }
 
-  static void answer(Socket socket, int part) throws IOException {
-    socket.getOutputStream().write(result(part, VALUE));
+  static void sendResult(Socket socket, int part) throws IOException {
+    socket.getOutputStream().write(resultFrame(part, VALUE));
   }
 
   void awaitEvents(int count) throws InterruptedException {
-    long end = System.currentTimeMillis() + PATIENCE_MS;
-    while (events.size() < count && System.currentTimeMillis() < end) {
+    long deadline = System.currentTimeMillis() + TIMEOUT_MS;
+    while (events.size() < count && System.currentTimeMillis() < deadline) {
       Thread.sleep(1);
     }
   }
 
-  /** All ends of attempts, by part, once there are this many. */
+  /**
+   * Waits for this number of events and returns the outcomes of all ended attempts, ordered by
+   * part.
+   */
   List<String> outcomes(int count) throws InterruptedException {
     awaitEvents(count);
     return events.stream()
--- a/src/test/java/bitternpulley/platform/WarmupQueriesTest.java
+++ b/src/test/java/bitternpulley/platform/WarmupQueriesTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** The synthetic queries that warm up the JVM at the start. */
+/** The synthetic queries that warm up the JVM at startup. */
 public class WarmupQueriesTest {
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
@@ -24,7 +24,7 @@
   }
 
   @Test
-  public void mostQueriesAreAnswered() {
+  public void answersMostQueries() {
     WarmupQueries warmup = warmup(new EventLoop());
     for (int i = 0; i < 100; i++) {
       warmup.runOne();
@@ -34,7 +34,7 @@
   }
 
   @Test
-  public void isShortInALargeFleet() throws InterruptedException {
+  public void runsFewQueriesInALargeFleet() throws InterruptedException {
     EventLoop loop = new EventLoop();
     WarmupQueries warmup = warmup(loop);
     CountDownLatch done = new CountDownLatch(1);
@@ -44,7 +44,7 @@
   }
 
   @Test
-  public void continuesInTheBackgroundAndEnds() throws InterruptedException {
+  public void continuesInTheBackgroundUntilAllQueriesHaveRun() throws InterruptedException {
     EventLoop loop = new EventLoop();
     WarmupQueries warmup = warmup(loop);
     loop.execute(warmup::continueInBackground);
@@ -93,14 +93,14 @@
   }
 
   @Test
-  public void largestQueryFollowsFromTheSettings() {
+  public void limitsTheLargestQueryBySettings() {
     assertEquals(maxParts(3500, 393, MAX_BODY_BYTES), 130);
     assertEquals(maxParts(24, 200, MAX_BODY_BYTES), 24);
     assertEquals(maxParts(3500, Integer.MAX_VALUE, 4096), 63);
   }
 
   @Test
-  public void queriesAreAnsweredWhereShardsAreMany() {
+  public void answersMostQueriesWithManyShards() {
     WarmupQueries warmup =
         new WarmupQueries(settingsWith(3500, 393), MAX_BODY_BYTES, new EventLoop());
     for (int i = 0; i < 30; i++) {
