--- a/src/main/java/bitternpulley/opensearch/HitMerger.java
+++ b/src/main/java/bitternpulley/opensearch/HitMerger.java
@@ -15,29 +15,29 @@
   private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
 
   /**
-   * Descending score; ties go by part, then by position within the part, so that the order is the
-   * same each time.
+   * Descending score; ties are broken by part, then by position within the part, so that the order
+   * is deterministic.
    */
   private static final Comparator<RankedHit> RANKING =
       Comparator.comparingDouble((RankedHit hit) -> -hit.score())
-          .thenComparingInt(RankedHit::part)
+          .thenComparingInt(RankedHit::partIndex)
           .thenComparingInt(RankedHit::position);
 
   private HitMerger() {}
 
-  private record RankedHit(double score, int part, int position, JsonNode document) {}
+  private record RankedHit(double score, int partIndex, int position, JsonNode document) {}
 
   /**
-   * The {@code hits} object of a response.
+   * Returns the {@code hits} object of a response.
    *
    * @param search the search
-   * @param values the hits of the parts that arrived, by position of the part
+   * @param answeredParts the hits of each answered part, by position of the part in the search
    */
-  static ObjectNode merge(Search search, Map<Integer, Payload> values) {
-    List<RankedHit> ranked = rank(values);
+  static ObjectNode merge(Search search, Map<Integer, Payload> answeredParts) {
+    List<RankedHit> ranked = rank(answeredParts);
     ObjectNode hits = JSON.objectNode();
     if (search.countsTotalHits()) {
-      hits.set("total", total(search.totalHitsLimit(), values));
+      hits.set("total", total(search.totalHitsLimit(), answeredParts));
     }
     hits.set("max_score", maxScore(ranked));
     ArrayNode window = JSON.arrayNode();
@@ -49,13 +49,13 @@
     return hits;
   }
 
-  private static List<RankedHit> rank(Map<Integer, Payload> values) {
+  private static List<RankedHit> rank(Map<Integer, Payload> answeredParts) {
     List<RankedHit> ranked = new ArrayList<>();
-    for (Map.Entry<Integer, Payload> value : values.entrySet()) {
+    for (Map.Entry<Integer, Payload> answeredPart : answeredParts.entrySet()) {
       int position = 0;
-      for (JsonNode hit : ((PartHits) value.getValue()).hits()) {
+      for (JsonNode hit : ((PartHits) answeredPart.getValue()).hits()) {
         double score = hit.path("_score").doubleValue();
-        ranked.add(new RankedHit(score, value.getKey(), position, hit));
+        ranked.add(new RankedHit(score, answeredPart.getKey(), position, hit));
         position++;
       }
     }
@@ -67,11 +67,11 @@
     return ranked.isEmpty() ? JSON.nullNode() : JSON.numberNode(ranked.get(0).score());
   }
 
-  private static ObjectNode total(long limit, Map<Integer, Payload> values) {
+  private static ObjectNode total(long limit, Map<Integer, Payload> answeredParts) {
     long total = 0;
     boolean isExact = true;
-    for (Payload value : values.values()) {
-      PartHits part = (PartHits) value;
+    for (Payload answeredPart : answeredParts.values()) {
+      PartHits part = (PartHits) answeredPart;
       total += Math.max(0, part.total());
       isExact &= part.isExact();
     }
--- a/src/main/java/bitternpulley/opensearch/MultiSearchReply.java
+++ b/src/main/java/bitternpulley/opensearch/MultiSearchReply.java
@@ -11,38 +11,39 @@
   private final SearchResponse[] responses;
   private final DoubleSupplier elapsedMs;
   private final Consumer<SearchResponse> onComplete;
-  private int missing;
+  private int remaining;
 
   /**
-   * Creates a reply without responses.
+   * Creates a reply that waits for the responses of all searches.
    *
-   * @param count the number of searches
+   * @param searchCount the number of searches
    * @param elapsedMs ms since the request was received
-   * @param onComplete receives the joint response once
+   * @param onComplete called once, with the combined response
    */
-  MultiSearchReply(int count, DoubleSupplier elapsedMs, Consumer<SearchResponse> onComplete) {
-    this.responses = new SearchResponse[count];
+  MultiSearchReply(
+      int searchCount, DoubleSupplier elapsedMs, Consumer<SearchResponse> onComplete) {
+    this.responses = new SearchResponse[searchCount];
     this.elapsedMs = elapsedMs;
     this.onComplete = onComplete;
-    this.missing = count;
+    this.remaining = searchCount;
   }
 
   /** Adds the response of one search; the last one completes the reply. */
   void add(int position, SearchResponse response) {
     responses[position] = response;
-    missing--;
-    if (missing == 0) {
-      onComplete.accept(jointResponse());
+    remaining--;
+    if (remaining == 0) {
+      onComplete.accept(combinedResponse());
     }
   }
 
-  private SearchResponse jointResponse() {
+  private SearchResponse combinedResponse() {
     ObjectNode body =
         JsonNodeFactory.instance.objectNode().put("took", Math.round(elapsedMs.getAsDouble()));
-    ArrayNode list = body.putArray("responses");
+    ArrayNode responseBodies = body.putArray("responses");
     long retryAfterSeconds = 0;
     for (SearchResponse response : responses) {
-      list.add(response.body().put("status", response.status()));
+      responseBodies.add(response.body().put("status", response.status()));
       retryAfterSeconds = Math.max(retryAfterSeconds, response.retryAfterSeconds());
     }
     return new SearchResponse(200, body, retryAfterSeconds);
--- a/src/main/java/bitternpulley/opensearch/PartFailure.java
+++ b/src/main/java/bitternpulley/opensearch/PartFailure.java
@@ -3,14 +3,14 @@
 import bitternpulley.broker.Payload;
 
 /**
- * Why a part failed, as its server put it.
+ * The error of a failed part, as its server reported it or as this instance found it.
  *
  * @param status the HTTP status
  * @param type the error type of the API
- * @param reason the text for people
+ * @param reason the human-readable description
  */
 record PartFailure(int status, String type, String reason) implements Payload {
-  /** The server answered for less than its whole part, or unreadably. */
+  /** The server's answer does not cover the whole part, or cannot be read. */
   static PartFailure incomplete() {
     return new PartFailure(
         500, "search_phase_execution_exception", "the server did not answer in whole");
--- a/src/main/java/bitternpulley/opensearch/PartHits.java
+++ b/src/main/java/bitternpulley/opensearch/PartHits.java
@@ -9,9 +9,9 @@
 /**
  * The hits of one part.
  *
- * @param total how many documents match; -1 where the server does not say
+ * @param total the number of matching documents; -1 if the server does not report it
  * @param isExact whether the total is exact; otherwise it is a lower bound
- * @param hits the best hits in order
+ * @param hits the best hits, in the order of the server's answer
  */
 record PartHits(long total, boolean isExact, List<JsonNode> hits) implements Payload {
   private static final long UNKNOWN_TOTAL = -1;
@@ -21,11 +21,11 @@
    *
    * @param answer the body of the answer
    * @param needsTotal whether an answer without a total is incomplete
-   * @return the hits; empty where the answer does not cover the whole part
+   * @return the hits; empty if the answer does not cover the whole part or its hits have no scores
    */
   static Optional<PartHits> read(JsonNode answer, boolean needsTotal) {
     JsonNode hits = answer.path("hits");
-    if (isCutShort(answer) || !areMergeable(hits.path("hits"))) {
+    if (isIncomplete(answer) || !areMergeable(hits.path("hits"))) {
       return Optional.empty();
     }
     JsonNode total = hits.path("total");
@@ -40,7 +40,7 @@
             StreamSupport.stream(hits.path("hits").spliterator(), false).toList()));
   }
 
-  private static boolean isCutShort(JsonNode answer) {
+  private static boolean isIncomplete(JsonNode answer) {
     return answer.path("timed_out").asBoolean(false)
         || answer.path("_shards").path("failed").asInt(0) > 0
         || answer.path("terminated_early").asBoolean(false);
--- a/src/main/java/bitternpulley/opensearch/PartRequestEncoder.java
+++ b/src/main/java/bitternpulley/opensearch/PartRequestEncoder.java
@@ -15,9 +15,9 @@
 
   private PartRequestEncoder() {}
 
-  /** The bytes of the request, head and body. */
+  /** Returns the bytes of the request, head and body. */
   static ByteBuffer encode(Effect.StartAttempt attempt, HostPort address) {
-    Search search = PendingSearch.of(attempt);
+    Search search = PendingSearch.searchOf(attempt);
     Search.Part part = search.parts().get(attempt.partIndex());
     byte[] body = body(search, attempt.timeout());
     byte[] head = head(search, part, address, body.length).getBytes(StandardCharsets.US_ASCII);
@@ -50,8 +50,8 @@
   }
 
   /**
-   * A server drops a request whose key it has seen, so each part of a search has a key of its own.
-   * All attempts of a part share it.
+   * Returns the header with the key of a part. Servers drop a request if they have already received
+   * its key, so each part of a search has a key of its own, which all attempts of the part share.
    */
   private static String idempotencyKeyHeader(Search search, String partName) {
     return search.idempotencyKey() == null
--- a/src/main/java/bitternpulley/opensearch/PartResponseDecoder.java
+++ b/src/main/java/bitternpulley/opensearch/PartResponseDecoder.java
@@ -13,11 +13,11 @@
 final class PartResponseDecoder {
   private PartResponseDecoder() {}
 
-  /** The event by which the attempt ends. */
+  /** Returns the event that reports the end of the attempt. */
   static Event decode(Effect.StartAttempt attempt, HttpClient.Response response) {
     JsonNode body = body(response);
     if (response.status() == 200) {
-      return successful(attempt, body);
+      return successEvent(attempt, body);
     }
     PartFailure failure = failure(response.status(), body.path("error"));
     if (response.status() == 400) {
@@ -27,7 +27,7 @@
     return new Event.AttemptEnded(attempt.id(), outcome, failure);
   }
 
-  /** The JSON body; a missing node if it is none. */
+  /** Returns the JSON body, or a missing node if the body is not JSON. */
   private static JsonNode body(HttpClient.Response response) {
     try {
       return StrictJson.read(response.body());
@@ -36,8 +36,8 @@
     }
   }
 
-  private static Event successful(Effect.StartAttempt attempt, JsonNode body) {
-    boolean needsTotal = PendingSearch.of(attempt).countsTotalHits();
+  private static Event successEvent(Effect.StartAttempt attempt, JsonNode body) {
+    boolean needsTotal = PendingSearch.searchOf(attempt).countsTotalHits();
     return PartHits.read(body, needsTotal)
         .map(hits -> new Event.AttemptEnded(attempt.id(), Outcome.OK, hits))
         .orElseGet(
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Whether the failure proves that nothing of the part has run. A tripped circuit breaker is a 429
-   * too, but proves nothing.
+   * Whether the failure proves that the server ran nothing of the part. A tripped circuit breaker
+   * has status 429 as well, but does not prove this.
    */
   private static boolean isRejection(PartFailure failure) {
     return failure.status() == 429 && failure.type().endsWith("rejected_execution_exception");
--- a/src/main/java/bitternpulley/opensearch/PendingSearch.java
+++ b/src/main/java/bitternpulley/opensearch/PendingSearch.java
@@ -5,14 +5,14 @@
 import java.util.function.Consumer;
 
 /**
- * A search in the core, with the recipient of its answer.
+ * A search that the core is answering, with the recipient of the answer.
  *
  * @param search the search
- * @param onAnswer receives the final answer once
+ * @param onAnswer called once, with the final answer
  */
 record PendingSearch(Search search, Consumer<Effect.Answer> onAnswer) implements Payload {
-  /** The search of an attempt that the core starts. */
-  static Search of(Effect.StartAttempt attempt) {
+  /** Returns the search that an attempt belongs to. */
+  static Search searchOf(Effect.StartAttempt attempt) {
     return ((PendingSearch) attempt.request().payload()).search();
   }
 }
