--- a/src/main/java/bitternpulley/opensearch/Search.java
+++ b/src/main/java/bitternpulley/opensearch/Search.java
@@ -6,16 +6,16 @@
 /**
  * A decoded search.
  *
- * @param id tells it from others in the servers' logs
- * @param parts its parts, one for each shard of each index
- * @param queryClass the position of its query class in the settings
- * @param from how many of the merged hits are skipped
- * @param size how many of the merged hits are returned
- * @param timeoutMs the client's timeout in ms; negative if it gave none
- * @param allowsPartialResults whether it may be answered from some of its parts
- * @param totalHitsLimit the number up to which matches are counted; negative to count none
+ * @param id identifies the search in the servers' logs
+ * @param parts the parts, one for each searched shard of each index
+ * @param queryClass the position of the query class in the settings
+ * @param from the number of merged hits to skip
+ * @param size the number of merged hits to return after the skipped ones
+ * @param timeoutMs the client's timeout in ms; negative if the client gave none
+ * @param allowsPartialResults whether a partial answer is allowed
+ * @param totalHitsLimit the number up to which matches are counted; negative for no count
  * @param idempotencyKey the client's idempotency key, or null
- * @param body the body that each part is sent with, except for its timeout
+ * @param body the request body for each part, without the timeout
  */
 record Search(
     String id,
--- a/src/main/java/bitternpulley/opensearch/SearchBodies.java
+++ b/src/main/java/bitternpulley/opensearch/SearchBodies.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Reads the bodies of requests: one search, or the lines of several. */
+/** Parses request bodies: a single search, or the lines of a multi-search. */
 final class SearchBodies {
   private static final int LINES_PER_SEARCH = 2;
   private static final Pattern LINE_END = Pattern.compile("\r?\n");
@@ -24,18 +24,18 @@
   private SearchBodies() {}
 
   /**
-   * One search of several.
+   * One search of a multi-search.
    *
-   * @param header the line that says where to search
-   * @param body the search itself
+   * @param header the header line, which names the indices and parameters
+   * @param body the body line, which holds the search itself
    */
   record Entry(JsonNode header, JsonNode body) {
-    /** The names of its indices, or the given ones if it names none. */
+    /** Returns the indices that the header names, or the default ones if it names none. */
     List<String> indicesOr(List<String> defaultIndices) {
       return header.hasNonNull("index") ? indexNames(header.get("index")) : defaultIndices;
     }
 
-    /** Its parameters. */
+    /** Returns the parameters in the header. */
     Map<String, String> parameters() {
       Map<String, String> parameters = new HashMap<>();
       for (String key : HEADER_PARAMETERS) {
@@ -48,14 +48,14 @@
   }
 
   /**
-   * Reads the searches of one request.
+   * Parses the body of a multi-search.
    *
-   * @param text a header line and a body line for each search
-   * @param maxSearches the most searches in one request
-   * @throws SearchException if the request as a whole cannot be used
+   * @param body a header line and a body line for each search
+   * @param maxSearches the maximum number of searches in one request
+   * @throws SearchException if the body is malformed or has too many searches
    */
-  static List<Entry> read(byte[] text, int maxSearches) {
-    List<JsonNode> lines = lines(text);
+  static List<Entry> parseMulti(byte[] body, int maxSearches) {
+    List<JsonNode> lines = lines(body);
     int count = lines.size() / LINES_PER_SEARCH;
     if (count > maxSearches) {
       throw SearchException.illegalArgument(
@@ -70,9 +70,9 @@
     return entries;
   }
 
-  /** Reads the body of one search; none counts as an empty object. */
-  static JsonNode readSingle(byte[] text) {
-    return text.length == 0 ? JsonNodeFactory.instance.objectNode() : json(text);
+  /** Parses the body of a single search; an empty body counts as an empty object. */
+  static JsonNode parseSingle(byte[] body) {
+    return body.length == 0 ? JsonNodeFactory.instance.objectNode() : parseJson(body);
   }
 
   private static List<JsonNode> lines(byte[] body) {
@@ -84,7 +84,7 @@
     List<JsonNode> lines = new ArrayList<>();
     for (String line : LINE_END.split(text, 0)) {
       byte[] bytes = line.isBlank() ? new byte[0] : line.getBytes(StandardCharsets.UTF_8);
-      lines.add(readSingle(bytes));
+      lines.add(parseSingle(bytes));
     }
     if (lines.isEmpty() || lines.size() % LINES_PER_SEARCH != 0) {
       throw SearchException.illegalArgument("a search is a header line and a body line");
@@ -115,7 +115,7 @@
     return names;
   }
 
-  private static JsonNode json(byte[] text) {
+  private static JsonNode parseJson(byte[] text) {
     try {
       return StrictJson.read(text);
     } catch (IOException exception) {
--- a/src/main/java/bitternpulley/opensearch/SearchCaller.java
+++ b/src/main/java/bitternpulley/opensearch/SearchCaller.java
@@ -4,16 +4,16 @@
 import bitternpulley.routing.Router;
 
 /**
- * What a request says of its sender.
+ * The sender of a request, and the delay that the request has met.
  *
- * @param keyOwner the owner of the API key
+ * @param keyOwner the result of the check of the API key
  * @param idempotencyKey the idempotency key, or null
- * @param lateness how late the request was read
+ * @param lateness by how much this instance delayed the request
  */
 record SearchCaller(
     TenantIdentification.KeyOwner keyOwner, String idempotencyKey, Router.Lateness lateness) {
-  /** The caller of one search of several, which has an idempotency key of its own. */
-  SearchCaller ofSearch(int position) {
+  /** Returns the caller of one search of a multi-search, with an idempotency key of its own. */
+  SearchCaller forSearch(int position) {
     return new SearchCaller(
         keyOwner, idempotencyKey == null ? null : idempotencyKey + "." + position, lateness);
   }
--- a/src/main/java/bitternpulley/opensearch/SearchDecoder.java
+++ b/src/main/java/bitternpulley/opensearch/SearchDecoder.java
@@ -13,10 +13,10 @@
 
 /**
  * Decodes one search. Its methods throw {@link SearchException} for a search that cannot be
- * answered correctly. A parameter of the request has precedence over the same key of the body.
+ * answered correctly. A parameter of the request takes precedence over the same key of the body.
  */
 final class SearchDecoder {
-  /** Matches that are counted unless a search says otherwise. */
+  /** Number up to which matches are counted unless the search sets another. */
   private static final long DEFAULT_TOTAL_HITS_LIMIT = 10_000;
 
   private static final int DEFAULT_SIZE = 10;
@@ -28,7 +28,10 @@
   private static final Pattern SHARDS_PREFERENCE =
       Pattern.compile(SHARDS_PREFERENCE_PREFIX + "[0-9]{1,6}(,[0-9]{1,6})*");
 
-  /** Body keys that each shard can handle alone, so that hits merged by score are correct. */
+  /**
+   * Body keys that are forwarded to the servers: each shard can handle them alone, and the hits
+   * merged by score are correct.
+   */
   private static final Set<String> FORWARDED_KEYS =
       Set.of(
           "query",
@@ -79,10 +82,10 @@
   /**
    * Decodes a search.
    *
-   * @param id the id that it gets
+   * @param id the id of the search
    * @param idempotencyKey the client's idempotency key, or null
-   * @param indexNames the indices to search; all if it is empty
-   * @param parameters the parameters that the client gave outside the body
+   * @param indexNames the indices to search; if empty, all configured indices
+   * @param parameters the parameters given in the URL or, for a multi-search, in the header line
    * @param body the body
    */
   Search decode(
@@ -128,7 +131,7 @@
     }
   }
 
-  /** Only hits in descending order of their score can be merged. */
+  /** Rejects any order but descending score, because only hits in that order can be merged. */
   private static void checkSort(JsonNode sort) {
     boolean isByScore = sort.isMissingNode();
     for (JsonNode criterion : sort.isArray() ? sort : List.of(sort)) {
@@ -149,22 +152,22 @@
         || order.path("order").asText("").equals("desc");
   }
 
-  private void checkResultWindow(long window) {
-    if (window > configuration.maxResultWindow()) {
+  private void checkResultWindow(long windowSize) {
+    if (windowSize > configuration.maxResultWindow()) {
       throw SearchException.illegalArgument(
           "Result window is too large, from + size must be less than or equal to: ["
               + configuration.maxResultWindow()
               + "] but was ["
-              + window
+              + windowSize
               + "]");
     }
   }
 
-  /** Each shard returns all hits that may be in the merged window. */
-  private static ObjectNode partBody(JsonNode body, int window, long totalHitsLimit) {
+  /** Returns the body for each part, which requests every hit that the merged window may hold. */
+  private static ObjectNode partBody(JsonNode body, int windowSize, long totalHitsLimit) {
     ObjectNode partBody = ((ObjectNode) body).deepCopy();
     partBody.remove(HANDLED_KEYS);
-    partBody.put("from", 0).put("size", window);
+    partBody.put("from", 0).put("size", windowSize);
     if (totalHitsLimit < 0) {
       partBody.put("track_total_hits", false);
     } else {
@@ -228,7 +231,7 @@
     return shards;
   }
 
-  /** The text of a setting that may be a parameter or a key of the body. */
+  /** Returns the text of an option that may be a parameter or a key of the body. */
   private static String text(
       JsonNode body, Map<String, String> parameters, String key, String defaultText) {
     String bodyText = body.has(key) ? body.get(key).asText() : defaultText;
--- a/src/main/java/bitternpulley/opensearch/SearchException.java
+++ b/src/main/java/bitternpulley/opensearch/SearchException.java
@@ -1,25 +1,28 @@
 package bitternpulley.opensearch;
 
-/** A search that cannot be answered, in the terms of the API: status, error type and reason. */
+/**
+ * Reports that a search cannot be answered, with the HTTP status, error type and reason for the
+ * client.
+ */
 final class SearchException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   private final int status;
   private final String type;
 
-  /** Creates an error; the reason is its message. */
+  /** Creates an exception with the reason as its message. */
   SearchException(int status, String type, String reason) {
     super(reason);
     this.status = status;
     this.type = type;
   }
 
-  /** The client asks for something that this front does not offer. */
+  /** The request is invalid, or this front does not support it. */
   static SearchException illegalArgument(String reason) {
     return new SearchException(400, "illegal_argument_exception", reason);
   }
 
-  /** The client's text cannot be parsed. */
+  /** The request body cannot be parsed. */
   static SearchException unparsable(String reason) {
     return new SearchException(400, "parsing_exception", reason);
   }
@@ -29,7 +32,7 @@
     return new SearchException(401, "security_exception", reason);
   }
 
-  /** The search was rejected; nothing of it has run. */
+  /** The search was rejected before any part of it ran. */
   static SearchException rejected(String reason) {
     return new SearchException(429, "rejected_execution_exception", reason);
   }
--- a/src/main/java/bitternpulley/opensearch/SearchFront.java
+++ b/src/main/java/bitternpulley/opensearch/SearchFront.java
@@ -21,13 +21,13 @@
   /**
    * Creates a front.
    *
-   * @param settings the settings of the site
+   * @param settings the settings of this instance
    * @param configuration the configuration of the API
    * @param broker the core that answers the searches
    * @param servers sends the parts of the searches
    * @param clock the clock of the core
    * @param instance the name of this instance
-   * @param identification identifies the teams of the searches, by the contracts in force
+   * @param identification identifies the team of each search by the contracts in force
    */
   public SearchFront(
       Settings settings,
@@ -48,7 +48,7 @@
   @Override
   public void handle(HttpServer.Request request, HttpServer.Exchange exchange) {
     try {
-      SearchTarget target = SearchTarget.read(request.head());
+      SearchTarget target = SearchTarget.parse(request.head());
       SearchCaller caller = caller(request);
       target.requireSupportedParameters();
       switch (target.operation()) {
@@ -76,34 +76,34 @@
 
   private void search(
       SearchTarget target, SearchCaller caller, byte[] body, HttpServer.Exchange exchange) {
-    Runnable onDisconnect =
+    Runnable disconnectAction =
         submitter.submit(
             target.indices(),
             target.parameters(),
             caller,
-            SearchBodies.readSingle(body),
+            SearchBodies.parseSingle(body),
             response -> exchange.reply(response.toHttp()));
-    exchange.onDisconnect(onDisconnect);
+    exchange.onDisconnect(disconnectAction);
   }
 
-  /** Submits several searches, each of which can fail by itself. */
+  /** Submits the searches of a multi-search, each of which can fail independently. */
   private void multiSearch(
       SearchTarget target, SearchCaller caller, byte[] body, HttpServer.Exchange exchange) {
-    List<SearchBodies.Entry> entries = SearchBodies.read(body, configuration.maxSearches());
+    List<SearchBodies.Entry> entries = SearchBodies.parseMulti(body, configuration.maxSearches());
     double startedAt = clock.now();
     MultiSearchReply reply =
         new MultiSearchReply(
             entries.size(),
             () -> clock.now() - startedAt,
             response -> exchange.reply(response.toHttp()));
-    List<Runnable> onDisconnect = new ArrayList<>();
+    List<Runnable> disconnectActions = new ArrayList<>();
     for (int position = 0; position < entries.size(); position++) {
-      onDisconnect.add(submit(entries.get(position), position, target, caller, reply));
+      disconnectActions.add(submit(entries.get(position), position, target, caller, reply));
     }
-    exchange.onDisconnect(() -> onDisconnect.forEach(Runnable::run));
+    exchange.onDisconnect(() -> disconnectActions.forEach(Runnable::run));
   }
 
-  /** Submits one search of several; returns what is to be run when the client disconnects. */
+  /** Submits one search of a multi-search; returns the action to run on a client disconnect. */
   private Runnable submit(
       SearchBodies.Entry entry,
       int position,
@@ -114,7 +114,7 @@
       return submitter.submit(
           entry.indicesOr(target.indices()),
           entry.parameters(),
-          caller.ofSearch(position),
+          caller.forSearch(position),
           entry.body(),
           response -> reply.add(position, response));
     } catch (SearchException exception) {
--- a/src/main/java/bitternpulley/opensearch/SearchTarget.java
+++ b/src/main/java/bitternpulley/opensearch/SearchTarget.java
@@ -11,11 +11,11 @@
 import java.util.regex.Pattern;
 
 /**
- * What the head of a request asks for.
+ * The operation that the head of a request names, and where to search.
  *
- * @param operation the operation
- * @param indices the names of the indices in the path; empty if it names none
- * @param parameters the parameters, not yet checked against the operation
+ * @param operation the operation, given by the last segment of the path
+ * @param indices the names of the indices in the path; empty if the path names none
+ * @param parameters the URL parameters, not yet checked against the operation
  */
 record SearchTarget(Operation operation, List<String> indices, Map<String, String> parameters) {
   private static final Pattern IDEMPOTENCY_KEY = Pattern.compile("[!-~]{1,128}");
@@ -56,8 +56,8 @@
     }
   }
 
-  /** Reads the target of a request; throws SearchException where this front does not offer it. */
-  static SearchTarget read(HttpHead head) {
+  /** Parses the head of a request; throws SearchException if the operation is not supported. */
+  static SearchTarget parse(HttpHead head) {
     String[] pathAndQuery = head.target().split("\\?", 2);
     Operation operation = operation(head.method(), pathAndQuery[0]);
     if (!head.method().equals("POST")) {
@@ -70,7 +70,7 @@
         operation, indices, parameters(pathAndQuery.length > 1 ? pathAndQuery[1] : ""));
   }
 
-  /** Throws SearchException if there is a parameter that the operation does not support. */
+  /** Throws SearchException if the operation does not support one of the parameters. */
   void requireSupportedParameters() {
     Set<String> supported = operation.supportedParameters();
     for (String name : parameters.keySet()) {
@@ -81,7 +81,7 @@
     }
   }
 
-  /** The idempotency key of a request, or null. */
+  /** Returns the idempotency key of a request, or null. */
   static String idempotencyKey(HttpHead head) {
     String key = head.header("Idempotency-Key");
     if (key != null && !IDEMPOTENCY_KEY.matcher(key).matches()) {
@@ -91,7 +91,7 @@
     return key;
   }
 
-  /** The names in a list that is separated by commas. */
+  /** Returns the names in a comma-separated list. */
   static List<String> indexNames(String list) {
     return Arrays.stream(list.split(",", -1)).filter(name -> !name.isEmpty()).toList();
   }
