--- a/src/main/java/bitternpulley/opensearch/SearchResponse.java
+++ b/src/main/java/bitternpulley/opensearch/SearchResponse.java
@@ -26,10 +26,10 @@
   private static final double MS_PER_SECOND = 1000;
 
   /**
-   * The response for an answer of the core.
+   * Returns the response for an answer of the core.
    *
    * @param search the search
-   * @param answer its answer
+   * @param answer the core's answer to the search
    * @param elapsedMs ms since the search was received
    */
   static SearchResponse of(Search search, Answer answer, double elapsedMs) {
@@ -46,7 +46,7 @@
     return failed(search, ((Answer.Failed) answer).ending());
   }
 
-  /** The response for a search that cannot be answered. */
+  /** Returns the response for a search that cannot be answered. */
   static SearchResponse error(SearchException exception) {
     ObjectNode cause =
         JSON.objectNode().put("type", exception.type()).put("reason", exception.getMessage());
@@ -59,7 +59,7 @@
     return new SearchResponse(exception.status(), body, 0);
   }
 
-  /** This response as an HTTP message. */
+  /** Converts this response to an HTTP response. */
   HttpServer.Response toHttp() {
     Map<String, String> headers = new LinkedHashMap<>();
     headers.put("Content-Type", "application/json; charset=UTF-8");
@@ -76,7 +76,7 @@
     }
   }
 
-  /** A status that invites a retry is returned only if nothing of the search can have run. */
+  /** Returns a status that invites a retry only if no part of the search can have run. */
   private static SearchResponse rejected(Search search, Answer.Rejected rejected) {
     if (rejected.ending().mayHaveRun()) {
       return failed(search, rejected.ending());
@@ -116,21 +116,21 @@
     return (long) Math.ceil(ms / MS_PER_SECOND);
   }
 
-  private static SearchResponse failed(Search search, Answer.Ending ending) {
+  private static SearchResponse failed(Search search, Answer.Ending finalState) {
     SearchException exception =
-        ending.timedOut()
+        finalState.timedOut()
             ? new SearchException(504, "timeout_exception", "the search's time is over")
             : new SearchException(500, "search_phase_execution_exception", "all shards failed");
     SearchResponse response = error(exception);
     ObjectNode error = (ObjectNode) response.body().get("error");
     error.put("phase", "query").put("grouped", true);
-    error.set("failed_shards", failures(search, ending.missing()));
+    error.set("failed_shards", failures(search, finalState.missing()));
     return response;
   }
 
   private static SearchResponse answered(Search search, Answer.Answered answer, double elapsedMs) {
     boolean timedOut =
-        answer.missing().values().stream().anyMatch(SearchResponse::isMissingForTime);
+        answer.missing().values().stream().anyMatch(SearchResponse::isMissingForLackOfTime);
     ObjectNode body =
         JSON.objectNode().put("took", Math.round(elapsedMs)).put("timed_out", timedOut);
     body.set("_shards", shards(search, answer));
@@ -139,9 +139,10 @@
   }
 
   /**
-   * Whether a part is in flight or was ended for lack of time, rather than failed by its server.
+   * Whether a part is missing for lack of time, that is in flight, timed out or cancelled, rather
+   * than failed by its server.
    */
-  private static boolean isMissingForTime(Answer.MissingPart part) {
+  private static boolean isMissingForLackOfTime(Answer.MissingPart part) {
     return part.outcome() == null
         || part.outcome() == Outcome.TIMEOUT
         || part.outcome() == Outcome.CANCELLED;
--- a/src/main/java/bitternpulley/opensearch/SearchServers.java
+++ b/src/main/java/bitternpulley/opensearch/SearchServers.java
@@ -32,18 +32,18 @@
       return !call.mayHaveBeenSent();
     }
 
-    boolean isUnsentTo(String name) {
-      return server.equals(name) && isUnsent();
+    boolean isUnsentTo(String serverId) {
+      return server.equals(serverId) && isUnsent();
     }
   }
 
   /**
-   * Creates the dialect without servers.
+   * Creates a dialect that knows no server yet.
    *
-   * @param loop the event loop on whose thread all calls come
-   * @param broker the core that receives the ends of attempts
-   * @param client the connections to the servers
-   * @param port the port at which each server offers the search API
+   * @param loop the event loop; all methods are called on its thread
+   * @param broker the core, which is told of the end of each attempt
+   * @param client the HTTP client, with the connections to the servers
+   * @param port the port on which each server offers the search API
    */
   public SearchServers(EventLoop loop, Broker broker, HttpClient client, int port) {
     this.loop = loop;
@@ -52,7 +52,7 @@
     this.port = port;
   }
 
-  /** Records the host of a server; its port for this API is the configured one. */
+  /** Records the host of a server; the port of the given address is not used. */
   public void recordAddress(String server, HostPort address) {
     addresses.put(server, new HostPort(address.host(), port));
   }
@@ -90,7 +90,7 @@
         new AttemptListener(attempt));
   }
 
-  /** Reports the end of one attempt to the core, unless it was cancelled before. */
+  /** Reports the end of one attempt to the core, unless the attempt was already cancelled. */
   private final class AttemptListener implements HttpClient.ResponseHandler {
     private final Effect.StartAttempt attempt;
 
@@ -106,15 +106,16 @@
     }
 
     @Override
-    public void failed(HttpClient.Failure how, String why) {
+    public void failed(HttpClient.Failure failure, String reason) {
       if (inFlight.remove(attempt.id()) != null) {
         broker.submit(
-            new Event.AttemptEnded(attempt.id(), outcome(how), PartFailure.notConnected(why)));
+            new Event.AttemptEnded(
+                attempt.id(), outcome(failure), PartFailure.notConnected(reason)));
       }
     }
 
-    private static Outcome outcome(HttpClient.Failure how) {
-      return switch (how) {
+    private static Outcome outcome(HttpClient.Failure failure) {
+      return switch (failure) {
         case MAYBE_SENT -> Outcome.RESET;
         case NEVER_SENT -> Outcome.UNREACHABLE;
         case NOT_IN_TIME -> Outcome.NOT_SENT;
--- a/src/main/java/bitternpulley/opensearch/SearchSubmitter.java
+++ b/src/main/java/bitternpulley/opensearch/SearchSubmitter.java
@@ -25,13 +25,13 @@
   /**
    * Creates a submitter.
    *
-   * @param settings the settings of the site
+   * @param settings the settings of this instance
    * @param decoder decodes the searches
-   * @param tenants identifies their teams
+   * @param tenants identifies the teams of the searches
    * @param broker the core
    * @param servers sends the parts
    * @param clock the clock of the core
-   * @param instance the name of this instance, part of each search's id
+   * @param instance the name of this instance, with which each search id begins
    */
   SearchSubmitter(
       Settings settings,
@@ -53,13 +53,13 @@
   /**
    * Submits a search.
    *
-   * @param indexNames the indices to search; all if it is empty
-   * @param parameters the parameters that the client gave outside the body
-   * @param caller who sent it
+   * @param indexNames the indices to search; if empty, all configured indices
+   * @param parameters the parameters given in the URL or, for a multi-search, in the header line
+   * @param caller the sender of the search
    * @param body the body
-   * @param onResponse receives the response once
-   * @return to be run when the client disconnects
-   * @throws SearchException if the search cannot be answered; then nothing is submitted
+   * @param onResponse called once, with the response
+   * @return the action to run when the client disconnects
+   * @throws SearchException if the search cannot be answered; nothing is submitted then
    */
   Runnable submit(
       List<String> indexNames,
@@ -71,7 +71,7 @@
     double startedAt = clock.now();
     Search search =
         decoder.decode(instance + "-" + id, caller.idempotencyKey(), indexNames, parameters, body);
-    checkLimits(search);
+    validate(search);
     PendingSearch pending =
         new PendingSearch(
             search,
@@ -85,14 +85,14 @@
     return settings.classes().get(search.queryClass());
   }
 
-  private void checkLimits(Search search) {
+  private void validate(Search search) {
     Settings.QueryClass queryClass = queryClass(search);
     if (queryClass.idempotency() == Settings.Idempotency.KEYED && search.idempotencyKey() == null) {
       throw SearchException.illegalArgument(
           "class [" + queryClass.name() + "] needs an Idempotency-Key header");
     }
-    // The core would reject a search of too many parts with a status that invites a retry, which
-    // can never succeed.
+    // The core would reject a search with too many parts with a status that invites a retry, but
+    // no retry can succeed.
     int maxParts = settings.limits().maxPending() - 1;
     int partCount = search.parts().size();
     if (partCount > maxParts) {
--- a/src/main/java/bitternpulley/opensearch/TenantResolver.java
+++ b/src/main/java/bitternpulley/opensearch/TenantResolver.java
@@ -7,18 +7,18 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** Identifies the team of a search by its API key, else by its indices. */
+/** Identifies the team of a search by the API key or, without one, by the indices. */
 final class TenantResolver {
   private static final long NO_FINGERPRINT = 0;
 
   private final Supplier<TenantIdentification> identification;
 
-  /** Creates a resolver that follows the contracts in force. */
+  /** Creates a resolver that uses the contracts in force at the time of each call. */
   TenantResolver(Supplier<TenantIdentification> identification) {
     this.identification = identification;
   }
 
-  /** The owner of the API key of a request; throws SearchException if the key is not accepted. */
+  /** Returns the owner of a request's API key; throws SearchException if the key is rejected. */
   TenantIdentification.KeyOwner keyOwner(HttpHead head) {
     TenantIdentification current = identification.get();
     if (current == TenantIdentification.NONE) {
@@ -32,8 +32,8 @@
   }
 
   /**
-   * The team of a search, or null. A key that is sent has precedence over the indices, and with an
-   * unknown key only the default contract applies.
+   * Returns the team of a search, or null. An API key takes precedence over the indices, and with
+   * an unknown key only the default contract applies.
    */
   String team(TenantIdentification.KeyOwner keyOwner, List<Search.Part> parts) {
     if (keyOwner.status() != TenantIdentification.KeyStatus.ABSENT) {
@@ -62,7 +62,7 @@
     return team;
   }
 
-  /** The fingerprint that recognizes a search when it is repeated; 0 without contracts. */
+  /** Returns a fingerprint to recognize a repeated search, or 0 if no contracts are in force. */
   long fingerprint(Search search) {
     if (identification.get() == TenantIdentification.NONE) {
       return NO_FINGERPRINT;
--- a/src/main/java/bitternpulley/opensearch/package-info.java
+++ b/src/main/java/bitternpulley/opensearch/package-info.java
@@ -1,13 +1,17 @@
 /**
- * The OpenSearch-style front: the search API towards clients, and the same API towards the slot
- * servers. It goes through the same core as the platform's front and keeps the same rules.
+ * The OpenSearch-style front: offers the search API to clients and uses the same API to call the
+ * slot servers. Searches go through the same core, and follow the same rules, as the queries of the
+ * platform's front.
  *
- * <p>It decides which searches can be answered (what cannot be merged correctly gets 400), how a
- * search becomes one part for each shard of each index, and how the hits of the parts are merged.
- * It never chooses a server, retries, or admits: the core does. Invariants: the API's names are
- * string literals in the classes that read or write its messages, and {@code Search} is free of
- * them but for the body that it forwards; 429 is returned only when nothing of the search can have
- * run; all calls come on the thread of the event loop. Off unless configured; assembled by the
- * package {@code aggregator}. Start with {@link bitternpulley.opensearch.SearchFront}.
+ * <p>This package decides which searches can be answered (a search whose results cannot be merged
+ * correctly gets status 400), how a search is split into one part for each shard of each index, and
+ * how the hits of the parts are merged. The core, not this package, chooses servers, retries and
+ * admits searches.
+ *
+ * <p>Invariants: the names of the API are string literals in the classes that read or write its
+ * messages, and {@code Search} holds none of them except in the body that is forwarded; status 429
+ * is returned only when no part of the search can have run; all calls are made on the event loop
+ * thread. The front is off unless it is configured. The package {@code aggregator} assembles it.
+ * Start reading with {@link bitternpulley.opensearch.SearchFront}.
  */
 package bitternpulley.opensearch;
