--- a/src/test/java/bitternpulley/opensearch/SearchResponseTest.java
+++ b/src/test/java/bitternpulley/opensearch/SearchResponseTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Responses and merging, without a network. */
+/** Tests how hits are merged and responses are built, without a network. */
 public class SearchResponseTest {
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -23,7 +23,7 @@
     return JSON.readTree(text.replace('\'', '"'));
   }
 
-  private static Search search(long trackTotal) {
+  private static Search search(long totalHitsLimit) {
     return new Search(
         "s",
         List.of(new Search.Part("a", 0), new Search.Part("a", 1)),
@@ -32,7 +32,7 @@
         3,
         -1,
         true,
-        trackTotal,
+        totalHitsLimit,
         null,
         JSON.createObjectNode());
   }
@@ -49,9 +49,11 @@
         .orElseThrow();
   }
 
-  private static SearchResponse answered(long trackTotal, Payload first, Payload second) {
+  private static SearchResponse answered(long totalHitsLimit, Payload first, Payload second) {
     return SearchResponse.of(
-        search(trackTotal), new Answer.Answered(true, Map.of(0, first, 1, second), Map.of()), 7);
+        search(totalHitsLimit),
+        new Answer.Answered(true, Map.of(0, first, 1, second), Map.of()),
+        7);
   }
 
   private static void assertTotal(SearchResponse response, String expected) throws IOException {
@@ -90,7 +92,7 @@
   }
 
   @Test(dataProvider = "incompleteAnswers")
-  public void rejectsAnswerThatDoesNotCoverTheWholePart(String text) throws IOException {
+  public void rejectsIncompleteAnswer(String text) throws IOException {
     assertEquals(PartHits.read(json(text), true), Optional.empty());
   }
 
@@ -102,16 +104,17 @@
   private static final Answer.MissingPart FAILED_PART =
       new Answer.MissingPart(Outcome.ERROR, "s3", new PartFailure(500, "boom", "it broke"));
 
-  private static Answer.Ending ending(boolean late, boolean mayHaveRun) {
-    return new Answer.Ending(late, mayHaveRun, Map.of(1, FAILED_PART));
+  private static Answer.Ending finalState(boolean timedOut, boolean mayHaveRun) {
+    return new Answer.Ending(timedOut, mayHaveRun, Map.of(1, FAILED_PART));
   }
 
-  private static SearchResponse rejected(boolean late, boolean mayHaveRun) {
-    return SearchResponse.of(search(1), new Answer.Rejected(1200, ending(late, mayHaveRun)), 7);
+  private static SearchResponse rejected(boolean timedOut, boolean mayHaveRun) {
+    return SearchResponse.of(
+        search(1), new Answer.Rejected(1200, finalState(timedOut, mayHaveRun)), 7);
   }
 
-  private static SearchResponse failed(boolean late, boolean mayHaveRun) {
-    return SearchResponse.of(search(1), new Answer.Failed(ending(late, mayHaveRun)), 7);
+  private static SearchResponse failed(boolean timedOut, boolean mayHaveRun) {
+    return SearchResponse.of(search(1), new Answer.Failed(finalState(timedOut, mayHaveRun)), 7);
   }
 
   @Test
@@ -133,7 +136,7 @@
   }
 
   @Test
-  public void namesServerAndErrorOfFailedPart() {
+  public void reportsServerAndErrorTypeOfFailedPart() {
     JsonNode failure = failed(false, true).body().at("/error/failed_shards/0");
     assertEquals(failure.path("node").asText() + failure.at("/reason/type").asText(), "s3boom");
   }
