--- a/src/main/java/bitternpulley/admin/OverridesCodec.java
+++ b/src/main/java/bitternpulley/admin/OverridesCodec.java
@@ -6,14 +6,17 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** The lines of the overrides file: one for each cordoned server, and one when quiesced. */
+/**
+ * Encodes and decodes the lines of the overrides file: one for each cordoned server, and one when
+ * quiesced.
+ */
 final class OverridesCodec {
   private static final String CORDONED = "cordoned ";
   private static final String QUIESCED = "quiesced";
 
   private OverridesCodec() {}
 
-  /** Sorted by server, so that the same overrides have the same text. */
+  /** Encodes overrides, sorted by server so that equal overrides have the same text. */
   static List<String> encode(OperatorOverrides overrides) {
     List<String> lines = new ArrayList<>();
     for (String server : new TreeSet<>(overrides.cordoned())) {
@@ -26,9 +29,9 @@
   }
 
   /**
-   * Reads what {@link #encode} wrote.
+   * Decodes lines written by {@link #encode}.
    *
-   * @throws UnreadableOverridesException at the first line of another form
+   * @throws UnreadableOverridesException if a line has another format
    */
   static OperatorOverrides decode(List<String> lines) throws UnreadableOverridesException {
     Set<String> cordoned = new TreeSet<>();
--- a/src/main/java/bitternpulley/admin/OverridesFile.java
+++ b/src/main/java/bitternpulley/admin/OverridesFile.java
@@ -19,31 +19,31 @@
 import java.util.function.Consumer;
 
 /**
- * Persists operator overrides in a small file that outlives the process and that processes of one
- * hot restart share. Reads and writes on a daemon thread of its own, so that the event loop never
- * waits for a file.
+ * Persists operator overrides in a small file that outlives the process and is shared by the
+ * processes of a hot restart. Except for the initial {@link #read}, all file access is on a daemon
+ * thread, so that the event loop does not wait for a file.
  */
 public final class OverridesFile {
   private static final System.Logger LOG = System.getLogger(OverridesFile.class.getName());
-  private static final String NAME = "bitternpulley-orders";
-  private static final String LOCK_NAME = NAME + ".lock";
-  private static final String NEXT_NAME = NAME + ".next";
+  private static final String FILE_NAME = "bitternpulley-orders";
+  private static final String LOCK_NAME = FILE_NAME + ".lock";
+  private static final String TEMPORARY_NAME = FILE_NAME + ".next";
   private static final String THREAD_NAME = "orders";
 
   /**
-   * Ms between checks for changes by another process. A draining server may get no new requests 250
-   * ms after it was announced, and a cordon follows the same limit.
+   * Ms between checks for changes by another process. A server must get no new requests later than
+   * 250 ms after its draining was announced, and the same limit applies to a cordon.
    */
   private static final long CHECK_INTERVAL_MS = 50;
 
   private static final long MAX_BYTES = 256 * 1024;
 
-  /** Learns how a change ended; called on the file's thread. */
+  /** Receives the result of a change; called on the file access thread. */
   interface ChangeObserver {
-    /** The file holds the overrides. */
+    /** The changed overrides are stored in the file, or in memory if there is no file. */
     void stored(OperatorOverrides overrides);
 
-    /** The overrides hold in this process alone, since the file could not be written. */
+    /** The file could not be written; the overrides are in force in this process only. */
     void keptInMemory(OperatorOverrides overrides, String failure);
   }
 
@@ -53,9 +53,9 @@
   private OperatorOverrides current = OperatorOverrides.NONE;
   private boolean unreadableLogged;
 
-  /** Uses the file in a folder; without a folder, overrides are kept in memory only. */
+  /** Uses the file in a folder; without a folder, the overrides are kept in memory only. */
   public OverridesFile(Optional<Path> folder) {
-    file = folder.map(path -> path.resolve(NAME));
+    file = folder.map(path -> path.resolve(FILE_NAME));
   }
 
   private static Thread newThread(Runnable task) {
@@ -64,21 +64,24 @@
     return thread;
   }
 
-  /** Returns the stored overrides. Called once, before {@link #watch}. */
+  /** Returns the stored overrides. Must be called once, before {@link #watch}. */
   OperatorOverrides read() {
     current = load();
     return current;
   }
 
-  /** Reports each change that another process made; the observer is called on the file's thread. */
+  /** Reports each change by another process; calls the observer on the file access thread. */
   void watch(Consumer<OperatorOverrides> observer) {
     // Runs until the process ends, so nothing cancels it.
     Future<?> unused =
         executor.scheduleWithFixedDelay(
-            () -> check(observer), CHECK_INTERVAL_MS, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            () -> checkForChange(observer),
+            CHECK_INTERVAL_MS,
+            CHECK_INTERVAL_MS,
+            TimeUnit.MILLISECONDS);
   }
 
-  private void check(Consumer<OperatorOverrides> observer) {
+  private void checkForChange(Consumer<OperatorOverrides> observer) {
     OperatorOverrides loaded = load();
     if (!loaded.equals(current)) {
       current = loaded;
@@ -86,17 +89,18 @@
     }
   }
 
-  /** Adds an override to the file. */
+  /** Applies an override to the overrides in the file. */
   void change(OperatorOverrides.OperatorCommand override, ChangeObserver observer) {
-    executor.execute(() -> storeOrKeep(override, observer));
+    executor.execute(() -> storeOrKeepInMemory(override, observer));
   }
 
-  private void storeOrKeep(OperatorOverrides.OperatorCommand override, ChangeObserver observer) {
+  private void storeOrKeepInMemory(
+      OperatorOverrides.OperatorCommand override, ChangeObserver observer) {
     try {
       store(override);
     } catch (IOException | RuntimeException exception) {
-      // Whatever goes wrong with the file, the override has to take effect and the operator gets an
-      // answer.
+      // Whatever goes wrong with the file, the override must take effect and the operator must get
+      // an answer.
       LOG.log(
           Level.WARNING,
           "Cannot write operator overrides; they hold in this process only",
@@ -116,7 +120,10 @@
     }
   }
 
-  /** The lock keeps two processes that read, change and replace the file from losing a change. */
+  /**
+   * Stores an override under a file lock. Without the lock, two processes that read, change and
+   * replace the file at the same time could lose a change.
+   */
   @SuppressWarnings("try") // the lock is held, not used
   private void storeLocked(Path path, OperatorOverrides.OperatorCommand override)
       throws IOException {
@@ -127,16 +134,17 @@
                 StandardOpenOption.WRITE);
         FileLock lock = channel.lock()) {
       OperatorOverrides changed = load().with(override);
-      Path next = path.resolveSibling(NEXT_NAME);
-      Files.write(next, OverridesCodec.encode(changed));
-      Files.move(next, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+      Path temporary = path.resolveSibling(TEMPORARY_NAME);
+      Files.write(temporary, OverridesCodec.encode(changed));
+      Files.move(
+          temporary, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
       current = changed;
     }
   }
 
   /**
-   * Loads the file. Where that fails the overrides before stay, because an unreadable file must not
-   * lift a cordon.
+   * Loads the file. If that fails, the current overrides stay in force, because an unreadable file
+   * must not lift a cordon.
    */
   private OperatorOverrides load() {
     if (file.isEmpty()) {
--- a/src/main/java/bitternpulley/admin/UnreadableOverridesException.java
+++ b/src/main/java/bitternpulley/admin/UnreadableOverridesException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The overrides file has content that this program cannot have written. */
+/** Thrown if the overrides file has content that this program cannot have written. */
 final class UnreadableOverridesException extends IOException {
   private static final long serialVersionUID = 1L;
 
