--- a/src/main/java/bitternpulley/admin/AccountsReport.java
+++ b/src/main/java/bitternpulley/admin/AccountsReport.java
@@ -11,9 +11,12 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** The tenants' accounts as one line of JSON; amounts are standard parts (docs/contracts.md). */
+/**
+ * Reports the tenants' accounts as one line of JSON; amounts are in standard parts
+ * (docs/contracts.md).
+ */
 final class AccountsReport {
-  /** Bounds the line, which people read and which is built in memory. */
+  /** Limits the length of the line, which people read and which is built in memory. */
   private static final int MAX_ACCOUNTS = 100;
 
   /** Highest usage first, then by name. */
@@ -21,8 +24,8 @@
       Comparator.comparingDouble((AccountView account) -> -account.used())
           .thenComparing(AccountView::team);
 
-  /** Figures have two decimals. */
-  private static final double FIGURE_SCALE = 100;
+  /** Numbers are rounded to two decimals. */
+  private static final double ROUNDING_SCALE = 100;
 
   private AccountsReport() {}
 
@@ -31,20 +34,20 @@
     return report(broker, account -> true);
   }
 
-  /** Reports the account of one team; the list is empty where it has none. */
+  /** Reports the account of one team; the list is empty if the team has none. */
   static String ofTeam(Broker broker, String team) {
     return report(broker, account -> account.team().equals(team));
   }
 
-  private static String report(Broker broker, Predicate<AccountView> selection) {
+  private static String report(Broker broker, Predicate<AccountView> filter) {
     ContractAccounting accounting = broker.contractAccounting();
     List<AccountView> accounts = accounting.accounts(broker.now());
     List<AccountView> reported =
-        accounts.stream().filter(selection).sorted(BY_USAGE).limit(MAX_ACCOUNTS).toList();
+        accounts.stream().filter(filter).sorted(BY_USAGE).limit(MAX_ACCOUNTS).toList();
     return JsonLine.of(
         json -> {
-          writeFigure(json, "capacity_per_s", accounting.capacity());
-          writeFigure(json, "delivered_per_s", accounting.deliveredRate());
+          writeRounded(json, "capacity_per_s", accounting.capacity());
+          writeRounded(json, "delivered_per_s", accounting.deliveredRate());
           json.writeNumberField("accounts_used", accounts.size());
           json.writeArrayFieldStart("accounts");
           for (AccountView account : reported) {
@@ -58,17 +61,17 @@
     json.writeStartObject();
     json.writeStringField("team", account.team());
     json.writeNumberField("version", account.version());
-    writeFigure(json, "share", account.contract().guaranteedQuota());
-    writeFigure(json, "ceiling", account.contract().ceiling());
-    writeFigure(json, "balance", account.balance());
-    writeFigure(json, "loan", account.loan());
-    writeFigure(json, "used", account.used());
-    writeFigure(json, "borrowed", account.borrowed());
+    writeRounded(json, "share", account.contract().guaranteedQuota());
+    writeRounded(json, "ceiling", account.contract().ceiling());
+    writeRounded(json, "balance", account.balance());
+    writeRounded(json, "loan", account.loan());
+    writeRounded(json, "used", account.used());
+    writeRounded(json, "borrowed", account.borrowed());
     json.writeNumberField("held", account.pending());
     json.writeNumberField("admitted", account.admitted());
     json.writeNumberField("promised", account.reservations());
-    writeFigure(json, "further_attempts_left", account.retriesLeft());
-    writeFigure(json, "client_retries_left", account.clientRetriesLeft());
+    writeRounded(json, "further_attempts_left", account.retriesLeft());
+    writeRounded(json, "client_retries_left", account.clientRetriesLeft());
     writeRejections(json, account.rejections());
     json.writeEndObject();
   }
@@ -84,12 +87,13 @@
     json.writeEndObject();
   }
 
-  /** An unlimited figure is null. */
-  private static void writeFigure(JsonGenerator json, String key, double value) throws IOException {
+  /** Writes a rounded number, or null if it is unlimited. */
+  private static void writeRounded(JsonGenerator json, String key, double value)
+      throws IOException {
     if (Double.isInfinite(value)) {
       json.writeNullField(key);
     } else {
-      json.writeNumberField(key, Math.round(value * FIGURE_SCALE) / FIGURE_SCALE);
+      json.writeNumberField(key, Math.round(value * ROUNDING_SCALE) / ROUNDING_SCALE);
     }
   }
 }
--- a/src/main/java/bitternpulley/admin/AdminCommand.java
+++ b/src/main/java/bitternpulley/admin/AdminCommand.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** The commands of the admin endpoint, by the names that operators call. */
+/** The commands of the admin endpoint, with their names and numbers of arguments. */
 enum AdminCommand {
   HEALTH("health", 0, 0),
   CORDON("cordon", 1, 1),
@@ -14,21 +14,23 @@
   ACCOUNTS("accounts", 0, 1),
   MEMBERS("members", 0, 0);
 
-  private final String word;
+  private final String commandName;
   private final int minArguments;
   private final int maxArguments;
 
-  AdminCommand(String word, int minArguments, int maxArguments) {
-    this.word = word;
+  AdminCommand(String commandName, int minArguments, int maxArguments) {
+    this.commandName = commandName;
     this.minArguments = minArguments;
     this.maxArguments = maxArguments;
   }
 
-  /** The command of that name which takes that many arguments. */
-  static Optional<AdminCommand> find(String word, int arguments) {
+  /** Returns the command with the given name that takes the given number of arguments. */
+  static Optional<AdminCommand> find(String commandName, int argumentCount) {
     return Arrays.stream(values())
-        .filter(command -> command.word.equals(word))
-        .filter(command -> command.minArguments <= arguments && arguments <= command.maxArguments)
+        .filter(command -> command.commandName.equals(commandName))
+        .filter(
+            command ->
+                command.minArguments <= argumentCount && argumentCount <= command.maxArguments)
         .findFirst();
   }
 }
--- a/src/main/java/bitternpulley/admin/AdminEndpoint.java
+++ b/src/main/java/bitternpulley/admin/AdminEndpoint.java
@@ -16,8 +16,9 @@
 import java.util.stream.Collectors;
 
 /**
- * The operators' admin endpoint: one line in, one line back, which starts with 200 or 400. Commands
- * become events of the broker or calls of {@link ServiceControl}; nothing is decided here.
+ * The operators' admin endpoint. Answers each line with one line that starts with 200 or 400.
+ * Submits commands to the broker as events or passes them to {@link ServiceControl}, and makes no
+ * decisions itself.
  */
 public final class AdminEndpoint implements LineServer.Handler, OperatorCommands {
   private static final System.Logger LOG = System.getLogger(AdminEndpoint.class.getName());
@@ -27,7 +28,7 @@
       "calls are: health, cordon ID, uncordon ID, quiesce, resume, reload, accounts [TEAM],"
           + " members";
 
-  /** The operator who waits for the answer to a command that the broker handles. */
+  /** A command line that waits for its answer, and the recipient of the answer. */
   private record Caller(String line, Consumer<String> answer) implements Payload {}
 
   private final EventLoop loop;
@@ -46,8 +47,8 @@
   }
 
   /**
-   * Applies the stored overrides, which must happen before the first request is sent, and from then
-   * on each change that another process makes.
+   * Applies the stored overrides and, from then on, each change that another process makes. Must be
+   * called before the first request is sent.
    */
   public void loadOverrides() {
     applyOverrides(overridesFile.read());
@@ -55,9 +56,9 @@
   }
 
   /**
-   * Begins to listen.
+   * Starts listening.
    *
-   * @throws IOException when the address cannot be bound
+   * @throws IOException if the address cannot be bound
    */
   public void listen(HostPort address) throws IOException {
     new LineServer(loop, this).listen(address);
@@ -142,16 +143,16 @@
     return FAILURE + "the line is too long";
   }
 
-  /** The broker checks the override, and then has it persisted or rejected. */
+  /** Submits an override to the broker, which checks it and has it persisted or rejected. */
   private void submit(OperatorOverrides.OperatorCommand override, Caller caller) {
     broker.submit(new Event.OperatorCommandReceived(override, caller));
   }
 
   @Override
-  public void persist(Effect.PersistOverride command) {
-    Caller caller = (Caller) command.caller();
+  public void persist(Effect.PersistOverride effect) {
+    Caller caller = (Caller) effect.caller();
     overridesFile.change(
-        command.command(),
+        effect.command(),
         new OverridesFile.ChangeObserver() {
           @Override
           public void stored(OperatorOverrides overrides) {
@@ -173,8 +174,8 @@
   }
 
   @Override
-  public void reject(Effect.RejectCommand command) {
-    ((Caller) command.caller()).answer().accept(FAILURE + command.reason());
+  public void reject(Effect.RejectCommand effect) {
+    ((Caller) effect.caller()).answer().accept(FAILURE + effect.reason());
   }
 
   @Override
--- a/src/main/java/bitternpulley/admin/MembersReport.java
+++ b/src/main/java/bitternpulley/admin/MembersReport.java
@@ -11,11 +11,14 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** The members of the fleet as this instance sees them: one line of JSON (docs/membership.md). */
+/**
+ * Reports the members of the fleet, as this instance sees them, as one line of JSON
+ * (docs/membership.md).
+ */
 final class MembersReport {
   private MembersReport() {}
 
-  /** Reports the members and, where leases are in use, those that this instance holds. */
+  /** Reports the members and, if leases are in use, the state of this instance's leases. */
   static String of(Membership membership, Broker broker) {
     Optional<Leases> leases = broker.leases();
     return JsonLine.of(
@@ -61,7 +64,7 @@
     json.writeEndObject();
   }
 
-  /** An infinite age, that of what never happened, is null. */
+  /** Writes a rounded age in ms, or null if it is infinite because the event never happened. */
   private static void writeAge(JsonGenerator json, String key, double age) throws IOException {
     if (Double.isInfinite(age)) {
       json.writeNullField(key);
@@ -73,8 +76,8 @@
   private static void writeReachability(JsonGenerator json, ReachabilityReport report)
       throws IOException {
     json.writeArrayFieldStart("misses");
-    for (int missed : report.unreachable()) {
-      json.writeNumber(missed);
+    for (int unreachable : report.unreachable()) {
+      json.writeNumber(unreachable);
     }
     json.writeEndArray();
     if (report.payload().length > 0) {
--- a/src/main/java/bitternpulley/admin/ReloadObserver.java
+++ b/src/main/java/bitternpulley/admin/ReloadObserver.java
@@ -1,8 +1,8 @@
 package bitternpulley.admin;
 
-/** Learns how one configuration reload ended. */
+/** Receives the result of one configuration reload. */
 public interface ReloadObserver {
-  /** Ignores how the reload ended, for callers that nobody waits for. */
+  /** Ignores the result, for a reload that nobody waits for. */
   ReloadObserver NONE =
       new ReloadObserver() {
         @Override
