--- a/src/test/java/bitternpulley/admin/AdminCommandTest.java
+++ b/src/test/java/bitternpulley/admin/AdminCommandTest.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Which words make a command of the admin endpoint. */
+/** Tests how commands of the admin endpoint are found by name and number of arguments. */
 class AdminCommandTest {
   @Test
   void findsCommandByNameAndNumberOfArguments() {
@@ -14,20 +14,20 @@
   }
 
   @Test
-  void accountsTakesAnOptionalTeam() {
+  void findsAccountsWithAndWithoutTeam() {
     assertEquals(Optional.of(AdminCommand.ACCOUNTS), AdminCommand.find("accounts", 0));
     assertEquals(Optional.of(AdminCommand.ACCOUNTS), AdminCommand.find("accounts", 1));
     assertEquals(Optional.empty(), AdminCommand.find("accounts", 2));
   }
 
   @Test
-  void findsNothingForAnotherNumberOfArguments() {
+  void findsNothingForWrongNumberOfArguments() {
     assertEquals(Optional.empty(), AdminCommand.find("health", 1));
     assertEquals(Optional.empty(), AdminCommand.find("cordon", 0));
   }
 
   @Test
-  void findsNothingForAnUnknownName() {
+  void findsNothingForUnknownName() {
     assertEquals(Optional.empty(), AdminCommand.find("Health", 0));
     assertEquals(Optional.empty(), AdminCommand.find("", 0));
   }
--- a/src/test/java/bitternpulley/admin/OverridesCodecTest.java
+++ b/src/test/java/bitternpulley/admin/OverridesCodecTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The lines of the overrides file. */
+/** Tests the lines of the overrides file. */
 class OverridesCodecTest {
   @Test
   void encodesServersInOrderBeforeQuiesced() {
@@ -19,13 +19,13 @@
   }
 
   @Test
-  void decodesWhatItEncodes() throws IOException {
+  void decodesEncodedOverrides() throws IOException {
     OperatorOverrides overrides = new OperatorOverrides(Set.of("s 2", "s1"), false);
     assertEquals(overrides, OverridesCodec.decode(OverridesCodec.encode(overrides)));
   }
 
   @Test
-  void rejectsALineOfAnotherForm() {
+  void rejectsLineOfUnknownFormat() {
     assertThrows(
         UnreadableOverridesException.class,
         () -> OverridesCodec.decode(List.of("cordoned s1", "drained s2")));
--- a/src/test/java/bitternpulley/admin/OverridesFileTest.java
+++ b/src/test/java/bitternpulley/admin/OverridesFileTest.java
@@ -12,31 +12,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The stored form of operator overrides must not change, since other versions read it. */
+/**
+ * Guards against changes of the format in which operator overrides are stored, because other
+ * versions read the file.
+ */
 class OverridesFileTest {
-  private static final String NAME = "bitternpulley-orders";
-  private static final Path STORED = Path.of("src/test/resources/stored").resolve(NAME);
+  private static final String FILE_NAME = "bitternpulley-orders";
+  private static final Path EARLIER_FILE = Path.of("src/test/resources/stored").resolve(FILE_NAME);
 
   @TempDir Path folder;
 
   @Test
   void readsFileOfEarlierVersion() throws IOException {
-    Files.copy(STORED, folder.resolve(NAME));
+    Files.copy(EARLIER_FILE, folder.resolve(FILE_NAME));
     assertEquals(
         new OperatorOverrides(Set.of("s1", "s12"), true),
         new OverridesFile(Optional.of(folder)).read());
   }
 
   @Test
-  void writesFormOfEarlierVersion() throws Exception {
-    Files.copy(STORED, folder.resolve(NAME));
+  void writesFormatOfEarlierVersion() throws Exception {
+    Files.copy(EARLIER_FILE, folder.resolve(FILE_NAME));
     OverridesFile file = new OverridesFile(Optional.of(folder));
     file.read();
     CompletableFuture<OperatorOverrides> stored = new CompletableFuture<>();
     file.change(new OperatorOverrides.OperatorCommand("s0", true), new StoredOverrides(stored));
     assertEquals(Set.of("s0", "s1", "s12"), stored.get().cordoned());
     assertEquals(
-        "cordoned s0\n" + Files.readString(STORED), Files.readString(folder.resolve(NAME)));
+        "cordoned s0\n" + Files.readString(EARLIER_FILE),
+        Files.readString(folder.resolve(FILE_NAME)));
   }
 
   private record StoredOverrides(CompletableFuture<OperatorOverrides> result)
