--- a/src/main/java/bitternpulley/admin/ServiceControl.java
+++ b/src/main/java/bitternpulley/admin/ServiceControl.java
@@ -1,6 +1,6 @@
 package bitternpulley.admin;
 
-/** The process, as the admin endpoint controls it. Called on the event loop thread. */
+/** What the admin endpoint reads and controls of the process; called on the event loop thread. */
 public interface ServiceControl {
   /** Whether the process is ready and not draining. */
   boolean isServing();
