--- a/src/main/java/bitternpulley/config/EndpointList.java
+++ b/src/main/java/bitternpulley/config/EndpointList.java
@@ -1,9 +1,9 @@
 package bitternpulley.config;
 
 import static bitternpulley.config.Fields.flag;
-import static bitternpulley.config.Fields.need;
 import static bitternpulley.config.Fields.nonNegative;
 import static bitternpulley.config.Fields.number;
+import static bitternpulley.config.Fields.required;
 import static bitternpulley.config.Fields.text;
 
 import bitternpulley.net.HostPort;
@@ -14,10 +14,10 @@
 import java.util.function.Consumer;
 
 /**
- * The slot servers that discovery reports, or a change to them.
+ * A list of slot servers from discovery: either all servers or those that changed.
  *
- * @param revision the number of the list or change, which never decreases
- * @param complete whether these are all servers; else it is a change
+ * @param revision the number of the list, which never decreases
+ * @param complete whether the list has all servers; otherwise it has only those that changed
  * @param entries the servers
  */
 public record EndpointList(long revision, boolean complete, List<Entry> entries) {
@@ -26,22 +26,22 @@
    * A server and its address.
    *
    * @param endpoint the server as the routing policy sees it
-   * @param address where the server listens; may be null unless the server is live
+   * @param address the address on which the server listens; may be null unless the server is live
    */
   public record Entry(Router.Endpoint endpoint, HostPort address) {}
 
   /**
-   * Reads a list in discovery's format.
+   * Reads a list in the format of the discovery service.
    *
    * @param list the JSON object
    * @param zones the names of the zones, in the order of their numbers
-   * @param entryErrors receives the error of each entry that cannot be used. Unless it throws, the
-   *     entry is left out, so that it does not prevent the use of the others.
+   * @param entryErrors receives the error of each entry that cannot be used; unless it throws, the
+   *     entry is skipped and the others are used
    */
   public static EndpointList read(
       JsonNode list, List<String> zones, Consumer<ConfigurationException> entryErrors) {
     List<Entry> entries = new ArrayList<>();
-    JsonNode members = need(list, "members");
+    JsonNode members = required(list, "members");
     if (!members.isArray()) {
       throw ConfigurationException.ofKey("members", "field 'members' is not a list");
     }
@@ -59,7 +59,7 @@
   private static Entry entry(JsonNode member, List<String> zones) {
     String id = text(member, "id");
     Router.ServerState state = state(member, id);
-    // Only a live server needs an address: a drain is valid without one.
+    // Only a live server needs an address; draining and removed servers may come without one.
     HostPort address = member.hasNonNull("host_port") ? address(member, id) : null;
     if (address == null && state == Router.ServerState.LIVE) {
       throw serverError(id, "host_port", "'host_port' is missing");
@@ -87,8 +87,8 @@
   private static HostPort address(JsonNode member, String id) {
     try {
       return HostPort.parse(text(member, "host_port"));
-    } catch (IllegalArgumentException malformed) {
-      throw serverError(id, "host_port", "'host_port': " + malformed.getMessage());
+    } catch (IllegalArgumentException exception) {
+      throw serverError(id, "host_port", "'host_port': " + exception.getMessage());
     }
   }
 
--- a/src/main/java/bitternpulley/config/Fields.java
+++ b/src/main/java/bitternpulley/config/Fields.java
@@ -7,7 +7,7 @@
   private Fields() {}
 
   /** The value of a required field. */
-  public static JsonNode need(JsonNode node, String key) {
+  public static JsonNode required(JsonNode node, String key) {
     if (isMissing(node, key)) {
       throw ConfigurationException.ofKey(key, "missing field '" + key + "'");
     }
@@ -16,7 +16,7 @@
 
   /** The text of a required field. */
   public static String text(JsonNode node, String key) {
-    JsonNode value = need(node, key);
+    JsonNode value = required(node, key);
     if (!value.isTextual()) {
       throw ConfigurationException.ofKey(key, "field '" + key + "' is not text");
     }
@@ -25,14 +25,14 @@
 
   /** The number of a required field. */
   public static double number(JsonNode node, String key) {
-    JsonNode value = need(node, key);
+    JsonNode value = required(node, key);
     if (!value.isNumber()) {
       throw ConfigurationException.ofKey(key, "field '" + key + "' is not a number");
     }
     return value.doubleValue();
   }
 
-  /** The number of a required field, without its fraction. */
+  /** The number of a required field, truncated to an integer. */
   public static long integer(JsonNode node, String key) {
     return (long) number(node, key);
   }
@@ -47,7 +47,7 @@
     return !isMissing(node, key) && node.get(key).asBoolean(false);
   }
 
-  /** The number of a field that cannot be negative, or a default if it is missing. */
+  /** The number of a field that must not be negative, or a default if it is missing. */
   static double nonNegative(JsonNode node, String key, double defaultValue) {
     double value = number(node, key, defaultValue);
     if (value < 0) {
--- a/src/main/java/bitternpulley/simulator/ActionWriter.java
+++ b/src/main/java/bitternpulley/simulator/ActionWriter.java
@@ -6,8 +6,8 @@
 import java.io.UncheckedIOException;
 
 /**
- * Writes a reply: the actions of one instance at a time. All names of the outgoing protocol are in
- * this class.
+ * Writes a reply with the actions of the instances. All names of the outgoing protocol are in this
+ * class.
  */
 final class ActionWriter implements Router.Actions {
   private final JsonGenerator generator;
@@ -27,7 +27,7 @@
     generator.writeEndObject();
   }
 
-  /** This writer, whose next actions are of the given instance. */
+  /** Returns this writer after selecting the instance to which the next actions belong. */
   ActionWriter forInstance(int instance) {
     currentInstance = instance;
     return this;
--- a/src/main/java/bitternpulley/simulator/BatchException.java
+++ b/src/main/java/bitternpulley/simulator/BatchException.java
@@ -1,15 +1,15 @@
 package bitternpulley.simulator;
 
-/** A batch that cannot be used. The message says which field is wrong, or how the text is. */
+/** Thrown for a batch that cannot be used; the message names the faulty field or describes why. */
 public final class BatchException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** Creates an error with the defect as its message. */
+  /** Creates an exception whose message describes the defect. */
   BatchException(String message) {
     super(message);
   }
 
-  /** Creates an error with the defect as its message and the error that showed it. */
+  /** Creates an exception whose message describes the defect, with its cause. */
   BatchException(String message, Throwable cause) {
     super(message, cause);
   }
--- a/src/main/java/bitternpulley/simulator/Main.java
+++ b/src/main/java/bitternpulley/simulator/Main.java
@@ -7,7 +7,7 @@
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 
-/** Runs the simulator adapter on standard input and output: one batch a line, one reply a line. */
+/** Runs the simulator adapter on standard input and output: one batch and one reply per line. */
 public final class Main {
   /** Characters read ahead from standard input. */
   private static final int INPUT_BUFFER_CHARS = 1 << 16;
--- a/src/main/java/bitternpulley/simulator/MessageReader.java
+++ b/src/main/java/bitternpulley/simulator/MessageReader.java
@@ -2,8 +2,8 @@
 
 import static bitternpulley.config.Fields.flag;
 import static bitternpulley.config.Fields.integer;
-import static bitternpulley.config.Fields.need;
 import static bitternpulley.config.Fields.number;
+import static bitternpulley.config.Fields.required;
 import static bitternpulley.config.Fields.text;
 
 import bitternpulley.config.SettingsReader;
@@ -21,9 +21,9 @@
 final class MessageReader {
   private MessageReader() {}
 
-  /** What a message is about. */
+  /** The type of a message. */
   enum MessageType {
-    /** Servers that a later {@link #ENDPOINTS_CHANGED} refers to by number; of no instance. */
+    /** Servers to which a later {@link #ENDPOINTS_CHANGED} refers by number; for no instance. */
     ENDPOINT_PAGE,
     INSTANCE_STARTED,
     INSTANCE_STOPPED,
@@ -32,7 +32,7 @@
     ATTEMPT_ENDED,
     CLIENT_DISCONNECTED,
     ALARM_DUE,
-    /** Streams, messages between instances and those of later versions of the protocol. */
+    /** Messages about streams, between instances, or of later versions of the protocol. */
     IGNORED
   }
 
@@ -43,7 +43,7 @@
 
   /** The messages of a batch, in order. */
   static JsonNode messages(JsonNode batch) {
-    return need(batch, "msgs");
+    return required(batch, "msgs");
   }
 
   static MessageType type(JsonNode message) {
@@ -67,7 +67,7 @@
 
   /** The settings of a started instance. */
   static Settings settings(JsonNode message) {
-    return SettingsReader.read(need(message, "profileData"));
+    return SettingsReader.read(required(message, "profileData"));
   }
 
   /** The seed of the random numbers of a started instance. */
@@ -75,7 +75,7 @@
     return integer(message, "entropy");
   }
 
-  /** The number of a page: its own, or that which a change of endpoints refers to. */
+  /** The number of an endpoint page, or of the page to which a change of endpoints refers. */
   static long pageNumber(JsonNode message) {
     return integer(message, "buffer");
   }
@@ -83,7 +83,7 @@
   /** The servers on a page. */
   static List<Router.Endpoint> endpoints(JsonNode page) {
     List<Router.Endpoint> endpoints = new ArrayList<>();
-    for (JsonNode entry : need(page, "entries")) {
+    for (JsonNode entry : required(page, "entries")) {
       endpoints.add(endpoint(entry));
     }
     return List.copyOf(endpoints);
@@ -155,7 +155,7 @@
     return (int) integer(workItem, "shard");
   }
 
-  /** Of a query, how many parts it has; of a part, its weight in the complete answer. */
+  /** The number of parts of a query, or the weight of a part in the complete answer. */
   private static double partCountOrWeight(JsonNode workItem) {
     return number(workItem, "shareOrCount", 0);
   }
--- a/src/main/java/bitternpulley/simulator/SimulatorAdapter.java
+++ b/src/main/java/bitternpulley/simulator/SimulatorAdapter.java
@@ -16,7 +16,8 @@
 import java.util.Set;
 
 /**
- * Delivers batches of messages to the routing policies, one per instance, and replies with actions.
+ * Delivers batches of messages to the routing policies, one per instance, and replies with their
+ * actions.
  */
 public final class SimulatorAdapter {
   private final ObjectMapper mapper = new ObjectMapper();
@@ -62,7 +63,7 @@
   }
 
   private void deliverBatch(JsonNode messages, double now, ActionWriter actions) {
-    Set<Integer> addressed = new LinkedHashSet<>();
+    Set<Integer> addressedInstances = new LinkedHashSet<>();
     for (JsonNode message : messages) {
       MessageReader.MessageType type = MessageReader.type(message);
       if (type == MessageReader.MessageType.ENDPOINT_PAGE) {
@@ -70,13 +71,13 @@
         continue;
       }
       int instance = MessageReader.instance(message);
-      addressed.add(instance);
-      reportingFailure(
+      addressedInstances.add(instance);
+      runReportingFailure(
           instance,
           actions,
           () -> deliverToInstance(type, message, instance, now, actions.forInstance(instance)));
     }
-    for (int instance : addressed) {
+    for (int instance : addressedInstances) {
       completeBatch(instance, now, actions);
     }
   }
@@ -88,16 +89,17 @@
   private void completeBatch(int instance, double now, ActionWriter actions) {
     Router router = routers.get(instance);
     if (router != null) {
-      reportingFailure(
+      runReportingFailure(
           instance, actions, () -> router.completeBatch(now, actions.forInstance(instance)));
     }
   }
 
   /**
-   * Reports a routing policy that throws as failed, so that the simulator counts the failure
-   * against this instance alone. Unreadable input is the sender's fault and ends the run.
+   * Runs a step and reports an exception of the routing policy to the simulator, which counts the
+   * failure against this instance alone. Unreadable input is the sender's fault: its exception is
+   * rethrown and ends the run.
    */
-  private static void reportingFailure(int instance, ActionWriter actions, Runnable step) {
+  private static void runReportingFailure(int instance, ActionWriter actions, Runnable step) {
     try {
       step.run();
     } catch (BatchException | ConfigurationException exception) {
