--- a/src/main/java/bitternpulley/config/Configuration.java
+++ b/src/main/java/bitternpulley/config/Configuration.java
@@ -11,15 +11,15 @@
  * The checked configuration of one aggregator.
  *
  * @param name the aggregator's name
- * @param listen the address for clients
+ * @param listen the address that clients connect to
  * @param discovery the address of the discovery service
- * @param seed of the routing policy's random numbers
- * @param sockets the most sockets that the program may open
- * @param lastEndpoints the endpoint list last known before the start
+ * @param seed the seed of the routing policy's random numbers
+ * @param sockets the maximum number of sockets that the process may open
+ * @param lastEndpoints the last endpoint list known before the start
  * @param settings the start settings
- * @param connections settings of the connections to slot servers
+ * @param connections the settings of connections to slot servers
  * @param zones the names of the zones, in the order of their numbers
- * @param operations what operators need
+ * @param operations the admin endpoint, the state directory and how the process is started
  * @param peers the other aggregators, if they are configured
  */
 public record Configuration(
@@ -35,14 +35,14 @@
     Operations operations,
     Optional<Peers> peers) {
 
-  /** The most aggregators that membership is designed for. */
+  /** The maximum number of aggregators that membership is designed for. */
   private static final int MAX_PEERS = 2048;
 
   /**
-   * The addresses for datagrams between aggregators.
+   * The addresses of aggregators for datagrams between them.
    *
-   * @param listen where this aggregator receives them
-   * @param all where each aggregator receives them, in the order of their numbers
+   * @param listen the address on which this aggregator receives datagrams
+   * @param all the address of each aggregator, in the order of their numbers
    */
   public record Peers(HostPort listen, List<HostPort> all) {}
 
@@ -61,53 +61,52 @@
     if (count <= settings.self() || count > MAX_PEERS) {
       throw ConfigurationException.ofKey(
           "peers",
-          "'peers' names "
+          "'peers' lists "
               + count
-              + " aggregators, of which this one is number "
+              + " aggregators; it must list more than 'selfIndex', which is "
               + settings.self()
-              + "; at most "
-              + MAX_PEERS
-              + " can be named");
+              + ", and at most "
+              + MAX_PEERS);
     }
   }
 
   /**
-   * The terms of the leases that the operators' script configures.
+   * Returns the terms of the leases that the operators' script configures.
    *
-   * @throws ConfigurationException if they do not fit the settings
+   * @throws ConfigurationException if the leases contradict the settings or the peers
    */
   public LeaseTerms leaseTerms(LeaseConfiguration leases) {
     return leases.terms(peers.orElseThrow().all().size(), settings);
   }
 
   /**
-   * What operators need.
+   * The admin endpoint, the state directory and how the process is started.
    *
    * @param admin the address of the admin endpoint, if there is one
-   * @param stateDirectory the folder that outlives the process, if there is one
+   * @param stateDirectory the directory whose files outlive the process, if there is one
    * @param passedSocket whether the listening socket is passed as file descriptor 0
    */
   public record Operations(
       Optional<HostPort> admin, Optional<Path> stateDirectory, boolean passedSocket) {}
 
   /**
-   * Settings of the connections to slot servers.
+   * Settings of connections to slot servers.
    *
-   * @param callsPerConnection the most concurrent calls on one connection
+   * @param callsPerConnection the maximum number of concurrent calls on one connection
    * @param keepalive ms after which a server closes an idle connection
-   * @param handshakesCostly whether new connections have a cost
+   * @param handshakesCostly whether the settings assign a cost to new connections
    */
   public record ConnectionSettings(
       int callsPerConnection, double keepalive, boolean handshakesCostly) {
     /**
-     * Share of the servers' idle time after which the aggregator closes a connection, so that no
-     * call meets a connection that its server is closing.
+     * Share of the servers' keep-alive time after which the aggregator closes an idle connection,
+     * so that no call is sent on a connection that its server is closing.
      */
-    private static final double IDLE_SHARE = 0.8;
+    private static final double IDLE_TIMEOUT_SHARE = 0.8;
 
     /** Ms after which the aggregator closes an idle connection. */
     public double idleTimeout() {
-      return keepalive * IDLE_SHARE;
+      return keepalive * IDLE_TIMEOUT_SHARE;
     }
   }
 }
--- a/src/main/java/bitternpulley/config/ConfigurationException.java
+++ b/src/main/java/bitternpulley/config/ConfigurationException.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /**
- * A setting, configuration file or endpoint list that cannot be used. The message is for operators
- * and names what is wrong and where; key and file are available to code as well, where known.
+ * Thrown for a setting, configuration file or endpoint list that cannot be used. The message tells
+ * operators what is wrong and where; key and file, if known, are also available separately.
  */
 public final class ConfigurationException extends RuntimeException {
   private static final long serialVersionUID = 1L;
@@ -18,37 +18,37 @@
     this.file = file;
   }
 
-  /** A key or environment variable cannot be used; the message has to name it. */
+  /** Creates an error for a key or environment variable, which the message has to name. */
   static ConfigurationException ofKey(String key, String message) {
     return new ConfigurationException(key, null, message, null);
   }
 
-  /** A file cannot be used as a whole; the message has to name it. */
+  /** Creates an error for a whole file, which the message has to name. */
   static ConfigurationException ofFile(String file, String message) {
     return new ConfigurationException(null, file, message, null);
   }
 
-  /** A key in a file cannot be used; the message has to name both. */
+  /** Creates an error for a key in a file; the message has to name both. */
   static ConfigurationException ofKeyInFile(String key, String file, String message) {
     return new ConfigurationException(key, file, message, null);
   }
 
-  /** The same error, whose message starts with the section that the key belongs to. */
+  /** Returns a copy of this error whose message starts with the section that has the key. */
   ConfigurationException inSection(String section) {
     return new ConfigurationException(key, file, section + ": " + getMessage(), this);
   }
 
-  /** The same error, whose message starts with the file that the key is in. */
-  ConfigurationException inFile(String inFile) {
-    return new ConfigurationException(key, inFile, inFile + ": " + getMessage(), this);
+  /** Returns a copy of this error whose message starts with the file that has the key. */
+  ConfigurationException inFile(String fileName) {
+    return new ConfigurationException(key, fileName, fileName + ": " + getMessage(), this);
   }
 
-  /** The key or environment variable, if the error concerns a single one. */
+  /** The key or environment variable, if the error is about a single one. */
   public Optional<String> key() {
     return Optional.ofNullable(key);
   }
 
-  /** The file, or the script function that stands for one, where it is known. */
+  /** The file, or the script function used in its place, such as {@code opensearch()}, if known. */
   public Optional<String> file() {
     return Optional.ofNullable(file);
   }
--- a/src/main/java/bitternpulley/config/ConfigurationFile.java
+++ b/src/main/java/bitternpulley/config/ConfigurationFile.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 
 /**
- * The configuration file that LB_CONFIG names, and the environment variables that take precedence
+ * The configuration file named by LB_CONFIG, and the environment variables that take precedence
  * over some of its keys.
  */
 final class ConfigurationFile {
-  private static final String VARIABLE = "LB_CONFIG";
+  private static final String FILE_VARIABLE = "LB_CONFIG";
 
   private final JsonNode root;
   private final Map<String, String> environment;
@@ -24,9 +24,9 @@
   }
 
   static ConfigurationFile open(Map<String, String> environment) {
-    String file = environment.getOrDefault(VARIABLE, "");
+    String file = environment.getOrDefault(FILE_VARIABLE, "");
     if (file.isEmpty()) {
-      throw ConfigurationException.ofKey(VARIABLE, VARIABLE + " is not set");
+      throw ConfigurationException.ofKey(FILE_VARIABLE, FILE_VARIABLE + " is not set");
     }
     return new ConfigurationFile(read(file), environment);
   }
@@ -35,9 +35,9 @@
     JsonNode root;
     try {
       root = StrictJson.read(Files.readAllBytes(Path.of(file)));
-    } catch (JsonProcessingException malformed) {
-      throw error(file, file + " is not JSON: " + malformed.getOriginalMessage());
-    } catch (IOException unreadable) {
+    } catch (JsonProcessingException exception) {
+      throw error(file, file + " is not JSON: " + exception.getOriginalMessage());
+    } catch (IOException exception) {
       throw error(file, "cannot read " + file);
     }
     if (!root.isObject()) {
@@ -47,10 +47,10 @@
   }
 
   private static ConfigurationException error(String file, String message) {
-    return ConfigurationException.ofKeyInFile(VARIABLE, file, VARIABLE + ": " + message);
+    return ConfigurationException.ofKeyInFile(FILE_VARIABLE, file, FILE_VARIABLE + ": " + message);
   }
 
-  /** The value of a key, a missing node if there is none. */
+  /** The value of a key, or a missing node if the file does not have the key. */
   JsonNode path(String key) {
     return root.path(key);
   }
@@ -60,12 +60,15 @@
     return environment.getOrDefault(name, "");
   }
 
-  /** The value of a variable if that is set, even to nothing, else of a key; may be empty. */
+  /**
+   * The value of an environment variable if it is set, even to an empty string, and of a key
+   * otherwise; empty if both are missing.
+   */
   String text(String variable, String key) {
     return environment.getOrDefault(variable, root.path(key).asText(""));
   }
 
-  /** As {@link #text}; must not be empty. */
+  /** As {@link #text}, but throws if the value is empty. */
   String requiredText(String variable, String key) {
     String value = text(variable, key);
     if (value.isEmpty()) {
@@ -75,12 +78,12 @@
     return value;
   }
 
-  /** The address that a variable or a key holds. */
+  /** The address in an environment variable or, if that is not set, in a key. */
   HostPort requiredAddress(String variable, String key) {
     return address(key, "'" + key + "' (" + variable + ")", requiredText(variable, key));
   }
 
-  /** The address that a text under a key holds. */
+  /** Parses the address in the value of a key; the key is named if the address is malformed. */
   static HostPort address(String key, String text) {
     return address(key, "'" + key + "'", text);
   }
@@ -88,8 +91,8 @@
   private static HostPort address(String key, String description, String text) {
     try {
       return HostPort.parse(text);
-    } catch (IllegalArgumentException malformed) {
-      throw ConfigurationException.ofKey(key, description + ": " + malformed.getMessage());
+    } catch (IllegalArgumentException exception) {
+      throw ConfigurationException.ofKey(key, description + ": " + exception.getMessage());
     }
   }
 }
--- a/src/main/java/bitternpulley/config/ConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/ConfigurationReader.java
@@ -10,31 +10,29 @@
 import java.util.Optional;
 
 /**
- * Reads the configuration file that LB_CONFIG names; other environment variables take precedence
- * over some of its keys.
+ * Reads the configuration file named by LB_CONFIG; other environment variables take precedence over
+ * some of its keys.
  */
 public final class ConfigurationReader {
   /**
-   * The shortest interval in which the program may act, ms: its timers fire on a grid, and it may
-   * wait for a share of a core. Without it, answers sent just in time would arrive late.
+   * Minimum interval between actions of the process. Its timers have a fixed granularity, and it
+   * may wait for its share of a core; with a shorter tick, answers sent just in time
+   * would arrive late.
    */
-  private static final double MIN_TICK = 4;
+  private static final double MIN_TICK_MS = 4;
 
   private static final double DEFAULT_SOCKETS = 1024;
   private static final int MIN_SOCKETS = 64;
   private static final double DEFAULT_CALLS_PER_CONNECTION = 100;
-
-  /** Ms. */
-  private static final double DEFAULT_KEEPALIVE = 15_000;
-
-  private static final int HEXADECIMAL = 16;
+  private static final double DEFAULT_KEEPALIVE_MS = 15_000;
+  private static final int HEXADECIMAL_RADIX = 16;
 
   private ConfigurationReader() {}
 
   /**
    * Reads the whole configuration.
    *
-   * @throws ConfigurationException with the faulty variable or key
+   * @throws ConfigurationException that names the faulty environment variable or key
    */
   public static Configuration read(Map<String, String> environment) {
     ConfigurationFile file = ConfigurationFile.open(environment);
@@ -48,7 +46,7 @@
     int sockets = sockets(file.path("limits"));
     int callsPerConnection =
         (int) limit(settings.path("policyLimits"), "streamsPerConn", DEFAULT_CALLS_PER_CONNECTION);
-    double keepalive = limit(settings.path("policyLimits"), "keepalive", DEFAULT_KEEPALIVE);
+    double keepalive = limit(settings.path("policyLimits"), "keepalive", DEFAULT_KEEPALIVE_MS);
     return new Configuration(
         file.requiredText("LB_NAME", "name"),
         file.requiredAddress("LB_LISTEN", "listen"),
@@ -56,7 +54,7 @@
         seed(file),
         sockets,
         lastEndpoints,
-        SettingsReader.read(settings).withMinimumTick(MIN_TICK),
+        SettingsReader.read(settings).withMinimumTick(MIN_TICK_MS),
         new Configuration.ConnectionSettings(
             callsPerConnection, keepalive, limit(settings.path("costs"), "handshake", 0) > 0),
         zones,
@@ -65,8 +63,8 @@
   }
 
   /**
-   * Reads the configuration again after the file was replaced. The file's discovery address now
-   * takes precedence over LB_DISCOVERY, whose value is that of the program's start.
+   * Reads the configuration again after the file was replaced. LB_DISCOVERY is ignored in favour of
+   * the address in the file, because its value dates from the start of the process.
    */
   public static Configuration reread(Map<String, String> environment) {
     Map<String, String> withoutDiscovery = new HashMap<>(environment);
@@ -74,7 +72,7 @@
     return read(withoutDiscovery);
   }
 
-  /** The names of the zones in the settings, by which discovery refers to them. */
+  /** The names of the zones in the settings; endpoint lists of discovery use the same names. */
   public static List<String> zones(JsonNode settings) {
     List<String> zones = new ArrayList<>();
     settings.path("failureDomains").forEach(zone -> zones.add(zone.asText()));
@@ -111,8 +109,8 @@
 
   private static long seed(ConfigurationFile file) {
     try {
-      return Long.parseUnsignedLong(file.path("seed").asText(""), HEXADECIMAL);
-    } catch (NumberFormatException malformed) {
+      return Long.parseUnsignedLong(file.path("seed").asText(""), HEXADECIMAL_RADIX);
+    } catch (NumberFormatException exception) {
       throw ConfigurationException.ofKey("seed", "'seed' is not a hexadecimal number of 64 bits");
     }
   }
--- a/src/main/java/bitternpulley/config/Sections.java
+++ b/src/main/java/bitternpulley/config/Sections.java
@@ -2,11 +2,11 @@
 
 import java.util.function.Supplier;
 
-/** Names the section of the configuration file in the errors of its settings. */
+/** Adds the name of a section of the configuration file to errors. */
 final class Sections {
   private Sections() {}
 
-  /** Reads something in a section; the message of an error starts with the section's name. */
+  /** Calls a reader; an error that it throws gets a message that starts with the section's name. */
   static <T> T inSection(String section, Supplier<T> reader) {
     try {
       return reader.get();
--- a/src/main/java/bitternpulley/config/SettingsReader.java
+++ b/src/main/java/bitternpulley/config/SettingsReader.java
@@ -14,20 +14,20 @@
  * are ignored.
  */
 public final class SettingsReader {
-  /** Keys that the program does not use, but whose values must be valid all the same. */
-  private static final List<String> UNUSED_RULES =
+  /** Keys that are not used, but whose values must be valid nevertheless. */
+  private static final List<String> UNUSED_RULE_KEYS =
       List.of("answerSlack", "stopSendingWithin", "mustAskIn");
 
-  private static final List<String> UNUSED_COSTS =
+  private static final List<String> UNUSED_COST_KEYS =
       List.of("waste", "lateFail", "connection", "probe");
   private static final List<String> UNUSED_TENANT_KEYS = List.of("quotaRps");
 
   private SettingsReader() {}
 
   /**
-   * The settings in a JSON object.
+   * Reads the settings in a JSON object.
    *
-   * @throws ConfigurationException with the faulty key
+   * @throws ConfigurationException that names the faulty key
    */
   public static Settings read(JsonNode settings) {
     JsonNode classes = settings.get("requestClasses");
@@ -35,8 +35,8 @@
       throw ConfigurationException.ofKey(
           "requestClasses", "settings: 'requestClasses' is missing or empty");
     }
-    checkUnused(section(settings, "rules"), UNUSED_RULES);
-    checkUnused(section(settings, "costs"), UNUSED_COSTS);
+    checkUnused(section(settings, "rules"), UNUSED_RULE_KEYS);
+    checkUnused(section(settings, "costs"), UNUSED_COST_KEYS);
     JsonNode domain = section(settings, "domain");
     List<Settings.QueryClass> queryClasses = queryClasses(classes, domain);
     List<Settings.Tenant> tenants = tenants(section(settings, "tenants"));
@@ -106,7 +106,7 @@
         (int) elementOr(domain, "followUp", position, 0));
   }
 
-  /** The number at a position of a list, or a default if there is none. */
+  /** The number at a position of a list, or a default if the list has no number there. */
   private static double elementOr(JsonNode section, String key, int position, double defaultValue) {
     JsonNode element = section.path(key).path(position);
     double value = element.isNumber() ? element.doubleValue() : defaultValue;
--- a/src/main/java/bitternpulley/config/SettingsValidator.java
+++ b/src/main/java/bitternpulley/config/SettingsValidator.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * Rejects start settings that contradict each other or set a limit to zero: with them an aggregator
- * could do nothing, or would use another's share of the fleet's budgets.
+ * Rejects start settings that contradict each other or set a limit to zero. With such settings, an
+ * aggregator could not serve requests, or would use another aggregator's share of the fleet's
+ * budgets.
  */
 final class SettingsValidator {
   private static final String SECTION = "settings";
--- a/src/main/java/bitternpulley/config/StrictJson.java
+++ b/src/main/java/bitternpulley/config/StrictJson.java
@@ -12,9 +12,9 @@
 import java.io.IOException;
 
 /**
- * Reads one JSON text into a tree. Texts that two readers could understand differently are
- * rejected: those with a duplicate key, or with more than one value. Uses the streaming parser
- * alone, as an {@code ObjectMapper} would slow down the start considerably.
+ * Parses a JSON text into a tree. Texts that two parsers could interpret differently are rejected:
+ * those with a duplicate key or more than one value. Uses only the streaming parser, because an
+ * {@code ObjectMapper} would slow down the start considerably.
  */
 public final class StrictJson {
   private static final JsonFactory FACTORY =
@@ -23,7 +23,11 @@
 
   private StrictJson() {}
 
-  /** The only value of a text; throws IOException if there is none, or anything else. */
+  /**
+   * Parses a text that contains exactly one value.
+   *
+   * @throws IOException if the text is malformed, contains no value or continues after the value
+   */
   public static JsonNode read(byte[] text) throws IOException {
     try (JsonParser parser = FACTORY.createParser(text)) {
       if (parser.nextToken() == null) {
