--- a/src/main/java/bitternpulley/config/BrokerConfiguration.java
+++ b/src/main/java/bitternpulley/config/BrokerConfiguration.java
@@ -9,13 +9,13 @@
 /**
  * The configuration in the operators' script.
  *
- * @param contracts the contracts, under version 1; they are renumbered when they are put in force
- * @param tenantIdentification how requests are attributed to the contracts' teams
- * @param searchFront the settings of the search front, if the script has them
+ * @param contracts the contracts as version 1; they get another version when they take effect
+ * @param tenantIdentification how requests are attributed to the teams of the contracts
+ * @param searchFront the settings of the search front end, if the script has them
  * @param listsAccounts whether the admin endpoint lists accounts
- * @param membership membership among the aggregators, if it is on
- * @param document everything as one JSON document, as the schema describes it
- * @param printed what the script printed
+ * @param membership the configuration of membership, if membership is enabled
+ * @param document the whole configuration as a JSON document that conforms to the schema
+ * @param printed the text that the script printed
  */
 public record BrokerConfiguration(
     ContractBook contracts,
@@ -26,7 +26,7 @@
     JsonNode document,
     String printed) {
 
-  /** There is no script, and there are no contracts. */
+  /** The configuration without an operators' script: there are no contracts. */
   public static final BrokerConfiguration NONE =
       new BrokerConfiguration(
           ContractBook.NONE,
--- a/src/main/java/bitternpulley/config/BrokerConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/BrokerConfigurationReader.java
@@ -11,38 +11,38 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads the operators' script, which LB_BROKER names; without a script there are no contracts. */
+/** Reads the operators' script named by LB_BROKER. Without a script, there are no contracts. */
 public final class BrokerConfigurationReader {
-  private static final String VARIABLE = "LB_BROKER";
+  private static final String SCRIPT_VARIABLE = "LB_BROKER";
   private static final long MAX_BYTES = 4L << 20;
 
   private BrokerConfigurationReader() {}
 
-  /** The configuration of the script that the environment names, checked against the settings. */
+  /** Reads the script named by LB_BROKER and checks it against the settings. */
   public static BrokerConfiguration read(Map<String, String> environment, Settings settings) {
-    String file = environment.getOrDefault(VARIABLE, "");
+    String file = environment.getOrDefault(SCRIPT_VARIABLE, "");
     return file.isEmpty() ? BrokerConfiguration.NONE : read(Path.of(file), Optional.of(settings));
   }
 
-  /** The configuration of a script, checked against the settings if there are any. */
+  /** Reads a script and checks it against the settings, if they are given. */
   public static BrokerConfiguration read(Path path, Optional<Settings> settings) {
-    BrokerScript script = BrokerScript.evaluate(path.toString(), text(path));
+    BrokerScript script = BrokerScript.evaluate(path.toString(), readText(path));
     BrokerSchema.validate(script);
     return configuration(script, settings);
   }
 
-  private static String text(Path path) {
+  private static String readText(Path path) {
     String file = path.toString();
     try {
       if (Files.size(path) > MAX_BYTES) {
         throw ConfigurationException.ofFile(file, file + ": has more than " + MAX_BYTES + " bytes");
       }
       return Files.readString(path, StandardCharsets.UTF_8);
-    } catch (CharacterCodingException malformed) {
+    } catch (CharacterCodingException exception) {
       throw ConfigurationException.ofFile(file, file + ": is not text in UTF-8");
-    } catch (IOException unreadable) {
+    } catch (IOException exception) {
       throw ConfigurationException.ofKeyInFile(
-          VARIABLE, file, VARIABLE + ": " + file + " cannot be read");
+          SCRIPT_VARIABLE, file, SCRIPT_VARIABLE + ": " + file + " cannot be read");
     }
   }
 
@@ -58,6 +58,6 @@
         document.path("accounts").path("list").asBoolean(false),
         MembershipReader.read(script),
         document,
-        script.printed());
+        script.output());
   }
 }
--- a/src/main/java/bitternpulley/config/BrokerSchema.java
+++ b/src/main/java/bitternpulley/config/BrokerSchema.java
@@ -12,13 +12,16 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Checks the document of an operators' script against its JSON schema. */
+/** Validates the document of an operators' script against its JSON schema. */
 final class BrokerSchema {
   private static final String RESOURCE = "broker.schema.json";
 
   private BrokerSchema() {}
 
-  /** Throws the first error by position in the document, so that one script has one message. */
+  /**
+   * Throws the error whose JSON pointer sorts first, so that a script always gives the same
+   * message.
+   */
   static void validate(BrokerScript script) {
     List<Error> errors = schema().validate(script.document().toString(), InputFormat.JSON);
     Optional<Error> first =
@@ -29,7 +32,10 @@
     }
   }
 
-  /** The pointer of the faulty key, even if that is missing or unknown. */
+  /**
+   * Returns the JSON pointer of the faulty key. For a missing or unknown key, the location of the
+   * error is the enclosing object, so that the key is appended.
+   */
   private static String pointer(Error error) {
     String location = error.getInstanceLocation().toString();
     return error.getProperty() == null ? location : location + "/" + error.getProperty();
@@ -39,8 +45,8 @@
     try (InputStream resource = BrokerSchema.class.getResourceAsStream(RESOURCE)) {
       return SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
           .getSchema(resource);
-    } catch (IOException unreadable) {
-      throw new UncheckedIOException(unreadable);
+    } catch (IOException exception) {
+      throw new UncheckedIOException(exception);
     }
   }
 }
--- a/src/main/java/bitternpulley/config/BrokerScript.java
+++ b/src/main/java/bitternpulley/config/BrokerScript.java
@@ -8,33 +8,33 @@
 import java.util.Map;
 
 /**
- * The evaluated operators' script: one document of all that its function calls set, and where in
- * the script each key was set.
+ * An evaluated operators' script: the document that its function calls build, and the position in
+ * the script at which each key was set.
  */
 final class BrokerScript {
   private final ObjectNode document;
 
-  /** By JSON pointer; a deeper key has the position of the nearest one above it. */
+  /** By JSON pointer; a nested key without an entry has the position of the nearest parent. */
   private final Map<String, SourcePosition> positions;
 
-  private final String printed;
+  private final String output;
 
-  private BrokerScript(ObjectNode document, Map<String, SourcePosition> positions, String printed) {
+  private BrokerScript(ObjectNode document, Map<String, SourcePosition> positions, String output) {
     this.document = document;
     this.positions = positions;
-    this.printed = printed;
+    this.output = output;
   }
 
   /**
    * Evaluates a script.
    *
-   * @throws ConfigurationException with the position of what cannot be evaluated
+   * @throws ConfigurationException if the script cannot be evaluated; the message has the position
    */
   static BrokerScript evaluate(String file, String text) {
     BrokerScriptFunctions functions = new BrokerScriptFunctions();
     try {
-      String printed = new ScriptRunner(EvaluationLimits.DEFAULT, functions).run(file, text);
-      return new BrokerScript(functions.document(), functions.positions(), printed);
+      String output = new ScriptRunner(EvaluationLimits.DEFAULT, functions).run(file, text);
+      return new BrokerScript(functions.document(), functions.positions(), output);
     } catch (ScriptException error) {
       throw ConfigurationException.ofFile(file, error.toString());
     }
@@ -44,12 +44,12 @@
     return document;
   }
 
-  /** What the script printed. */
-  String printed() {
-    return printed;
+  /** The text that the script printed. */
+  String output() {
+    return output;
   }
 
-  /** An error in the document, given by JSON pointer, with its position in the script. */
+  /** Creates an error at a JSON pointer of the document; its message has the script position. */
   ConfigurationException error(String pointer, String message) {
     String nearest = pointer;
     while (!positions.containsKey(nearest) && nearest.lastIndexOf('/') > 0) {
--- a/src/main/java/bitternpulley/config/BrokerScriptFunctions.java
+++ b/src/main/java/bitternpulley/config/BrokerScriptFunctions.java
@@ -14,26 +14,26 @@
 
 /**
  * The functions that the operators' script may call. All but {@code terms()} add their arguments to
- * a document, which the schema checks later.
+ * a document, which is later validated against the schema.
  */
 final class BrokerScriptFunctions implements ScriptHost {
   private static final String CONTRACT = "contract";
   private static final String CONTRACTS = "contracts";
   private static final String TERMS = "terms";
 
-  /** Functions that may be called once and set the object of the same name. */
+  /** Functions that may be called only once; the arguments are set in the object of that name. */
   private static final Set<String> SECTIONS =
       Set.of("opensearch", "accounts", "membership", "leases");
 
   private final ObjectNode document = JsonNodeFactory.instance.objectNode();
   private final Map<String, SourcePosition> positions = new HashMap<>();
 
-  /** What was set so far. */
+  /** The document built so far. */
   ObjectNode document() {
     return document;
   }
 
-  /** Where each key was set, by JSON pointer. */
+  /** The position in the script at which each key was set, by JSON pointer. */
   Map<String, SourcePosition> positions() {
     return positions;
   }
@@ -56,7 +56,7 @@
     return None.NONE;
   }
 
-  /** A dict of the arguments; its keys are checked where it is used. */
+  /** Returns the arguments as a dict; its keys are checked where the dict is used. */
   private static Map<Object, Object> terms(Map<String, Argument> arguments) {
     Map<Object, Object> terms = new LinkedHashMap<>();
     arguments.forEach((key, argument) -> terms.put(key, argument.value()));
--- a/src/main/java/bitternpulley/config/ClassTermsReader.java
+++ b/src/main/java/bitternpulley/config/ClassTermsReader.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads what a contract says about the query classes that its team may use. */
+/** Reads the terms of a contract for each query class that its team may use. */
 final class ClassTermsReader {
   private final BrokerScript script;
   private final Optional<Settings> settings;
@@ -19,8 +19,10 @@
   }
 
   /**
-   * The terms of each class by its position in the settings; without settings, by its position in
-   * the contract, and without defaults for what only a site can tell.
+   * Returns the terms of each class by the position of the class in the settings.
+   *
+   * <p>Without settings, the keys are the positions in the contract. Missing terms are then NaN,
+   * because only the site has their defaults; a missing priority weight is 1.
    */
   Map<Integer, Router.ClassTerms> read(JsonNode classes, String pointer) {
     Map<Integer, Router.ClassTerms> termsByClass = new LinkedHashMap<>();
@@ -47,7 +49,7 @@
         terms.path("worth").asDouble(1));
   }
 
-  /** A contract may be stricter than the site, never laxer. */
+  /** Returns the terms of a class, which may be stricter than those of the site but not laxer. */
   private Router.ClassTerms terms(JsonNode terms, Settings.QueryClass site, String pointer) {
     double latencyObjective = terms.path("wanted_ms").asDouble(site.latencyObjective());
     if (latencyObjective > site.latencyObjective()) {
--- a/src/main/java/bitternpulley/config/ContractsReader.java
+++ b/src/main/java/bitternpulley/config/ContractsReader.java
@@ -10,18 +10,18 @@
 import java.util.Optional;
 
 /**
- * Reads the contracts of a document that the schema has accepted, and makes the checks that a
- * schema cannot express. docs/contracts.md lists the keys and their defaults.
+ * Reads the contracts of a document that conforms to the schema, and makes the checks that a schema
+ * cannot express. docs/contracts.md lists the keys and their defaults.
  */
 final class ContractsReader {
-  /** Ms; enough for one large query. */
-  private static final double DEFAULT_BURST = 500;
+  /** Enough for one large query. */
+  private static final double DEFAULT_BURST_MS = 500;
 
   private static final double DEFAULT_RETRIES_PER_PART = 0.2;
   private static final double DEFAULT_CLIENT_RETRIES = 0.5;
 
-  /** Quotas may add up to more than one by rounding. */
-  private static final double ROUNDING = 1e-9;
+  /** Quotas that add up to one may have a slightly larger sum because of rounding. */
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final BrokerScript script;
   private final Optional<Settings> settings;
@@ -31,10 +31,10 @@
   private double guaranteedQuotas;
 
   /**
-   * A reader of one script.
+   * Creates a reader of one script.
    *
-   * @param script the document
-   * @param settings the site's, if the contracts are checked against a site
+   * @param script the evaluated script
+   * @param settings the settings of the site, if the contracts are checked against a site
    * @param tenants reads how the teams of the contracts are identified
    */
   ContractsReader(
@@ -45,7 +45,7 @@
     this.classTerms = new ClassTermsReader(script, settings);
   }
 
-  /** All contracts, under version 1. */
+  /** Reads all contracts, as version 1. */
   ContractBook read() {
     for (JsonNode entry : script.document().path("contracts")) {
       String pointer = "/contracts/" + contracts.size();
@@ -66,7 +66,7 @@
         id,
         guaranteedQuota,
         ceiling,
-        contract.path("burst_ms").asDouble(DEFAULT_BURST),
+        contract.path("burst_ms").asDouble(DEFAULT_BURST_MS),
         contract.path("borrow").asBoolean(true),
         contract.path("lend").asBoolean(true),
         contract.path("further_attempts").asDouble(DEFAULT_RETRIES_PER_PART),
@@ -86,7 +86,7 @@
   private double guaranteedQuota(JsonNode contract, String pointer) {
     double quota = contract.get("share").doubleValue();
     guaranteedQuotas += quota;
-    if (guaranteedQuotas > 1 + ROUNDING) {
+    if (guaranteedQuotas > 1 + ROUNDING_TOLERANCE) {
       throw script.error(
           pointer + "/share",
           "brings the shares together to " + guaranteedQuotas + ", which is more than there is");
--- a/src/main/java/bitternpulley/config/ScriptValues.java
+++ b/src/main/java/bitternpulley/config/ScriptValues.java
@@ -12,14 +12,14 @@
 
 /** Converts values of the script language to JSON. */
 final class ScriptValues {
-  /** Levels of lists and dicts in one argument. */
+  /** Maximum nesting of lists and dicts in one argument. */
   private static final int MAX_DEPTH = 8;
 
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
   private ScriptValues() {}
 
-  /** The JSON of an argument, which stands at a position of the script. */
+  /** Converts the argument at a position of the script to JSON. */
   static JsonNode toJson(Object value, SourcePosition position) {
     return toJson(value, position, 0);
   }
--- a/src/main/java/bitternpulley/config/SiteClasses.java
+++ b/src/main/java/bitternpulley/config/SiteClasses.java
@@ -2,11 +2,11 @@
 
 import bitternpulley.routing.Settings;
 
-/** The query classes of the settings, as the operators' script names them. */
+/** Finds query classes of the settings by the names that the operators' script uses. */
 final class SiteClasses {
   private SiteClasses() {}
 
-  /** The position of a class; {@code pointer} is where the script names it. */
+  /** The position of a class in the settings; {@code pointer} locates its name in the script. */
   static int position(Settings settings, String name, BrokerScript script, String pointer) {
     int position = 0;
     for (Settings.QueryClass queryClass : settings.classes()) {
--- a/src/main/java/bitternpulley/config/TenantIdentificationReader.java
+++ b/src/main/java/bitternpulley/config/TenantIdentificationReader.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads how the teams of contracts are identified, and checks that no two claim the same. */
+/** Reads how the teams of contracts are identified; no two contracts may claim the same name. */
 final class TenantIdentificationReader {
   private final BrokerScript script;
   private final Optional<Settings> settings;
@@ -25,19 +25,19 @@
     this.settings = settings;
   }
 
-  /** The team whose contract applies to requests that no team is identified for. */
+  /** The team whose contract applies to requests for which no team is identified. */
   Optional<String> defaultTeam() {
     return Optional.ofNullable(defaultTeam);
   }
 
-  /** How the teams of all contracts added are identified. */
+  /** Returns how the teams of all added contracts are identified. */
   TenantIdentification identification() {
     return hasContracts
         ? new TenantIdentification(keys, teamByIndex, teamByClass, defaultTeam != null)
         : TenantIdentification.NONE;
   }
 
-  /** Adds a team by its contract, which is at a pointer of the document. */
+  /** Adds a team with its contract, which is at a JSON pointer of the document. */
   void add(String team, JsonNode contract, String pointer) {
     hasContracts = true;
     addDefault(team, contract, pointer);
@@ -68,12 +68,12 @@
   }
 
   private void addIndices(String team, JsonNode entries, String pointer) {
-    JsonNode known = script.document().path("opensearch").path("indices");
+    JsonNode knownIndices = script.document().path("opensearch").path("indices");
     int position = 0;
     for (JsonNode entry : entries) {
       String index = entry.textValue();
       String indexPointer = pointer + "/" + position;
-      if (!known.has(index)) {
+      if (!knownIndices.has(index)) {
         throw script.error(indexPointer, "names no index of opensearch(): " + index);
       }
       claim(teamByIndex, index, team, indexPointer);
