--- a/src/main/java/bitternpulley/config/LeaseConfiguration.java
+++ b/src/main/java/bitternpulley/config/LeaseConfiguration.java
@@ -6,27 +6,30 @@
 import java.util.stream.IntStream;
 
 /**
- * What the operators' script says of leases.
+ * The configuration of leases in the operators' script.
  *
- * @param duration of a lease, ms
- * @param witnesses the numbers of the aggregators that vote on leases; empty for the default ones
+ * @param duration the duration of a lease, ms
+ * @param witnesses the numbers of the aggregators that grant leases; empty if the default applies
  */
 public record LeaseConfiguration(double duration, List<Integer> witnesses) {
-  /** An odd number, so that a majority remains while one or two are unavailable. */
-  private static final int DEFAULT_WITNESSES = 5;
+  /** An odd number, so that a majority remains while one or two witnesses are unavailable. */
+  private static final int DEFAULT_WITNESS_COUNT = 5;
 
-  /** Share of a lease's duration that must be usable: each lease is renewed four times in it. */
+  /**
+   * Minimum share of a lease's duration in which the holder can use the lease. A lease is renewed
+   * four times per duration.
+   */
   private static final double MIN_USABLE_SHARE = 0.6;
 
-  /** The checked terms for a number of members. */
+  /** Checks this configuration for a number of members and returns its terms. */
   LeaseTerms terms(int members, Settings settings) {
     checkMembers(members, settings);
-    List<Integer> voters = witnesses.isEmpty() ? defaultWitnesses(members) : witnesses;
-    checkWitnesses(voters, members);
-    // A decision made under a lease has effect for a cold server's overload window, and may wait
-    // for a connection before.
+    List<Integer> effectiveWitnesses = witnesses.isEmpty() ? defaultWitnesses(members) : witnesses;
+    checkWitnesses(effectiveWitnesses, members);
+    // A decision made under a lease may first wait for a connection, and then has effect for the
+    // overload window of a server that is warming up.
     double effectMs = settings.rules().overloadWindow() + settings.limits().connectTimeout();
-    LeaseTerms terms = new LeaseTerms(members, voters, duration, effectMs);
+    LeaseTerms terms = new LeaseTerms(members, effectiveWitnesses, duration, effectMs);
     checkUsableTime(terms);
     return terms;
   }
@@ -35,38 +38,38 @@
     if (members > LeaseTerms.MAX_MEMBERS) {
       throw ConfigurationException.ofKey(
           "peers",
-          "leases() is for at most "
+          "leases() supports at most "
               + LeaseTerms.MAX_MEMBERS
-              + " aggregators, and 'peers' names "
+              + " aggregators, but 'peers' lists "
               + members);
     }
     if (members != settings.instances()) {
       throw ConfigurationException.ofKey(
           "peers",
-          "leases() needs all of 'instances' in 'peers': there are "
+          "leases() needs every aggregator in 'peers': 'instances' is "
               + settings.instances()
-              + ", and "
+              + ", but "
               + members
               + " are named");
     }
   }
 
   private static List<Integer> defaultWitnesses(int members) {
-    int most = Math.min(DEFAULT_WITNESSES, members);
-    int count = most % 2 == 0 ? most - 1 : most;
+    int maxCount = Math.min(DEFAULT_WITNESS_COUNT, members);
+    int count = maxCount % 2 == 0 ? maxCount - 1 : maxCount;
     return IntStream.range(0, count).boxed().toList();
   }
 
-  private static void checkWitnesses(List<Integer> voters, int members) {
-    for (int voter : voters) {
-      if (voter >= members) {
+  private static void checkWitnesses(List<Integer> effectiveWitnesses, int members) {
+    for (int witness : effectiveWitnesses) {
+      if (witness >= members) {
         throw ConfigurationException.ofKey(
             "leases.witnesses",
-            "'leases.witnesses' names number "
-                + voter
-                + ", and 'peers' only "
+            "'leases.witnesses' names aggregator "
+                + witness
+                + ", but 'peers' lists only "
                 + members
-                + " aggregators");
+                + ", numbered from 0");
       }
     }
   }
@@ -79,7 +82,7 @@
               + terms.duration()
               + " ms only "
               + Math.round(terms.usableTime())
-              + " are for use beside 'fall' and 'connectTimeout'");
+              + " remain usable after 'fall' and 'connectTimeout'");
     }
   }
 }
--- a/src/main/java/bitternpulley/config/MembershipConfiguration.java
+++ b/src/main/java/bitternpulley/config/MembershipConfiguration.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 /**
- * What the operators' script says of membership among the aggregators.
+ * The configuration of membership among the aggregators in the operators' script.
  *
- * @param terms timing and fan-out of failure detection
- * @param region of this instance; empty if none is set
+ * @param terms the timing and fan-out of failure detection
+ * @param region the region of this instance; empty if none is set
  * @param deployment the name that separates deployments from each other; empty if none is set
- * @param leases the leases, if they are on
+ * @param leases the configuration of leases, if leases are enabled
  */
 public record MembershipConfiguration(
     MembershipSettings terms,
--- a/src/main/java/bitternpulley/config/MembershipReader.java
+++ b/src/main/java/bitternpulley/config/MembershipReader.java
@@ -11,16 +11,16 @@
   private static final double DEFAULT_LEASE_SECONDS = 10;
   private static final double MS_PER_SECOND = 1000;
 
-  /** Timeouts that one health check of a member may take. */
-  private static final int TIMEOUTS_PER_CHECK = 3;
+  /** Number of timeouts after which a probe of a member has failed. */
+  private static final int TIMEOUTS_PER_PROBE = 3;
 
   private MembershipReader() {}
 
-  /** Empty if the script does not configure membership, or has it off. */
+  /** Returns empty if the script does not configure membership or disables it. */
   static Optional<MembershipConfiguration> read(BrokerScript script) {
     Optional<LeaseConfiguration> leases = leases(script.document().path("leases"));
     JsonNode membership = script.document().path("membership");
-    if (isOff(membership)) {
+    if (isDisabled(membership)) {
       if (leases.isPresent()) {
         throw script.error("/leases", "needs membership()");
       }
@@ -34,7 +34,7 @@
             leases));
   }
 
-  private static boolean isOff(JsonNode section) {
+  private static boolean isDisabled(JsonNode section) {
     return section.isMissingNode() || !section.path("on").asBoolean(true);
   }
 
@@ -42,7 +42,7 @@
     MembershipSettings defaults = MembershipSettings.DEFAULT;
     double interval = membership.path("interval_ms").asDouble(defaults.interval());
     double timeout = membership.path("timeout_ms").asDouble(defaults.timeout());
-    if (TIMEOUTS_PER_CHECK * timeout > interval) {
+    if (TIMEOUTS_PER_PROBE * timeout > interval) {
       throw script.error(
           "/membership/timeout_ms", "is over a third of interval_ms, which is " + interval);
     }
@@ -57,7 +57,7 @@
   }
 
   private static Optional<LeaseConfiguration> leases(JsonNode section) {
-    if (isOff(section)) {
+    if (isDisabled(section)) {
       return Optional.empty();
     }
     List<Integer> witnesses = new ArrayList<>();
--- a/src/main/java/bitternpulley/config/SearchConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/SearchConfigurationReader.java
@@ -14,34 +14,35 @@
 import java.util.stream.IntStream;
 
 /**
- * Reads the configuration of the OpenSearch-style front from the operators' script, else from the
- * file that LB_OPENSEARCH names or the one under deploy/.
+ * Reads the configuration of the OpenSearch-style search front end from the operators' script. If
+ * the script does not have it, reads the file named by LB_OPENSEARCH, or by default the one under
+ * deploy/.
  */
 public final class SearchConfigurationReader {
   private static final System.Logger LOG =
       System.getLogger(SearchConfigurationReader.class.getName());
   private static final String DEFAULT_FILE = "deploy/opensearch.json";
   private static final int DEFAULT_SERVER_PORT = 9200;
-  private static final int DEFAULT_RESULT_WINDOW = 10_000;
-  private static final int DEFAULT_SEARCHES = 64;
-  private static final int DEFAULT_PART_BYTES = 256 * 1024;
+  private static final int DEFAULT_MAX_RESULT_WINDOW = 10_000;
+  private static final int DEFAULT_MAX_SEARCHES = 64;
+  private static final int DEFAULT_MAX_PART_BYTES = 256 * 1024;
 
   private SearchConfigurationReader() {}
 
-  /** The front's configuration, or empty if there is none or it has no address. */
+  /** Returns empty if the search front end is not configured or has no listen address. */
   public static Optional<SearchConfiguration> read(
-      Map<String, String> environment, Settings settings, Optional<JsonNode> script) {
-    return script.isPresent()
-        ? configuration("opensearch()", script.get(), settings)
+      Map<String, String> environment, Settings settings, Optional<JsonNode> scriptSection) {
+    return scriptSection.isPresent()
+        ? configuration("opensearch()", scriptSection.get(), settings)
         : readFile(environment, settings);
   }
 
   private static Optional<SearchConfiguration> readFile(
       Map<String, String> environment, Settings settings) {
-    boolean isNamed = environment.containsKey("LB_OPENSEARCH");
+    boolean isVariableSet = environment.containsKey("LB_OPENSEARCH");
     String name = environment.getOrDefault("LB_OPENSEARCH", "");
     Path path = Path.of(name.isEmpty() ? DEFAULT_FILE : name);
-    if (!isNamed && !Files.exists(path)) {
+    if (!isVariableSet && !Files.exists(path)) {
       return Optional.empty();
     }
     Optional<SearchConfiguration> configuration =
@@ -59,38 +60,38 @@
   private static JsonNode json(Path path) {
     try {
       return StrictJson.read(Files.readAllBytes(path));
-    } catch (IOException unreadable) {
+    } catch (IOException exception) {
       throw ConfigurationException.ofFile(path.toString(), path + ": cannot be read as JSON");
     }
   }
 
   private static Optional<SearchConfiguration> configuration(
-      String file, JsonNode front, Settings settings) {
-    if (!front.path("listen").isTextual()) {
+      String file, JsonNode section, Settings settings) {
+    if (!section.path("listen").isTextual()) {
       return Optional.empty();
     }
     try {
       return Optional.of(
           new SearchConfiguration(
-              listen(front),
-              positiveInteger(front, "server_port", DEFAULT_SERVER_PORT),
-              positiveInteger(front, "max_result_window", DEFAULT_RESULT_WINDOW),
-              positiveInteger(front, "max_searches", DEFAULT_SEARCHES),
-              positiveInteger(front, "max_part_bytes", DEFAULT_PART_BYTES),
-              indices(front.path("indices"), settings)));
+              listen(section),
+              positiveInteger(section, "server_port", DEFAULT_SERVER_PORT),
+              positiveInteger(section, "max_result_window", DEFAULT_MAX_RESULT_WINDOW),
+              positiveInteger(section, "max_searches", DEFAULT_MAX_SEARCHES),
+              positiveInteger(section, "max_part_bytes", DEFAULT_MAX_PART_BYTES),
+              indices(section.path("indices"), settings)));
     } catch (ConfigurationException error) {
       throw error.inFile(file);
     }
   }
 
-  private static HostPort listen(JsonNode front) {
-    return ConfigurationFile.address("listen", front.path("listen").textValue());
+  private static HostPort listen(JsonNode section) {
+    return ConfigurationFile.address("listen", section.path("listen").textValue());
   }
 
-  private static int positiveInteger(JsonNode front, String key, int defaultValue) {
-    JsonNode value = front.path(key);
+  private static int positiveInteger(JsonNode section, String key, int defaultValue) {
+    JsonNode value = section.path(key);
     if (!value.isMissingNode() && (!value.isInt() || value.intValue() < 1)) {
-      throw ConfigurationException.ofKey(key, "'" + key + "' is not a whole number above 0");
+      throw ConfigurationException.ofKey(key, "'" + key + "' is not a positive integer");
     }
     return value.asInt(defaultValue);
   }
@@ -112,10 +113,10 @@
   private static SearchConfiguration.Index index(String name, JsonNode index, Settings settings) {
     if (!name.matches("[a-z0-9][a-z0-9_.-]{0,254}")) {
       throw ConfigurationException.ofKey(
-          "indices", "'indices': '" + name + "' is no name for an index");
+          "indices", "'indices': '" + name + "' is not a valid index name");
     }
     return new SearchConfiguration.Index(
-        name, queryClass(name, index, settings), sections(name, index, settings.layout().shards()));
+        name, queryClass(name, index, settings), shards(name, index, settings.layout().shards()));
   }
 
   private static int queryClass(String name, JsonNode index, Settings settings) {
@@ -123,26 +124,26 @@
     List<String> classes = settings.classes().stream().map(Settings.QueryClass::name).toList();
     if (!classes.contains(className)) {
       String key = "indices." + name + ".class";
-      throw ConfigurationException.ofKey(key, "'" + key + "' names no class of the settings");
+      throw ConfigurationException.ofKey(key, "'" + key + "' names no query class of the settings");
     }
     return classes.indexOf(className);
   }
 
-  /** The sections of an index; all if it names none. */
-  private static List<Integer> sections(String name, JsonNode index, int shards) {
-    List<Integer> sections = new ArrayList<>();
-    for (JsonNode section : index.path("sections")) {
-      if (!isShard(section, shards) || sections.contains(section.intValue())) {
+  /** The shards under the key 'sections' of an index; all shards if there are none. */
+  private static List<Integer> shards(String name, JsonNode index, int shardCount) {
+    List<Integer> shards = new ArrayList<>();
+    for (JsonNode shard : index.path("sections")) {
+      if (!isShard(shard, shardCount) || shards.contains(shard.intValue())) {
         String key = "indices." + name + ".sections";
         throw ConfigurationException.ofKey(
-            key, "'" + key + "' holds " + section + ", which is no section or comes twice");
+            key, "'" + key + "' contains " + shard + ", which is out of range or a duplicate");
       }
-      sections.add(section.intValue());
+      shards.add(shard.intValue());
     }
-    return sections.isEmpty() ? IntStream.range(0, shards).boxed().toList() : List.copyOf(sections);
+    return shards.isEmpty() ? IntStream.range(0, shardCount).boxed().toList() : List.copyOf(shards);
   }
 
-  private static boolean isShard(JsonNode section, int shards) {
-    return section.isInt() && section.intValue() >= 0 && section.intValue() < shards;
+  private static boolean isShard(JsonNode value, int shardCount) {
+    return value.isInt() && value.intValue() >= 0 && value.intValue() < shardCount;
   }
 }
