--- a/src/test/java/bitternpulley/config/BrokerConfigurationReaderTest.java
+++ b/src/test/java/bitternpulley/config/BrokerConfigurationReaderTest.java
@@ -20,13 +20,13 @@
   private static final String VALID =
       "contract(id = 'a', share = 0.5, classes = {'slot-search': terms()})\n";
 
-  /** The settings under deploy/, with classes named as in the example script. */
-  private static Settings site() {
+  /** The settings under deploy/, with the class names of the example script. */
+  private static Settings siteSettings() {
     String text;
     try {
       text = Files.readString(Path.of("deploy/rehearsal.json"));
-    } catch (IOException unreadable) {
-      throw new UncheckedIOException(unreadable);
+    } catch (IOException exception) {
+      throw new UncheckedIOException(exception);
     }
     return ConfigurationText.read(
             text.replace("\"whole\"", "\"slot-search\"")
@@ -36,21 +36,21 @@
   }
 
   private static BrokerConfiguration readFile(String path) {
-    return BrokerConfigurationReader.read(Path.of(path), Optional.of(site()));
+    return BrokerConfigurationReader.read(Path.of(path), Optional.of(siteSettings()));
   }
 
   private static BrokerConfiguration read(String text) {
     return TemporaryFile.with(
-        text, ".star", file -> BrokerConfigurationReader.read(file, Optional.of(site())));
+        text, ".star", file -> BrokerConfigurationReader.read(file, Optional.of(siteSettings())));
   }
 
   @Test
-  public void theShippedScriptHasNoContracts() {
+  public void shippedScriptHasNoContracts() {
     assertTrue(readFile("deploy/broker.star").contracts().isEmpty());
   }
 
   @Test
-  public void readsTheContractsOfTheExampleScript() {
+  public void readsContractsOfExampleScript() {
     BrokerConfiguration example = readFile("docs/examples/three-teams.star");
     assertEquals(
         example.contracts().contracts().stream().map(Contract::id).toList(),
@@ -61,13 +61,15 @@
   }
 
   @Test
-  public void withoutAScriptThereAreNoContracts() {
-    assertEquals(BrokerConfigurationReader.read(Map.of(), site()), BrokerConfiguration.NONE);
+  public void hasNoContractsWithoutScript() {
     assertEquals(
-        BrokerConfigurationReader.read(Map.of("LB_BROKER", ""), site()), BrokerConfiguration.NONE);
+        BrokerConfigurationReader.read(Map.of(), siteSettings()), BrokerConfiguration.NONE);
+    assertEquals(
+        BrokerConfigurationReader.read(Map.of("LB_BROKER", ""), siteSettings()),
+        BrokerConfiguration.NONE);
   }
 
-  /** A script whose contracts cannot be used, and what the message has to contain. */
+  /** Scripts with contracts that cannot be used, and the text that the message has to contain. */
   @DataProvider
   public Object[][] unusableContracts() {
     return new Object[][] {
@@ -93,7 +95,7 @@
     };
   }
 
-  /** The same for how the teams of contracts are identified. */
+  /** Scripts with unusable tenant identification, and the text that the message has to contain. */
   @DataProvider
   public Object[][] unusableIdentification() {
     return new Object[][] {
@@ -119,7 +121,7 @@
     };
   }
 
-  /** The same for what is not a contract. */
+  /** Scripts with errors outside contracts, and the text that the message has to contain. */
   @DataProvider
   public Object[][] unusableSections() {
     return new Object[][] {
@@ -138,23 +140,23 @@
   }
 
   @Test(dataProvider = "unusableContracts")
-  public void namesTheFaultyKeyOfAContractAndItsPosition(String text, String message) {
+  public void namesFaultyKeyOfContractAndItsPosition(String text, String message) {
     assertUnusable(text, message);
   }
 
   @Test(dataProvider = "unusableIdentification")
-  public void namesTheFaultyKeyOfTenantIdentification(String text, String message) {
+  public void namesFaultyKeyOfTenantIdentification(String text, String message) {
     assertUnusable(text, message);
   }
 
   @Test(dataProvider = "unusableSections")
-  public void namesWhatIsFaultyOutsideContractsAndItsPosition(String text, String message) {
+  public void namesErrorOutsideContracts(String text, String message) {
     assertUnusable(text, message);
   }
 
   private static void assertUnusable(String text, String message) {
     ConfigurationException error = expectThrows(ConfigurationException.class, () -> read(text));
     assertTrue(error.getMessage().contains(message), error.getMessage());
-    assertTrue(error.file().isPresent(), "the file is named");
+    assertTrue(error.file().isPresent(), "the error names the file");
   }
 }
--- a/src/test/java/bitternpulley/config/ConfigurationReaderTest.java
+++ b/src/test/java/bitternpulley/config/ConfigurationReaderTest.java
@@ -20,12 +20,12 @@
   }
 
   @Test
-  public void readsTheWholeConfiguration() {
+  public void readsWholeConfiguration() {
     Configuration configuration = read(VALID);
     assertEquals(configuration.name(), "n3");
     assertEquals(configuration.seed(), 255);
     assertEquals(configuration.sockets(), 512);
-    assertEquals(configuration.settings().tick(), 4.0, "the program's shortest tick");
+    assertEquals(configuration.settings().tick(), 4.0, "the minimum tick of the process");
     assertEquals(configuration.connections(), new Configuration.ConnectionSettings(9, 1000, false));
     assertEquals(configuration.lastEndpoints().revision(), 4);
     assertEquals(
@@ -34,7 +34,7 @@
   }
 
   @Test
-  public void handshakesAreCostlyIfTheSettingsSaySo() {
+  public void handshakesAreCostlyOnlyIfSettingsAssignACost() {
     assertFalse(read(VALID).connections().handshakesCostly());
     String costly =
         VALID.replace("\"settings\":{", "\"settings\":{\"costs\":{\"handshake\":0.02},");
@@ -42,7 +42,7 @@
   }
 
   @Test
-  public void onRereadTheFileTakesPrecedenceOverTheDiscoveryVariable() {
+  public void rereadIgnoresDiscoveryVariable() {
     TemporaryFile.with(
         VALID,
         ".json",
@@ -55,7 +55,7 @@
         });
   }
 
-  /** What is replaced in the valid file, by what, and the key that is faulty then. */
+  /** A text of the valid file, its replacement, and the key that is then faulty. */
   @DataProvider
   public Object[][] faults() {
     return new Object[][] {
@@ -89,7 +89,7 @@
   }
 
   @Test(dataProvider = "faults")
-  public void namesTheFaultyKey(String from, String to, String key) {
+  public void namesFaultyKey(String from, String to, String key) {
     ConfigurationException error =
         expectThrows(ConfigurationException.class, () -> read(VALID.replace(from, to)));
     assertTrue(error.getMessage().contains(key), error.getMessage());
@@ -97,7 +97,7 @@
   }
 
   @Test
-  public void withoutAFileTheVariableIsNamed() {
+  public void namesVariableIfNoFileIsSet() {
     assertTrue(messageOf(() -> ConfigurationReader.read(Map.of())).contains("LB_CONFIG"));
   }
 
@@ -107,19 +107,19 @@
   }
 
   @Test
-  public void membershipNeedsAnAddressForItsPeers() {
+  public void membershipRequiresPeerAddress() {
     assertTrue(messageOf(() -> read(VALID).checkPeers()).contains("peer_listen"));
   }
 
   @Test
-  public void membershipNeedsThisAggregatorAmongThePeers() {
-    String none = withKeys("\"peer_listen\":\"127.0.0.1:7946\",\"peers\":[]");
-    assertTrue(messageOf(() -> read(none).checkPeers()).contains("'peers'"));
-    read(none.replace("[]", "[\"127.0.0.1:7946\"]")).checkPeers();
+  public void membershipRequiresThisAggregatorAmongPeers() {
+    String withoutPeers = withKeys("\"peer_listen\":\"127.0.0.1:7946\",\"peers\":[]");
+    assertTrue(messageOf(() -> read(withoutPeers).checkPeers()).contains("'peers'"));
+    read(withoutPeers.replace("[]", "[\"127.0.0.1:7946\"]")).checkPeers();
   }
 
   @Test
-  public void namesPeersWhoseAddressIsMalformed() {
+  public void namesPeersIfAnAddressIsMalformed() {
     String malformed = withKeys("\"peer_listen\":\"127.0.0.1:7946\",\"peers\":[\"seven\"]");
     assertTrue(messageOf(() -> read(malformed)).contains("'peers'"));
   }
--- a/src/test/java/bitternpulley/config/ConfigurationText.java
+++ b/src/test/java/bitternpulley/config/ConfigurationText.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** A valid configuration file, which tests change. */
+/** A valid configuration file, which tests modify. */
 final class ConfigurationText {
   static final String VALID =
       """
@@ -16,7 +16,7 @@
 
   private ConfigurationText() {}
 
-  /** The valid file with further keys of the document. */
+  /** The valid file with additional top-level keys. */
   static String withKeys(String keys) {
     return VALID.replace("{\"name\":\"n3\"", "{\"name\":\"n3\"," + keys);
   }
--- a/src/test/java/bitternpulley/config/LeaseConfigurationTest.java
+++ b/src/test/java/bitternpulley/config/LeaseConfigurationTest.java
@@ -19,14 +19,14 @@
               "\"requestClasses\"", "\"instances\":3,\"rules\":{\"fall\":1000},\"requestClasses\"");
 
   @Test
-  public void allOfThreePeersAreWitnessesByDefault() {
+  public void allThreePeersAreWitnessesByDefault() {
     LeaseConfiguration leases = new LeaseConfiguration(10_000, List.of());
     assertEquals(read(THREE_PEERS).leaseTerms(leases).witnesses(), List.of(0, 1, 2));
   }
 
-  /** A lease configuration, the configuration file, and the key that does not fit. */
+  /** A lease configuration, a configuration file that it contradicts, and the faulty key. */
   @DataProvider
-  public Object[][] misfits() {
+  public Object[][] contradictions() {
     return new Object[][] {
       {new LeaseConfiguration(10_000, List.of(3)), THREE_PEERS, "leases.witnesses"},
       {new LeaseConfiguration(2000, List.of()), THREE_PEERS, "leases.lasts_s"},
@@ -38,8 +38,8 @@
     };
   }
 
-  @Test(dataProvider = "misfits")
-  public void namesTheKeyThatDoesNotFitTheSettings(
+  @Test(dataProvider = "contradictions")
+  public void namesKeyThatContradictsConfigurationFile(
       LeaseConfiguration leases, String text, String key) {
     Configuration configuration = read(text);
     ConfigurationException error =
--- a/src/test/java/bitternpulley/config/SearchConfigurationReaderTest.java
+++ b/src/test/java/bitternpulley/config/SearchConfigurationReaderTest.java
@@ -28,16 +28,16 @@
   }
 
   @Test
-  public void theFrontIsOffAsShipped() {
+  public void searchFrontEndIsDisabledInShippedFile() {
     assertTrue(SearchConfigurationReader.read(Map.of(), settings, Optional.empty()).isEmpty());
   }
 
   @Test
-  public void readsTheSectionsOfAnIndex() {
+  public void readsSectionsOfIndexAsShards() {
     assertEquals(read(VALID).indices().get("i").shards(), List.of(1, 3));
   }
 
-  /** What is replaced in the valid file, by what, and the key that is faulty then. */
+  /** A text of the valid file, its replacement, and the key that is then faulty. */
   @DataProvider
   public Object[][] faults() {
     return new Object[][] {
@@ -51,10 +51,10 @@
   }
 
   @Test(dataProvider = "faults")
-  public void namesTheFaultyKey(String from, String to, String key) {
+  public void namesFaultyKey(String from, String to, String key) {
     ConfigurationException error =
         expectThrows(ConfigurationException.class, () -> read(VALID.replace(from, to)));
     assertTrue(error.getMessage().contains(key), error.getMessage());
-    assertTrue(error.file().isPresent(), "the file is named");
+    assertTrue(error.file().isPresent(), "the error names the file");
   }
 }
--- a/src/test/java/bitternpulley/config/StoredScriptTest.java
+++ b/src/test/java/bitternpulley/config/StoredScriptTest.java
@@ -11,12 +11,12 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Operators' scripts that are in use yield the same documents as when they were recorded. */
+/** Checks that operators' scripts in use still yield the documents recorded for them. */
 class StoredScriptTest {
   private static final Path FOLDER = Path.of("src/test/resources/stored");
 
   @Test
-  void yieldTheRecordedDocuments() throws IOException {
+  void storedScriptsYieldRecordedDocuments() throws IOException {
     List<Path> scripts;
     try (Stream<Path> files = Files.list(FOLDER)) {
       scripts = files.filter(file -> file.toString().endsWith(".star")).sorted().toList();
--- a/src/test/java/bitternpulley/config/StrictJsonTest.java
+++ b/src/test/java/bitternpulley/config/StrictJsonTest.java
@@ -15,15 +15,15 @@
   }
 
   @Test
-  public void readsTheSameTreeAsAnObjectMapper() throws IOException {
+  public void readsSameTreeAsObjectMapper() throws IOException {
     String text =
         "{\"a\":[1,-2.5,3000000000,true,false,null,\"\\u00e9\\n\",{}],\"b\":{\"c\":[]},\"d\":1e3}";
     assertEquals(StrictJson.read(bytes(text)), new ObjectMapper().readTree(text));
   }
 
-  /** Texts that readers could understand differently, and some too deep or too long. */
+  /** Malformed texts, texts that parsers could interpret differently, and too deep or long ones. */
   @DataProvider
-  public Object[][] faults() {
+  public Object[][] invalidTexts() {
     return new Object[][] {
       {""},
       {"{"},
@@ -38,8 +38,8 @@
     };
   }
 
-  @Test(dataProvider = "faults")
-  public void rejectsWhatIsNotExactlyOneValue(String text) {
+  @Test(dataProvider = "invalidTexts")
+  public void rejectsTextWithoutExactlyOneValidValue(String text) {
     expectThrows(IOException.class, () -> StrictJson.read(bytes(text)));
   }
 }
--- a/src/test/java/bitternpulley/config/TemporaryFile.java
+++ b/src/test/java/bitternpulley/config/TemporaryFile.java
@@ -6,11 +6,11 @@
 import java.nio.file.Path;
 import java.util.function.Function;
 
-/** A file of a test. */
+/** Runs code with a temporary file. */
 final class TemporaryFile {
   private TemporaryFile() {}
 
-  /** Writes a text to a file, reads something from it and deletes it. */
+  /** Writes a text to a temporary file, calls a reader with it and deletes the file. */
   static <T> T with(String text, String suffix, Function<Path, T> reader) {
     try {
       Path file = Files.createTempFile("config", suffix);
@@ -20,8 +20,8 @@
       } finally {
         Files.delete(file);
       }
-    } catch (IOException unwritable) {
-      throw new UncheckedIOException(unwritable);
+    } catch (IOException exception) {
+      throw new UncheckedIOException(exception);
     }
   }
 }
