--- a/src/main/java/bitternpulley/aggregator/ActiveBrokerConfiguration.java
+++ b/src/main/java/bitternpulley/aggregator/ActiveBrokerConfiguration.java
@@ -6,7 +6,7 @@
 import bitternpulley.contracts.TenantIdentification;
 import java.lang.System.Logger.Level;
 
-/** The operators' script in force and the version of its contracts. Used on the loop thread. */
+/** The active operators' script and the version of its contracts. Used on the loop thread. */
 final class ActiveBrokerConfiguration {
   private static final System.Logger LOG =
       System.getLogger(ActiveBrokerConfiguration.class.getName());
@@ -20,24 +20,24 @@
     this.active = initial;
   }
 
-  /** How the tenant of a request is identified now. */
+  /** Returns how the tenant of a request is currently identified. */
   TenantIdentification tenantIdentification() {
     return active.tenantIdentification();
   }
 
-  /** Whether the admin endpoint may list accounts now. */
+  /** Whether the admin endpoint may currently list accounts. */
   boolean listsAccounts() {
     return active.listsAccounts();
   }
 
-  /** Puts the contracts that the process was started with in force. */
+  /** Activates the contracts that the process was started with. */
   void activateInitial() {
     broker.submit(new Event.ContractsActivated(active.contracts()));
   }
 
   /**
-   * Puts a changed script in force as the next version; an unchanged one has no effect. Queries in
-   * flight end under the contracts that admitted them.
+   * Activates a changed script as the next version; an unchanged script has no effect. Queries in
+   * flight complete under the contracts that admitted them.
    */
   void replace(BrokerConfiguration next) {
     if (next.document().equals(active.document())) {
--- a/src/main/java/bitternpulley/aggregator/Aggregator.java
+++ b/src/main/java/bitternpulley/aggregator/Aggregator.java
@@ -14,7 +14,7 @@
 
 /**
  * One aggregator process: creates its subsystems and starts them in order. {@link GracefulShutdown}
- * stops them: fronts, membership, passed socket, listeners.
+ * stops them in the order HTTP servers, membership, passed socket, listeners.
  */
 public final class Aggregator {
   private static final System.Logger LOG = System.getLogger(Aggregator.class.getName());
@@ -34,39 +34,48 @@
     QueryService queries = QueryService.create(context, state);
     Optional<SearchService> search =
         configuration.search().map(settings -> SearchService.create(context, settings));
-    Fronts fronts = new Fronts(context.loop(), queries.front(), context.site().listen(), search);
+    ClientHttpServers httpServers =
+        new ClientHttpServers(
+            context.loop(), queries.httpServer(), context.configuration().listen(), search);
 
     ConnectionPrewarmer prewarmer =
-        new ConnectionPrewarmer(context.loop(), context.site().seed(), queries.servers()::prewarm);
+        new ConnectionPrewarmer(
+            context.loop(), context.configuration().seed(), queries.slotServers()::prewarm);
     endpointLists =
-        new EndpointListDistributor(context.broker(), state, queries.servers(), search, prewarmer);
-    discovery = discovery(context, endpointLists);
+        new EndpointListDistributor(
+            context.broker(), state, queries.slotServers(), search, prewarmer);
+    discovery = createDiscovery(context, endpointLists);
     membership = new MembershipSubsystem(context, configuration.broker());
     reload = new ConfigurationReload(context, discovery);
-    admin = admin(context, new AdministeredService(context, state, fronts, reload));
+    admin =
+        createAdminEndpoint(context, new AggregatorControl(context, state, httpServers, reload));
 
     HotRestart hotRestart = new HotRestart(context, state);
-    startSequence = new StartSequence(context, state, fronts, endpointLists, hotRestart, prewarmer);
-    shutdown = new GracefulShutdown(context, state, fronts, membership, hotRestart);
+    startSequence =
+        new StartSequence(context, state, httpServers, endpointLists, hotRestart, prewarmer);
+    shutdown = new GracefulShutdown(context, state, httpServers, membership, hotRestart);
   }
 
-  private static Discovery discovery(ServiceContext context, EndpointListDistributor lists) {
-    Configuration site = context.site();
+  private static Discovery createDiscovery(
+      ServiceContext context, EndpointListDistributor endpointLists) {
+    Configuration configuration = context.configuration();
     return new Discovery(
         context.loop(),
-        site.discovery(),
-        site.zones(),
-        site.lastEndpoints().revision(),
-        lists::onDiscoveryList);
+        configuration.discovery(),
+        configuration.zones(),
+        configuration.lastEndpoints().revision(),
+        endpointLists::onDiscoveryList);
   }
 
-  private static AdminEndpoint admin(ServiceContext context, ServiceControl service) {
-    OverridesFile overrides = new OverridesFile(context.site().operations().stateDirectory());
-    return new AdminEndpoint(context.loop(), context.broker(), overrides, service);
+  private static AdminEndpoint createAdminEndpoint(
+      ServiceContext context, ServiceControl control) {
+    OverridesFile overrides =
+        new OverridesFile(context.configuration().operations().stateDirectory());
+    return new AdminEndpoint(context.loop(), context.broker(), overrides, control);
   }
 
   /**
-   * Serves until SIGTERM. Returns once the start has begun.
+   * Starts a process that serves until SIGTERM or SIGINT. Returns once the start has begun.
    *
    * @throws bitternpulley.config.ConfigurationException when the configuration cannot be used
    */
@@ -75,8 +84,9 @@
   }
 
   /**
-   * Starts, and exits as soon as it is ready. The build runs this to have the JVM archive the
-   * classes that a start loads; mapping that archive saves most of a start's work.
+   * Starts a process that exits as soon as it is ready. The build runs this so that the JVM
+   * archives the classes loaded during startup; mapping that archive saves most of the startup
+   * work.
    *
    * @throws bitternpulley.config.ConfigurationException when the configuration cannot be used
    */
@@ -89,7 +99,7 @@
     ProcessSignal.TERM.onReceive(aggregator.shutdown::run);
     ProcessSignal.INT.onReceive(aggregator.shutdown::run);
     aggregator.context.loop().execute(() -> aggregator.start(onReady));
-    // Registered after the start has begun, so that a reload cannot take effect before it.
+    // Registered after the start is queued on the loop, so that no reload takes effect before it.
     if (!ProcessSignal.HUP.onReceive(() -> aggregator.reload.start(ReloadObserver.NONE))) {
       LOG.log(
           Level.WARNING,
@@ -100,14 +110,14 @@
 
   /** Operator overrides, leases and endpoints take effect before the first request is accepted. */
   private void start(Runnable onReady) {
-    Configuration site = context.site();
-    context.loop().onPause(ms -> context.broker().submit(new Event.ProcessPaused(ms)));
+    Configuration configuration = context.configuration();
+    context.loop().onPause(pauseMs -> context.broker().submit(new Event.ProcessPaused(pauseMs)));
     context.loop().startLagMonitor();
-    if (site.operations().admin().isPresent()) {
-      startAdmin(site.operations().admin().get());
+    if (configuration.operations().admin().isPresent()) {
+      startAdmin(configuration.operations().admin().get());
     }
     membership.startLeases();
-    endpointLists.onStoredList(site.lastEndpoints());
+    endpointLists.onStoredList(configuration.lastEndpoints());
     context.brokerConfiguration().activateInitial();
     discovery.start();
     membership.start();
@@ -116,6 +126,6 @@
 
   private void startAdmin(HostPort address) {
     admin.loadOverrides();
-    ListenerStart.open(admin::listen, address);
+    RequiredListener.open(admin::listen, address);
   }
 }
--- a/src/main/java/bitternpulley/aggregator/AdministeredService.java
+++ b/src/main/java/bitternpulley/aggregator/AggregatorControl.java
@@ -3,17 +3,20 @@
 import bitternpulley.admin.ReloadObserver;
 import bitternpulley.admin.ServiceControl;
 
-/** Carries out for the admin endpoint what concerns the process as a whole. */
-final class AdministeredService implements ServiceControl {
+/** Implements the admin commands that concern the whole process. */
+final class AggregatorControl implements ServiceControl {
   private final ServiceContext context;
   private final ServiceState state;
-  private final Fronts fronts;
+  private final ClientHttpServers httpServers;
   private final ConfigurationReload reload;
 
-  AdministeredService(
-      ServiceContext context, ServiceState state, Fronts fronts, ConfigurationReload reload) {
+  AggregatorControl(
+      ServiceContext context,
+      ServiceState state,
+      ClientHttpServers httpServers,
+      ConfigurationReload reload) {
     this.state = state;
-    this.fronts = fronts;
+    this.httpServers = httpServers;
     this.context = context;
     this.reload = reload;
   }
@@ -31,7 +34,7 @@
   @Override
   public void setQuiesced(boolean quiesced) {
     state.setQuiesced(quiesced);
-    fronts.setQuiesced(quiesced);
+    httpServers.setQuiesced(quiesced);
   }
 
   @Override
--- a/src/main/java/bitternpulley/aggregator/ConfigurationReload.java
+++ b/src/main/java/bitternpulley/aggregator/ConfigurationReload.java
@@ -10,8 +10,8 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Reads the configuration again while the process serves. The operators' script and the address of
- * discovery take effect at once, all else at the next start; a configuration that cannot be used
+ * Rereads the configuration while the process is serving. Changes of the operators' script and of
+ * the discovery address take effect at once, all others at the next start. An invalid configuration
  * changes nothing.
  */
 final class ConfigurationReload {
@@ -25,17 +25,17 @@
     this.discovery = discovery;
   }
 
-  /** Reads on a thread of its own, since the loop must not wait for files. */
+  /** Reads on a separate thread, because the event loop must not block on files. */
   void start(ReloadObserver observer) {
     new Thread(() -> readAndApply(observer), "reload").start();
   }
 
   private void readAndApply(ReloadObserver observer) {
     try {
-      Configuration site = ConfigurationReader.reread(System.getenv());
-      BrokerConfiguration broker =
-          BrokerConfigurationReader.read(System.getenv(), context.site().settings());
-      context.loop().execute(() -> apply(site, broker, observer));
+      Configuration configuration = ConfigurationReader.reread(System.getenv());
+      BrokerConfiguration brokerConfiguration =
+          BrokerConfigurationReader.read(System.getenv(), context.configuration().settings());
+      context.loop().execute(() -> apply(configuration, brokerConfiguration, observer));
     } catch (ConfigurationException exception) {
       LOG.log(
           Level.WARNING,
@@ -45,23 +45,26 @@
     }
   }
 
-  private void apply(Configuration site, BrokerConfiguration broker, ReloadObserver observer) {
+  private void apply(
+      Configuration configuration,
+      BrokerConfiguration brokerConfiguration,
+      ReloadObserver observer) {
     LOG.log(Level.INFO, "Configuration reloaded");
-    if (needsRestart(site)) {
+    if (needsRestart(configuration)) {
       LOG.log(
           Level.WARNING,
           "Settings other than 'discovery' changed; they take effect at the next start");
     }
-    discovery.moveTo(site.discovery());
-    context.brokerConfiguration().replace(broker);
+    discovery.moveTo(configuration.discovery());
+    context.brokerConfiguration().replace(brokerConfiguration);
     observer.succeeded();
   }
 
-  private boolean needsRestart(Configuration site) {
-    Configuration initial = context.site();
-    return !site.settings().equals(initial.settings())
-        || !site.listen().equals(initial.listen())
-        || !site.name().equals(initial.name())
-        || site.sockets() != initial.sockets();
+  private boolean needsRestart(Configuration configuration) {
+    Configuration initial = context.configuration();
+    return !configuration.settings().equals(initial.settings())
+        || !configuration.listen().equals(initial.listen())
+        || !configuration.name().equals(initial.name())
+        || configuration.sockets() != initial.sockets();
   }
 }
--- a/src/main/java/bitternpulley/aggregator/DescriptorBudget.java
+++ b/src/main/java/bitternpulley/aggregator/DescriptorBudget.java
@@ -3,21 +3,22 @@
 import bitternpulley.config.Configuration;
 
 /**
- * How many of the process's file descriptors each front and each server protocol may use.
+ * The number of file descriptors that each HTTP server for clients and each protocol to the slot
+ * servers may use.
  *
- * @param serverConnections connections to slot servers, for each protocol
- * @param clientConnections connections from clients, for each front
+ * @param serverConnections maximum number of connections to slot servers, per protocol
+ * @param clientConnections maximum number of connections from clients, per HTTP server
  */
 record DescriptorBudget(int serverConnections, int clientConnections) {
-  /** Descriptors kept for the JVM's own files, discovery and the listeners. */
+  /** Descriptors reserved for the JVM's own files, discovery and the listeners. */
   private static final int RESERVED = 40;
 
-  /** Connections to slot servers get a third of the descriptors. */
+  /** Connections to slot servers get one third of the descriptors. */
   private static final int SERVER_DIVISOR = 3;
 
-  /** Divides what is left after the reserve evenly among the fronts. */
-  static DescriptorBudget of(Configuration configuration, int fronts) {
-    int available = (configuration.sockets() - RESERVED) / fronts;
+  /** Divides the descriptors that are not reserved evenly among the HTTP servers. */
+  static DescriptorBudget of(Configuration configuration, int httpServerCount) {
+    int available = (configuration.sockets() - RESERVED) / httpServerCount;
     return configuration.operations().passedSocket()
         ? forHotRestart(available)
         : forSingleProcess(available);
@@ -28,7 +29,7 @@
     return new DescriptorBudget(servers, available - servers);
   }
 
-  /** During a hot restart two processes share the descriptors. */
+  /** Halves the budget, because two processes share the descriptors during a hot restart. */
   private static DescriptorBudget forHotRestart(int available) {
     int clients = (available - RESERVED) / 2;
     return new DescriptorBudget(clients / 2, clients);
--- a/src/main/java/bitternpulley/aggregator/EndpointListDistributor.java
+++ b/src/main/java/bitternpulley/aggregator/EndpointListDistributor.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Passes each endpoint list to the server protocols, the connection pre-warming and the broker. */
+/** Passes each endpoint list to the server protocols, the connection pre-warmer and the broker. */
 final class EndpointListDistributor {
   private final Broker broker;
   private final ServiceState state;
@@ -33,17 +33,17 @@
     this.connectionPrewarmer = connectionPrewarmer;
   }
 
-  /** Whether discovery has sent a list or a change since the start. */
+  /** Whether discovery has sent a complete list or changes since the start. */
   boolean hasDiscoveryAnswered() {
     return discoveryAnswered;
   }
 
-  /** Takes the list that was stored before the start, which discovery has yet to confirm. */
+  /** Distributes the list stored before the start, which discovery has not confirmed yet. */
   void onStoredList(EndpointList list) {
     distribute(list, Router.ListKind.REMEMBERED);
   }
 
-  /** Takes a list or a change from discovery. */
+  /** Distributes a complete list or changes from discovery. */
   void onDiscoveryList(EndpointList list) {
     discoveryAnswered = true;
     distribute(list, list.complete() ? Router.ListKind.COMPLETE : Router.ListKind.CHANGES);
@@ -57,7 +57,7 @@
         .filter(entry -> entry.endpoint().state() == Router.ServerState.GONE)
         .forEach(entry -> removeServer(entry.endpoint().server()));
     connectionPrewarmer.onEndpointList(list);
-    if (namesLiveServer(list)) {
+    if (containsLiveServer(list)) {
       state.recordLiveServer();
     }
     if (kind == Router.ListKind.COMPLETE) {
@@ -68,25 +68,25 @@
             kind, list.entries().stream().map(EndpointList.Entry::endpoint).toList()));
   }
 
-  private static boolean namesLiveServer(EndpointList list) {
+  private static boolean containsLiveServer(EndpointList list) {
     return list.entries().stream()
         .anyMatch(entry -> entry.endpoint().state() == Router.ServerState.LIVE);
   }
 
   private void setAddress(String server, HostPort address) {
     slotServers.setAddress(server, address);
-    search.ifPresent(service -> service.servers().recordAddress(server, address));
+    search.ifPresent(service -> service.searchServers().recordAddress(server, address));
   }
 
   private void removeServer(String server) {
     slotServers.forget(server);
-    search.ifPresent(service -> service.servers().removeServer(server));
+    search.ifPresent(service -> service.searchServers().removeServer(server));
   }
 
   private void removeServersMissingFrom(EndpointList list) {
     Set<String> servers =
         list.entries().stream().map(entry -> entry.endpoint().server()).collect(Collectors.toSet());
     slotServers.retainOnly(servers);
-    search.ifPresent(service -> service.servers().retainServers(servers));
+    search.ifPresent(service -> service.searchServers().retainServers(servers));
   }
 }
--- a/src/main/java/bitternpulley/aggregator/GracefulShutdown.java
+++ b/src/main/java/bitternpulley/aggregator/GracefulShutdown.java
@@ -6,24 +6,24 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Ends the process: it leaves the fleet, goes on to accept clients for a grace period, answers all
- * that it has accepted, and exits with status 0.
+ * Shuts the process down: it leaves the fleet, accepts clients for a further grace period, answers
+ * all accepted requests and exits with status 0.
  */
 final class GracefulShutdown {
   private static final System.Logger LOG = System.getLogger(GracefulShutdown.class.getName());
 
   /**
-   * Ms after SIGTERM for which connections are still accepted: clients go on to connect until the
-   * platform's front has noticed that the process drains.
+   * Milliseconds after SIGTERM in which connections are still accepted, because clients continue to
+   * connect until the platform has noticed that the process is draining.
    */
-  static final double GRACE_MS = 450;
+  static final double GRACE_PERIOD_MS = 450;
 
   private static final double IDLE_CHECK_INTERVAL_MS = 20;
 
   /**
-   * The platform may kill the process this many ms after the longest deadline, of which it counts
-   * {@link #MAX_COUNTED_DEADLINE_MS} at most. The process exits a little earlier by itself, unless
-   * a response is still owed.
+   * The platform may kill the process this many milliseconds after the longest deadline, which it
+   * counts as at most {@link #MAX_COUNTED_DEADLINE_MS}. The process itself exits slightly earlier,
+   * unless a response is still due.
    */
   private static final double KILL_AFTER_DEADLINE_MS = 650;
 
@@ -31,7 +31,7 @@
 
   private final ServiceContext context;
   private final ServiceState state;
-  private final Fronts fronts;
+  private final ClientHttpServers httpServers;
   private final MembershipSubsystem membership;
   private final HotRestart hotRestart;
   private final CountDownLatch drained = new CountDownLatch(1);
@@ -39,17 +39,17 @@
   GracefulShutdown(
       ServiceContext context,
       ServiceState state,
-      Fronts fronts,
+      ClientHttpServers httpServers,
       MembershipSubsystem membership,
       HotRestart hotRestart) {
     this.context = context;
     this.state = state;
-    this.fronts = fronts;
+    this.httpServers = httpServers;
     this.membership = membership;
     this.hotRestart = hotRestart;
   }
 
-  /** The longest deadline of a query class, in ms. */
+  /** The longest deadline of all query classes, in milliseconds. */
   static double longestDeadlineMs(Configuration configuration) {
     return configuration.settings().classes().stream()
         .mapToDouble(Settings.QueryClass::deadline)
@@ -57,7 +57,7 @@
         .orElse(0);
   }
 
-  /** Drains and exits; blocks its caller, which must not be the loop's thread. */
+  /** Drains and exits. Blocks the calling thread, which must not be the loop thread. */
   void run() {
     context.loop().execute(this::drain);
     try {
@@ -73,30 +73,31 @@
       return;
     }
     LOG.log(Level.INFO, "Draining: graceful shutdown started");
-    fronts.drain();
+    httpServers.drain();
     membership.leave();
-    if (context.site().operations().passedSocket()) {
-      fronts.leavePassedSocket();
+    if (context.configuration().operations().passedSocket()) {
+      httpServers.stopAcceptingOnPassedSocket();
       hotRestart.onDraining();
     }
-    // A start that still waits for discovery ends here: its backlog is served by the stored list.
-    fronts.acceptConnections();
-    double countedDeadline = Math.min(MAX_COUNTED_DEADLINE_MS, longestDeadlineMs(context.site()));
-    double exitTime = context.clock().now() + countedDeadline + KILL_AFTER_DEADLINE_MS;
+    // If the start still waits for discovery, its backlog is served with the stored list.
+    httpServers.acceptConnections();
+    double countedDeadlineMs =
+        Math.min(MAX_COUNTED_DEADLINE_MS, longestDeadlineMs(context.configuration()));
+    double exitTime = context.clock().now() + countedDeadlineMs + KILL_AFTER_DEADLINE_MS;
     context
         .timer()
         .after(
-            GRACE_MS,
+            GRACE_PERIOD_MS,
             () -> {
-              fronts.stopListening();
+              httpServers.stopListening();
               awaitIdle(exitTime);
             });
   }
 
-  /** From the exit time on, only responses are awaited, and no longer the clients' closes. */
+  /** From the exit time on, waits only for responses and no longer for clients to close. */
   private void awaitIdle(double exitTime) {
-    boolean answered = context.broker().pendingRequests() == 0 && fronts.allAnswered();
-    if (answered && (context.clock().now() >= exitTime || fronts.allIdle())) {
+    boolean answered = context.broker().pendingRequests() == 0 && httpServers.allAnswered();
+    if (answered && (context.clock().now() >= exitTime || httpServers.allIdle())) {
       drained.countDown();
     } else {
       context.timer().after(IDLE_CHECK_INTERVAL_MS, () -> awaitIdle(exitTime));
--- a/src/main/java/bitternpulley/aggregator/HotRestart.java
+++ b/src/main/java/bitternpulley/aggregator/HotRestart.java
@@ -4,34 +4,35 @@
 import bitternpulley.routing.Router.HotRestartRole;
 
 /**
- * Tells the broker whether another process of this aggregator may serve at the same time, as it
- * does while one process takes the listening socket over from the other.
+ * Informs the broker whether another process of this aggregator may be serving, as is the case
+ * while one process takes over the listening socket from the other.
  */
 final class HotRestart {
   private final ServiceContext context;
   private final ServiceState state;
 
-  /** Ms that a replaced process may go on sending, counted from when this one listens. */
-  private final double predecessorTimeMs;
+  /** Milliseconds after this process listens in which a replaced process may still send. */
+  private final double maxPredecessorLifetimeMs;
 
   HotRestart(ServiceContext context, ServiceState state) {
     this.context = context;
     this.state = state;
-    predecessorTimeMs =
-        GracefulShutdown.GRACE_MS + GracefulShutdown.longestDeadlineMs(context.site());
+    maxPredecessorLifetimeMs =
+        GracefulShutdown.GRACE_PERIOD_MS
+            + GracefulShutdown.longestDeadlineMs(context.configuration());
   }
 
   /**
-   * Assumes that this process replaces another one. Nothing tells whether it does; if so, the
-   * deadline of all that the other has accepted is over after its grace period and the longest
-   * deadline.
+   * Assumes that this process replaces another one, because it cannot determine whether it does.
+   * The deadlines of all requests that the replaced process accepted have passed after its grace
+   * period plus the longest deadline.
    */
   void onListening() {
     context.broker().submit(new Event.HotRestartRoleChanged(HotRestartRole.PREDECESSOR));
-    context.timer().after(predecessorTimeMs, this::onPredecessorGone);
+    context.timer().after(maxPredecessorLifetimeMs, this::onPredecessorGone);
   }
 
-  /** New connections go to the process that takes over. */
+  /** Reports that new connections go to the process that takes over. */
   void onDraining() {
     context.broker().submit(new Event.HotRestartRoleChanged(HotRestartRole.SUCCESSOR));
   }
--- a/src/main/java/bitternpulley/aggregator/MembershipSubsystem.java
+++ b/src/main/java/bitternpulley/aggregator/MembershipSubsystem.java
@@ -5,14 +5,14 @@
 import java.util.Optional;
 
 /**
- * Membership of the aggregator fleet, which the operators' script may turn off.
+ * Membership of the aggregator fleet, which is on only if the operators' script configures it.
  *
- * <p>With membership off no class of the gossip package is loaded, which keeps the start short. A
- * lambda or method reference to {@link GossipService} would load it when linked, so this class
- * calls it directly.
+ * <p>With membership off, no class of the gossip package is loaded, which keeps the start short. A
+ * lambda or method reference to {@link GossipService} would load that class when linked, so this
+ * class calls its methods directly.
  */
 final class MembershipSubsystem {
-  /** The build that members are shown where classes do not come from the jar. */
+  /** The build version announced to other members when the classes do not come from the jar. */
   private static final String UNPACKAGED_BUILD = "unpacked";
 
   private final Optional<GossipService> gossip;
@@ -25,33 +25,33 @@
                 new GossipService(
                     context.loop(),
                     context.broker(),
-                    context.site(),
+                    context.configuration(),
                     configuration.membership().get(),
-                    build()));
+                    buildVersion()));
   }
 
-  /** Has shared quotas go by leases from before the first query, where the script asks for it. */
+  /** Enables leases of shared quotas before the first query, if the script configures them. */
   void startLeases() {
     if (gossip.isPresent()) {
       gossip.get().startLeases();
     }
   }
 
-  /** Begins to exchange messages with the other members. */
+  /** Starts to exchange messages with the other members. */
   void start() {
     if (gossip.isPresent()) {
       gossip.get().start();
     }
   }
 
-  /** Announces to the other members that this one leaves, and stops. */
+  /** Announces to the other members that this member leaves, and stops. */
   void leave() {
     if (gossip.isPresent()) {
       gossip.get().leave();
     }
   }
 
-  private static String build() {
+  private static String buildVersion() {
     return Optional.ofNullable(MembershipSubsystem.class.getPackage().getImplementationVersion())
         .orElse(UNPACKAGED_BUILD);
   }
--- a/src/main/java/bitternpulley/aggregator/ProcessSignal.java
+++ b/src/main/java/bitternpulley/aggregator/ProcessSignal.java
@@ -8,21 +8,21 @@
 enum ProcessSignal {
   /** The configuration file was replaced. */
   HUP,
-  /** The process is to shut down; sent from a terminal. */
+  /** The process shall shut down; sent from a terminal. */
   INT,
-  /** The process is to shut down. */
+  /** The process shall shut down. */
   TERM;
 
   /**
-   * Runs the task on a JVM thread each time the signal arrives, in place of the JVM's default.
+   * Runs the task on a JVM thread each time the signal arrives, replacing the JVM's default action.
    *
-   * <p>The defaults do not fit: SIGHUP would end the process, and a shutdown hook cannot log, since
-   * the JDK shuts logging down at the same time. {@code sun.misc.Signal} is called by reflection
-   * because the compiler warning for it cannot be suppressed and the JDK has no public API for
-   * signals.
+   * <p>The default actions are unsuitable: SIGHUP would terminate the process, and a shutdown hook
+   * cannot log, because the JDK shuts down logging at the same time. {@code sun.misc.Signal} is
+   * called by reflection, because the compiler warning for it cannot be suppressed and the JDK has
+   * no public API for signals.
    *
-   * @return false when the parent process had set the signal to be ignored: the JVM leaves it
-   *     ignored, and the task never runs
+   * @return false if the parent process had the signal ignored: the JVM leaves it ignored, and the
+   *     task never runs
    */
   boolean onReceive(Runnable task) {
     try {
@@ -34,7 +34,7 @@
               .invoke(
                   null,
                   signal.getConstructor(String.class).newInstance(name()),
-                  proxy(handler, task));
+                  createProxy(handler, task));
       return previous != handler.getField("SIG_IGN").get(null);
     } catch (ReflectiveOperationException exception) {
       throw new IllegalStateException(
@@ -42,14 +42,15 @@
     }
   }
 
-  private static Object proxy(Class<?> handler, Runnable task) {
-    InvocationHandler calls = (proxy, method, arguments) -> call(proxy, method, arguments, task);
+  private static Object createProxy(Class<?> handler, Runnable task) {
+    InvocationHandler invocationHandler =
+        (proxy, method, arguments) -> invoke(proxy, method, arguments, task);
     return Proxy.newProxyInstance(
-        ProcessSignal.class.getClassLoader(), new Class<?>[] {handler}, calls);
+        ProcessSignal.class.getClassLoader(), new Class<?>[] {handler}, invocationHandler);
   }
 
-  /** A proxy also receives calls of {@code equals} and {@code hashCode}. */
-  private static Object call(Object proxy, Method method, Object[] arguments, Runnable task) {
+  /** Handles calls of the proxy, which include {@code equals} and {@code hashCode}. */
+  private static Object invoke(Object proxy, Method method, Object[] arguments, Runnable task) {
     if (method.getName().equals("handle")) {
       task.run();
       return null;
--- a/src/main/java/bitternpulley/aggregator/QueryService.java
+++ b/src/main/java/bitternpulley/aggregator/QueryService.java
@@ -5,31 +5,31 @@
 import bitternpulley.platform.SlotServers;
 
 /**
- * The platform's front and the frame protocol to the slot servers.
+ * The HTTP server for queries and the frame protocol to the slot servers.
  *
- * @param servers connections to the slot servers
- * @param front the HTTP server for clients
+ * @param slotServers connections to the slot servers
+ * @param httpServer the HTTP server for clients
  */
-record QueryService(SlotServers servers, HttpServer front) {
+record QueryService(SlotServers slotServers, HttpServer httpServer) {
 
   static QueryService create(ServiceContext context, ServiceState state) {
-    SlotServers servers =
+    SlotServers slotServers =
         new SlotServers(
             context.loop(),
             context.broker()::submit,
             context.clock(),
-            context.site().connections(),
+            context.configuration().connections(),
             context.connectTimeout(),
             context.descriptors().serverConnections());
-    context.broker().addDialect(servers);
-    QueryFront queries =
+    context.broker().addDialect(slotServers);
+    QueryFront queryFront =
         new QueryFront(
-            context.site().settings(),
+            context.configuration().settings(),
             context.broker(),
-            servers,
+            slotServers,
             state::isReadyForClients,
             context.brokerConfiguration()::tenantIdentification);
-    servers.deliverAnswersTo(queries::reply);
-    return new QueryService(servers, context.newFront(queries));
+    slotServers.deliverAnswersTo(queryFront::reply);
+    return new QueryService(slotServers, context.newHttpServer(queryFront));
   }
 }
--- a/src/main/java/bitternpulley/aggregator/SearchService.java
+++ b/src/main/java/bitternpulley/aggregator/SearchService.java
@@ -8,13 +8,13 @@
 import bitternpulley.opensearch.SearchServers;
 
 /**
- * The OpenSearch front and the protocol to the slot servers that it uses.
+ * The HTTP server for OpenSearch requests and its protocol to the slot servers.
  *
- * @param servers connections to the slot servers' OpenSearch ports
- * @param front the HTTP server for clients
- * @param address where the front listens
+ * @param searchServers connections to the slot servers' OpenSearch ports
+ * @param httpServer the HTTP server for clients
+ * @param address address at which the HTTP server listens
  */
-record SearchService(SearchServers servers, HttpServer front, HostPort address) {
+record SearchService(SearchServers searchServers, HttpServer httpServer, HostPort address) {
 
   static SearchService create(ServiceContext context, SearchConfiguration configuration) {
     HttpClient client =
@@ -23,19 +23,20 @@
             configuration.maxPartBytes(),
             context.descriptors().serverConnections(),
             context.connectTimeout(),
-            context.site().connections().idleTimeout());
-    SearchServers servers =
+            context.configuration().connections().idleTimeout());
+    SearchServers searchServers =
         new SearchServers(context.loop(), context.broker(), client, configuration.serverPort());
-    context.broker().addDialect(servers);
-    SearchFront searches =
+    context.broker().addDialect(searchServers);
+    SearchFront searchFront =
         new SearchFront(
-            context.site().settings(),
+            context.configuration().settings(),
             configuration,
             context.broker(),
-            servers,
+            searchServers,
             context.clock(),
-            context.site().name(),
+            context.configuration().name(),
             context.brokerConfiguration()::tenantIdentification);
-    return new SearchService(servers, context.newFront(searches), configuration.listen());
+    return new SearchService(
+        searchServers, context.newHttpServer(searchFront), configuration.listen());
   }
 }
--- a/src/main/java/bitternpulley/aggregator/ServiceContext.java
+++ b/src/main/java/bitternpulley/aggregator/ServiceContext.java
@@ -8,22 +8,22 @@
 import bitternpulley.net.HttpServer;
 
 /**
- * What the subsystems of the process share.
+ * Objects shared by the subsystems of the process.
  *
- * @param loop runs all input and output
+ * @param loop the event loop, which performs all input and output
  * @param timer runs tasks on the loop after a delay
- * @param broker decides on all requests
- * @param clock the time of the process, in ms
- * @param site the platform's configuration
- * @param brokerConfiguration the operators' script in force
- * @param descriptors bounds of the connections of each front and each server protocol
+ * @param broker makes the decisions about all requests
+ * @param clock the clock of the process, in milliseconds
+ * @param configuration the configuration of this aggregator from the platform
+ * @param brokerConfiguration the active operators' script
+ * @param descriptors connection limits of each HTTP server for clients and each server protocol
  */
 record ServiceContext(
     EventLoop loop,
     Broker.Timer timer,
     Broker broker,
     Clock clock,
-    Configuration site,
+    Configuration configuration,
     ActiveBrokerConfiguration brokerConfiguration,
     DescriptorBudget descriptors) {
 
@@ -31,26 +31,26 @@
   static final int MAX_BODY_BYTES = 64 * 1024;
 
   /** Creates the event loop and the broker of a process. */
-  static ServiceContext create(StartupConfiguration configuration) {
-    Configuration site = configuration.site();
+  static ServiceContext create(StartupConfiguration startup) {
+    Configuration configuration = startup.aggregator();
     Clock clock = Clock.system();
     EventLoop loop = new EventLoop(clock::now);
     Broker.Timer timer = loop::schedule;
-    Reducer reducer = new Reducer(site.settings(), site.seed(), clock.now());
+    Reducer reducer = new Reducer(configuration.settings(), configuration.seed(), clock.now());
     Broker broker = new Broker(reducer, clock, timer);
-    int fronts = configuration.search().isPresent() ? 2 : 1;
+    int httpServerCount = startup.search().isPresent() ? 2 : 1;
     return new ServiceContext(
         loop,
         timer,
         broker,
         clock,
-        site,
-        new ActiveBrokerConfiguration(broker, configuration.broker()),
-        DescriptorBudget.of(site, fronts));
+        configuration,
+        new ActiveBrokerConfiguration(broker, startup.broker()),
+        DescriptorBudget.of(configuration, httpServerCount));
   }
 
-  /** Creates a server for clients, which does not listen yet. */
-  HttpServer newFront(HttpServer.Handler handler) {
+  /** Creates an HTTP server for clients that does not listen yet. */
+  HttpServer newHttpServer(HttpServer.Handler handler) {
     return new HttpServer(
         loop,
         MAX_BODY_BYTES,
@@ -59,8 +59,8 @@
         handler);
   }
 
-  /** Ms within which a connection to a slot server must be open. */
+  /** Time limit for opening a connection to a slot server, in milliseconds. */
   double connectTimeout() {
-    return site.settings().limits().connectTimeout();
+    return configuration.settings().limits().connectTimeout();
   }
 }
--- a/src/main/java/bitternpulley/aggregator/ServiceState.java
+++ b/src/main/java/bitternpulley/aggregator/ServiceState.java
@@ -1,8 +1,8 @@
 package bitternpulley.aggregator;
 
 /**
- * Whether this process serves clients: its phase, and the conditions that readiness has in
- * addition. Used on the loop thread only.
+ * Tracks whether this process serves clients: its phase and the additional conditions for
+ * readiness. Used on the loop thread only.
  */
 final class ServiceState {
   private enum Phase {
@@ -15,7 +15,7 @@
   private boolean liveServerKnown;
   private boolean quiesced;
 
-  /** Ends the start; a process that already drains never becomes ready. */
+  /** Ends the start. Not allowed while draining: a draining process never becomes ready. */
   void becomeReady() {
     if (phase != Phase.STARTING) {
       throw new IllegalStateException("Cannot become ready while " + phase);
@@ -23,7 +23,7 @@
     phase = Phase.READY;
   }
 
-  /** Begins to drain; false if the process already drains. */
+  /** Starts to drain; returns false if the process is already draining. */
   boolean startDraining() {
     if (phase == Phase.DRAINING) {
       return false;
@@ -32,7 +32,7 @@
     return true;
   }
 
-  /** Records that an endpoint list named a live slot server. */
+  /** Records that an endpoint list contained a live slot server. */
   void recordLiveServer() {
     liveServerKnown = true;
   }
@@ -41,7 +41,7 @@
     quiesced = value;
   }
 
-  /** Whether the start is over and the process does not drain. */
+  /** Whether the start is complete and the process is not draining. */
   boolean isServing() {
     return phase == Phase.READY;
   }
@@ -50,7 +50,7 @@
     return phase == Phase.DRAINING;
   }
 
-  /** What the readiness check of the platform's front reports. */
+  /** The result of the readiness check that the HTTP server for queries offers. */
   boolean isReadyForClients() {
     return phase == Phase.READY && liveServerKnown && !quiesced;
   }
--- a/src/main/java/bitternpulley/aggregator/StartSequence.java
+++ b/src/main/java/bitternpulley/aggregator/StartSequence.java
@@ -6,29 +6,32 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Brings the process from started subsystems to readiness: warms up the JVM, waits for discovery's
- * first list and listens for clients.
+ * Brings a process whose subsystems have started to readiness: warms up the JVM, waits for the
+ * first list from discovery and listens for clients.
  */
 final class StartSequence {
   private static final System.Logger LOG = System.getLogger(StartSequence.class.getName());
 
-  /** Ms for which the start waits for discovery; without a list the stored one is used. */
+  /** Milliseconds to wait for discovery; without an answer, the stored list is used. */
   private static final double DISCOVERY_TIMEOUT_MS = 500;
 
   private static final double DISCOVERY_CHECK_INTERVAL_MS = 10;
 
-  /** When the fronts begin to listen. */
+  /** When the HTTP servers start to listen. */
   private enum ListenTiming {
     /**
-     * Before the warm-up, with connections left in the backlog until discovery has answered. A
-     * small fleet misses each of its aggregators.
+     * Before the warm-up, with connections left in the backlog until discovery has answered. For
+     * small fleets, in which every aggregator matters.
      */
     AT_ONCE,
-    /** When ready. In a large fleet an aggregator is not missed, and its connections are costly. */
+    /**
+     * When ready. For large fleets, in which one aggregator is dispensable and its connections are
+     * costly.
+     */
     WHEN_READY,
     /**
-     * When ready, on an inherited socket: connections that arrive until then are for the process
-     * that is being replaced.
+     * When ready, on an inherited socket: the process that is being replaced accepts the
+     * connections that arrive until then.
      */
     ON_HOT_RESTART;
 
@@ -42,50 +45,51 @@
 
   private final ServiceContext context;
   private final ServiceState state;
-  private final Fronts fronts;
+  private final ClientHttpServers httpServers;
   private final EndpointListDistributor endpointLists;
   private final HotRestart hotRestart;
   private final ConnectionPrewarmer connectionPrewarmer;
-  private final boolean sparesConnections;
+  private final boolean handshakesCostly;
   private final ListenTiming listenTiming;
 
   StartSequence(
       ServiceContext context,
       ServiceState state,
-      Fronts fronts,
+      ClientHttpServers httpServers,
       EndpointListDistributor endpointLists,
       HotRestart hotRestart,
       ConnectionPrewarmer connectionPrewarmer) {
     this.context = context;
     this.state = state;
-    this.fronts = fronts;
+    this.httpServers = httpServers;
     this.endpointLists = endpointLists;
     this.hotRestart = hotRestart;
     this.connectionPrewarmer = connectionPrewarmer;
-    sparesConnections = context.site().connections().handshakesCostly();
-    listenTiming = ListenTiming.of(context.site());
+    handshakesCostly = context.configuration().connections().handshakesCostly();
+    listenTiming = ListenTiming.of(context.configuration());
   }
 
-  /** Starts; {@code onReady} runs once the process is ready, and not at all if it drains before. */
+  /** Starts; {@code onReady} runs once the process is ready, or never if it drains before. */
   void start(Runnable onReady) {
     double deadline = context.clock().now() + DISCOVERY_TIMEOUT_MS;
     if (listenTiming == ListenTiming.AT_ONCE) {
-      fronts.holdBackConnections();
-      fronts.listen();
-      afterDiscovery(deadline, fronts::acceptConnections);
+      httpServers.holdBackConnections();
+      httpServers.listen();
+      afterDiscovery(deadline, httpServers::acceptConnections);
     }
-    // The warm-up runs while discovery's answer is awaited, so that it delays readiness least.
+    // The warm-up runs while the process waits for discovery, so that it delays readiness least.
     WarmupQueries warmupQueries =
-        new WarmupQueries(context.site().settings(), ServiceContext.MAX_BODY_BYTES, context.loop());
+        new WarmupQueries(
+            context.configuration().settings(), ServiceContext.MAX_BODY_BYTES, context.loop());
     warmupQueries.run(
-        sparesConnections,
+        handshakesCostly,
         () -> afterDiscovery(deadline, () -> becomeReady(warmupQueries, onReady)));
   }
 
   /**
-   * Runs the task once discovery has answered or the deadline is over. Clients are not accepted
-   * before, because their requests would delay the processing of discovery's answer and would be
-   * routed by the stored list, which is as old as the restart.
+   * Runs the task once discovery has answered or the deadline has passed. Clients are not accepted
+   * earlier, because their requests would delay the processing of discovery's answer and would be
+   * routed by the stored list, which dates from before the restart.
    */
   private void afterDiscovery(double deadline, Runnable task) {
     if (endpointLists.hasDiscoveryAnswered() || context.clock().now() >= deadline) {
@@ -103,12 +107,12 @@
     state.becomeReady();
     LOG.log(
         Level.INFO,
-        context.site().name()
+        context.configuration().name()
             + " is ready at "
-            + context.site().listen()
-            + (sparesConnections ? ", with connection pre-warming" : ""));
+            + context.configuration().listen()
+            + (handshakesCostly ? ", with connection pre-warming" : ""));
     onReady.run();
-    if (sparesConnections) {
+    if (handshakesCostly) {
       connectionPrewarmer.enable();
       warmupQueries.continueInBackground();
     }
@@ -117,11 +121,11 @@
   private void listenWhenReady() {
     switch (listenTiming) {
       case AT_ONCE -> {
-        // Listens since the beginning of the start.
+        // Already listening since the start began.
       }
-      case WHEN_READY -> fronts.listen();
+      case WHEN_READY -> httpServers.listen();
       case ON_HOT_RESTART -> {
-        fronts.listenOnPassedSocket();
+        httpServers.listenOnPassedSocket();
         hotRestart.onListening();
       }
     }
--- a/src/main/java/bitternpulley/aggregator/StartupConfiguration.java
+++ b/src/main/java/bitternpulley/aggregator/StartupConfiguration.java
@@ -11,33 +11,37 @@
 import java.util.Optional;
 
 /**
- * All configuration that a process starts with, checked.
+ * The complete, validated configuration with which a process starts.
  *
- * @param site the platform's configuration file
- * @param broker the operators' script
- * @param search the OpenSearch front, empty where none is configured
+ * @param aggregator the configuration of this aggregator, from the platform's file
+ * @param broker the configuration of the broker, from the operators' script
+ * @param search the configuration of the OpenSearch HTTP server, empty if there is none
  */
 record StartupConfiguration(
-    Configuration site, BrokerConfiguration broker, Optional<SearchConfiguration> search) {
+    Configuration aggregator,
+    BrokerConfiguration broker,
+    Optional<SearchConfiguration> search) {
 
   /**
-   * Reads the files that the environment names.
+   * Reads the files that the environment variables name.
    *
-   * @throws bitternpulley.config.ConfigurationException when one of them cannot be used
+   * @throws bitternpulley.config.ConfigurationException if one of them is invalid
    */
   static StartupConfiguration read(Map<String, String> environment) {
-    Configuration site = ConfigurationReader.read(environment);
-    BrokerConfiguration broker = BrokerConfigurationReader.read(environment, site.settings());
+    Configuration aggregator = ConfigurationReader.read(environment);
+    BrokerConfiguration broker =
+        BrokerConfigurationReader.read(environment, aggregator.settings());
     if (broker.membership().isPresent()) {
-      checkMembership(site, broker.membership().get());
+      checkMembership(aggregator, broker.membership().get());
     }
     Optional<SearchConfiguration> search =
-        SearchConfigurationReader.read(environment, site.settings(), broker.searchFront());
-    return new StartupConfiguration(site, broker, search);
+        SearchConfigurationReader.read(environment, aggregator.settings(), broker.searchFront());
+    return new StartupConfiguration(aggregator, broker, search);
   }
 
-  private static void checkMembership(Configuration site, MembershipConfiguration membership) {
-    site.checkPeers();
-    membership.leases().ifPresent(site::leaseTerms);
+  private static void checkMembership(
+      Configuration aggregator, MembershipConfiguration membership) {
+    aggregator.checkPeers();
+    membership.leases().ifPresent(aggregator::leaseTerms);
   }
 }
--- a/src/main/java/bitternpulley/aggregator/package-info.java
+++ b/src/main/java/bitternpulley/aggregator/package-info.java
@@ -1,14 +1,15 @@
 /**
- * The assembly of one aggregator process: creates the subsystems, starts them in order, passes
- * endpoint lists on, reloads the configuration and shuts down gracefully.
+ * Assembles one aggregator process: creates the subsystems, starts them in order, distributes
+ * endpoint lists, reloads the configuration and shuts down gracefully.
  *
- * <p>It decides when the process listens, when it counts as ready and when it may exit. It never
- * decides about a request: that is up to the {@code broker}. Invariants: operator overrides, leases
- * and stored endpoints are in force before the first request is accepted; a process that drains
- * never becomes ready; it exits only once every accepted request has its response. All runs on the
- * event loop but for configuration files and signals, which have threads of their own.
+ * <p>This package decides when the process listens, when it is ready and when it may exit. All
+ * decisions about requests are made by the {@code broker}. Invariants: operator overrides, leases
+ * and stored endpoints are in force before the first request is accepted; a draining process never
+ * becomes ready; the process exits only once every accepted request has its response. Everything
+ * runs on the event loop, except for reading configuration files and handling signals, which have
+ * their own threads.
  *
- * <p>Class loading is part of the start-up cost, so the classes of a subsystem that is off are not
+ * <p>Class loading is part of the start-up cost, so the classes of a disabled subsystem are not
  * loaded. Called by {@link bitternpulley.Main}. Start reading with {@link
  * bitternpulley.aggregator.Aggregator}.
  */
