--- a/src/main/java/bitternpulley/CheckCommand.java
+++ b/src/main/java/bitternpulley/CheckCommand.java
@@ -7,32 +7,34 @@
 import java.nio.file.Path;
 import java.util.Optional;
 
-/** The {@code check} command: prints the contracts that an operators' script results in. */
+/** The {@code check} command: evaluates an operators' script and prints its contracts. */
 final class CheckCommand {
-  private static final String SITE_CONFIGURATION = "LB_CONFIG";
+  private static final String SITE_CONFIGURATION_VARIABLE = "LB_CONFIG";
 
   private CheckCommand() {}
 
   /**
-   * Prints what the script prints, its effective configuration and the number of contracts. The
-   * script is checked against the site that LB_CONFIG names, if that is set.
+   * Prints the output of the script, the resulting configuration and the number of contracts. If
+   * LB_CONFIG is set, the script is also checked against the site's configuration that it names.
    *
-   * @throws bitternpulley.config.ConfigurationException when the script or the site's configuration
-   *     cannot be used
+   * @throws bitternpulley.config.ConfigurationException if the script or the site's configuration
+   *     is invalid
    */
   static void run(Path script) {
-    Optional<Settings> site = siteSettings();
-    BrokerConfiguration configuration = BrokerConfigurationReader.read(script, site);
+    Optional<Settings> siteSettings = readSiteSettings();
+    BrokerConfiguration configuration = BrokerConfigurationReader.read(script, siteSettings);
     System.out.print(configuration.printed());
     System.out.println(configuration.document().toPrettyString());
     System.out.println(
         configuration.contracts().contracts().size()
             + " contracts"
-            + (site.isPresent() ? "" : "; not checked against a site: set " + SITE_CONFIGURATION));
+            + (siteSettings.isPresent()
+                ? ""
+                : "; not checked against a site: set " + SITE_CONFIGURATION_VARIABLE));
   }
 
-  private static Optional<Settings> siteSettings() {
-    if (System.getenv().getOrDefault(SITE_CONFIGURATION, "").isEmpty()) {
+  private static Optional<Settings> readSiteSettings() {
+    if (System.getenv().getOrDefault(SITE_CONFIGURATION_VARIABLE, "").isEmpty()) {
       return Optional.empty();
     }
     return Optional.of(ConfigurationReader.read(System.getenv()).settings());
--- a/src/main/java/bitternpulley/Main.java
+++ b/src/main/java/bitternpulley/Main.java
@@ -9,8 +9,8 @@
 public final class Main {
   private static final String USAGE = "usage: serve | simhost | rehearse | check FILE";
 
-  /** Exit status of a wrong command line and of a configuration that cannot be used. */
-  private static final int STATUS_UNUSABLE_INPUT = 2;
+  /** Exit status for an invalid command line or configuration. */
+  private static final int STATUS_INVALID_INPUT = 2;
 
   private Main() {}
 
@@ -24,18 +24,18 @@
     if (args.length == 2 && args[0].equals("check")) {
       exitOnConfigurationError(() -> CheckCommand.run(Path.of(args[1])));
     } else if (args.length == 1) {
-      run(args);
+      runCommand(args);
     } else {
-      exitWith(USAGE);
+      exitWithError(USAGE);
     }
   }
 
-  private static void run(String[] args) throws IOException {
+  private static void runCommand(String[] args) throws IOException {
     switch (args[0]) {
       case "serve" -> exitOnConfigurationError(Aggregator::serve);
       case "rehearse" -> exitOnConfigurationError(Aggregator::serveUntilReady);
       case "simhost" -> bitternpulley.simulator.Main.main(args);
-      default -> exitWith(USAGE);
+      default -> exitWithError(USAGE);
     }
   }
 
@@ -43,12 +43,12 @@
     try {
       command.run();
     } catch (ConfigurationException exception) {
-      exitWith("configuration: " + exception.getMessage());
+      exitWithError("configuration: " + exception.getMessage());
     }
   }
 
-  private static void exitWith(String message) {
+  private static void exitWithError(String message) {
     System.err.println(message);
-    System.exit(STATUS_UNUSABLE_INPUT);
+    System.exit(STATUS_INVALID_INPUT);
   }
 }
