--- a/src/main/java/bitternpulley/gossip/CorruptedDatagramException.java
+++ b/src/main/java/bitternpulley/gossip/CorruptedDatagramException.java
@@ -1,6 +1,6 @@
 package bitternpulley.gossip;
 
-/** The checksum of the datagram does not match: it was changed on the way. */
+/** The checksum of a datagram does not match: the datagram was corrupted in transit. */
 final class CorruptedDatagramException extends DatagramException {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/bitternpulley/gossip/DatagramChecksum.java
+++ b/src/main/java/bitternpulley/gossip/DatagramChecksum.java
@@ -4,22 +4,26 @@
 import java.util.zip.CRC32C;
 
 /**
- * The checksum of a datagram: CRC-32C of all bytes before it, as the last element of its array, a
- * CBOR byte string of four bytes. Changes within 32 consecutive bits are always detected.
+ * The checksum of a datagram: the CRC-32C of all bytes before it. The checksum is the last element
+ * of the datagram's array, a CBOR byte string of four bytes. Changes within 32 consecutive bits are
+ * always detected.
  */
 final class DatagramChecksum {
-  /** Bytes of the checksum itself; its CBOR header is one byte more. */
+  /** Length of the checksum in bytes, without its CBOR header of one byte. */
   static final int BYTES = Integer.BYTES;
 
   private DatagramChecksum() {}
 
-  /** Replaces the last {@link #BYTES} bytes by the checksum of all before them. */
-  static void seal(byte[] datagram) {
+  /** Overwrites the last {@link #BYTES} bytes with the checksum of all preceding bytes. */
+  static void write(byte[] datagram) {
     int position = datagram.length - BYTES;
     ByteBuffer.wrap(datagram).putInt(position, compute(datagram, position));
   }
 
-  /** Whether the last {@link #BYTES} of the first {@code length} bytes are their checksum. */
+  /**
+   * Whether the last {@link #BYTES} of the first {@code length} bytes are the checksum of the bytes
+   * before them.
+   */
   static boolean isValid(byte[] datagram, int length) {
     int position = length - BYTES;
     return ByteBuffer.wrap(datagram).getInt(position) == compute(datagram, position);
--- a/src/main/java/bitternpulley/gossip/DatagramException.java
+++ b/src/main/java/bitternpulley/gossip/DatagramException.java
@@ -2,16 +2,16 @@
 
 import java.io.IOException;
 
-/** A received datagram cannot be used; the message says why. */
+/** A received datagram is unusable; the message states the reason. */
 abstract sealed class DatagramException extends IOException
     permits CorruptedDatagramException, ForeignDatagramException, MalformedDatagramException {
   private static final long serialVersionUID = 1;
 
-  DatagramException(String defect) {
-    super(defect);
+  DatagramException(String reason) {
+    super(reason);
   }
 
-  DatagramException(String defect, Throwable cause) {
-    super(defect, cause);
+  DatagramException(String reason, Throwable cause) {
+    super(reason, cause);
   }
 }
--- a/src/main/java/bitternpulley/gossip/DatagramReader.java
+++ b/src/main/java/bitternpulley/gossip/DatagramReader.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 
-/** Reads the typed values of one datagram in order. */
+/** Reads the values of one datagram in order and checks their types. */
 final class DatagramReader {
   private final JsonParser parser;
 
@@ -12,12 +12,12 @@
     this.parser = parser;
   }
 
-  /** Moves to the next token and returns it; null at the end. */
-  JsonToken next() throws IOException {
+  /** Advances to the next token and returns it, or null at the end of the input. */
+  JsonToken nextToken() throws IOException {
     return parser.nextToken();
   }
 
-  /** The text of the current token. */
+  /** Returns the text of the current token. */
   String currentText() throws IOException {
     return parser.getText();
   }
@@ -39,45 +39,45 @@
     return parser.getLongValue();
   }
 
-  /** The integer of the current token, which is a number. */
+  /** Returns the integer value of the current token, which must be a number. */
   int currentInt() throws IOException {
     return toInt(parser.getLongValue());
   }
 
   private static int toInt(long value) throws MalformedDatagramException {
     if (value != (int) value) {
-      throw new MalformedDatagramException("number " + value + " exceeds 32 bits");
+      throw new MalformedDatagramException("integer " + value + " exceeds 32 bits");
     }
     return (int) value;
   }
 
   /**
-   * Reads up to the end of the datagram, past elements of later versions.
+   * Reads to the end of the datagram and skips elements added by later versions.
    *
    * @param length length of the datagram in bytes
-   * @param checksumBytes length of a checksum
-   * @return whether the last element is a checksum; false where nothing more was in the datagram
+   * @param checksumBytes length of a checksum in bytes
+   * @return true if the last element is a checksum, false if there were no further elements
    */
   boolean readEnd(int length, int checksumBytes) throws IOException {
-    boolean isChecksum = false;
+    boolean endsWithChecksum = false;
     boolean isEmpty = true;
-    for (JsonToken token = next(); token != JsonToken.END_ARRAY; token = next()) {
+    for (JsonToken token = nextToken(); token != JsonToken.END_ARRAY; token = nextToken()) {
       if (token == null) {
-        throw new MalformedDatagramException("incomplete");
+        throw new MalformedDatagramException("truncated");
       }
-      isChecksum =
+      endsWithChecksum =
           token == JsonToken.VALUE_EMBEDDED_OBJECT
               && parser.getBinaryValue().length == checksumBytes;
       isEmpty = false;
       parser.skipChildren();
     }
     if (parser.currentLocation().getByteOffset() != length) {
-      throw new MalformedDatagramException("bytes behind its end");
+      throw new MalformedDatagramException("trailing bytes after the end of its array");
     }
-    if (!isChecksum && !isEmpty) {
-      throw new MalformedDatagramException("no checksum behind its elements");
+    if (!endsWithChecksum && !isEmpty) {
+      throw new MalformedDatagramException("its last element is not a checksum");
     }
-    return isChecksum;
+    return endsWithChecksum;
   }
 
   byte[] readBytes() throws IOException {
--- a/src/main/java/bitternpulley/gossip/ForeignDatagramException.java
+++ b/src/main/java/bitternpulley/gossip/ForeignDatagramException.java
@@ -1,10 +1,10 @@
 package bitternpulley.gossip;
 
-/** The datagram belongs to another deployment or to a protocol version unknown here. */
+/** The datagram belongs to another deployment or has an unsupported protocol version. */
 final class ForeignDatagramException extends DatagramException {
   private static final long serialVersionUID = 1;
 
-  ForeignDatagramException(String difference) {
-    super(difference);
+  ForeignDatagramException(String reason) {
+    super(reason);
   }
 }
--- a/src/main/java/bitternpulley/gossip/GossipCodec.java
+++ b/src/main/java/bitternpulley/gossip/GossipCodec.java
@@ -20,21 +20,21 @@
 import java.util.List;
 
 /**
- * Maps messages between aggregators to datagrams and back, as CBOR (RFC 8949).
+ * Encodes messages between aggregators as CBOR (RFC 8949) datagrams and decodes them.
  *
  * <p>A membership message is one array {@code [version, deployment, kind, from, epoch, incarnation,
  * sequence, target, viewDigest, updates, payloadDigest]}. An update is {@code [number, epoch,
- * incarnation, state, accuser]}, followed by the four texts of the member's metadata and by the
- * count and bytes of its payload, where it has these. {@link WireCodes} has the numbers of kinds
- * and states. Lease messages have kinds of their own: {@code [version, deployment, 16, from, epoch,
- * sequence]} is a request, {@code [version, deployment, 17, from, sequence, delay in ms, holders as
- * bits]} a grant. Elements that a later version appends are not read.
+ * incarnation, state, accuser]}, optionally followed by the four strings of the member's metadata,
+ * and optionally by the count and bytes of its payload. {@link WireCodes} defines the numbers of
+ * kinds and states. Lease messages have separate kinds: {@code [version, deployment, 16, from,
+ * epoch, sequence]} is a request, {@code [version, deployment, 17, from, sequence, delay in ms,
+ * holders as bits]} a grant. Elements that a later version appends are skipped.
  *
- * <p>The last element of each array is a {@link DatagramChecksum}. Builds before it send none and
- * do not read it: an array with no element behind those above is accepted without.
+ * <p>The last element of each array is a {@link DatagramChecksum}. Builds that predate the checksum
+ * neither send nor read it, so an array that ends after the elements above is accepted without one.
  */
 final class GossipCodec {
-  /** The longest datagram that the platform carries. */
+  /** The maximum length of a datagram on the platform. */
   static final int MAX_DATAGRAM_BYTES = 256;
 
   private static final int VERSION = 1;
@@ -53,19 +53,19 @@
   /**
    * A decoded datagram.
    *
-   * @param from number that the sender claims
+   * @param claimedSender member number that the sender claims to have
    * @param event the event for the broker
    */
-  record Datagram(int from, Event event) {}
+  record Datagram(int claimedSender, Event event) {}
 
-  private interface Body {
+  private interface BodyWriter {
     void write(JsonGenerator out) throws IOException;
   }
 
   private final int deployment;
   private final LeaseMessage.Handler<byte[]> leaseEncoder = new LeaseEncoder();
 
-  /** {@code deployment} is equal on all members that are to find each other. */
+  /** {@code deployment} must be equal on all members of one fleet. */
   GossipCodec(String deployment) {
     this.deployment = deployment.hashCode();
   }
@@ -121,7 +121,7 @@
         });
   }
 
-  private byte[] encode(int elements, int kind, int from, Body body) {
+  private byte[] encode(int elements, int kind, int from, BodyWriter body) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(MAX_DATAGRAM_BYTES);
     try (JsonGenerator out = CBOR.createGenerator(bytes)) {
       out.writeStartArray(null, elements + CHECKSUM_ELEMENTS);
@@ -140,7 +140,7 @@
           "datagram of " + bytes.size() + " bytes exceeds " + MAX_DATAGRAM_BYTES);
     }
     byte[] datagram = bytes.toByteArray();
-    DatagramChecksum.seal(datagram);
+    DatagramChecksum.write(datagram);
     return datagram;
   }
 
@@ -173,9 +173,9 @@
   /**
    * Decodes a datagram.
    *
-   * @throws ForeignDatagramException for another deployment or version
-   * @throws CorruptedDatagramException for a checksum that does not match
-   * @throws MalformedDatagramException for anything that is no message
+   * @throws ForeignDatagramException if the deployment or protocol version differs
+   * @throws CorruptedDatagramException if the checksum does not match
+   * @throws MalformedDatagramException if the datagram is otherwise not a valid message
    */
   Datagram decode(byte[] bytes, int length) throws DatagramException {
     if (length > MAX_DATAGRAM_BYTES) {
@@ -199,7 +199,8 @@
     in.readArrayStart();
     int version = in.readInt();
     if (version != VERSION) {
-      throw new ForeignDatagramException("protocol version " + version + ", not " + VERSION);
+      throw new ForeignDatagramException(
+          "unsupported protocol version " + version + ", expected " + VERSION);
     }
     if (in.readInt() != deployment) {
       throw new ForeignDatagramException("another deployment");
@@ -256,7 +257,7 @@
   private static List<GossipUpdate> readUpdates(DatagramReader in) throws IOException {
     in.readArrayStart();
     List<GossipUpdate> updates = new ArrayList<>();
-    while (in.next() == JsonToken.START_ARRAY && updates.size() < GossipMessage.MAX_UPDATES) {
+    while (in.nextToken() == JsonToken.START_ARRAY && updates.size() < GossipMessage.MAX_UPDATES) {
       updates.add(readUpdate(in));
     }
     return List.copyOf(updates);
@@ -269,14 +270,14 @@
     MemberState state = WireCodes.decodeState(in.readInt());
     int accuser = in.readInt();
     List<String> texts = new ArrayList<>();
-    JsonToken token = in.next();
-    for (; token == JsonToken.VALUE_STRING; token = in.next()) {
+    JsonToken token = in.nextToken();
+    for (; token == JsonToken.VALUE_STRING; token = in.nextToken()) {
       texts.add(in.currentText());
     }
     MemberPayload payload = null;
     if (token == JsonToken.VALUE_NUMBER_INT) {
       payload = readPayload(in);
-      token = in.next();
+      token = in.nextToken();
     }
     if (token != JsonToken.END_ARRAY) {
       throw new MalformedDatagramException("unexpected element in an update");
@@ -289,7 +290,8 @@
       return null;
     }
     if (texts.size() != METADATA_ELEMENTS) {
-      throw new MalformedDatagramException("metadata of " + texts.size() + " texts");
+      throw new MalformedDatagramException(
+          "metadata of " + texts.size() + " strings, expected " + METADATA_ELEMENTS);
     }
     return new MemberMetadata(texts.get(0), texts.get(1), texts.get(2), texts.get(3));
   }
@@ -298,7 +300,8 @@
     int count = in.currentInt();
     byte[] bytes = in.readBytes();
     if (bytes.length > MemberPayload.MAX_BYTES) {
-      throw new MalformedDatagramException("payload of " + bytes.length + " bytes");
+      throw new MalformedDatagramException(
+          "payload of " + bytes.length + " bytes exceeds " + MemberPayload.MAX_BYTES);
     }
     return new MemberPayload(count, bytes);
   }
--- a/src/main/java/bitternpulley/gossip/GossipService.java
+++ b/src/main/java/bitternpulley/gossip/GossipService.java
@@ -21,26 +21,26 @@
 
 /**
  * Runs membership and leases: owns the datagram socket and the periodic tick, and passes messages
- * between the socket and the broker, which drives the state machines.
+ * between the socket and the broker, which runs the state machines.
  */
 public final class GossipService implements GossipTransport {
   private static final System.Logger LOG = System.getLogger(GossipService.class.getName());
 
   /**
-   * Ms between attempts to bind the address: during a hot restart the process that leaves still
-   * holds it.
+   * Milliseconds between attempts to bind the address, which the departing process still holds
+   * during a hot restart.
    */
   private static final double BIND_RETRY_MS = 250;
 
-  /** Bounds the memory for what was logged once, as anyone can send from many addresses. */
+  /** Bounds the memory for logged keys, because anyone can send from many addresses. */
   private static final int MAX_LOGGED_KEYS = 64;
 
   private static final String BIND_FAILURE_KEY = "bind";
 
   private final EventLoop loop;
   private final Broker broker;
-  private final Configuration config;
-  private final MembershipConfiguration membership;
+  private final Configuration configuration;
+  private final MembershipConfiguration membershipConfiguration;
   private final GossipCodec codec;
   private final List<InetSocketAddress> addresses;
   private final Set<String> loggedKeys = new HashSet<>();
@@ -51,41 +51,44 @@
   private long corruptedDatagrams;
 
   /**
-   * A service that does not run yet.
+   * Creates a service that is not started yet.
    *
-   * @param build version of this program, which the other members are shown
+   * @param build build version of this program, announced to the other members
    */
   public GossipService(
       EventLoop loop,
       Broker broker,
-      Configuration config,
-      MembershipConfiguration membership,
+      Configuration configuration,
+      MembershipConfiguration membershipConfiguration,
       String build) {
     this.loop = loop;
     this.broker = broker;
-    this.config = config;
-    this.membership = membership;
+    this.configuration = configuration;
+    this.membershipConfiguration = membershipConfiguration;
     this.build = build;
-    codec = new GossipCodec(membership.deployment());
-    addresses = config.peers().orElseThrow().all().stream().map(peer -> peer.address()).toList();
+    codec = new GossipCodec(membershipConfiguration.deployment());
+    addresses =
+        configuration.peers().orElseThrow().all().stream().map(peer -> peer.address()).toList();
     broker.gossipTransport(this);
   }
 
   /**
-   * Puts leases in force before the first query, where the operators' script configures them: until
-   * the instance holds leases it has no quota.
+   * Enables leases before the first query, if the operators' script configures them. Until the
+   * instance holds leases, it has no quota.
    */
   public void startLeases() {
-    membership
+    membershipConfiguration
         .leases()
         .ifPresent(
             leases ->
                 broker.submit(
                     new Event.LeasesStarted(
-                        new Leases(config.settings().self(), config.leaseTerms(leases)))));
+                        new Leases(
+                            configuration.settings().self(),
+                            configuration.leaseTerms(leases)))));
   }
 
-  /** Binds the address, at once or as soon as it is free, and starts membership. */
+  /** Binds the address, retrying until it is free, and then starts membership. */
   public void start() {
     if (hasLeft) {
       return;
@@ -94,11 +97,11 @@
       link =
           new DatagramLink(
               loop,
-              config.peers().orElseThrow().listen(),
+              configuration.peers().orElseThrow().listen(),
               GossipCodec.MAX_DATAGRAM_BYTES,
               this::onDatagram);
     } catch (IOException failure) {
-      if (firstLogOf(BIND_FAILURE_KEY)) {
+      if (shouldLog(BIND_FAILURE_KEY)) {
         LOG.log(
             Level.WARNING,
             "Membership waits for its address, which another process holds: "
@@ -111,37 +114,39 @@
   }
 
   private void startMembership() {
-    long epoch = EpochFile.next(config.operations().stateDirectory().orElse(null), broker.now());
-    int self = config.settings().self();
-    Membership core =
+    long epoch =
+        EpochFile.next(configuration.operations().stateDirectory().orElse(null), broker.now());
+    int self = configuration.settings().self();
+    Membership membership =
         new Membership(
             self,
-            new MemberMetadata(config.name(), zone(), membership.region(), build),
+            new MemberMetadata(
+                configuration.name(), zone(), membershipConfiguration.region(), build),
             epoch,
             IntStream.range(0, addresses.size()).boxed().toList(),
-            membership.terms(),
-            config.seed(),
+            membershipConfiguration.terms(),
+            configuration.seed(),
             broker.now());
     LOG.log(
         Level.INFO,
         "Membership started: member " + self + " of " + addresses.size() + ", epoch " + epoch);
-    broker.submit(new Event.MembershipStarted(core));
-    tick(core);
+    broker.submit(new Event.MembershipStarted(membership));
+    tick(membership);
   }
 
   private String zone() {
-    int zone = config.settings().zone();
-    return zone < config.zones().size() ? config.zones().get(zone) : "";
+    int zone = configuration.settings().zone();
+    return zone < configuration.zones().size() ? configuration.zones().get(zone) : "";
   }
 
-  private void tick(Membership core) {
+  private void tick(Membership membership) {
     if (!hasLeft) {
       broker.submit(new Event.MembershipTick());
-      loop.schedule(core.tickInterval(), () -> tick(core));
+      loop.schedule(membership.tickInterval(), () -> tick(membership));
     }
   }
 
-  /** Announces to the other members that this one leaves, and stops the ticks. */
+  /** Announces to the other members that this member leaves, and stops the ticks. */
   public void leave() {
     if (!hasLeft) {
       broker.submit(new Event.MembershipLeaveRequested());
@@ -170,42 +175,42 @@
     }
   }
 
-  private void onDatagram(byte[] bytes, int length, InetSocketAddress from) {
+  private void onDatagram(byte[] bytes, int length, InetSocketAddress sender) {
     GossipCodec.Datagram datagram;
     try {
       datagram = codec.decode(bytes, length);
     } catch (CorruptedDatagramException failure) {
       corruptedDatagrams++;
-      ignore(from, failure.getMessage());
+      ignore(sender, failure.getMessage());
       return;
     } catch (DatagramException failure) {
-      ignore(from, failure.getMessage());
+      ignore(sender, failure.getMessage());
       return;
     }
-    int number = datagram.from();
-    if (number < 0 || number >= addresses.size() || !addresses.get(number).equals(from)) {
-      ignore(from, "it claims to be member " + number + ", which has another address");
+    int number = datagram.claimedSender();
+    if (number < 0 || number >= addresses.size() || !addresses.get(number).equals(sender)) {
+      ignore(sender, "it claims to be member " + number + ", which has another address");
       return;
     }
     broker.submit(datagram.event());
   }
 
-  private void ignore(InetSocketAddress from, String defect) {
+  private void ignore(InetSocketAddress sender, String reason) {
     ignoredDatagrams++;
-    if (firstLogOf(from.toString())) {
+    if (shouldLog(sender.toString())) {
       LOG.log(
           Level.WARNING,
           "Ignoring datagrams from "
-              + from
+              + sender
               + ": "
-              + defect
+              + reason
               + ", ignored so far: "
               + ignoredDatagrams);
     }
   }
 
-  /** Whether nothing was logged under this key; a peer that goes on must not fill the log. */
-  private boolean firstLogOf(String key) {
+  /** Returns true only once per key, so that a persistent peer cannot fill the log. */
+  private boolean shouldLog(String key) {
     return loggedKeys.size() < MAX_LOGGED_KEYS && loggedKeys.add(key);
   }
 }
--- a/src/main/java/bitternpulley/gossip/MalformedDatagramException.java
+++ b/src/main/java/bitternpulley/gossip/MalformedDatagramException.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** The datagram is no message of the protocol. */
+/** The datagram is not a valid message of the protocol. */
 final class MalformedDatagramException extends DatagramException {
   private static final long serialVersionUID = 1;
 
-  MalformedDatagramException(String defect) {
-    super(defect);
+  MalformedDatagramException(String reason) {
+    super(reason);
   }
 
   MalformedDatagramException(IOException cause) {
--- a/src/main/java/bitternpulley/gossip/WireCodes.java
+++ b/src/main/java/bitternpulley/gossip/WireCodes.java
@@ -3,7 +3,7 @@
 import bitternpulley.membership.GossipMessage.Kind;
 import bitternpulley.membership.MemberState;
 
-/** The numbers that stand for kinds of messages and states of members in datagrams. */
+/** Maps message kinds and member states to their numbers in datagrams. */
 final class WireCodes {
   private WireCodes() {}
 
@@ -24,7 +24,7 @@
       case 2 -> Kind.RELAY;
       case 3 -> Kind.NACK;
       case 4 -> Kind.SYNC;
-      default -> throw new MalformedDatagramException("unknown kind of message " + code);
+      default -> throw new MalformedDatagramException("unknown message kind " + code);
     };
   }
 
