--- a/src/test/java/bitternpulley/gossip/ControlTraffic.java
+++ b/src/test/java/bitternpulley/gossip/ControlTraffic.java
@@ -13,28 +13,28 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * Measures what membership costs each member, by the number of members, in virtual time: messages
- * and bytes as they go over the wire, and processor time of the state machine. {@code make
- * measure-scale-control}; the last line is one JSON object.
+ * Measures the cost of membership per member at several fleet sizes, in virtual time: the encoded
+ * messages and bytes that each member sends, and the processor time of the state machine. Run by
+ * {@code make measure-scale-control}; the last line of the output is one JSON object.
  */
 final class ControlTraffic {
   private static final double DURATION_MS = 30_000;
 
-  /** Restarts in that time: 700 a day are one in 123 s, sped up by sixty. */
+  /** Restarts within the duration: 700 per day, which is one per 123 s, at 60 times that rate. */
   private static final int RESTARTS = 15;
 
-  /** Zones of the fleet, one of which is lost. */
+  /** Number of zones of the fleet, one of which is lost. */
   private static final int ZONES = 6;
 
   private static final double LOSS_RATE = 0.2;
   private static final long SEED = 1;
 
-  /** Points below which a line has no error estimate. */
+  /** Minimum number of points for which a regression has an error estimate. */
   private static final int MIN_FIT_POINTS = 3;
 
   /**
-   * Fleet sizes of the test in CI. Below 40 members updates are rare at rest, and bytes grow faster
-   * than they do from there.
+   * Fleet sizes of the test in CI. Below 40 members, updates are rare at rest, and bytes grow
+   * faster with the fleet size than from 40 members on.
    */
   static final List<Integer> TESTED_SIZES = List.of(40, 80, 160);
 
@@ -43,13 +43,13 @@
   private ControlTraffic() {}
 
   /**
-   * The traffic of one member.
+   * The traffic per member.
    *
-   * @param messages messages per second, mean of all members
-   * @param bytes bytes per second, mean of all members
-   * @param maxBytes bytes per second of the member that sent most
-   * @param longestDatagram bytes of the longest datagram
-   * @param cpuMicros processor time in us per second, mean of all members
+   * @param messages messages sent per second, mean over all members
+   * @param bytes bytes sent per second, mean over all members
+   * @param maxBytes bytes sent per second by the member that sent the most
+   * @param longestDatagram length of the longest datagram in bytes
+   * @param cpuMicros processor time in microseconds per second, mean over all members
    */
   record Rate(
       double messages, double bytes, double maxBytes, int longestDatagram, double cpuMicros) {
@@ -95,88 +95,89 @@
     }
   }
 
-  /** The traffic during a scenario, which has to last {@link #DURATION_MS}. */
-  private static Rate measure(int count, Consumer<HollowMembers> scenario) {
-    HollowMembers members = new HollowMembers(count, SEED);
+  /** Measures the traffic during a scenario, which must last {@link #DURATION_MS}. */
+  private static Rate measure(int memberCount, Consumer<HollowMembers> scenario) {
+    HollowMembers members = new HollowMembers(memberCount, SEED);
     TrafficCounter counter = new TrafficCounter();
     members.observeMessages(counter);
-    long from = System.nanoTime();
+    long startNanos = System.nanoTime();
     scenario.accept(members);
-    return counter.rate(count, (System.nanoTime() - from) / 1e3);
+    return counter.rate(memberCount, (System.nanoTime() - startNanos) / 1e3);
   }
 
-  static Rate atRest(int count) {
-    return measure(count, members -> members.run(DURATION_MS));
+  static Rate atRest(int memberCount) {
+    return measure(memberCount, members -> members.run(DURATION_MS));
   }
 
-  static Rate duringRestarts(int count) {
-    return measure(count, members -> members.runWithRestarts(RESTARTS, DURATION_MS));
+  static Rate duringRestarts(int memberCount) {
+    return measure(memberCount, members -> members.runWithRestarts(RESTARTS, DURATION_MS));
   }
 
-  static Rate afterZoneLoss(int count) {
+  static Rate afterZoneLoss(int memberCount) {
     return measure(
-        count,
+        memberCount,
         members -> {
           members.killEvery(ZONES);
           members.run(DURATION_MS);
         });
   }
 
-  static Rate duringMessageLoss(int count) {
+  static Rate duringMessageLoss(int memberCount) {
     return measure(
-        count,
+        memberCount,
         members -> {
           members.setLossRate(LOSS_RATE);
           members.run(DURATION_MS);
         });
   }
 
-  /** Arguments: the numbers of members. */
+  /** Runs the measurement; the arguments are the fleet sizes. */
   public static void main(String[] args) {
     ObjectNode report = MAPPER.createObjectNode().put("measure", "scale-control").put("seed", SEED);
-    Map<String, SimpleRegression> lines = new TreeMap<>();
+    Map<String, SimpleRegression> regressions = new TreeMap<>();
     for (String arg : args) {
-      ObjectNode row = measureSize(Integer.parseInt(arg), lines);
+      ObjectNode row = measureSize(Integer.parseInt(arg), regressions);
       System.out.println(row);
       report.withArray("sizes").add(row);
     }
-    lines.forEach((name, line) -> addFit(report, name, line));
+    regressions.forEach((name, regression) -> addFit(report, name, regression));
     System.out.println(report);
     System.exit(0);
   }
 
-  private static ObjectNode measureSize(int count, Map<String, SimpleRegression> lines) {
+  private static ObjectNode measureSize(
+      int memberCount, Map<String, SimpleRegression> regressions) {
     Map<String, Rate> rates = new LinkedHashMap<>();
-    rates.put("rest", atRest(count));
-    rates.put("churn", duringRestarts(count));
-    rates.put("zone_lost", afterZoneLoss(count));
-    rates.put("loss_20", duringMessageLoss(count));
-    ObjectNode row = MAPPER.createObjectNode().put("members", count);
+    rates.put("rest", atRest(memberCount));
+    rates.put("churn", duringRestarts(memberCount));
+    rates.put("zone_lost", afterZoneLoss(memberCount));
+    rates.put("loss_20", duringMessageLoss(memberCount));
+    ObjectNode row = MAPPER.createObjectNode().put("members", memberCount);
     rates.forEach(
         (name, rate) -> {
           row.set(name, rate.toJson());
-          addPoint(lines, name + "_bytes_per_s", count, rate.bytes());
-          addPoint(lines, name + "_cpu_us_per_s", count, rate.cpuMicros());
+          addPoint(regressions, name + "_bytes_per_s", memberCount, rate.bytes());
+          addPoint(regressions, name + "_cpu_us_per_s", memberCount, rate.cpuMicros());
         });
     return row;
   }
 
   private static void addPoint(
-      Map<String, SimpleRegression> lines, String name, int count, double value) {
-    lines.computeIfAbsent(name, key -> new SimpleRegression()).addData(count, value);
+      Map<String, SimpleRegression> regressions, String name, int memberCount, double value) {
+    regressions.computeIfAbsent(name, key -> new SimpleRegression()).addData(memberCount, value);
   }
 
-  private static void addFit(ObjectNode report, String name, SimpleRegression line) {
-    if (line.getN() < MIN_FIT_POINTS) {
+  private static void addFit(ObjectNode report, String name, SimpleRegression regression) {
+    if (regression.getN() < MIN_FIT_POINTS) {
       return;
     }
     report
         .withObject("/fits")
         .putObject(name)
-        .put("slope", line.getSlope())
-        .put("slope_error", line.getSlopeStdErr())
-        .put("at_zero", line.getIntercept())
-        .put("residual", Math.sqrt(line.getMeanSquareError()))
-        .put("points", line.getN());
+        .put("slope", regression.getSlope())
+        .put("slope_error", regression.getSlopeStdErr())
+        .put("at_zero", regression.getIntercept())
+        .put("residual", Math.sqrt(regression.getMeanSquareError()))
+        .put("points", regression.getN());
   }
 }
--- a/src/test/java/bitternpulley/gossip/ControlTrafficTest.java
+++ b/src/test/java/bitternpulley/gossip/ControlTrafficTest.java
@@ -6,40 +6,43 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 import org.testng.annotations.Test;
 
-/** Bytes and messages of one member must not grow with the fleet; by seed, without any timing. */
+/**
+ * Checks that the traffic per member does not grow with the fleet size. Deterministic: uses a fixed
+ * seed and virtual time.
+ */
 public class ControlTrafficTest {
-  /** Bytes per second of the busiest member at the largest fleet size supported. */
+  /** Limit for the bytes per second of the busiest member at the largest supported fleet size. */
   private static final double MAX_BYTES_PER_S = 3000;
 
   private static final int LARGEST_FLEET = 530;
 
-  /** Bytes per second that each further member may add: half of the whole at the largest size. */
+  /** Bytes per second that each further member may add: half of the limit at the largest size. */
   private static final double MAX_SLOPE = MAX_BYTES_PER_S / 2 / LARGEST_FLEET;
 
-  private static void assertWithinLimits(int count, ControlTraffic.Rate rate) {
-    assertTrue(rate.maxBytes() < MAX_BYTES_PER_S, count + " members: " + rate);
+  private static void assertWithinLimits(int memberCount, ControlTraffic.Rate rate) {
+    assertTrue(rate.maxBytes() < MAX_BYTES_PER_S, memberCount + " members: " + rate);
     assertTrue(rate.longestDatagram() <= GossipCodec.MAX_DATAGRAM_BYTES, rate.toString());
   }
 
   @Test
-  public void bytesOfOneMemberAtRestDoNotGrowWithTheFleet() {
-    SimpleRegression line = new SimpleRegression();
-    for (int count : ControlTraffic.TESTED_SIZES) {
-      ControlTraffic.Rate rate = ControlTraffic.atRest(count);
-      assertWithinLimits(count, rate);
-      line.addData(count, rate.bytes());
+  public void bytesPerMemberAtRestDoNotGrowWithFleetSize() {
+    SimpleRegression regression = new SimpleRegression();
+    for (int memberCount : ControlTraffic.TESTED_SIZES) {
+      ControlTraffic.Rate rate = ControlTraffic.atRest(memberCount);
+      assertWithinLimits(memberCount, rate);
+      regression.addData(memberCount, rate.bytes());
     }
     assertTrue(
-        line.getSlope() < MAX_SLOPE,
-        "a slope of " + line.getSlope() + " bytes a second and member");
+        regression.getSlope() < MAX_SLOPE,
+        "slope in bytes per second and member: " + regression.getSlope());
   }
 
   @Test
-  public void bytesOfOneMemberStayWithinLimitsDuringFaults() {
-    for (int count : List.of(10, 40)) {
-      assertWithinLimits(count, ControlTraffic.duringRestarts(count));
-      assertWithinLimits(count, ControlTraffic.afterZoneLoss(count));
-      assertWithinLimits(count, ControlTraffic.duringMessageLoss(count));
+  public void bytesPerMemberStayWithinLimitsDuringFaults() {
+    for (int memberCount : List.of(10, 40)) {
+      assertWithinLimits(memberCount, ControlTraffic.duringRestarts(memberCount));
+      assertWithinLimits(memberCount, ControlTraffic.afterZoneLoss(memberCount));
+      assertWithinLimits(memberCount, ControlTraffic.duringMessageLoss(memberCount));
     }
   }
 }
--- a/src/test/java/bitternpulley/gossip/CorruptedDatagramTest.java
+++ b/src/test/java/bitternpulley/gossip/CorruptedDatagramTest.java
@@ -16,7 +16,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams that were changed on the way: none is accepted, and decoding throws nothing else. */
+/**
+ * Checks that no corrupted datagram is accepted, and that decoding one throws nothing but {@link
+ * DatagramException}.
+ */
 class CorruptedDatagramTest {
   private static final long SEED = 1;
   private static final int DATAGRAMS = 1_000_000;
@@ -34,31 +37,31 @@
     BitSet holders = new BitSet();
     holders.set(0, 20);
     return List.of(
-        codec.encode(gossip(GossipMessage.Kind.PING, List.of())),
-        codec.encode(gossip(GossipMessage.Kind.ACK, List.of(left))),
-        codec.encode(gossip(GossipMessage.Kind.SYNC, List.of(alive, left))),
+        codec.encode(gossipMessage(GossipMessage.Kind.PING, List.of())),
+        codec.encode(gossipMessage(GossipMessage.Kind.ACK, List.of(left))),
+        codec.encode(gossipMessage(GossipMessage.Kind.SYNC, List.of(alive, left))),
         codec.encode(new LeaseMessage.LeaseRequest(3, EPOCH, 17)),
         codec.encode(new LeaseMessage.LeaseGrant(4, 17, 1234, holders)));
   }
 
-  private static GossipMessage gossip(GossipMessage.Kind kind, List<GossipUpdate> updates) {
+  private static GossipMessage gossipMessage(GossipMessage.Kind kind, List<GossipUpdate> updates) {
     return new GossipMessage(kind, 3, EPOCH, 1, 4000, 1, -12345, 99, updates);
   }
 
-  /** Regression: a changed bit in an integer was read as another integer. */
+  /** Regression: an integer with a flipped bit was decoded as another integer. */
   @Test
-  void noneOfAMillionIsAccepted() {
+  void rejectsRandomlyCorruptedDatagrams() {
     List<byte[]> datagrams = datagrams();
-    int dropped = 0;
+    int rejectedCount = 0;
     for (int index = 0; index < DATAGRAMS; index++) {
       byte[] sent = datagrams.get(random.nextInt(datagrams.size()));
       byte[] received = corrupt(sent);
-      dropped += Arrays.equals(sent, received) || isDropped(received) ? 1 : 0;
+      rejectedCount += Arrays.equals(sent, received) || isRejected(received) ? 1 : 0;
     }
-    assertEquals(DATAGRAMS, dropped);
+    assertEquals(DATAGRAMS, rejectedCount);
   }
 
-  /** Changes some bytes, and of one in ten cuts the end off or makes it longer. */
+  /** Changes up to four bytes, and truncates or extends one in ten datagrams. */
   private byte[] corrupt(byte[] datagram) {
     byte[] corrupted = datagram.clone();
     for (int changes = 1 + random.nextInt(MAX_CHANGED_BYTES); changes > 0; changes--) {
@@ -69,7 +72,7 @@
         : corrupted;
   }
 
-  private boolean isDropped(byte[] received) {
+  private boolean isRejected(byte[] received) {
     try {
       codec.decode(received, received.length);
     } catch (DatagramException rejected) {
@@ -79,15 +82,15 @@
     return false;
   }
 
-  /** Every single change of a byte that leaves the datagram readable is found by the checksum. */
+  /** Changes that leave the datagram decodable are detected by the checksum. */
   @Test
-  void noSingleChangedByteIsAccepted() {
+  void rejectsEverySingleByteChange() {
     for (byte[] datagram : datagrams()) {
       for (int position = 0; position < datagram.length; position++) {
         for (int change = 1; change < 256; change++) {
           byte[] received = datagram.clone();
           received[position] ^= (byte) change;
-          assertTrue(isDropped(received), "position " + position + ", change " + change);
+          assertTrue(isRejected(received), "position " + position + ", change " + change);
         }
       }
     }
--- a/src/test/java/bitternpulley/gossip/DatagramBytesTest.java
+++ b/src/test/java/bitternpulley/gossip/DatagramBytesTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Datagrams between aggregators, byte for byte as recorded: versions of this program meet in one
- * fleet.
+ * Compares datagrams between aggregators with recorded bytes, because different versions of this
+ * program run in one fleet.
  */
 class DatagramBytesTest {
   private static final Path RECORDED = Path.of("src/test/resources/edges/datagrams.txt");
@@ -30,10 +30,10 @@
   private static final Path RECORDED_WITHOUT_CHECKSUM =
       Path.of("src/test/resources/edges/datagrams-without-checksum.txt");
 
-  /** The checksum with the header of its byte string. */
+  /** Length of the checksum, including the header of its byte string. */
   private static final int CHECKSUM_BYTES = 5;
 
-  private static List<GossipMessage> gossip() {
+  private static List<GossipMessage> gossipMessages() {
     List<GossipMessage> messages = new ArrayList<>();
     List<GossipMessage.Kind> kinds = List.of(GossipMessage.Kind.values());
     List<MemberState> states = List.of(MemberState.values());
@@ -65,7 +65,7 @@
     return messages;
   }
 
-  private static List<LeaseMessage> leases() {
+  private static List<LeaseMessage> leaseMessages() {
     BitSet members = new BitSet();
     members.set(0, 3);
     members.set(77);
@@ -75,54 +75,59 @@
         new LeaseMessage.LeaseGrant(4, 18, 0, new BitSet()));
   }
 
-  private static List<String> lines(Path file) throws IOException {
+  private static List<String> readLines(Path file) throws IOException {
     return Files.readString(file).trim().lines().toList();
   }
 
-  private static byte[] bytesOf(String line) {
+  private static byte[] parseBytes(String line) {
     return HexFormat.of().parseHex(line.substring(line.indexOf(' ') + 1));
   }
 
-  /** An upgrade: builds before the checksum read no element behind those that they know. */
+  /**
+   * Compatibility during an upgrade: builds that predate the checksum read no element after those
+   * that they know.
+   */
   @Test
-  void areThoseOfEarlierBuildsWithAChecksumAsOneElementMore() throws IOException {
-    List<String> now = lines(RECORDED);
-    List<String> before = lines(RECORDED_WITHOUT_CHECKSUM);
-    assertEquals(before.size(), now.size());
-    for (int index = 0; index < now.size(); index++) {
-      byte[] expected = bytesOf(before.get(index));
-      expected[0]++; // the array's header, with its number of elements
-      byte[] datagram = bytesOf(now.get(index));
+  void addsOnlyTheChecksumElementToDatagramsOfEarlierBuilds() throws IOException {
+    List<String> withChecksum = readLines(RECORDED);
+    List<String> withoutChecksum = readLines(RECORDED_WITHOUT_CHECKSUM);
+    assertEquals(withoutChecksum.size(), withChecksum.size());
+    for (int index = 0; index < withChecksum.size(); index++) {
+      byte[] expected = parseBytes(withoutChecksum.get(index));
+      expected[0]++; // the array header, which contains the number of elements
+      byte[] datagram = parseBytes(withChecksum.get(index));
       assertArrayEquals(expected, Arrays.copyOf(datagram, datagram.length - CHECKSUM_BYTES));
     }
   }
 
-  /** An upgrade: datagrams of builds before the checksum are accepted. */
+  /** Compatibility during an upgrade: earlier builds send datagrams without a checksum. */
   @Test
-  void thoseOfEarlierBuildsAreReadAsBefore() throws IOException {
+  void decodesDatagramsOfEarlierBuilds() throws IOException {
     GossipCodec codec = new GossipCodec("lahore-booking");
     List<Event> expected = new ArrayList<>();
-    gossip().forEach(message -> expected.add(new Event.GossipReceived(message)));
-    leases().forEach(message -> expected.add(new Event.LeaseMessageReceived(message)));
+    gossipMessages().forEach(message -> expected.add(new Event.GossipReceived(message)));
+    leaseMessages().forEach(message -> expected.add(new Event.LeaseMessageReceived(message)));
     List<Event> decoded = new ArrayList<>();
-    for (String line : lines(RECORDED_WITHOUT_CHECKSUM)) {
-      byte[] bytes = bytesOf(line);
+    for (String line : readLines(RECORDED_WITHOUT_CHECKSUM)) {
+      byte[] bytes = parseBytes(line);
       decoded.add(codec.decode(bytes, bytes.length).event());
     }
-    assertEquals(expected.subList(0, gossip().size()), decoded.subList(0, gossip().size()));
+    assertEquals(
+        expected.subList(0, gossipMessages().size()),
+        decoded.subList(0, gossipMessages().size()));
     assertEquals(expected.size(), decoded.size());
   }
 
   @Test
-  void areEncodedAsRecordedAndReadBack() throws IOException {
+  void encodesAsRecordedAndDecodesUnchanged() throws IOException {
     GossipCodec codec = new GossipCodec("lahore-booking");
     List<String> encoded = new ArrayList<>();
-    for (GossipMessage message : gossip()) {
+    for (GossipMessage message : gossipMessages()) {
       byte[] bytes = codec.encode(message);
       encoded.add("gossip " + HexFormat.of().formatHex(bytes));
       assertEquals(new Event.GossipReceived(message), codec.decode(bytes, bytes.length).event());
     }
-    for (LeaseMessage message : leases()) {
+    for (LeaseMessage message : leaseMessages()) {
       encoded.add("lease " + HexFormat.of().formatHex(codec.encode(message)));
     }
     assertEquals(Files.readString(RECORDED).trim(), String.join("\n", encoded));
--- a/src/test/java/bitternpulley/gossip/EpochFileTest.java
+++ b/src/test/java/bitternpulley/gossip/EpochFileTest.java
@@ -9,21 +9,21 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class EpochFileTest {
-  private static final String NAME = "bitternpulley-epoch";
+  private static final String FILE_NAME = "bitternpulley-epoch";
 
   @TempDir Path folder;
 
   @Test
-  void growsWithEachStartThoughTheClockIsSetBack() {
+  void increasesWithEachStartEvenIfTheClockIsSetBack() {
     assertEquals(5000, EpochFile.next(folder, 5000));
     assertEquals(5001, EpochFile.next(folder, 4000));
     assertEquals(9000, EpochFile.next(folder, 9000));
   }
 
   @Test
-  void usesTheTimeWhereTheFileHoldsNoEpoch() throws IOException {
+  void usesTheTimeIfTheFileContainsNoEpoch() throws IOException {
     EpochFile.next(folder, 9000);
-    Files.writeString(folder.resolve(NAME), "what");
+    Files.writeString(folder.resolve(FILE_NAME), "what");
     assertEquals(9500, EpochFile.next(folder, 9500));
   }
 
--- a/src/test/java/bitternpulley/gossip/GossipCodecTest.java
+++ b/src/test/java/bitternpulley/gossip/GossipCodecTest.java
@@ -36,8 +36,8 @@
 
   private final GossipCodec codec = new GossipCodec("test");
 
-  /** A member whose number and metadata are the longest possible. */
-  private static Membership member() {
+  /** Returns a member with the largest number and the longest metadata possible. */
+  private static Membership memberWithLongestMetadata() {
     return new Membership(
         MAX_NUMBER,
         new MemberMetadata(
@@ -52,7 +52,7 @@
         NOW);
   }
 
-  private static List<GossipMessage> messages(List<MembershipAction> actions) {
+  private static List<GossipMessage> sentMessages(List<MembershipAction> actions) {
     return actions.stream()
         .filter(action -> action instanceof MembershipAction.Send)
         .map(action -> ((MembershipAction.Send) action).message())
@@ -60,14 +60,14 @@
   }
 
   @Property(tries = 100)
-  void everyMessageOfMembershipFitsADatagramAndIsDecodedUnchanged(@ForAll long seed)
+  void everyMembershipMessageFitsADatagramAndIsDecodedUnchanged(@ForAll long seed)
       throws DatagramException {
     Random random = new Random(seed);
-    Membership membership = member();
+    Membership membership = memberWithLongestMetadata();
     double now = NOW;
     for (int step = 0; step < 200; step++) {
       now += 100;
-      List<GossipMessage> sent = new ArrayList<>(messages(membership.tick(now)));
+      List<GossipMessage> sent = new ArrayList<>(sentMessages(membership.tick(now)));
       int from = random.nextInt(MEMBERS);
       GossipUpdate update = randomUpdate(random, step, now);
       if (step % 20 == 0) {
@@ -76,7 +76,7 @@
         membership.publish(payload);
       }
       GossipMessage received = randomMessage(random, from, step, update);
-      sent.addAll(messages(membership.onMessage(received, now)));
+      sent.addAll(sentMessages(membership.onMessage(received, now)));
       for (GossipMessage message : sent) {
         assertFitsAndIsDecodedUnchanged(message);
       }
@@ -126,11 +126,11 @@
     assertRejectedOrHarmless(bytes);
   }
 
-  /** Changed bytes of a valid message get further than random bytes. */
+  /** A valid message with changed bytes is decoded further than random bytes. */
   @Property(tries = 2000)
-  void aCorruptedMessageIsRejectedOrHarmless(@ForAll long seed) {
+  void corruptedMessageIsRejectedOrHarmless(@ForAll long seed) {
     Random random = new Random(seed);
-    GossipMessage valid = messages(member().tick(NOW + 2000)).get(0);
+    GossipMessage valid = sentMessages(memberWithLongestMetadata().tick(NOW + 2000)).get(0);
     byte[] bytes = codec.encode(valid);
     for (int change = 0; change <= random.nextInt(3); change++) {
       bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
@@ -165,7 +165,7 @@
   }
 
   @Test
-  void theLongestLeaseMessagesFitADatagramAndAreDecodedUnchanged() throws DatagramException {
+  void longestLeaseMessagesFitADatagramAndAreDecodedUnchanged() throws DatagramException {
     BitSet allMembers = new BitSet();
     allMembers.set(0, LeaseTerms.MAX_MEMBERS);
     for (LeaseMessage message :
@@ -182,7 +182,7 @@
   }
 
   @Test
-  void rejectsALeaseHolderBeyondTheLargestFleet() {
+  void rejectsLeaseHolderBeyondTheLargestFleet() {
     BitSet holders = new BitSet();
     holders.set(LeaseTerms.MAX_MEMBERS);
     byte[] bytes = codec.encode(new LeaseMessage.LeaseGrant(0, 1, 0, holders));
@@ -190,14 +190,14 @@
   }
 
   @Test
-  void rejectsAnotherDeploymentAsForeign() {
+  void rejectsDatagramOfAnotherDeploymentAsForeign() {
     byte[] bytes = codec.encode(ping());
     GossipCodec otherDeployment = new GossipCodec("other");
     assertThrows(ForeignDatagramException.class, () -> otherDeployment.decode(bytes, bytes.length));
   }
 
   @Test
-  void rejectsAnotherProtocolVersionAsForeign() {
+  void rejectsDatagramOfAnotherProtocolVersionAsForeign() {
     byte[] bytes = codec.encode(ping());
     int versionPosition = 1;
     bytes[versionPosition] = 2;
--- a/src/test/java/bitternpulley/gossip/StoredEpochTest.java
+++ b/src/test/java/bitternpulley/gossip/StoredEpochTest.java
@@ -8,16 +8,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The epoch file as an earlier version of the program stored it. */
+/** Reads an epoch file written by an earlier version of the program. */
 class StoredEpochTest {
-  private static final String NAME = "bitternpulley-epoch";
+  private static final String FILE_NAME = "bitternpulley-epoch";
 
   @TempDir Path folder;
 
   @Test
-  void theNextEpochFollowsTheStoredOne() throws IOException {
-    Files.copy(Path.of("src/test/resources/stored").resolve(NAME), folder.resolve(NAME));
+  void nextEpochFollowsTheStoredEpoch() throws IOException {
+    Files.copy(Path.of("src/test/resources/stored").resolve(FILE_NAME), folder.resolve(FILE_NAME));
     assertEquals(1764753345124L, EpochFile.next(folder, 5));
-    assertEquals("1764753345124", Files.readString(folder.resolve(NAME)));
+    assertEquals("1764753345124", Files.readString(folder.resolve(FILE_NAME)));
   }
 }
