--- a/src/test/java/bitternpulley/PackagesTest.java
+++ b/src/test/java/bitternpulley/PackagesTest.java
@@ -21,7 +21,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Dependencies point inward: which packages each package may use, and what the core never knows.
+ * Checks that dependencies between packages point inward: each package uses only the packages
+ * allowed for it, and the pure core packages use no network, file or JSON classes.
  */
 class PackagesTest {
   private static final String ROOT = "bitternpulley";
@@ -70,7 +71,7 @@
                       "platform",
                       "opensearch"))));
 
-  /** Packages that are pure: events and values in, effects and values out. */
+  /** Packages without input or output: events and values go in, effects and values come out. */
   private static final Set<String> PURE =
       Set.of(
           "routing", "health", "policy", "contracts", "broker", "script", "membership", "leases");
@@ -85,7 +86,7 @@
 
   @ParameterizedTest
   @MethodSource("packages")
-  void usesOnlyPackagesFurtherIn(String name) {
+  void dependsOnlyOnAllowedPackages(String name) {
     Set<String> allowed =
         ALLOWED.get(name).stream().map(PackagesTest::qualified).collect(Collectors.toSet());
     allowed.add(qualified(name));
@@ -95,20 +96,20 @@
         .should()
         .onlyDependOnClassesThat(
             describe(
-                "lie outside the project or in " + allowed,
-                used -> !isOurs(used) || allowed.contains(used.getPackageName())))
+                "are outside the project or in " + allowed,
+                used -> !isProjectClass(used) || allowed.contains(used.getPackageName())))
         .check(CLASSES);
   }
 
   @ParameterizedTest
   @MethodSource("purePackages")
-  void knowsNoWireAndNoFile(String name) {
+  void dependsOnNoNetworkFileOrJsonClasses(String name) {
     noClasses()
         .that()
         .resideInAPackage(qualified(name))
         .should()
         .dependOnClassesThat(
-            describe("are of a network, a file or a JSON library", PackagesTest::isWire))
+            describe("are network, file or JSON classes", PackagesTest::isInputOutputClass))
         .check(CLASSES);
   }
 
@@ -118,7 +119,7 @@
   }
 
   @Test
-  void nothingUsesTheProgramsMainPackage() {
+  void noPackageDependsOnTheRootPackage() {
     noClasses()
         .that()
         .resideOutsideOfPackage(ROOT)
@@ -143,11 +144,11 @@
     return ROOT + "." + name;
   }
 
-  private static boolean isOurs(JavaClass used) {
+  private static boolean isProjectClass(JavaClass used) {
     return used.getPackageName().equals(ROOT) || used.getPackageName().startsWith(ROOT + ".");
   }
 
-  private static boolean isWire(JavaClass used) {
+  private static boolean isInputOutputClass(JavaClass used) {
     String name = used.getPackageName();
     return name.startsWith("java.net")
         || (name.startsWith("java.nio") && !name.equals("java.nio.charset"))
--- a/src/test/java/bitternpulley/docs/ArchitecturePageTest.java
+++ b/src/test/java/bitternpulley/docs/ArchitecturePageTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Classes and packages that the pages for newcomers name exist. */
+/** Checks that the classes named in the architecture page and the glossary exist. */
 class ArchitecturePageTest {
-  private static final Pattern CODE = Pattern.compile("`([^`\n]+)`");
+  private static final Pattern CODE_SPAN = Pattern.compile("`([^`\n]+)`");
   private static final Pattern CLASS_NAME =
       Pattern.compile("[A-Z][a-z][A-Za-z0-9]*(\\.[A-Z][a-z][A-Za-z0-9]*)*");
 
@@ -36,18 +36,19 @@
   @ValueSource(strings = {"docs/ARCHITECTURE.md", "docs/GLOSSARY.md"})
   void namesOnlyClassesThatExist(String page) throws IOException {
     Set<String> missing = new TreeSet<>();
-    int named = 0;
-    Matcher code = CODE.matcher(Files.readString(Path.of(page)));
-    while (code.find()) {
-      String name = code.group(1);
+    int namedClasses = 0;
+    Matcher codeSpan = CODE_SPAN.matcher(Files.readString(Path.of(page)));
+    while (codeSpan.find()) {
+      String name = codeSpan.group(1);
       if (CLASS_NAME.matcher(name).matches()) {
-        named++;
-        if (CLASSES.stream().noneMatch(c -> c.equals(name) || c.endsWith("." + name))) {
+        namedClasses++;
+        if (CLASSES.stream()
+            .noneMatch(existing -> existing.equals(name) || existing.endsWith("." + name))) {
           missing.add(name);
         }
       }
     }
-    assertTrue(named > 10, page + " names " + named + " classes");
+    assertTrue(namedClasses > 10, page + " names " + namedClasses + " classes");
     assertEquals(Set.of(), missing, page);
   }
 }
--- a/src/test/java/bitternpulley/docs/RunbookTest.java
+++ b/src/test/java/bitternpulley/docs/RunbookTest.java
@@ -13,15 +13,17 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Each line that the program logs as a warning or an error is explained in docs/operators.md. */
+/** Checks that docs/operators.md explains each message logged as a warning or an error. */
 class RunbookTest {
   private static final Path SOURCES = Path.of("src/main/java/bitternpulley");
-  private static final List<String> NEVER_IN_SERVICE =
+
+  /** Packages of test tools, which a running aggregator does not use. */
+  private static final List<String> TEST_TOOL_PACKAGES =
       List.of("faultinjection", "emulator", "benchmark");
   private static final Pattern LITERAL = Pattern.compile("\"((?:\\\\.|[^\"\\\\])*)\"");
 
-  /** A call that logs a warning or an error, up to the end of its statement. */
-  private static final Pattern CALL =
+  /** Matches a call that logs a warning or an error, up to the end of the statement. */
+  private static final Pattern LOG_CALL =
       Pattern.compile(
           "\\.log\\(\\s*(?:System\\.Logger\\.)?Level\\.(?:WARNING|ERROR),"
               + "((?:\"(?:\\\\.|[^\"\\\\])*\"|[^\";])*);");
@@ -32,12 +34,12 @@
     List<String> unexplained = new ArrayList<>();
     int calls = 0;
     for (Path file : sources()) {
-      Matcher call = CALL.matcher(Files.readString(file));
+      Matcher call = LOG_CALL.matcher(Files.readString(file));
       while (call.find()) {
         calls++;
-        String words = longestLiteral(call.group(1));
-        if (words.isEmpty() || !page.contains(words)) {
-          unexplained.add(file.getFileName() + ": '" + words + "'");
+        String fixedText = longestLiteral(call.group(1));
+        if (fixedText.isEmpty() || !page.contains(fixedText)) {
+          unexplained.add(file.getFileName() + ": '" + fixedText + "'");
         }
       }
     }
@@ -49,13 +51,13 @@
     try (Stream<Path> files = Files.walk(SOURCES)) {
       return files
           .filter(file -> file.toString().endsWith(".java"))
-          .filter(file -> !NEVER_IN_SERVICE.contains(file.getParent().getFileName().toString()))
+          .filter(file -> !TEST_TOOL_PACKAGES.contains(file.getParent().getFileName().toString()))
           .sorted()
           .toList();
     }
   }
 
-  /** The longest literal of a message: its fixed words, by which a log is searched. */
+  /** Returns the longest literal of a message, the fixed text by which operators search the log. */
   private static String longestLiteral(String arguments) {
     String longest = "";
     Matcher literal = LITERAL.matcher(arguments);
