--- a/src/main/antlr4/bitternpulley/script/Script.g4
+++ b/src/main/antlr4/bitternpulley/script/Script.g4
@@ -1,70 +1,75 @@
-// The operators' script: expressions and statements of the Starlark language specification, without load, lambda and while.
-// Ends of lines and blocks are the tokens NEWLINE, INDENT and DEDENT, which IndentationLexer adds to those of the lexer.
+// The operators' script: the expressions and statements of the Starlark language specification,
+// without load, lambda and while.
+// IndentationLexer drops the NEWLINE tokens of blank lines and of lines inside brackets, and adds
+// the INDENT and DEDENT tokens of blocks.
 grammar Script;
 
 tokens { INDENT, DEDENT }
 
 file: (NEWLINE | statement)* EOF;
 
-statement: simpleLine | definition | conditional | loop;
+statement: simpleStatement | functionDefinition | ifStatement | forStatement;
 
-simpleLine: small (';' small)* ';'? NEWLINE;
+simpleStatement: smallStatement (';' smallStatement)* ';'? NEWLINE;
 
-small
-  : 'return' tests?                                            # give
-  | 'break'                                                    # leave
-  | 'continue'                                                 # next
-  | 'pass'                                                     # idle
-  | target=tests op=('=' | '+=' | '-=' | '*=' | '/=' | '//=' | '%=') value=tests  # assign
-  | tests                                                      # evaluate
+smallStatement
+  : 'return' expressionList?                                   # returnStatement
+  | 'break'                                                    # breakStatement
+  | 'continue'                                                 # continueStatement
+  | 'pass'                                                     # passStatement
+  | target=expressionList
+    op=('=' | '+=' | '-=' | '*=' | '/=' | '//=' | '%=') value=expressionList  # assignment
+  | expressionList                                             # expressionStatement
   ;
 
-definition: 'def' NAME '(' (parameter (',' parameter)* ','?)? ')' ':' suite;
-parameter: NAME ('=' test)?;
+functionDefinition: 'def' NAME '(' (parameter (',' parameter)* ','?)? ')' ':' suite;
+parameter: NAME ('=' expression)?;
 
-conditional: 'if' test ':' suite ('elif' test ':' suite)* ('else' ':' suite)?;
-loop: 'for' names 'in' tests ':' suite;
-suite: simpleLine | NEWLINE INDENT statement+ DEDENT;
+ifStatement
+  : 'if' expression ':' suite ('elif' expression ':' suite)* ('else' ':' suite)?;
+forStatement: 'for' loopVariables 'in' expressionList ':' suite;
+suite: simpleStatement | NEWLINE INDENT statement+ DEDENT;
 
-tests: test (',' test)* ','?;
-names: name (',' name)* ','?;
-name: NAME | '(' names ')' | '[' names ']';
+expressionList: expression (',' expression)* ','?;
+loopVariables: loopVariable (',' loopVariable)* ','?;
+loopVariable: NAME | '(' loopVariables ')' | '[' loopVariables ']';
 
-test
-  : test '.' NAME                                              # member
-  | test '(' (argument (',' argument)* ','?)? ')'              # call
-  | test '[' (low=test)? ':' (high=test)? ']'                  # slice
-  | test '[' test ']'                                          # item
-  | op=('-' | '+') test                                        # sign
-  | test op=('*' | '/' | '//' | '%') test                      # product
-  | test op=('+' | '-') test                                   # sum
-  | test op='|' test                                         # join
-  | test (op=('<' | '>' | '<=' | '>=' | '==' | '!=' | 'in') | not='not' 'in') test  # compare
-  | 'not' test                                                 # negate
-  | test 'and' test                                            # both
-  | test 'or' test                                             # either
-  | <assoc=right> test 'if' test 'else' test                   # choose
-  | atom                                                       # plain
+expression
+  : expression '.' NAME                                        # attribute
+  | expression '(' (argument (',' argument)* ','?)? ')'        # call
+  | expression '[' (lowerBound=expression)? ':' (upperBound=expression)? ']'  # slice
+  | expression '[' expression ']'                              # subscript
+  | op=('-' | '+') expression                                  # unarySign
+  | expression op=('*' | '/' | '//' | '%') expression          # multiplicative
+  | expression op=('+' | '-') expression                       # additive
+  | expression op='|' expression                               # union
+  | expression
+    (op=('<' | '>' | '<=' | '>=' | '==' | '!=' | 'in') | not='not' 'in') expression  # comparison
+  | 'not' expression                                           # logicalNot
+  | expression 'and' expression                                # logicalAnd
+  | expression 'or' expression                                 # logicalOr
+  | <assoc=right> expression 'if' expression 'else' expression # conditionalExpression
+  | atom                                                       # atomExpression
   ;
 
-argument: (NAME '=')? test;
+argument: (NAME '=')? expression;
 
 atom
-  : NAME                                                       # read
-  | INTEGER                                                    # integer
-  | REAL                                                       # real
-  | STRING+                                                    # text
+  : NAME                                                       # identifier
+  | INTEGER                                                    # integerLiteral
+  | REAL                                                       # floatLiteral
+  | STRING+                                                    # stringLiteral
   | '(' ')'                                                    # emptyTuple
-  | '(' test ')'                                               # group
-  | '(' test (',' test)* ','? ')'                              # tuple
-  | '[' (test (',' test)* ','?)? ']'                           # list
-  | '[' test clause+ ']'                                       # listOf
+  | '(' expression ')'                                         # parenthesized
+  | '(' expression (',' expression)* ','? ')'                  # tuple
+  | '[' (expression (',' expression)* ','?)? ']'               # list
+  | '[' expression comprehensionClause+ ']'                    # listComprehension
   | '{' (entry (',' entry)* ','?)? '}'                         # dict
-  | '{' entry clause+ '}'                                      # dictOf
+  | '{' entry comprehensionClause+ '}'                         # dictComprehension
   ;
 
-entry: key=test ':' value=test;
-clause: 'for' names 'in' test | 'if' test;
+entry: key=expression ':' value=expression;
+comprehensionClause: 'for' loopVariables 'in' expression | 'if' expression;
 
 NAME: [A-Za-z_] [A-Za-z_0-9]*;
 INTEGER: '0' [xX] [0-9a-fA-F]+ | [0-9] [0-9_]*;
--- a/src/main/java/bitternpulley/script/Assignments.java
+++ b/src/main/java/bitternpulley/script/Assignments.java
@@ -23,12 +23,12 @@
     this.subscripts = subscripts;
   }
 
-  void assign(ScriptParser.AssignContext assignment, Scope scope) {
+  void assign(ScriptParser.AssignmentContext assignment, Scope scope) {
     Object value = expressions.evaluate(assignment.value, scope);
     if (!assignment.op.getText().equals("=")) {
       value = augmented(assignment, value, scope);
     }
-    List<ScriptParser.TestContext> targets = assignment.target.test();
+    List<ScriptParser.ExpressionContext> targets = assignment.target.expression();
     boolean isSingleTarget = targets.size() == 1 && assignment.target.getChildCount() == 1;
     if (isSingleTarget) {
       assign(targets.get(0), value, scope);
@@ -38,36 +38,39 @@
   }
 
   /** The new value of the target of an augmented assignment such as {@code +=}. */
-  private Object augmented(ScriptParser.AssignContext assignment, Object value, Scope scope) {
+  private Object augmented(ScriptParser.AssignmentContext assignment, Object value, Scope scope) {
     String assignmentOperator = assignment.op.getText();
-    if (assignment.target.test().size() != 1) {
+    if (assignment.target.expression().size() != 1) {
       throw new ScriptException(
           source.position(assignment.target), "'" + assignmentOperator + "' takes one name");
     }
     String operator = assignmentOperator.substring(0, assignmentOperator.length() - 1);
-    Object current = expressions.evaluate(assignment.target.test(0), scope);
+    Object current = expressions.evaluate(assignment.target.expression(0), scope);
     return arithmetic.combine(operator, current, value, source.position(assignment));
   }
 
   private void assignAll(
-      List<ScriptParser.TestContext> targets, Object value, Scope scope, SourcePosition position) {
+      List<ScriptParser.ExpressionContext> targets,
+      Object value,
+      Scope scope,
+      SourcePosition position) {
     List<Object> elements = values.unpack(value, targets.size(), position);
     for (int index = 0; index < elements.size(); index++) {
       assign(targets.get(index), elements.get(index), scope);
     }
   }
 
-  private void assign(ScriptParser.TestContext target, Object value, Scope scope) {
+  private void assign(ScriptParser.ExpressionContext target, Object value, Scope scope) {
     SourcePosition position = source.position(target);
-    if (target instanceof ScriptParser.PlainContext plain
-        && plain.atom() instanceof ScriptParser.ReadContext name) {
-      scope.set(name.NAME().getText(), value);
-    } else if (target instanceof ScriptParser.PlainContext plain
-        && plain.atom() instanceof ScriptParser.TupleContext tuple) {
-      assignAll(tuple.test(), value, scope, position);
-    } else if (target instanceof ScriptParser.ItemContext item) {
-      Object container = expressions.evaluate(item.test(0), scope);
-      Object subscript = expressions.evaluate(item.test(1), scope);
+    if (target instanceof ScriptParser.AtomExpressionContext atomExpression
+        && atomExpression.atom() instanceof ScriptParser.IdentifierContext identifier) {
+      scope.set(identifier.NAME().getText(), value);
+    } else if (target instanceof ScriptParser.AtomExpressionContext atomExpression
+        && atomExpression.atom() instanceof ScriptParser.TupleContext tuple) {
+      assignAll(tuple.expression(), value, scope, position);
+    } else if (target instanceof ScriptParser.SubscriptContext subscriptTarget) {
+      Object container = expressions.evaluate(subscriptTarget.expression(0), scope);
+      Object subscript = expressions.evaluate(subscriptTarget.expression(1), scope);
       subscripts.assign(container, subscript, value, position);
     } else {
       throw new ScriptException(position, "nothing can be assigned to this");
--- a/src/main/java/bitternpulley/script/Expressions.java
+++ b/src/main/java/bitternpulley/script/Expressions.java
@@ -61,9 +61,9 @@
     return evaluate(expression, scope);
   }
 
-  private List<Object> evaluateAll(List<ScriptParser.TestContext> expressions) {
+  private List<Object> evaluateAll(List<ScriptParser.ExpressionContext> expressions) {
     List<Object> results = new ArrayList<>();
-    for (ScriptParser.TestContext expression : expressions) {
+    for (ScriptParser.ExpressionContext expression : expressions) {
       budget.reserve(1, source.position(expression));
       results.add(evaluate(expression));
     }
@@ -71,38 +71,38 @@
   }
 
   @Override
-  public Object visitTests(ScriptParser.TestsContext context) {
-    boolean isTuple = context.test().size() > 1 || context.getChildCount() > 1;
-    return isTuple ? new Tuple(evaluateAll(context.test())) : evaluate(context.test(0));
+  public Object visitExpressionList(ScriptParser.ExpressionListContext context) {
+    boolean isTuple = context.expression().size() > 1 || context.getChildCount() > 1;
+    return isTuple ? new Tuple(evaluateAll(context.expression())) : evaluate(context.expression(0));
   }
 
   @Override
-  public Object visitSign(ScriptParser.SignContext context) {
-    Object operand = evaluate(context.test());
+  public Object visitUnarySign(ScriptParser.UnarySignContext context) {
+    Object operand = evaluate(context.expression());
     return context.op.getText().equals("-")
         ? arithmetic.negate(operand, source.position(context))
         : operand;
   }
 
   @Override
-  public Object visitProduct(ScriptParser.ProductContext context) {
-    return combine(context.op.getText(), context.test(0), context.test(1), context);
+  public Object visitMultiplicative(ScriptParser.MultiplicativeContext context) {
+    return combine(context.op.getText(), context.expression(0), context.expression(1), context);
   }
 
   @Override
-  public Object visitSum(ScriptParser.SumContext context) {
-    return combine(context.op.getText(), context.test(0), context.test(1), context);
+  public Object visitAdditive(ScriptParser.AdditiveContext context) {
+    return combine(context.op.getText(), context.expression(0), context.expression(1), context);
   }
 
   @Override
-  public Object visitJoin(ScriptParser.JoinContext context) {
-    return combine(context.op.getText(), context.test(0), context.test(1), context);
+  public Object visitUnion(ScriptParser.UnionContext context) {
+    return combine(context.op.getText(), context.expression(0), context.expression(1), context);
   }
 
   private Object combine(
       String operator,
-      ScriptParser.TestContext left,
-      ScriptParser.TestContext right,
+      ScriptParser.ExpressionContext left,
+      ScriptParser.ExpressionContext right,
       ParserRuleContext context) {
     Object leftOperand = evaluate(left);
     Object rightOperand = evaluate(right);
@@ -110,9 +110,9 @@
   }
 
   @Override
-  public Object visitCompare(ScriptParser.CompareContext context) {
-    Object left = evaluate(context.test(0));
-    Object right = evaluate(context.test(1));
+  public Object visitComparison(ScriptParser.ComparisonContext context) {
+    Object left = evaluate(context.expression(0));
+    Object right = evaluate(context.expression(1));
     SourcePosition position = source.position(context);
     return context.not == null
         ? comparisons.compare(context.op.getText(), left, right, position)
@@ -120,46 +120,46 @@
   }
 
   @Override
-  public Object visitNegate(ScriptParser.NegateContext context) {
-    return !Values.isTruthy(evaluate(context.test()));
+  public Object visitLogicalNot(ScriptParser.LogicalNotContext context) {
+    return !Values.isTruthy(evaluate(context.expression()));
   }
 
   @Override
-  public Object visitBoth(ScriptParser.BothContext context) {
-    Object left = evaluate(context.test(0));
-    return Values.isTruthy(left) ? evaluate(context.test(1)) : left;
+  public Object visitLogicalAnd(ScriptParser.LogicalAndContext context) {
+    Object left = evaluate(context.expression(0));
+    return Values.isTruthy(left) ? evaluate(context.expression(1)) : left;
   }
 
   @Override
-  public Object visitEither(ScriptParser.EitherContext context) {
-    Object left = evaluate(context.test(0));
-    return Values.isTruthy(left) ? left : evaluate(context.test(1));
+  public Object visitLogicalOr(ScriptParser.LogicalOrContext context) {
+    Object left = evaluate(context.expression(0));
+    return Values.isTruthy(left) ? left : evaluate(context.expression(1));
   }
 
   @Override
-  public Object visitChoose(ScriptParser.ChooseContext context) {
-    boolean condition = Values.isTruthy(evaluate(context.test(1)));
-    return evaluate(context.test(condition ? 0 : 2));
+  public Object visitConditionalExpression(ScriptParser.ConditionalExpressionContext context) {
+    boolean condition = Values.isTruthy(evaluate(context.expression(1)));
+    return evaluate(context.expression(condition ? 0 : 2));
   }
 
   @Override
-  public Object visitItem(ScriptParser.ItemContext context) {
-    Object container = evaluate(context.test(0));
-    Object subscript = evaluate(context.test(1));
+  public Object visitSubscript(ScriptParser.SubscriptContext context) {
+    Object container = evaluate(context.expression(0));
+    Object subscript = evaluate(context.expression(1));
     return subscripts.element(container, subscript, source.position(context));
   }
 
   @Override
   public Object visitSlice(ScriptParser.SliceContext context) {
-    Object sequence = evaluate(context.test(0));
+    Object sequence = evaluate(context.expression(0));
     SourcePosition position = source.position(context);
     int length = Subscripts.length(sequence, position);
-    int start = context.low == null ? 0 : bound(context.low, length);
-    int end = context.high == null ? length : bound(context.high, length);
+    int start = context.lowerBound == null ? 0 : resolveBound(context.lowerBound, length);
+    int end = context.upperBound == null ? length : resolveBound(context.upperBound, length);
     return subscripts.range(sequence, start, Math.max(start, end), position);
   }
 
-  private int bound(ScriptParser.TestContext expression, int length) {
+  private int resolveBound(ScriptParser.ExpressionContext expression, int length) {
     if (!(evaluate(expression) instanceof Long bound)) {
       throw new ScriptException(source.position(expression), "a bound is a whole number");
     }
@@ -170,16 +170,16 @@
   @Override
   public Object visitCall(ScriptParser.CallContext context) {
     SourcePosition position = source.position(context);
-    if (context.test() instanceof ScriptParser.MemberContext member) {
-      Object receiver = evaluate(member.test());
-      String method = member.NAME().getText();
+    if (context.expression() instanceof ScriptParser.AttributeContext attribute) {
+      Object receiver = evaluate(attribute.expression());
+      String method = attribute.NAME().getText();
       return methodCalls.call(receiver, method, arguments(context), position);
     }
-    if (context.test() instanceof ScriptParser.PlainContext plain
-        && plain.atom() instanceof ScriptParser.ReadContext read) {
-      return callName(read.NAME().getText(), context, position);
+    if (context.expression() instanceof ScriptParser.AtomExpressionContext atomExpression
+        && atomExpression.atom() instanceof ScriptParser.IdentifierContext identifier) {
+      return callName(identifier.NAME().getText(), context, position);
     }
-    Object target = evaluate(context.test());
+    Object target = evaluate(context.expression());
     return functionCalls.callValue(target, arguments(context), position);
   }
 
@@ -198,7 +198,7 @@
     Map<String, ScriptHost.Argument> named = new LinkedHashMap<>();
     for (ScriptParser.ArgumentContext argument : context.argument()) {
       budget.reserve(1, position);
-      Object value = evaluate(argument.test());
+      Object value = evaluate(argument.expression());
       if (argument.NAME() != null) {
         addNamed(named, argument, value);
       } else if (named.isEmpty()) {
@@ -221,18 +221,18 @@
   }
 
   @Override
-  public Object visitMember(ScriptParser.MemberContext context) {
+  public Object visitAttribute(ScriptParser.AttributeContext context) {
     throw new ScriptException(
         source.position(context), "'." + context.NAME().getText() + "' can only be called");
   }
 
   @Override
-  public Object visitPlain(ScriptParser.PlainContext context) {
+  public Object visitAtomExpression(ScriptParser.AtomExpressionContext context) {
     return visit(context.atom());
   }
 
   @Override
-  public Object visitRead(ScriptParser.ReadContext context) {
+  public Object visitIdentifier(ScriptParser.IdentifierContext context) {
     String name = context.NAME().getText();
     Object value = scope.get(name);
     if (value != null) {
@@ -248,17 +248,17 @@
   }
 
   @Override
-  public Object visitInteger(ScriptParser.IntegerContext context) {
+  public Object visitIntegerLiteral(ScriptParser.IntegerLiteralContext context) {
     return Literals.integer(context.INTEGER().getText(), source.position(context));
   }
 
   @Override
-  public Object visitReal(ScriptParser.RealContext context) {
+  public Object visitFloatLiteral(ScriptParser.FloatLiteralContext context) {
     return Literals.real(context.REAL().getText(), source.position(context));
   }
 
   @Override
-  public Object visitText(ScriptParser.TextContext context) {
+  public Object visitStringLiteral(ScriptParser.StringLiteralContext context) {
     SourcePosition position = source.position(context);
     StringBuilder joined = new StringBuilder();
     context.STRING().forEach(part -> joined.append(Literals.text(part.getText(), position)));
@@ -272,18 +272,18 @@
   }
 
   @Override
-  public Object visitGroup(ScriptParser.GroupContext context) {
-    return evaluate(context.test());
+  public Object visitParenthesized(ScriptParser.ParenthesizedContext context) {
+    return evaluate(context.expression());
   }
 
   @Override
   public Object visitTuple(ScriptParser.TupleContext context) {
-    return new Tuple(evaluateAll(context.test()));
+    return new Tuple(evaluateAll(context.expression()));
   }
 
   @Override
   public Object visitList(ScriptParser.ListContext context) {
-    return evaluateAll(context.test());
+    return evaluateAll(context.expression());
   }
 
   @Override
@@ -301,24 +301,24 @@
   }
 
   @Override
-  public Object visitListOf(ScriptParser.ListOfContext context) {
+  public Object visitListComprehension(ScriptParser.ListComprehensionContext context) {
     List<Object> list = new ArrayList<>();
     comprehend(
-        context.clause(),
+        context.comprehensionClause(),
         new Scope(scope),
         names -> {
           budget.reserve(1, source.position(context));
-          list.add(evaluate(context.test(), names));
+          list.add(evaluate(context.expression(), names));
         });
     return list;
   }
 
   @Override
-  public Object visitDictOf(ScriptParser.DictOfContext context) {
+  public Object visitDictComprehension(ScriptParser.DictComprehensionContext context) {
     Map<Object, Object> dict = new LinkedHashMap<>();
     SourcePosition position = source.position(context);
     comprehend(
-        context.clause(),
+        context.comprehensionClause(),
         new Scope(scope),
         names -> {
           budget.reserve(1, position);
@@ -335,15 +335,15 @@
 
   /** Calls the action for each element that the clauses of a comprehension produce. */
   private void comprehend(
-      List<ScriptParser.ClauseContext> clauses, Scope names, ElementAction action) {
+      List<ScriptParser.ComprehensionClauseContext> clauses, Scope names, ElementAction action) {
     if (clauses.isEmpty()) {
       action.add(names);
       return;
     }
-    ScriptParser.ClauseContext clause = clauses.get(0);
-    List<ScriptParser.ClauseContext> innerClauses = clauses.subList(1, clauses.size());
-    Object value = evaluate(clause.test(), names);
-    if (clause.names() != null) {
+    ScriptParser.ComprehensionClauseContext clause = clauses.get(0);
+    List<ScriptParser.ComprehensionClauseContext> innerClauses = clauses.subList(1, clauses.size());
+    Object value = evaluate(clause.expression(), names);
+    if (clause.loopVariables() != null) {
       comprehendLoop(clause, value, innerClauses, names, action);
     } else if (Values.isTruthy(value)) {
       comprehend(innerClauses, names, action);
@@ -351,15 +351,15 @@
   }
 
   private void comprehendLoop(
-      ScriptParser.ClauseContext clause,
+      ScriptParser.ComprehensionClauseContext clause,
       Object sequence,
-      List<ScriptParser.ClauseContext> innerClauses,
+      List<ScriptParser.ComprehensionClauseContext> innerClauses,
       Scope names,
       ElementAction action) {
     SourcePosition position = source.position(clause);
     for (Object element : values.elements(sequence, position)) {
       budget.recordStep(position);
-      nameBinding.bind(clause.names(), element, names);
+      nameBinding.bind(clause.loopVariables(), element, names);
       comprehend(innerClauses, names, action);
     }
   }
--- a/src/main/java/bitternpulley/script/NameBinding.java
+++ b/src/main/java/bitternpulley/script/NameBinding.java
@@ -12,23 +12,25 @@
     this.values = values;
   }
 
-  void bind(ScriptParser.NamesContext names, Object value, Scope scope) {
-    boolean isSingleName = names.name().size() == 1 && names.getChildCount() == 1;
-    if (isSingleName) {
-      bind(names.name(0), value, scope);
+  void bind(ScriptParser.LoopVariablesContext variables, Object value, Scope scope) {
+    boolean isSingleVariable =
+        variables.loopVariable().size() == 1 && variables.getChildCount() == 1;
+    if (isSingleVariable) {
+      bind(variables.loopVariable(0), value, scope);
       return;
     }
-    List<Object> elements = values.unpack(value, names.name().size(), source.position(names));
+    List<Object> elements =
+        values.unpack(value, variables.loopVariable().size(), source.position(variables));
     for (int index = 0; index < elements.size(); index++) {
-      bind(names.name(index), elements.get(index), scope);
+      bind(variables.loopVariable(index), elements.get(index), scope);
     }
   }
 
-  private void bind(ScriptParser.NameContext name, Object value, Scope scope) {
-    if (name.names() != null) {
-      bind(name.names(), value, scope);
+  private void bind(ScriptParser.LoopVariableContext variable, Object value, Scope scope) {
+    if (variable.loopVariables() != null) {
+      bind(variable.loopVariables(), value, scope);
     } else {
-      scope.set(name.NAME().getText(), value);
+      scope.set(variable.NAME().getText(), value);
     }
   }
 }
--- a/src/main/java/bitternpulley/script/Statements.java
+++ b/src/main/java/bitternpulley/script/Statements.java
@@ -40,8 +40,8 @@
   }
 
   private Completion execute(ScriptParser.SuiteContext suite, Scope scope) {
-    if (suite.simpleLine() != null) {
-      return execute(suite.simpleLine(), scope);
+    if (suite.simpleStatement() != null) {
+      return execute(suite.simpleStatement(), scope);
     }
     for (ScriptParser.StatementContext statement : suite.statement()) {
       Completion completion = execute(statement, scope);
@@ -54,20 +54,20 @@
 
   private Completion execute(ScriptParser.StatementContext statement, Scope scope) {
     budget.recordStep(source.position(statement));
-    if (statement.simpleLine() != null) {
-      return execute(statement.simpleLine(), scope);
+    if (statement.simpleStatement() != null) {
+      return execute(statement.simpleStatement(), scope);
     }
-    if (statement.definition() != null) {
-      define(statement.definition(), scope);
+    if (statement.functionDefinition() != null) {
+      define(statement.functionDefinition(), scope);
       return Completion.NORMAL;
     }
-    return statement.conditional() != null
-        ? executeConditional(statement.conditional(), scope)
-        : executeLoop(statement.loop(), scope);
+    return statement.ifStatement() != null
+        ? executeIf(statement.ifStatement(), scope)
+        : executeFor(statement.forStatement(), scope);
   }
 
-  private Completion execute(ScriptParser.SimpleLineContext line, Scope scope) {
-    for (ScriptParser.SmallContext statement : line.small()) {
+  private Completion execute(ScriptParser.SimpleStatementContext simpleStatement, Scope scope) {
+    for (ScriptParser.SmallStatementContext statement : simpleStatement.smallStatement()) {
       Completion completion = execute(statement, scope);
       if (!completion.isNormal()) {
         return completion;
@@ -76,33 +76,35 @@
     return Completion.NORMAL;
   }
 
-  private Completion execute(ScriptParser.SmallContext statement, Scope scope) {
-    if (statement instanceof ScriptParser.GiveContext returnStatement) {
+  private Completion execute(ScriptParser.SmallStatementContext statement, Scope scope) {
+    if (statement instanceof ScriptParser.ReturnStatementContext returnStatement) {
       return executeReturn(returnStatement, scope);
     }
-    if (statement instanceof ScriptParser.LeaveContext) {
+    if (statement instanceof ScriptParser.BreakStatementContext) {
       return Completion.BREAK;
     }
-    if (statement instanceof ScriptParser.NextContext) {
+    if (statement instanceof ScriptParser.ContinueStatementContext) {
       return Completion.CONTINUE;
     }
-    if (statement instanceof ScriptParser.AssignContext assignment) {
+    if (statement instanceof ScriptParser.AssignmentContext assignment) {
       assignments.assign(assignment, scope);
-    } else if (statement instanceof ScriptParser.EvaluateContext expression) {
-      expressions.evaluate(expression.tests(), scope);
+    } else if (statement instanceof ScriptParser.ExpressionStatementContext expressionStatement) {
+      expressions.evaluate(expressionStatement.expressionList(), scope);
     }
     return Completion.NORMAL;
   }
 
-  private Completion executeReturn(ScriptParser.GiveContext statement, Scope scope) {
+  private Completion executeReturn(ScriptParser.ReturnStatementContext statement, Scope scope) {
     if (scope == global) {
       throw new ScriptException(source.position(statement), "'return' stands in no function");
     }
     return Completion.returning(
-        statement.tests() == null ? None.NONE : expressions.evaluate(statement.tests(), scope));
+        statement.expressionList() == null
+            ? None.NONE
+            : expressions.evaluate(statement.expressionList(), scope));
   }
 
-  private void define(ScriptParser.DefinitionContext definition, Scope scope) {
+  private void define(ScriptParser.FunctionDefinitionContext definition, Scope scope) {
     List<ScriptFunction.Parameter> parameters = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (ScriptParser.ParameterContext parameter : definition.parameter()) {
@@ -111,7 +113,9 @@
         throw new ScriptException(source.position(parameter), "the parameter comes twice");
       }
       Object defaultValue =
-          parameter.test() == null ? null : expressions.evaluate(parameter.test(), scope);
+          parameter.expression() == null
+              ? null
+              : expressions.evaluate(parameter.expression(), scope);
       parameters.add(new ScriptFunction.Parameter(name, defaultValue));
     }
     String name = definition.NAME().getText();
@@ -130,24 +134,24 @@
     };
   }
 
-  private Completion executeConditional(ScriptParser.ConditionalContext conditional, Scope scope) {
-    int conditionCount = conditional.test().size();
+  private Completion executeIf(ScriptParser.IfStatementContext ifStatement, Scope scope) {
+    int conditionCount = ifStatement.expression().size();
     for (int index = 0; index < conditionCount; index++) {
-      if (Values.isTruthy(expressions.evaluate(conditional.test(index), scope))) {
-        return execute(conditional.suite(index), scope);
+      if (Values.isTruthy(expressions.evaluate(ifStatement.expression(index), scope))) {
+        return execute(ifStatement.suite(index), scope);
       }
     }
-    boolean hasElse = conditional.suite().size() > conditionCount;
-    return hasElse ? execute(conditional.suite(conditionCount), scope) : Completion.NORMAL;
+    boolean hasElse = ifStatement.suite().size() > conditionCount;
+    return hasElse ? execute(ifStatement.suite(conditionCount), scope) : Completion.NORMAL;
   }
 
-  private Completion executeLoop(ScriptParser.LoopContext loop, Scope scope) {
-    SourcePosition position = source.position(loop);
-    Object sequence = expressions.evaluate(loop.tests(), scope);
+  private Completion executeFor(ScriptParser.ForStatementContext forStatement, Scope scope) {
+    SourcePosition position = source.position(forStatement);
+    Object sequence = expressions.evaluate(forStatement.expressionList(), scope);
     for (Object element : values.elements(sequence, position)) {
       budget.recordStep(position);
-      nameBinding.bind(loop.names(), element, scope);
-      Completion completion = execute(loop.suite(), scope);
+      nameBinding.bind(forStatement.loopVariables(), element, scope);
+      Completion completion = execute(forStatement.suite(), scope);
       if (completion.leavesLoop()) {
         return completion.kind() == Completion.Kind.RETURN ? completion : Completion.NORMAL;
       }
