--- a/src/main/java/bitternpulley/script/Assignments.java
+++ b/src/main/java/bitternpulley/script/Assignments.java
@@ -5,26 +5,26 @@
 /** Assigns values to names and elements. */
 final class Assignments {
   private final SourceFile source;
-  private final Expressions expressions;
+  private final ExpressionEvaluator expressionEvaluator;
   private final Values values;
   private final Arithmetic arithmetic;
   private final Subscripts subscripts;
 
   Assignments(
       SourceFile source,
-      Expressions expressions,
+      ExpressionEvaluator expressionEvaluator,
       Values values,
       Arithmetic arithmetic,
       Subscripts subscripts) {
     this.source = source;
-    this.expressions = expressions;
+    this.expressionEvaluator = expressionEvaluator;
     this.values = values;
     this.arithmetic = arithmetic;
     this.subscripts = subscripts;
   }
 
   void assign(ScriptParser.AssignmentContext assignment, Scope scope) {
-    Object value = expressions.evaluate(assignment.value, scope);
+    Object value = expressionEvaluator.evaluate(assignment.value, scope);
     if (!assignment.op.getText().equals("=")) {
       value = augmented(assignment, value, scope);
     }
@@ -45,7 +45,7 @@
           source.position(assignment.target), "'" + assignmentOperator + "' takes one name");
     }
     String operator = assignmentOperator.substring(0, assignmentOperator.length() - 1);
-    Object current = expressions.evaluate(assignment.target.expression(0), scope);
+    Object current = expressionEvaluator.evaluate(assignment.target.expression(0), scope);
     return arithmetic.combine(operator, current, value, source.position(assignment));
   }
 
@@ -69,8 +69,8 @@
         && atomExpression.atom() instanceof ScriptParser.TupleContext tuple) {
       assignAll(tuple.expression(), value, scope, position);
     } else if (target instanceof ScriptParser.SubscriptContext subscriptTarget) {
-      Object container = expressions.evaluate(subscriptTarget.expression(0), scope);
-      Object subscript = expressions.evaluate(subscriptTarget.expression(1), scope);
+      Object container = expressionEvaluator.evaluate(subscriptTarget.expression(0), scope);
+      Object subscript = expressionEvaluator.evaluate(subscriptTarget.expression(1), scope);
       subscripts.assign(container, subscript, value, position);
     } else {
       throw new ScriptException(position, "nothing can be assigned to this");
--- a/src/main/java/bitternpulley/script/BuiltinFunctions.java
+++ b/src/main/java/bitternpulley/script/BuiltinFunctions.java
@@ -26,19 +26,19 @@
 
   private final EvaluationBudget budget;
   private final Values values;
-  private final ValueText valueText;
+  private final ValueFormatter valueFormatter;
   private final SequenceFunctions sequences;
   private final Map<String, Implementation> implementations = new HashMap<>();
 
   BuiltinFunctions(
       EvaluationBudget budget,
       Values values,
-      ValueText valueText,
+      ValueFormatter valueFormatter,
       SequenceFunctions sequences,
       Conversions conversions) {
     this.budget = budget;
     this.values = values;
-    this.valueText = valueText;
+    this.valueFormatter = valueFormatter;
     this.sequences = sequences;
     addOutput();
     addConversions(conversions);
@@ -51,8 +51,8 @@
   }
 
   private void addConversions(Conversions conversions) {
-    addUnary("str", valueText::text);
-    addUnary("repr", valueText::literal);
+    addUnary("str", valueFormatter::text);
+    addUnary("repr", valueFormatter::literal);
     addUnary("int", conversions::toInteger);
     addUnary("float", conversions::toFloat);
     addUnary("bool", (value, position) -> Values.isTruthy(value));
@@ -126,7 +126,7 @@
   private String joined(List<Object> arguments, SourcePosition position) {
     StringBuilder line = new StringBuilder();
     for (Object argument : arguments) {
-      line.append(line.length() == 0 ? "" : " ").append(valueText.text(argument, position));
+      line.append(line.length() == 0 ? "" : " ").append(valueFormatter.text(argument, position));
     }
     return line.toString();
   }
--- a/src/main/java/bitternpulley/script/Conversions.java
+++ b/src/main/java/bitternpulley/script/Conversions.java
@@ -5,10 +5,10 @@
   /** Magnitude below which every {@code double} has an integral part that fits a {@code long}. */
   private static final double MAX_CONVERTIBLE = 9e18;
 
-  private final ValueText valueText;
+  private final ValueFormatter valueFormatter;
 
-  Conversions(ValueText valueText) {
-    this.valueText = valueText;
+  Conversions(ValueFormatter valueFormatter) {
+    this.valueFormatter = valueFormatter;
   }
 
   Object toInteger(Object value, SourcePosition position) {
@@ -32,7 +32,7 @@
       return Long.parseLong(text.strip());
     } catch (NumberFormatException invalid) {
       throw new ScriptException(
-          position, valueText.literal(text, position) + " is not a whole number");
+          position, valueFormatter.literal(text, position) + " is not a whole number");
     }
   }
 
@@ -58,7 +58,7 @@
     try {
       return Double.parseDouble(text.strip());
     } catch (NumberFormatException invalid) {
-      throw new ScriptException(position, valueText.literal(text, position) + " is not a number");
+      throw new ScriptException(position, valueFormatter.literal(text, position) + " is not a number");
     }
   }
 
--- a/src/main/java/bitternpulley/script/DictMethods.java
+++ b/src/main/java/bitternpulley/script/DictMethods.java
@@ -8,11 +8,11 @@
 /** The methods of dicts. */
 final class DictMethods {
   private final EvaluationBudget budget;
-  private final ValueText valueText;
+  private final ValueFormatter valueFormatter;
 
-  DictMethods(EvaluationBudget budget, ValueText valueText) {
+  DictMethods(EvaluationBudget budget, ValueFormatter valueFormatter) {
     this.budget = budget;
-    this.valueText = valueText;
+    this.valueFormatter = valueFormatter;
   }
 
   Object call(
@@ -85,7 +85,7 @@
 
   private Object pop(Map<Object, Object> dict, Object key, SourcePosition position) {
     if (!dict.containsKey(key)) {
-      throw new ScriptException(position, "there is no key " + valueText.literal(key, position));
+      throw new ScriptException(position, "there is no key " + valueFormatter.literal(key, position));
     }
     return dict.remove(key);
   }
--- a/src/main/java/bitternpulley/script/Expressions.java
+++ b/src/main/java/bitternpulley/script/ExpressionEvaluator.java
@@ -7,7 +7,7 @@
 import org.antlr.v4.runtime.ParserRuleContext;
 
 /** Evaluates expressions. */
-final class Expressions extends ScriptBaseVisitor<Object> {
+final class ExpressionEvaluator extends ScriptBaseVisitor<Object> {
   private final SourceFile source;
   private final EvaluationBudget budget;
   private final Values values;
@@ -16,12 +16,12 @@
   private final Subscripts subscripts;
   private final FunctionCalls functionCalls;
   private final MethodCalls methodCalls;
-  private final NameBinding nameBinding;
+  private final LoopVariableBinder loopVariableBinder;
 
   /** The names that the expression being evaluated may read. */
   private Scope scope;
 
-  Expressions(
+  ExpressionEvaluator(
       SourceFile source,
       EvaluationBudget budget,
       Values values,
@@ -30,7 +30,7 @@
       Subscripts subscripts,
       FunctionCalls functionCalls,
       MethodCalls methodCalls,
-      NameBinding nameBinding) {
+      LoopVariableBinder loopVariableBinder) {
     this.source = source;
     this.budget = budget;
     this.values = values;
@@ -39,7 +39,7 @@
     this.subscripts = subscripts;
     this.functionCalls = functionCalls;
     this.methodCalls = methodCalls;
-    this.nameBinding = nameBinding;
+    this.loopVariableBinder = loopVariableBinder;
   }
 
   /** The value of an expression that reads names of the given scope. */
@@ -359,7 +359,7 @@
     SourcePosition position = source.position(clause);
     for (Object element : values.elements(sequence, position)) {
       budget.recordStep(position);
-      nameBinding.bind(clause.loopVariables(), element, names);
+      loopVariableBinder.bind(clause.loopVariables(), element, names);
       comprehend(innerClauses, names, action);
     }
   }
--- a/src/main/java/bitternpulley/script/NameBinding.java
+++ b/src/main/java/bitternpulley/script/LoopVariableBinder.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /** Binds the names of a loop or comprehension to the elements that it visits. */
-final class NameBinding {
+final class LoopVariableBinder {
   private final SourceFile source;
   private final Values values;
 
-  NameBinding(SourceFile source, Values values) {
+  LoopVariableBinder(SourceFile source, Values values) {
     this.source = source;
     this.values = values;
   }
--- a/src/main/java/bitternpulley/script/ScriptEvaluator.java
+++ b/src/main/java/bitternpulley/script/ScriptEvaluator.java
@@ -2,30 +2,30 @@
 
 /** Assembles the parts of an evaluator for one evaluation of one script. */
 final class ScriptEvaluator {
-  private final Statements statements;
+  private final StatementExecutor statementExecutor;
 
   ScriptEvaluator(SourceFile source, EvaluationBudget budget, ScriptHost host) {
     Values values = new Values(budget);
-    ValueText valueText = new ValueText(budget);
+    ValueFormatter valueFormatter = new ValueFormatter(budget);
     Comparisons comparisons = new Comparisons(budget);
-    StringFormatting formatting = new StringFormatting(budget, valueText);
+    StringFormatting formatting = new StringFormatting(budget, valueFormatter);
     Arithmetic arithmetic = new Arithmetic(budget, formatting);
-    Subscripts subscripts = new Subscripts(budget, valueText);
-    NameBinding nameBinding = new NameBinding(source, values);
+    Subscripts subscripts = new Subscripts(budget, valueFormatter);
+    LoopVariableBinder loopVariableBinder = new LoopVariableBinder(source, values);
     BuiltinFunctions builtins =
         new BuiltinFunctions(
             budget,
             values,
-            valueText,
+            valueFormatter,
             new SequenceFunctions(budget, values, comparisons),
-            new Conversions(valueText));
+            new Conversions(valueFormatter));
     MethodCalls methodCalls =
         new MethodCalls(
             new StringMethods(budget, values, formatting),
             new ListMethods(budget, values, comparisons),
-            new DictMethods(budget, valueText));
-    Expressions expressions =
-        new Expressions(
+            new DictMethods(budget, valueFormatter));
+    ExpressionEvaluator expressionEvaluator =
+        new ExpressionEvaluator(
             source,
             budget,
             values,
@@ -34,12 +34,15 @@
             subscripts,
             new FunctionCalls(budget, host, builtins),
             methodCalls,
-            nameBinding);
-    Assignments assignments = new Assignments(source, expressions, values, arithmetic, subscripts);
-    this.statements = new Statements(source, budget, values, expressions, assignments, nameBinding);
+            loopVariableBinder);
+    Assignments assignments =
+        new Assignments(source, expressionEvaluator, values, arithmetic, subscripts);
+    this.statementExecutor =
+        new StatementExecutor(
+            source, budget, values, expressionEvaluator, assignments, loopVariableBinder);
   }
 
   void run(ScriptParser.FileContext script) {
-    statements.run(script);
+    statementExecutor.run(script);
   }
 }
--- a/src/main/java/bitternpulley/script/ScriptRunner.java
+++ b/src/main/java/bitternpulley/script/ScriptRunner.java
@@ -39,14 +39,14 @@
   }
 
   private ScriptParser.FileContext parse(SourceFile source, String text) {
-    SyntaxErrors syntaxErrors = new SyntaxErrors(source);
+    SyntaxErrorListener syntaxErrorListener = new SyntaxErrorListener(source);
     ScriptLexer lexer = new ScriptLexer(CharStreams.fromString(text, source.name()));
     lexer.removeErrorListeners();
-    lexer.addErrorListener(syntaxErrors);
+    lexer.addErrorListener(syntaxErrorListener);
     TokenSource tokens = IndentationLexer.tokens(lexer, source, limits.depth());
     ScriptParser parser = new ScriptParser(new CommonTokenStream(tokens));
     parser.removeErrorListeners();
-    parser.addErrorListener(syntaxErrors);
+    parser.addErrorListener(syntaxErrorListener);
     return parser.file();
   }
 }
--- a/src/main/java/bitternpulley/script/Statements.java
+++ b/src/main/java/bitternpulley/script/StatementExecutor.java
@@ -6,28 +6,28 @@
 import java.util.Set;
 
 /** Executes statements in order. */
-final class Statements {
+final class StatementExecutor {
   private final SourceFile source;
   private final EvaluationBudget budget;
   private final Values values;
-  private final Expressions expressions;
+  private final ExpressionEvaluator expressionEvaluator;
   private final Assignments assignments;
-  private final NameBinding nameBinding;
+  private final LoopVariableBinder loopVariableBinder;
   private final Scope global = new Scope(null);
 
-  Statements(
+  StatementExecutor(
       SourceFile source,
       EvaluationBudget budget,
       Values values,
-      Expressions expressions,
+      ExpressionEvaluator expressionEvaluator,
       Assignments assignments,
-      NameBinding nameBinding) {
+      LoopVariableBinder loopVariableBinder) {
     this.source = source;
     this.budget = budget;
     this.values = values;
-    this.expressions = expressions;
+    this.expressionEvaluator = expressionEvaluator;
     this.assignments = assignments;
-    this.nameBinding = nameBinding;
+    this.loopVariableBinder = loopVariableBinder;
   }
 
   /** Executes a whole script. */
@@ -89,7 +89,7 @@
     if (statement instanceof ScriptParser.AssignmentContext assignment) {
       assignments.assign(assignment, scope);
     } else if (statement instanceof ScriptParser.ExpressionStatementContext expressionStatement) {
-      expressions.evaluate(expressionStatement.expressionList(), scope);
+      expressionEvaluator.evaluate(expressionStatement.expressionList(), scope);
     }
     return Completion.NORMAL;
   }
@@ -101,7 +101,7 @@
     return Completion.returning(
         statement.expressionList() == null
             ? None.NONE
-            : expressions.evaluate(statement.expressionList(), scope));
+            : expressionEvaluator.evaluate(statement.expressionList(), scope));
   }
 
   private void define(ScriptParser.FunctionDefinitionContext definition, Scope scope) {
@@ -115,7 +115,7 @@
       Object defaultValue =
           parameter.expression() == null
               ? null
-              : expressions.evaluate(parameter.expression(), scope);
+              : expressionEvaluator.evaluate(parameter.expression(), scope);
       parameters.add(new ScriptFunction.Parameter(name, defaultValue));
     }
     String name = definition.NAME().getText();
@@ -137,7 +137,7 @@
   private Completion executeIf(ScriptParser.IfStatementContext ifStatement, Scope scope) {
     int conditionCount = ifStatement.expression().size();
     for (int index = 0; index < conditionCount; index++) {
-      if (Values.isTruthy(expressions.evaluate(ifStatement.expression(index), scope))) {
+      if (Values.isTruthy(expressionEvaluator.evaluate(ifStatement.expression(index), scope))) {
         return execute(ifStatement.suite(index), scope);
       }
     }
@@ -147,10 +147,10 @@
 
   private Completion executeFor(ScriptParser.ForStatementContext forStatement, Scope scope) {
     SourcePosition position = source.position(forStatement);
-    Object sequence = expressions.evaluate(forStatement.expressionList(), scope);
+    Object sequence = expressionEvaluator.evaluate(forStatement.expressionList(), scope);
     for (Object element : values.elements(sequence, position)) {
       budget.recordStep(position);
-      nameBinding.bind(forStatement.loopVariables(), element, scope);
+      loopVariableBinder.bind(forStatement.loopVariables(), element, scope);
       Completion completion = execute(forStatement.suite(), scope);
       if (completion.leavesLoop()) {
         return completion.kind() == Completion.Kind.RETURN ? completion : Completion.NORMAL;
--- a/src/main/java/bitternpulley/script/StringFormatting.java
+++ b/src/main/java/bitternpulley/script/StringFormatting.java
@@ -6,11 +6,11 @@
 /** Replaces the placeholders of texts: those of the {@code %} operator and of {@code format()}. */
 final class StringFormatting {
   private final EvaluationBudget budget;
-  private final ValueText valueText;
+  private final ValueFormatter valueFormatter;
 
-  StringFormatting(EvaluationBudget budget, ValueText valueText) {
+  StringFormatting(EvaluationBudget budget, ValueFormatter valueFormatter) {
     this.budget = budget;
-    this.valueText = valueText;
+    this.valueFormatter = valueFormatter;
   }
 
   /** The result of {@code "%s of %d" % (first, second)}. */
@@ -46,8 +46,8 @@
 
   private String convert(char conversion, Object value, SourcePosition position) {
     return switch (conversion) {
-      case 's' -> valueText.text(value, position);
-      case 'r' -> valueText.literal(value, position);
+      case 's' -> valueFormatter.text(value, position);
+      case 'r' -> valueFormatter.literal(value, position);
       case 'd' -> String.valueOf((long) number(conversion, value, position));
       case 'f' -> String.format(Locale.ROOT, "%f", number(conversion, value, position));
       case 'g' -> String.valueOf(number(conversion, value, position));
@@ -81,7 +81,7 @@
       } else {
         int end = fieldEnd(form, index, position);
         Object value = arguments.value(form.substring(index + 1, end));
-        String replacement = valueText.text(value, position);
+        String replacement = valueFormatter.text(value, position);
         budget.reserve(replacement.length(), position);
         result.append(replacement);
         index = end + 1;
--- a/src/main/java/bitternpulley/script/Subscripts.java
+++ b/src/main/java/bitternpulley/script/Subscripts.java
@@ -7,11 +7,11 @@
 /** Elements and ranges of texts, lists and dicts: {@code a[i]}, {@code a[i:j]} and assignments. */
 final class Subscripts {
   private final EvaluationBudget budget;
-  private final ValueText valueText;
+  private final ValueFormatter valueFormatter;
 
-  Subscripts(EvaluationBudget budget, ValueText valueText) {
+  Subscripts(EvaluationBudget budget, ValueFormatter valueFormatter) {
     this.budget = budget;
-    this.valueText = valueText;
+    this.valueFormatter = valueFormatter;
   }
 
   Object element(Object container, Object subscript, SourcePosition position) {
@@ -35,7 +35,7 @@
     Object value = dict.get(Values.key(subscript, position));
     if (value == null) {
       throw new ScriptException(
-          position, "there is no key " + valueText.literal(subscript, position));
+          position, "there is no key " + valueFormatter.literal(subscript, position));
     }
     return value;
   }
--- a/src/main/java/bitternpulley/script/SyntaxErrors.java
+++ b/src/main/java/bitternpulley/script/SyntaxErrorListener.java
@@ -6,10 +6,10 @@
 import org.antlr.v4.runtime.Token;
 
 /** Throws a {@link ScriptException} at the first syntax error. */
-final class SyntaxErrors extends BaseErrorListener {
+final class SyntaxErrorListener extends BaseErrorListener {
   private final SourceFile source;
 
-  SyntaxErrors(SourceFile source) {
+  SyntaxErrorListener(SourceFile source) {
     this.source = source;
   }
 
--- a/src/main/java/bitternpulley/script/ValueText.java
+++ b/src/main/java/bitternpulley/script/ValueFormatter.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /** Converts values to text. */
-final class ValueText {
+final class ValueFormatter {
   private final EvaluationBudget budget;
 
-  ValueText(EvaluationBudget budget) {
+  ValueFormatter(EvaluationBudget budget) {
     this.budget = budget;
   }
 
--- a/src/main/java/bitternpulley/script/package-info.java
+++ b/src/main/java/bitternpulley/script/package-info.java
@@ -13,7 +13,8 @@
  * bitternpulley.script.ScriptException} with the position of the fault, and no other exception is
  * thrown for any text. Called by {@code config} when contracts are loaded or reloaded.
  *
- * <p>{@code IndentationLexer} adds blocks to the tokens, {@code Statements} and {@code Expressions}
- * walk the parse tree, and {@code ScriptEvaluator} assembles them with the operations on values.
+ * <p>{@code IndentationLexer} adds the tokens of blocks, {@code StatementExecutor} and {@code
+ * ExpressionEvaluator} walk the parse tree, and {@code ScriptEvaluator} connects them to the
+ * operations on values.
  */
 package bitternpulley.script;
