--- a/src/main/java/bitternpulley/script/EvaluationBudget.java
+++ b/src/main/java/bitternpulley/script/EvaluationBudget.java
@@ -1,11 +1,11 @@
 package bitternpulley.script;
 
-/** Counts the steps, memory, nesting and output of one evaluation and stops it at its limits. */
+/** Counts the steps, memory, nesting and output of one evaluation and enforces its limits. */
 final class EvaluationBudget {
-  /** Levels of lists and dicts in each other that are compared or written out. */
+  /** Maximum nesting of lists and dicts in values that are compared or converted to text. */
   private static final int MAX_VALUE_DEPTH = 100;
 
-  /** Nested evaluations for each level of nesting in the text: one level takes several of them. */
+  /** Nested evaluations per nesting level of the script, as one level takes several evaluations. */
   private static final int EVALUATIONS_PER_LEVEL = 8;
 
   private final EvaluationLimits limits;
@@ -22,24 +22,26 @@
   void recordStep(SourcePosition position) {
     steps++;
     if (steps > limits.steps()) {
-      throw new ScriptException(position, "took more than " + limits.steps() + " steps");
+      throw new ScriptException(position, "the script took more than " + limits.steps() + " steps");
     }
   }
 
-  /** Counts one step within a value at this depth, since a list may contain itself. */
+  /** Counts one step inside a nested value and limits its depth, as a list may contain itself. */
   void recordNestedStep(int valueDepth, SourcePosition position) {
     recordStep(position);
     if (valueDepth > MAX_VALUE_DEPTH) {
-      throw new ScriptException(position, "nested more than " + MAX_VALUE_DEPTH + " deep");
+      throw new ScriptException(
+          position, "the value is nested more than " + MAX_VALUE_DEPTH + " levels deep");
     }
   }
 
-  /** Counts characters or elements, before they are created. */
+  /** Counts characters or elements before they are created. */
   void reserve(long amount, SourcePosition position) {
     memory += amount;
     if (amount < 0 || memory > limits.memory()) {
       throw new ScriptException(
-          position, "its values take more than " + limits.memory() + " characters and elements");
+          position,
+          "the script's values take more than " + limits.memory() + " characters and elements");
     }
   }
 
@@ -47,7 +49,7 @@
   void enter(SourcePosition position) {
     depth++;
     if (depth > EVALUATIONS_PER_LEVEL * limits.depth()) {
-      throw new ScriptException(position, "nested too deep");
+      throw new ScriptException(position, "nested too deeply");
     }
   }
 
@@ -59,7 +61,7 @@
   void print(String text, SourcePosition position) {
     if (output.length() + text.length() + 1 > limits.outputLength()) {
       throw new ScriptException(
-          position, "prints more than " + limits.outputLength() + " characters");
+          position, "the script prints more than " + limits.outputLength() + " characters");
     }
     output.append(text).append('\n');
   }
--- a/src/main/java/bitternpulley/script/EvaluationLimits.java
+++ b/src/main/java/bitternpulley/script/EvaluationLimits.java
@@ -1,11 +1,11 @@
 package bitternpulley.script;
 
 /**
- * What one evaluation may use.
+ * The limits of one evaluation.
  *
- * @param scriptLength characters of the script
- * @param depth levels of brackets and blocks; operators in a row and nested calls are limited to a
- *     multiple of it
+ * @param scriptLength characters in the script
+ * @param depth nesting levels of brackets and of blocks; the prefix operators of a line and nested
+ *     evaluations are limited to a multiple of it
  * @param steps statements, expressions and comparisons
  * @param memory characters and elements of all values that are created
  * @param outputLength characters that are printed
--- a/src/main/java/bitternpulley/script/IndentationLexer.java
+++ b/src/main/java/bitternpulley/script/IndentationLexer.java
@@ -12,24 +12,27 @@
 
 /**
  * Adds tokens for the ends of lines and for blocks, by the indentation rules of Starlark's
- * specification. Rejects texts that are nested too deep, as the parser is recursive.
+ * specification. Rejects scripts that are nested too deeply, because the parser is recursive.
  */
 final class IndentationLexer {
-  /** Columns from one tab stop to the next. */
+  /** Columns between tab stops. */
   private static final int TAB_WIDTH = 8;
 
-  /** Prefix operators and branches that a line may have for each permitted level of nesting. */
-  private static final int PREFIXES_PER_LEVEL = 4;
+  /**
+   * Operators that can be prefixes, and {@code else} and {@code elif} keywords, that a line may
+   * have for each permitted nesting level.
+   */
+  private static final int NESTING_TOKENS_PER_LEVEL = 4;
 
   private final SourceFile source;
   private final int maxDepth;
   private final List<Token> output = new ArrayList<>();
 
-  /** Columns at which the open blocks begin, the innermost first. */
+  /** Indentation of the open blocks in columns, the innermost first. */
   private final Deque<Integer> indents = new ArrayDeque<>(List.of(0));
 
   private int openBrackets;
-  private int prefixes;
+  private int nestingTokens;
   private boolean isLineOpen;
 
   private IndentationLexer(SourceFile source, int maxDepth) {
@@ -38,9 +41,9 @@
   }
 
   /**
-   * The tokens of a script for its parser.
+   * The tokens of a script, as its parser expects them.
    *
-   * @param maxDepth levels of brackets, and of blocks, that the script may have
+   * @param maxDepth maximum nesting of brackets and of blocks
    */
   static TokenSource tokens(Lexer lexer, SourceFile source, int maxDepth) {
     IndentationLexer indentation = new IndentationLexer(source, maxDepth);
@@ -56,7 +59,7 @@
   private void accept(Token token, Token following) {
     if (token.getType() == ScriptLexer.OTHER) {
       throw new ScriptException(
-          source.position(token), "'" + token.getText() + "' is not understood");
+          source.position(token), "unexpected character '" + token.getText() + "'");
     }
     if (token.getType() == ScriptLexer.NEWLINE) {
       acceptNewline(token, following);
@@ -77,7 +80,7 @@
     if (isLineOpen) {
       add(newline, ScriptLexer.NEWLINE);
       isLineOpen = false;
-      prefixes = 0;
+      nestingTokens = 0;
     }
     boolean isNextLineBlank = following == null || following.getType() == ScriptLexer.NEWLINE;
     if (!isNextLineBlank) {
@@ -89,15 +92,16 @@
     switch (token.getText()) {
       case "(", "[", "{" -> openBrackets++;
       case ")", "]", "}" -> openBrackets = Math.max(0, openBrackets - 1);
-      case "not", "-", "+", "else", "elif" -> prefixes++;
+      case "not", "-", "+", "else", "elif" -> nestingTokens++;
       default -> {}
     }
-    if (openBrackets > maxDepth || prefixes > PREFIXES_PER_LEVEL * maxDepth) {
-      throw new ScriptException(source.position(token), "nested more than " + maxDepth + " deep");
+    if (openBrackets > maxDepth || nestingTokens > NESTING_TOKENS_PER_LEVEL * maxDepth) {
+      throw new ScriptException(
+          source.position(token), "nested more than " + maxDepth + " levels deep");
     }
   }
 
-  /** Begins or ends blocks by the indentation of the line that follows. */
+  /** Adds the tokens of the blocks that begin or end with the next line. */
   private void indent(Token newline) {
     int width = indentation(newline.getText());
     if (width > indents.peek()) {
@@ -105,7 +109,7 @@
       add(newline, ScriptParser.INDENT);
       if (indents.size() > maxDepth) {
         throw new ScriptException(
-            source.position(newline), "blocks nested more than " + maxDepth + " deep");
+            source.position(newline), "blocks nested more than " + maxDepth + " levels deep");
       }
     }
     while (width < indents.peek()) {
@@ -115,11 +119,11 @@
     if (width != indents.peek()) {
       throw new ScriptException(
           source.position(newline.getLine() + 1, width),
-          "the line is indented like none of the blocks that it could belong to");
+          "the indentation of the line does not match any enclosing block");
     }
   }
 
-  /** The columns of blanks behind the line feed. */
+  /** The columns of whitespace after the line feed. */
   private static int indentation(String newline) {
     int width = 0;
     for (int index = newline.indexOf('\n') + 1; index < newline.length(); index++) {
@@ -143,10 +147,10 @@
     add(last, Token.EOF);
   }
 
-  /** Adds a token that has no text of its own, near one that has. */
+  /** Adds a token that is not in the script, with a position derived from a nearby token. */
   private void add(Token near, int type) {
     CommonToken added = new CommonToken(type, displayName(type));
-    // A block begins and ends where the next line does.
+    // A block begins or ends at the start of the next line.
     boolean isOnNextLine = type == ScriptParser.INDENT || type == ScriptParser.DEDENT;
     added.setLine(isOnNextLine ? near.getLine() + 1 : near.getLine());
     added.setCharPositionInLine(isOnNextLine ? 0 : near.getCharPositionInLine());
--- a/src/main/java/bitternpulley/script/LoopVariableBinder.java
+++ b/src/main/java/bitternpulley/script/LoopVariableBinder.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Binds the names of a loop or comprehension to the elements that it visits. */
+/** Binds the variables of a loop or comprehension to the elements that it iterates over. */
 final class LoopVariableBinder {
   private final SourceFile source;
   private final Values values;
--- a/src/main/java/bitternpulley/script/Scope.java
+++ b/src/main/java/bitternpulley/script/Scope.java
@@ -3,24 +3,24 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The variables of a script, function call or comprehension, and those of the scope around it. */
+/** The variables of a script, function call or comprehension, with those of the enclosing scope. */
 final class Scope {
-  private final Scope outer;
+  private final Scope enclosing;
   private final Map<String, Object> variables = new HashMap<>();
 
   /**
-   * A scope without variables of its own.
+   * Creates a scope without variables of its own.
    *
-   * @param outer null for the scope of the script
+   * @param enclosing the enclosing scope; null for the global scope
    */
-  Scope(Scope outer) {
-    this.outer = outer;
+  Scope(Scope enclosing) {
+    this.enclosing = enclosing;
   }
 
-  /** The value of a variable of this scope or of one around it; null if there is none. */
+  /** The value of a variable of this scope or of an enclosing one; null if there is none. */
   Object get(String name) {
     Object value = variables.get(name);
-    return value == null && outer != null ? outer.get(name) : value;
+    return value == null && enclosing != null ? enclosing.get(name) : value;
   }
 
   void set(String name, Object value) {
--- a/src/main/java/bitternpulley/script/ScriptEvaluator.java
+++ b/src/main/java/bitternpulley/script/ScriptEvaluator.java
@@ -1,6 +1,6 @@
 package bitternpulley.script;
 
-/** Assembles the parts of an evaluator for one evaluation of one script. */
+/** Creates and connects the objects that evaluate one script once. */
 final class ScriptEvaluator {
   private final StatementExecutor statementExecutor;
 
--- a/src/main/java/bitternpulley/script/ScriptException.java
+++ b/src/main/java/bitternpulley/script/ScriptException.java
@@ -1,27 +1,27 @@
 package bitternpulley.script;
 
-/** A script that is invalid, failed or exceeded a limit, with the position of the fault. */
+/** Thrown if a script is invalid, fails or exceeds a limit; has the position of the error. */
 public final class ScriptException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   private final transient SourcePosition position;
 
   /**
-   * An error at a position.
+   * Creates an error at a position.
    *
-   * @param position null if the script as a whole is at fault
+   * @param position null if the error concerns the whole script
    */
   public ScriptException(SourcePosition position, String message) {
     super(message);
     this.position = position;
   }
 
-  /** The position of the fault, or null if the script as a whole is at fault. */
+  /** The position of the error, or null if it concerns the whole script. */
   public SourcePosition position() {
     return position;
   }
 
-  /** The message, behind the position where there is one. */
+  /** The message, prefixed with the position if there is one. */
   @Override
   public String getMessage() {
     return position == null ? super.getMessage() : position + ": " + super.getMessage();
--- a/src/main/java/bitternpulley/script/ScriptRunner.java
+++ b/src/main/java/bitternpulley/script/ScriptRunner.java
@@ -9,7 +9,7 @@
   private final EvaluationLimits limits;
   private final ScriptHost host;
 
-  /** A runner whose scripts may call the functions of the host. */
+  /** Creates a runner for scripts that may call the functions of the host. */
   public ScriptRunner(EvaluationLimits limits, ScriptHost host) {
     this.limits = limits;
     this.host = host;
@@ -18,7 +18,7 @@
   /**
    * Evaluates a script and returns what it printed.
    *
-   * @param file name of the file, as positions in errors show it
+   * @param file the file name that the positions of errors show
    * @param text the script
    * @throws ScriptException if the script is invalid, fails or exceeds a limit
    */
@@ -32,8 +32,8 @@
     try {
       new ScriptEvaluator(source, budget, host).run(parse(source, text));
     } catch (StackOverflowError overflow) {
-      // The limits on nesting suffice for stacks of the default size; the caller's may be smaller.
-      throw new ScriptException(null, file + ": nested too deep");
+      // The nesting limits suffice for a stack of the default size; the caller's may be smaller.
+      throw new ScriptException(null, file + ": nested too deeply");
     }
     return budget.output();
   }
--- a/src/main/java/bitternpulley/script/SourceFile.java
+++ b/src/main/java/bitternpulley/script/SourceFile.java
@@ -3,7 +3,7 @@
 import org.antlr.v4.runtime.ParserRuleContext;
 import org.antlr.v4.runtime.Token;
 
-/** The file that a script was read from; gives positions in it. */
+/** The name of a script's file; creates positions in that file. */
 record SourceFile(String name) {
   /** The position at which an expression or statement starts. */
   SourcePosition position(ParserRuleContext context) {
@@ -14,7 +14,7 @@
     return position(token.getLine(), token.getCharPositionInLine());
   }
 
-  /** A position by line, counted from 1, and column as ANTLR counts it, from 0. */
+  /** The position of a line, counted from 1, and an ANTLR column, counted from 0. */
   SourcePosition position(int line, int zeroBasedColumn) {
     return new SourcePosition(name, line, zeroBasedColumn + 1);
   }
--- a/src/main/java/bitternpulley/script/SyntaxErrorListener.java
+++ b/src/main/java/bitternpulley/script/SyntaxErrorListener.java
@@ -16,14 +16,14 @@
   @Override
   public void syntaxError(
       Recognizer<?, ?> recognizer,
-      Object offending,
+      Object offendingSymbol,
       int line,
       int column,
       String message,
       RecognitionException cause) {
     String text =
-        offending instanceof Token token
-            ? "'" + token.getText() + "' does not belong here"
+        offendingSymbol instanceof Token token
+            ? "unexpected '" + token.getText() + "'"
             : message;
     throw new ScriptException(source.position(line, column), text);
   }
--- a/src/main/java/bitternpulley/script/Tuple.java
+++ b/src/main/java/bitternpulley/script/Tuple.java
@@ -3,7 +3,7 @@
 import java.util.AbstractList;
 import java.util.List;
 
-/** A list that a script cannot change. */
+/** The tuple type of the language: an immutable list. */
 final class Tuple extends AbstractList<Object> {
   private final List<Object> elements;
 
