--- a/src/main/java/bitternpulley/script/Completion.java
+++ b/src/main/java/bitternpulley/script/Completion.java
@@ -1,16 +1,16 @@
 package bitternpulley.script;
 
 /**
- * How the execution of a statement ended.
+ * How the execution of a statement completed.
  *
- * @param value what a function returns; {@code None} unless the kind is {@code RETURN}
+ * @param value the return value of the function; {@code None} unless the kind is {@code RETURN}
  */
 record Completion(Kind kind, Object value) {
   static final Completion NORMAL = new Completion(Kind.NORMAL, None.NONE);
   static final Completion BREAK = new Completion(Kind.BREAK, None.NONE);
   static final Completion CONTINUE = new Completion(Kind.CONTINUE, None.NONE);
 
-  /** Whether the next statement follows, or the loop or function is left. */
+  /** Whether execution proceeds to the next statement or exits an iteration, loop or function. */
   enum Kind {
     NORMAL,
     BREAK,
@@ -26,7 +26,7 @@
     return kind == Kind.NORMAL;
   }
 
-  boolean leavesLoop() {
+  boolean exitsLoop() {
     return kind == Kind.BREAK || kind == Kind.RETURN;
   }
 }
--- a/src/main/java/bitternpulley/script/StatementExecutor.java
+++ b/src/main/java/bitternpulley/script/StatementExecutor.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Executes statements in order. */
+/** Executes the statements of a script. */
 final class StatementExecutor {
   private final SourceFile source;
   private final EvaluationBudget budget;
@@ -13,7 +13,7 @@
   private final ExpressionEvaluator expressionEvaluator;
   private final Assignments assignments;
   private final LoopVariableBinder loopVariableBinder;
-  private final Scope global = new Scope(null);
+  private final Scope globalScope = new Scope(null);
 
   StatementExecutor(
       SourceFile source,
@@ -33,8 +33,9 @@
   /** Executes a whole script. */
   void run(ScriptParser.FileContext file) {
     for (ScriptParser.StatementContext statement : file.statement()) {
-      if (!execute(statement, global).isNormal()) {
-        throw new ScriptException(source.position(statement), "there is nothing to leave here");
+      if (!execute(statement, globalScope).isNormal()) {
+        throw new ScriptException(
+            source.position(statement), "'break' or 'continue' outside a loop");
       }
     }
   }
@@ -95,8 +96,8 @@
   }
 
   private Completion executeReturn(ScriptParser.ReturnStatementContext statement, Scope scope) {
-    if (scope == global) {
-      throw new ScriptException(source.position(statement), "'return' stands in no function");
+    if (scope == globalScope) {
+      throw new ScriptException(source.position(statement), "'return' outside a function");
     }
     return Completion.returning(
         statement.expressionList() == null
@@ -110,7 +111,7 @@
     for (ScriptParser.ParameterContext parameter : definition.parameter()) {
       String name = parameter.NAME().getText();
       if (!names.add(name)) {
-        throw new ScriptException(source.position(parameter), "the parameter comes twice");
+        throw new ScriptException(source.position(parameter), "the parameter is declared twice");
       }
       Object defaultValue =
           parameter.expression() == null
@@ -130,7 +131,8 @@
     return switch (completion.kind()) {
       case NORMAL, RETURN -> completion.value();
       case BREAK, CONTINUE ->
-          throw new ScriptException(callPosition, "there is no loop to leave in '" + name + "'");
+          throw new ScriptException(
+              callPosition, "'break' or 'continue' outside a loop in '" + name + "'");
     };
   }
 
@@ -152,7 +154,7 @@
       budget.recordStep(position);
       loopVariableBinder.bind(forStatement.loopVariables(), element, scope);
       Completion completion = execute(forStatement.suite(), scope);
-      if (completion.leavesLoop()) {
+      if (completion.exitsLoop()) {
         return completion.kind() == Completion.Kind.RETURN ? completion : Completion.NORMAL;
       }
     }
