--- a/src/main/java/bitternpulley/script/Arguments.java
+++ b/src/main/java/bitternpulley/script/Arguments.java
@@ -6,25 +6,25 @@
 /**
  * The evaluated arguments of one call.
  *
- * @param positional those without a name, in order
- * @param named those with a name, in order
+ * @param positional the arguments without a name, in order
+ * @param named the arguments with a name, by name and in order
  */
 record Arguments(List<Object> positional, Map<String, ScriptHost.Argument> named) {
-  int count() {
+  int positionalCount() {
     return positional.size();
   }
 
   /** Whether there is exactly one positional argument. */
-  boolean isSingle() {
+  boolean hasSinglePositional() {
     return positional.size() == 1;
   }
 
   /** Whether there is no positional argument. */
-  boolean isEmpty() {
+  boolean hasNoPositional() {
     return positional.isEmpty();
   }
 
-  Object first() {
+  Object firstPositional() {
     return positional.get(0);
   }
 }
--- a/src/main/java/bitternpulley/script/Arithmetic.java
+++ b/src/main/java/bitternpulley/script/Arithmetic.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The arithmetic operators, also of texts, lists and dicts. */
+/** The arithmetic operators, including those on strings, lists and dicts. */
 final class Arithmetic {
   private final EvaluationBudget budget;
   private final StringFormatting formatting;
@@ -15,13 +15,13 @@
     this.formatting = formatting;
   }
 
-  /** The result of a binary operator: {@code + - * / // %} or {@code |}. */
-  Object combine(String operator, Object left, Object right, SourcePosition position) {
+  /** Applies a binary operator: {@code + - * / // %} or {@code |}. */
+  Object applyBinary(String operator, Object left, Object right, SourcePosition position) {
     if (left instanceof Long first && right instanceof Long second) {
-      return combineIntegers(operator, first, second, position);
+      return applyToIntegers(operator, first, second, position);
     }
     if (left instanceof Number first && right instanceof Number second) {
-      return combineFloats(operator, first.doubleValue(), second.doubleValue(), position);
+      return applyToFloats(operator, first.doubleValue(), second.doubleValue(), position);
     }
     Object result =
         switch (operator) {
@@ -29,7 +29,9 @@
           case "|" -> union(left, right, position);
           case "*" -> multiply(left, right, position);
           case "%" ->
-              left instanceof String form ? formatting.percent(form, right, position) : null;
+              left instanceof String template
+                  ? formatting.formatPercent(template, right, position)
+                  : null;
           default -> null;
         };
     if (result == null) {
@@ -37,24 +39,24 @@
           position,
           "'"
               + operator
-              + "' does not go with a "
+              + "' is not supported for operands of type "
               + Values.typeName(left)
-              + " and a "
+              + " and "
               + Values.typeName(right));
     }
     return result;
   }
 
-  private Object combineIntegers(String operator, long left, long right, SourcePosition position) {
+  private Object applyToIntegers(String operator, long left, long right, SourcePosition position) {
     try {
       return switch (operator) {
         case "+" -> Math.addExact(left, right);
         case "-" -> Math.subtractExact(left, right);
         case "*" -> Math.multiplyExact(left, right);
-        case "/" -> combineFloats(operator, (double) left, (double) right, position);
+        case "/" -> applyToFloats(operator, (double) left, (double) right, position);
         case "//" -> Math.floorDiv(left, nonZero(right, position));
         case "%" -> Math.floorMod(left, nonZero(right, position));
-        default -> throw notForNumbers(operator, position);
+        default -> throw unsupportedForNumbers(operator, position);
       };
     } catch (ArithmeticException overflow) {
       throw tooLarge(position);
@@ -68,7 +70,7 @@
     return divisor;
   }
 
-  private static Object combineFloats(
+  private static Object applyToFloats(
       String operator, double left, double right, SourcePosition position) {
     boolean isDivision = !operator.equals("+") && !operator.equals("-") && !operator.equals("*");
     if (right == 0 && isDivision) {
@@ -82,7 +84,7 @@
           case "/" -> left / right;
           case "//" -> Math.floor(left / right);
           case "%" -> left - right * Math.floor(left / right);
-          default -> throw notForNumbers(operator, position);
+          default -> throw unsupportedForNumbers(operator, position);
         };
     if (Double.isNaN(result) || Double.isInfinite(result)) {
       throw tooLarge(position);
@@ -90,15 +92,15 @@
     return result;
   }
 
-  private static ScriptException notForNumbers(String operator, SourcePosition position) {
-    return new ScriptException(position, "'" + operator + "' does not go with numbers");
+  private static ScriptException unsupportedForNumbers(String operator, SourcePosition position) {
+    return new ScriptException(position, "'" + operator + "' is not supported for numbers");
   }
 
   private static ScriptException tooLarge(SourcePosition position) {
     return new ScriptException(position, "the number is too large");
   }
 
-  /** Null where the values cannot be concatenated. */
+  /** Concatenates strings, lists or tuples; returns null for values of other or mixed types. */
   private Object concatenate(Object left, Object right, SourcePosition position) {
     if (left instanceof String first && right instanceof String second) {
       budget.reserve((long) first.length() + second.length(), position);
@@ -109,24 +111,27 @@
         || !Values.typeName(left).equals(Values.typeName(right))) {
       return null;
     }
-    budget.reserve((long) Values.list(left).size() + Values.list(right).size(), position);
-    List<Object> joined = new ArrayList<>(Values.list(left));
-    joined.addAll(Values.list(right));
-    return Values.listLike(left, joined);
+    budget.reserve((long) Values.asList(left).size() + Values.asList(right).size(), position);
+    List<Object> concatenated = new ArrayList<>(Values.asList(left));
+    concatenated.addAll(Values.asList(right));
+    return Values.newSequenceLike(left, concatenated);
   }
 
-  /** Null where a value is no dict. */
+  /** Merges two dicts; returns null if a value is not a dict. */
   private Object union(Object left, Object right, SourcePosition position) {
     if (!(left instanceof Map) || !(right instanceof Map)) {
       return null;
     }
-    budget.reserve((long) Values.dict(left).size() + Values.dict(right).size(), position);
-    Map<Object, Object> union = new LinkedHashMap<>(Values.dict(left));
-    union.putAll(Values.dict(right));
+    budget.reserve((long) Values.asDict(left).size() + Values.asDict(right).size(), position);
+    Map<Object, Object> union = new LinkedHashMap<>(Values.asDict(left));
+    union.putAll(Values.asDict(right));
     return union;
   }
 
-  /** Null where not exactly one value is an integer and the other a text or list. */
+  /**
+   * Repeats a string or list; returns null unless one value is an integer and the other a string or
+   * list.
+   */
   private Object multiply(Object left, Object right, SourcePosition position) {
     if (right instanceof Long times && isRepeatable(left)) {
       return repeat(left, times, position);
@@ -143,7 +148,7 @@
 
   private Object repeat(Object value, long times, SourcePosition position) {
     long count = Math.max(0, times);
-    long size = value instanceof String text ? text.length() : Values.list(value).size();
+    long size = value instanceof String text ? text.length() : Values.asList(value).size();
     if (size > 0 && count > Integer.MAX_VALUE / size) {
       throw new ScriptException(position, "the value is too large");
     }
@@ -153,19 +158,20 @@
     }
     List<Object> repeated = new ArrayList<>();
     for (int index = 0; index < count; index++) {
-      repeated.addAll(Values.list(value));
+      repeated.addAll(Values.asList(value));
     }
-    return Values.listLike(value, repeated);
+    return Values.newSequenceLike(value, repeated);
   }
 
-  /** The value with the opposite sign. */
+  /** The unary minus operator. */
   Object negate(Object value, SourcePosition position) {
     if (value instanceof Long integer) {
-      return combineIntegers("-", 0, integer, position);
+      return applyToIntegers("-", 0, integer, position);
     }
     if (value instanceof Double number) {
       return -number;
     }
-    throw new ScriptException(position, "'-' does not go with a " + Values.typeName(value));
+    throw new ScriptException(
+        position, "'-' is not supported for an operand of type " + Values.typeName(value));
   }
 }
--- a/src/main/java/bitternpulley/script/Assignments.java
+++ b/src/main/java/bitternpulley/script/Assignments.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Assigns values to names and elements. */
+/** Executes assignments to variables and to elements of lists and dicts. */
 final class Assignments {
   private final SourceFile source;
   private final ExpressionEvaluator expressionEvaluator;
@@ -26,7 +26,7 @@
   void assign(ScriptParser.AssignmentContext assignment, Scope scope) {
     Object value = expressionEvaluator.evaluate(assignment.value, scope);
     if (!assignment.op.getText().equals("=")) {
-      value = augmented(assignment, value, scope);
+      value = evaluateAugmented(assignment, value, scope);
     }
     List<ScriptParser.ExpressionContext> targets = assignment.target.expression();
     boolean isSingleTarget = targets.size() == 1 && assignment.target.getChildCount() == 1;
@@ -38,15 +38,16 @@
   }
 
   /** The new value of the target of an augmented assignment such as {@code +=}. */
-  private Object augmented(ScriptParser.AssignmentContext assignment, Object value, Scope scope) {
+  private Object evaluateAugmented(
+      ScriptParser.AssignmentContext assignment, Object value, Scope scope) {
     String assignmentOperator = assignment.op.getText();
     if (assignment.target.expression().size() != 1) {
       throw new ScriptException(
-          source.position(assignment.target), "'" + assignmentOperator + "' takes one name");
+          source.position(assignment.target), "'" + assignmentOperator + "' takes a single target");
     }
     String operator = assignmentOperator.substring(0, assignmentOperator.length() - 1);
     Object current = expressionEvaluator.evaluate(assignment.target.expression(0), scope);
-    return arithmetic.combine(operator, current, value, source.position(assignment));
+    return arithmetic.applyBinary(operator, current, value, source.position(assignment));
   }
 
   private void assignAll(
@@ -73,7 +74,7 @@
       Object subscript = expressionEvaluator.evaluate(subscriptTarget.expression(1), scope);
       subscripts.assign(container, subscript, value, position);
     } else {
-      throw new ScriptException(position, "nothing can be assigned to this");
+      throw new ScriptException(position, "cannot assign to this expression");
     }
   }
 }
--- a/src/main/java/bitternpulley/script/BuiltinFunctions.java
+++ b/src/main/java/bitternpulley/script/BuiltinFunctions.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The functions of the language, by name. */
+/** The built-in functions of the language, by name. */
 final class BuiltinFunctions {
   private static final String SORTED = "sorted";
 
-  /** The argument of {@code sorted()} by name, the only one that a function of the language has. */
+  /** The named argument of {@code sorted()}; no other built-in function accepts named arguments. */
   private static final String REVERSE = "reverse";
 
-  /** A function of any number of arguments. */
+  /** A function with any number of arguments. */
   private interface Implementation {
     Object call(List<Object> arguments, SourcePosition position);
   }
 
-  /** A function of one argument. */
+  /** A function with one argument. */
   private interface UnaryImplementation {
     Object call(Object argument, SourcePosition position);
   }
@@ -51,8 +51,8 @@
   }
 
   private void addConversions(Conversions conversions) {
-    addUnary("str", valueFormatter::text);
-    addUnary("repr", valueFormatter::literal);
+    addUnary("str", valueFormatter::str);
+    addUnary("repr", valueFormatter::repr);
     addUnary("int", conversions::toInteger);
     addUnary("float", conversions::toFloat);
     addUnary("bool", (value, position) -> Values.isTruthy(value));
@@ -94,7 +94,7 @@
     }
     if (!name.equals(SORTED) || !named.keySet().equals(Set.of(REVERSE))) {
       String unknown = named.keySet().iterator().next();
-      throw new ScriptException(position, name + "() has no '" + unknown + "'");
+      throw new ScriptException(position, name + "() has no parameter '" + unknown + "'");
     }
     Object source = onlyArgument(name, arguments.positional(), position);
     return Values.isTruthy(named.get(REVERSE).value())
@@ -109,24 +109,25 @@
     return arguments.get(0);
   }
 
-  /** The error of a function that does not accept the type of its argument. */
+  /** The error for an argument whose type the function does not accept. */
   static ScriptException wrongType(String name, Object value, SourcePosition position) {
-    return new ScriptException(position, name + "() does not go with a " + Values.typeName(value));
+    return new ScriptException(
+        position, name + "() does not accept a value of type " + Values.typeName(value));
   }
 
   private Object print(List<Object> arguments, SourcePosition position) {
-    budget.print(joined(arguments, position), position);
+    budget.print(joinWithSpaces(arguments, position), position);
     return None.NONE;
   }
 
   private Object fail(List<Object> arguments, SourcePosition position) {
-    throw new ScriptException(position, joined(arguments, position));
+    throw new ScriptException(position, joinWithSpaces(arguments, position));
   }
 
-  private String joined(List<Object> arguments, SourcePosition position) {
+  private String joinWithSpaces(List<Object> arguments, SourcePosition position) {
     StringBuilder line = new StringBuilder();
     for (Object argument : arguments) {
-      line.append(line.length() == 0 ? "" : " ").append(valueFormatter.text(argument, position));
+      line.append(line.length() == 0 ? "" : " ").append(valueFormatter.str(argument, position));
     }
     return line.toString();
   }
--- a/src/main/java/bitternpulley/script/Comparisons.java
+++ b/src/main/java/bitternpulley/script/Comparisons.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Equality, order and containment of values. */
+/** The comparison and membership operators. */
 final class Comparisons {
   private final EvaluationBudget budget;
 
@@ -25,19 +25,23 @@
     };
   }
 
-  /** Whether a text, dict or list contains a value. */
+  /**
+   * Whether a string contains a substring, a dict contains a key, or a list or tuple contains an
+   * element.
+   */
   boolean contains(Object container, Object value, SourcePosition position) {
-    if (container instanceof String text && value instanceof String part) {
-      return text.contains(part);
+    if (container instanceof String text && value instanceof String substring) {
+      return text.contains(substring);
     }
     if (container instanceof Map) {
-      return Values.dict(container).containsKey(Values.key(value, position));
+      return Values.asDict(container).containsKey(Values.toKey(value, position));
     }
     if (container instanceof List) {
-      return Values.list(container).stream()
+      return Values.asList(container).stream()
           .anyMatch(element -> areEqual(element, value, position));
     }
-    throw new ScriptException(position, "'in' does not go with a " + Values.typeName(container));
+    throw new ScriptException(
+        position, "'in' is not supported for a container of type " + Values.typeName(container));
   }
 
   boolean areEqual(Object left, Object right, SourcePosition position) {
@@ -56,14 +60,14 @@
       return areListsEqual(left, right, depth, position);
     }
     if (left instanceof Map && right instanceof Map) {
-      return areDictsEqual(Values.dict(left), Values.dict(right), depth, position);
+      return areDictsEqual(Values.asDict(left), Values.asDict(right), depth, position);
     }
     return left.equals(right);
   }
 
   private boolean areListsEqual(Object left, Object right, int depth, SourcePosition position) {
-    Iterator<Object> first = Values.list(left).iterator();
-    Iterator<Object> second = Values.list(right).iterator();
+    Iterator<Object> first = Values.asList(left).iterator();
+    Iterator<Object> second = Values.asList(right).iterator();
     while (first.hasNext() && second.hasNext()) {
       if (!areEqual(first.next(), second.next(), depth + 1, position)) {
         return false;
@@ -88,7 +92,7 @@
     return true;
   }
 
-  /** Negative, zero or positive, as the left value comes before, with or after the right one. */
+  /** Negative if the left value is less than the right one, zero if equal, positive if greater. */
   int order(Object left, Object right, SourcePosition position) {
     return order(left, right, 0, position);
   }
@@ -108,11 +112,14 @@
       return first.compareTo(second);
     }
     if (left instanceof List && right instanceof List) {
-      return orderLists(Values.list(left), Values.list(right), depth, position);
+      return orderLists(Values.asList(left), Values.asList(right), depth, position);
     }
     throw new ScriptException(
         position,
-        "a " + Values.typeName(left) + " and a " + Values.typeName(right) + " have no order");
+        "cannot order values of type "
+            + Values.typeName(left)
+            + " and "
+            + Values.typeName(right));
   }
 
   private int orderLists(
--- a/src/main/java/bitternpulley/script/Conversions.java
+++ b/src/main/java/bitternpulley/script/Conversions.java
@@ -32,14 +32,14 @@
       return Long.parseLong(text.strip());
     } catch (NumberFormatException invalid) {
       throw new ScriptException(
-          position, valueFormatter.literal(text, position) + " is not a whole number");
+          position, valueFormatter.repr(text, position) + " is not a whole number");
     }
   }
 
   Object toFloat(Object value, SourcePosition position) {
     double number = number(value, position);
     if (Double.isNaN(number) || Double.isInfinite(number)) {
-      throw new ScriptException(position, "a number that is not finite");
+      throw new ScriptException(position, "the number is not finite");
     }
     return number;
   }
@@ -58,7 +58,7 @@
     try {
       return Double.parseDouble(text.strip());
     } catch (NumberFormatException invalid) {
-      throw new ScriptException(position, valueFormatter.literal(text, position) + " is not a number");
+      throw new ScriptException(position, valueFormatter.repr(text, position) + " is not a number");
     }
   }
 
--- a/src/main/java/bitternpulley/script/DictMethods.java
+++ b/src/main/java/bitternpulley/script/DictMethods.java
@@ -21,9 +21,9 @@
       return call(dict, name, position);
     }
     if (name.equals("update") && arguments.size() == 1 && arguments.get(0) instanceof Map) {
-      return update(dict, Values.dict(arguments.get(0)), position);
+      return update(dict, Values.asDict(arguments.get(0)), position);
     }
-    Object key = Values.key(arguments.get(0), position);
+    Object key = Values.toKey(arguments.get(0), position);
     return switch (arguments.size()) {
       case 1 -> call(dict, name, key, position);
       case 2 -> call(dict, name, key, arguments.get(1), position);
@@ -85,7 +85,7 @@
 
   private Object pop(Map<Object, Object> dict, Object key, SourcePosition position) {
     if (!dict.containsKey(key)) {
-      throw new ScriptException(position, "there is no key " + valueFormatter.literal(key, position));
+      throw new ScriptException(position, "there is no key " + valueFormatter.repr(key, position));
     }
     return dict.remove(key);
   }
--- a/src/main/java/bitternpulley/script/ExpressionEvaluator.java
+++ b/src/main/java/bitternpulley/script/ExpressionEvaluator.java
@@ -18,7 +18,7 @@
   private final MethodCalls methodCalls;
   private final LoopVariableBinder loopVariableBinder;
 
-  /** The names that the expression being evaluated may read. */
+  /** The scope of the expression being evaluated. */
   private Scope scope;
 
   ExpressionEvaluator(
@@ -42,13 +42,13 @@
     this.loopVariableBinder = loopVariableBinder;
   }
 
-  /** The value of an expression that reads names of the given scope. */
-  Object evaluate(ParserRuleContext expression, Scope names) {
+  /** Evaluates an expression in a scope. */
+  Object evaluate(ParserRuleContext expression, Scope expressionScope) {
     Scope outerScope = scope;
     SourcePosition position = source.position(expression);
     budget.recordStep(position);
     budget.enter(position);
-    scope = names;
+    scope = expressionScope;
     try {
       return visit(expression);
     } finally {
@@ -86,27 +86,27 @@
 
   @Override
   public Object visitMultiplicative(ScriptParser.MultiplicativeContext context) {
-    return combine(context.op.getText(), context.expression(0), context.expression(1), context);
+    return applyBinary(context.op.getText(), context.expression(0), context.expression(1), context);
   }
 
   @Override
   public Object visitAdditive(ScriptParser.AdditiveContext context) {
-    return combine(context.op.getText(), context.expression(0), context.expression(1), context);
+    return applyBinary(context.op.getText(), context.expression(0), context.expression(1), context);
   }
 
   @Override
   public Object visitUnion(ScriptParser.UnionContext context) {
-    return combine(context.op.getText(), context.expression(0), context.expression(1), context);
+    return applyBinary(context.op.getText(), context.expression(0), context.expression(1), context);
   }
 
-  private Object combine(
+  private Object applyBinary(
       String operator,
       ScriptParser.ExpressionContext left,
       ScriptParser.ExpressionContext right,
       ParserRuleContext context) {
     Object leftOperand = evaluate(left);
     Object rightOperand = evaluate(right);
-    return arithmetic.combine(operator, leftOperand, rightOperand, source.position(context));
+    return arithmetic.applyBinary(operator, leftOperand, rightOperand, source.position(context));
   }
 
   @Override
@@ -153,15 +153,16 @@
   public Object visitSlice(ScriptParser.SliceContext context) {
     Object sequence = evaluate(context.expression(0));
     SourcePosition position = source.position(context);
-    int length = Subscripts.length(sequence, position);
+    int length = Subscripts.sequenceLength(sequence, position);
     int start = context.lowerBound == null ? 0 : resolveBound(context.lowerBound, length);
     int end = context.upperBound == null ? length : resolveBound(context.upperBound, length);
-    return subscripts.range(sequence, start, Math.max(start, end), position);
+    return subscripts.slice(sequence, start, Math.max(start, end), position);
   }
 
   private int resolveBound(ScriptParser.ExpressionContext expression, int length) {
     if (!(evaluate(expression) instanceof Long bound)) {
-      throw new ScriptException(source.position(expression), "a bound is a whole number");
+      throw new ScriptException(
+          source.position(expression), "a slice bound must be a whole number");
     }
     long fromStart = bound < 0 ? bound + length : bound;
     return (int) Math.max(0, Math.min(length, fromStart));
@@ -184,7 +185,7 @@
   }
 
   private Object callName(String name, ScriptParser.CallContext context, SourcePosition position) {
-    // Looked up before the arguments, whose evaluation might define a function of this name.
+    // Looked up before the arguments are evaluated, which might define a function of this name.
     Object target = scope.get(name);
     Arguments arguments = arguments(context);
     return target == null
@@ -205,7 +206,7 @@
         positional.add(value);
       } else {
         throw new ScriptException(
-            source.position(argument), "an argument without a name stands behind one with a name");
+            source.position(argument), "a positional argument follows a named argument");
       }
     }
     return new Arguments(positional, named);
@@ -216,14 +217,14 @@
     String name = argument.NAME().getText();
     SourcePosition position = source.position(argument);
     if (named.put(name, new ScriptHost.Argument(value, position)) != null) {
-      throw new ScriptException(position, "'" + name + "' is given twice");
+      throw new ScriptException(position, "the argument '" + name + "' is given twice");
     }
   }
 
   @Override
   public Object visitAttribute(ScriptParser.AttributeContext context) {
     throw new ScriptException(
-        source.position(context), "'." + context.NAME().getText() + "' can only be called");
+        source.position(context), "'." + context.NAME().getText() + "' can only be used in a call");
   }
 
   @Override
@@ -243,27 +244,30 @@
       case "False" -> false;
       case "None" -> None.NONE;
       default ->
-          throw new ScriptException(source.position(context), "nothing is called '" + name + "'");
+          throw new ScriptException(
+              source.position(context), "the name '" + name + "' is not defined");
     };
   }
 
   @Override
   public Object visitIntegerLiteral(ScriptParser.IntegerLiteralContext context) {
-    return Literals.integer(context.INTEGER().getText(), source.position(context));
+    return Literals.parseInteger(context.INTEGER().getText(), source.position(context));
   }
 
   @Override
   public Object visitFloatLiteral(ScriptParser.FloatLiteralContext context) {
-    return Literals.real(context.REAL().getText(), source.position(context));
+    return Literals.parseFloat(context.REAL().getText(), source.position(context));
   }
 
   @Override
   public Object visitStringLiteral(ScriptParser.StringLiteralContext context) {
     SourcePosition position = source.position(context);
-    StringBuilder joined = new StringBuilder();
-    context.STRING().forEach(part -> joined.append(Literals.text(part.getText(), position)));
-    budget.reserve(joined.length(), position);
-    return joined.toString();
+    StringBuilder concatenated = new StringBuilder();
+    context
+        .STRING()
+        .forEach(literal -> concatenated.append(Literals.parseString(literal.getText(), position)));
+    budget.reserve(concatenated.length(), position);
+    return concatenated.toString();
   }
 
   @Override
@@ -292,9 +296,9 @@
     for (ScriptParser.EntryContext entry : context.entry()) {
       SourcePosition position = source.position(entry);
       budget.reserve(1, position);
-      Object key = Values.key(evaluate(entry.key), position);
+      Object key = Values.toKey(evaluate(entry.key), position);
       if (dict.put(key, evaluate(entry.value)) != null) {
-        throw new ScriptException(position, "the key comes twice");
+        throw new ScriptException(position, "the key is given twice");
       }
     }
     return dict;
@@ -303,12 +307,12 @@
   @Override
   public Object visitListComprehension(ScriptParser.ListComprehensionContext context) {
     List<Object> list = new ArrayList<>();
-    comprehend(
+    evaluateClauses(
         context.comprehensionClause(),
         new Scope(scope),
-        names -> {
+        clauseScope -> {
           budget.reserve(1, source.position(context));
-          list.add(evaluate(context.expression(), names));
+          list.add(evaluate(context.expression(), clauseScope));
         });
     return list;
   }
@@ -317,50 +321,53 @@
   public Object visitDictComprehension(ScriptParser.DictComprehensionContext context) {
     Map<Object, Object> dict = new LinkedHashMap<>();
     SourcePosition position = source.position(context);
-    comprehend(
+    evaluateClauses(
         context.comprehensionClause(),
         new Scope(scope),
-        names -> {
+        clauseScope -> {
           budget.reserve(1, position);
-          Object key = Values.key(evaluate(context.entry().key, names), position);
-          dict.put(key, evaluate(context.entry().value, names));
+          Object key = Values.toKey(evaluate(context.entry().key, clauseScope), position);
+          dict.put(key, evaluate(context.entry().value, clauseScope));
         });
     return dict;
   }
 
-  /** Adds an element of a comprehension, evaluated with the names of its clauses. */
+  /** Evaluates and adds one element of a comprehension. */
   private interface ElementAction {
-    void add(Scope names);
+    /** Adds the element, given the scope with the variables of the clauses. */
+    void add(Scope clauseScope);
   }
 
-  /** Calls the action for each element that the clauses of a comprehension produce. */
-  private void comprehend(
-      List<ScriptParser.ComprehensionClauseContext> clauses, Scope names, ElementAction action) {
+  /** Calls the action for each combination of variables that the clauses produce. */
+  private void evaluateClauses(
+      List<ScriptParser.ComprehensionClauseContext> clauses,
+      Scope clauseScope,
+      ElementAction action) {
     if (clauses.isEmpty()) {
-      action.add(names);
+      action.add(clauseScope);
       return;
     }
     ScriptParser.ComprehensionClauseContext clause = clauses.get(0);
     List<ScriptParser.ComprehensionClauseContext> innerClauses = clauses.subList(1, clauses.size());
-    Object value = evaluate(clause.expression(), names);
+    Object value = evaluate(clause.expression(), clauseScope);
     if (clause.loopVariables() != null) {
-      comprehendLoop(clause, value, innerClauses, names, action);
+      evaluateForClause(clause, value, innerClauses, clauseScope, action);
     } else if (Values.isTruthy(value)) {
-      comprehend(innerClauses, names, action);
+      evaluateClauses(innerClauses, clauseScope, action);
     }
   }
 
-  private void comprehendLoop(
+  private void evaluateForClause(
       ScriptParser.ComprehensionClauseContext clause,
       Object sequence,
       List<ScriptParser.ComprehensionClauseContext> innerClauses,
-      Scope names,
+      Scope clauseScope,
       ElementAction action) {
     SourcePosition position = source.position(clause);
     for (Object element : values.elements(sequence, position)) {
       budget.recordStep(position);
-      loopVariableBinder.bind(clause.loopVariables(), element, names);
-      comprehend(innerClauses, names, action);
+      loopVariableBinder.bind(clause.loopVariables(), element, clauseScope);
+      evaluateClauses(innerClauses, clauseScope, action);
     }
   }
 }
--- a/src/main/java/bitternpulley/script/FormatArguments.java
+++ b/src/main/java/bitternpulley/script/FormatArguments.java
@@ -1,6 +1,6 @@
 package bitternpulley.script;
 
-/** Finds the values for the replacement fields of one {@code format()} call. */
+/** Looks up the values for the replacement fields of one {@code format()} call. */
 final class FormatArguments {
   private final Arguments arguments;
   private final SourcePosition position;
@@ -11,7 +11,7 @@
     this.position = position;
   }
 
-  /** The value for a field that is empty, an index or a name. */
+  /** The value for a field: by index or name or, if the field is empty, the next positional one. */
   Object value(String field) {
     if (field.isEmpty()) {
       return positional(nextIndex++);
@@ -21,14 +21,14 @@
     }
     ScriptHost.Argument named = arguments.named().get(field);
     if (named == null) {
-      throw new ScriptException(position, "format() is not given '" + field + "'");
+      throw new ScriptException(position, "format() is missing the argument '" + field + "'");
     }
     return named.value();
   }
 
   private Object positional(int index) {
-    if (index >= arguments.count()) {
-      throw new ScriptException(position, "there are fewer values than places in the text");
+    if (index >= arguments.positionalCount()) {
+      throw new ScriptException(position, "there are fewer values than placeholders");
     }
     return arguments.positional().get(index);
   }
--- a/src/main/java/bitternpulley/script/FunctionCalls.java
+++ b/src/main/java/bitternpulley/script/FunctionCalls.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Calls functions by name: those of the script, of the host and of the language. */
+/** Calls the functions of the script, of the host and of the language. */
 final class FunctionCalls {
   private final EvaluationBudget budget;
   private final ScriptHost host;
@@ -16,7 +16,7 @@
     this.builtins = builtins;
   }
 
-  /** Calls a function of the host or, where it has none of this name, of the language. */
+  /** Calls the host function of this name or, if the host has none, the built-in function. */
   Object callByName(String name, Arguments arguments, SourcePosition position) {
     if (host.hasFunction(name)) {
       return callHost(name, arguments, position);
@@ -24,27 +24,28 @@
     if (builtins.contains(name)) {
       return builtins.call(name, arguments, position);
     }
-    throw new ScriptException(position, "nothing is called '" + name + "'");
+    throw new ScriptException(position, "the name '" + name + "' is not defined");
   }
 
   private Object callHost(String name, Arguments arguments, SourcePosition position) {
-    if (!arguments.isEmpty()) {
-      throw new ScriptException(position, name + "() takes its arguments by name");
+    if (!arguments.hasNoPositional()) {
+      throw new ScriptException(position, name + "() takes only named arguments");
     }
     Object result = host.call(name, arguments.named(), position);
     return result == null ? None.NONE : result;
   }
 
-  /** Calls a value, which has to be a function of the script. */
+  /** Calls a value, which must be a function that the script defines. */
   Object callValue(Object target, Arguments arguments, SourcePosition position) {
     if (!(target instanceof ScriptFunction function)) {
-      throw new ScriptException(position, "a " + Values.typeName(target) + " cannot be called");
+      throw new ScriptException(
+          position, "a value of type " + Values.typeName(target) + " cannot be called");
     }
-    function.begin(position);
+    function.beginCall(position);
     try {
       return execute(function, bind(function, arguments, position), position);
     } finally {
-      function.end();
+      function.endCall();
     }
   }
 
@@ -59,29 +60,30 @@
 
   private static Scope bind(ScriptFunction function, Arguments arguments, SourcePosition position) {
     List<ScriptFunction.Parameter> parameters = function.parameters();
-    if (arguments.count() > parameters.size()) {
+    if (arguments.positionalCount() > parameters.size()) {
       throw new ScriptException(
           position,
           function.name()
               + "() takes "
               + parameters.size()
               + " arguments, not "
-              + arguments.count());
+              + arguments.positionalCount());
     }
     Scope locals = function.newLocals();
-    Map<String, ScriptHost.Argument> unused = new LinkedHashMap<>(arguments.named());
+    Map<String, ScriptHost.Argument> remaining = new LinkedHashMap<>(arguments.named());
     for (int index = 0; index < parameters.size(); index++) {
       ScriptFunction.Parameter parameter = parameters.get(index);
-      ScriptHost.Argument named = unused.remove(parameter.name());
+      ScriptHost.Argument named = remaining.remove(parameter.name());
       Object value =
-          index < arguments.count()
+          index < arguments.positionalCount()
               ? positional(parameter, arguments.positional().get(index), named)
               : namedOrDefault(function, parameter, named, position);
       locals.set(parameter.name(), value);
     }
-    for (Map.Entry<String, ScriptHost.Argument> unknown : unused.entrySet()) {
+    for (Map.Entry<String, ScriptHost.Argument> unknownArgument : remaining.entrySet()) {
       throw new ScriptException(
-          unknown.getValue().position(), function.name() + "() has no '" + unknown.getKey() + "'");
+          unknownArgument.getValue().position(),
+          function.name() + "() has no parameter '" + unknownArgument.getKey() + "'");
     }
     return locals;
   }
@@ -89,7 +91,8 @@
   private static Object positional(
       ScriptFunction.Parameter parameter, Object value, ScriptHost.Argument named) {
     if (named != null) {
-      throw new ScriptException(named.position(), "'" + parameter.name() + "' is given twice");
+      throw new ScriptException(
+          named.position(), "the argument '" + parameter.name() + "' is given twice");
     }
     return value;
   }
@@ -101,7 +104,8 @@
       SourcePosition position) {
     Object value = named == null ? parameter.defaultValue() : named.value();
     if (value == null) {
-      throw new ScriptException(position, function.name() + "() needs '" + parameter.name() + "'");
+      throw new ScriptException(
+          position, function.name() + "() is missing the argument '" + parameter.name() + "'");
     }
     return value;
   }
--- a/src/main/java/bitternpulley/script/Literals.java
+++ b/src/main/java/bitternpulley/script/Literals.java
@@ -1,13 +1,13 @@
 package bitternpulley.script;
 
-/** Values of number and text literals. */
+/** Parses number and string literals. */
 final class Literals {
-  private static final String LONG_QUOTES = "\"\"\"";
+  private static final String TRIPLE_QUOTES = "\"\"\"";
   private static final int HEXADECIMAL = 16;
 
   private Literals() {}
 
-  static long integer(String literal, SourcePosition position) {
+  static long parseInteger(String literal, SourcePosition position) {
     String digits = literal.replace("_", "");
     try {
       return digits.startsWith("0x") || digits.startsWith("0X")
@@ -18,7 +18,7 @@
     }
   }
 
-  static double real(String literal, SourcePosition position) {
+  static double parseFloat(String literal, SourcePosition position) {
     double number = Double.parseDouble(literal);
     if (Double.isInfinite(number)) {
       throw tooLarge(position);
@@ -30,10 +30,10 @@
     return new ScriptException(position, "the number is too large");
   }
 
-  /** The text of a literal without its quotes and with its escapes replaced. */
-  static String text(String literal, SourcePosition position) {
-    int quotes = literal.startsWith(LONG_QUOTES) ? LONG_QUOTES.length() : 1;
-    String raw = literal.substring(quotes, literal.length() - quotes);
+  /** Removes the quotes of a string literal and replaces its escape sequences. */
+  static String parseString(String literal, SourcePosition position) {
+    int quoteLength = literal.startsWith(TRIPLE_QUOTES) ? TRIPLE_QUOTES.length() : 1;
+    String raw = literal.substring(quoteLength, literal.length() - quoteLength);
     StringBuilder text = new StringBuilder();
     int index = 0;
     while (index < raw.length()) {
@@ -41,21 +41,22 @@
         text.append(raw.charAt(index));
         index++;
       } else {
-        text.append(unescaped(index + 1 < raw.length() ? raw.charAt(index + 1) : ' ', position));
+        text.append(unescape(index + 1 < raw.length() ? raw.charAt(index + 1) : ' ', position));
         index += 2;
       }
     }
     return text.toString();
   }
 
-  private static String unescaped(char escape, SourcePosition position) {
+  private static String unescape(char escape, SourcePosition position) {
     return switch (escape) {
       case 'n' -> "\n";
       case 't' -> "\t";
       case 'r' -> "\r";
       case '\\', '"', '\'' -> String.valueOf(escape);
       case '\n' -> "";
-      default -> throw new ScriptException(position, "'\\" + escape + "' stands for nothing");
+      default ->
+          throw new ScriptException(position, "unknown escape sequence '\\" + escape + "'");
     };
   }
 }
--- a/src/main/java/bitternpulley/script/ScriptFunction.java
+++ b/src/main/java/bitternpulley/script/ScriptFunction.java
@@ -7,7 +7,7 @@
   /**
    * A parameter of a function.
    *
-   * @param defaultValue null where the argument is required
+   * @param defaultValue null if the argument is required
    */
   record Parameter(String name, Object defaultValue) {}
 
@@ -38,20 +38,23 @@
     return parameters;
   }
 
-  /** A scope for the local variables of one call. */
+  /** Creates the scope for the local variables of one call. */
   Scope newLocals() {
     return new Scope(definitionScope);
   }
 
-  /** Begins a call, which {@link #end} ends. Recursion is rejected, so that each script ends. */
-  void begin(SourcePosition position) {
+  /**
+   * Begins a call, which {@link #endCall} ends. Recursion is rejected, so that each script
+   * terminates.
+   */
+  void beginCall(SourcePosition position) {
     if (isRunning) {
       throw new ScriptException(position, "'" + name + "' calls itself, which is not allowed");
     }
     isRunning = true;
   }
 
-  void end() {
+  void endCall() {
     isRunning = false;
   }
 
--- a/src/main/java/bitternpulley/script/SequenceFunctions.java
+++ b/src/main/java/bitternpulley/script/SequenceFunctions.java
@@ -10,7 +10,7 @@
 
 /** The functions that create lists and dicts or select from them. */
 final class SequenceFunctions {
-  /** What a tuple of an index and an element counts against the budget. */
+  /** What one tuple of {@code enumerate()}, with its two elements, counts against the budget. */
   private static final int INDEXED_ELEMENT_SIZE = 3;
 
   private final EvaluationBudget budget;
@@ -23,7 +23,7 @@
     this.comparisons = comparisons;
   }
 
-  /** The integers of {@code range(end)}, {@code range(start, end)} or with a step as well. */
+  /** The integers of {@code range([start,] end [, step])}. */
   List<Object> range(List<Object> arguments, SourcePosition position) {
     if (arguments.isEmpty()
         || arguments.size() > 3
@@ -35,7 +35,7 @@
     long end = (Long) arguments.get(hasStart ? 1 : 0);
     long step = arguments.size() == 3 ? (Long) arguments.get(2) : 1;
     if (step == 0) {
-      throw new ScriptException(position, "range() cannot go by 0");
+      throw new ScriptException(position, "the step of range() cannot be 0");
     }
     return range(start, end, step, position);
   }
@@ -71,7 +71,7 @@
     List<Object> candidates =
         arguments.size() == 1 ? values.elements(arguments.get(0), position) : arguments;
     if (candidates.isEmpty()) {
-      throw new ScriptException(position, name + "() of nothing");
+      throw new ScriptException(position, name + "() of an empty sequence");
     }
     Object extreme = candidates.get(0);
     for (Object candidate : candidates) {
@@ -82,7 +82,7 @@
     return extreme;
   }
 
-  /** Tuples of the elements at the same index, as many as the shortest argument has. */
+  /** Tuples of the elements at the same index, as many as the shortest argument has elements. */
   List<Object> zip(List<Object> arguments, SourcePosition position) {
     List<List<Object>> columns =
         arguments.stream().map(argument -> values.elements(argument, position)).toList();
@@ -96,19 +96,19 @@
     return rows;
   }
 
-  /** A dict of the entries of a dict or of the pairs of a list. */
+  /** A copy of a dict, or a dict of the key-value pairs of a sequence. */
   Map<Object, Object> dict(Object source, SourcePosition position) {
     if (source instanceof Map) {
-      budget.reserve(Values.dict(source).size(), position);
-      return new LinkedHashMap<>(Values.dict(source));
+      budget.reserve(Values.asDict(source).size(), position);
+      return new LinkedHashMap<>(Values.asDict(source));
     }
     Map<Object, Object> dict = new LinkedHashMap<>();
     for (Object element : values.elements(source, position)) {
       List<Object> pair = values.elements(element, position);
       if (pair.size() != 2) {
-        throw new ScriptException(position, "dict() takes pairs");
+        throw new ScriptException(position, "dict() takes a dict or a sequence of pairs");
       }
-      dict.put(Values.key(pair.get(0), position), pair.get(1));
+      dict.put(Values.toKey(pair.get(0), position), pair.get(1));
     }
     return dict;
   }
@@ -135,7 +135,7 @@
     return elements;
   }
 
-  /** Tuples of index and element. */
+  /** Tuples of an index and its element. */
   List<Object> enumerate(Object source, SourcePosition position) {
     List<Object> indexed = new ArrayList<>();
     for (Object element : values.elements(source, position)) {
--- a/src/main/java/bitternpulley/script/StringMethods.java
+++ b/src/main/java/bitternpulley/script/StringMethods.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.regex.Pattern;
 
-/** The methods of texts. */
+/** The methods of strings. */
 final class StringMethods {
   private final EvaluationBudget budget;
   private final Values values;
@@ -18,8 +18,8 @@
     this.formatting = formatting;
   }
 
-  String format(String form, Arguments arguments, SourcePosition position) {
-    return formatting.format(form, arguments, position);
+  String format(String template, Arguments arguments, SourcePosition position) {
+    return formatting.format(template, arguments, position);
   }
 
   Object call(String text, String name, List<Object> arguments, SourcePosition position) {
@@ -30,11 +30,11 @@
     if (name.equals("join") && arguments.size() == 1) {
       return join(text, arguments.get(0), position);
     }
-    boolean areTexts = arguments.stream().allMatch(String.class::isInstance);
-    if (areTexts && arguments.size() == 1) {
+    boolean areStrings = arguments.stream().allMatch(String.class::isInstance);
+    if (areStrings && arguments.size() == 1) {
       return call(text, name, (String) arguments.get(0), position);
     }
-    if (areTexts && arguments.size() == 2 && name.equals("replace")) {
+    if (areStrings && arguments.size() == 2 && name.equals("replace")) {
       return replace(text, (String) arguments.get(0), (String) arguments.get(1), position);
     }
     throw MethodCalls.noSuchMethod(text, name, arguments.size(), position);
@@ -45,7 +45,7 @@
       case "upper" -> text.toUpperCase(Locale.ROOT);
       case "lower" -> text.toLowerCase(Locale.ROOT);
       case "strip" -> text.strip();
-      case "split" -> splitAtBlanks(text);
+      case "split" -> splitAtWhitespace(text);
       default -> throw MethodCalls.noSuchMethod(text, name, 0, position);
     };
   }
@@ -54,14 +54,14 @@
     return switch (name) {
       case "startswith" -> text.startsWith(argument);
       case "endswith" -> text.endsWith(argument);
-      case "count" -> occurrences(text, argument);
+      case "count" -> countOccurrences(text, argument);
       case "find" -> (long) text.indexOf(argument);
       case "split" -> split(text, argument, position);
       default -> throw MethodCalls.noSuchMethod(text, name, 1, position);
     };
   }
 
-  private static List<Object> splitAtBlanks(String text) {
+  private static List<Object> splitAtWhitespace(String text) {
     if (text.isBlank()) {
       return new ArrayList<>();
     }
@@ -70,22 +70,23 @@
 
   private static List<Object> split(String text, String separator, SourcePosition position) {
     if (separator.isEmpty()) {
-      throw new ScriptException(position, "split() by nothing");
+      throw new ScriptException(position, "split() with an empty separator");
     }
     return new ArrayList<>(Arrays.asList(text.split(Pattern.quote(separator), -1)));
   }
 
-  private static long occurrences(String text, String part) {
-    if (part.isEmpty()) {
+  private static long countOccurrences(String text, String substring) {
+    if (substring.isEmpty()) {
       return text.length() + 1L;
     }
-    return text.split(Pattern.quote(part), -1).length - 1L;
+    return text.split(Pattern.quote(substring), -1).length - 1L;
   }
 
-  private String replace(String text, String part, String replacement, SourcePosition position) {
-    long added = occurrences(text, part) * replacement.length();
+  private String replace(
+      String text, String substring, String replacement, SourcePosition position) {
+    long added = countOccurrences(text, substring) * replacement.length();
     budget.reserve(text.length() + added, position);
-    return text.replace(part, replacement);
+    return text.replace(substring, replacement);
   }
 
   private String join(String separator, Object parts, SourcePosition position) {
@@ -93,7 +94,7 @@
     for (Object element : values.elements(parts, position)) {
       if (!(element instanceof String part)) {
         throw new ScriptException(
-            position, "join() takes texts, not a " + Values.typeName(element));
+            position, "join() takes strings, not a value of type " + Values.typeName(element));
       }
       budget.reserve((long) part.length() + separator.length(), position);
       joined.append(joined.length() == 0 ? "" : separator).append(part);
--- a/src/main/java/bitternpulley/script/ValueFormatter.java
+++ b/src/main/java/bitternpulley/script/ValueFormatter.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Converts values to text. */
+/** Converts values to strings, as the built-in functions {@code str()} and {@code repr()} do. */
 final class ValueFormatter {
   private final EvaluationBudget budget;
 
@@ -11,13 +11,13 @@
     this.budget = budget;
   }
 
-  /** A text as it is, and any other value as a literal. */
-  String text(Object value, SourcePosition position) {
-    return value instanceof String text ? text : literal(value, position);
+  /** A string unchanged, and any other value as {@link #repr}. */
+  String str(Object value, SourcePosition position) {
+    return value instanceof String text ? text : repr(value, position);
   }
 
-  /** The value as a script would write it. */
-  String literal(Object value, SourcePosition position) {
+  /** The value as a literal of the language. */
+  String repr(Object value, SourcePosition position) {
     StringBuilder literal = new StringBuilder();
     append(value, literal, 0, position);
     return literal.toString();
@@ -25,22 +25,22 @@
 
   private void append(Object value, StringBuilder literal, int depth, SourcePosition position) {
     budget.recordNestedStep(depth, position);
-    int before = literal.length();
+    int lengthBefore = literal.length();
     if (value instanceof String text) {
-      literal.append('"').append(escaped(text)).append('"');
+      literal.append('"').append(escape(text)).append('"');
     } else if (value instanceof Boolean flag) {
       literal.append(flag ? "True" : "False");
     } else if (value instanceof List) {
       appendList(value, literal, depth, position);
     } else if (value instanceof Map) {
-      appendDict(Values.dict(value), literal, depth, position);
+      appendDict(Values.asDict(value), literal, depth, position);
     } else {
       literal.append(value);
     }
-    budget.reserve(literal.length() - before, position);
+    budget.reserve(literal.length() - lengthBefore, position);
   }
 
-  private static String escaped(String text) {
+  private static String escape(String text) {
     return text.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
   }
 
@@ -48,12 +48,12 @@
     boolean isTuple = value instanceof Tuple;
     literal.append(isTuple ? '(' : '[');
     String separator = "";
-    for (Object element : Values.list(value)) {
+    for (Object element : Values.asList(value)) {
       literal.append(separator);
       append(element, literal, depth + 1, position);
       separator = ", ";
     }
-    if (isTuple && Values.list(value).size() == 1) {
+    if (isTuple && Values.asList(value).size() == 1) {
       literal.append(',');
     }
     literal.append(isTuple ? ')' : ']');
--- a/src/main/java/bitternpulley/script/Values.java
+++ b/src/main/java/bitternpulley/script/Values.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * Types, elements and keys of values. A value is a {@code Long}, {@code Double}, {@code Boolean},
- * {@code String}, {@code List}, {@link Tuple}, {@code Map}, {@link ScriptFunction}, {@link None} or
- * an object of the host.
+ * Operations on the values of a script: types, iteration, dict keys and indices. A value is a
+ * {@code Long}, {@code Double}, {@code Boolean}, {@code String}, {@code List}, {@link Tuple},
+ * {@code Map}, {@link ScriptFunction}, {@link None} or an object of the host.
  */
 final class Values {
-  /** Below this magnitude a whole {@code double} is exactly one {@code long}. */
+  /** Below this magnitude, an integral {@code double} converts exactly to a {@code long}. */
   private static final double MAX_INTEGRAL_KEY = 1e15;
 
   private final EvaluationBudget budget;
@@ -53,7 +53,7 @@
     return value instanceof List ? "list" : "value";
   }
 
-  /** Whether a condition on the value holds: not zero, not empty and not {@code None}. */
+  /** Whether the value is true as a condition: not {@code False}, zero, empty or {@code None}. */
   static boolean isTruthy(Object value) {
     if (value instanceof Boolean flag) {
       return flag;
@@ -78,46 +78,50 @@
   }
 
   @SuppressWarnings("unchecked") // Lists of a script have elements of any type.
-  static List<Object> list(Object value) {
+  static List<Object> asList(Object value) {
     return (List<Object>) value;
   }
 
   @SuppressWarnings("unchecked") // Dicts of a script have keys and values of any type.
-  static Map<Object, Object> dict(Object value) {
+  static Map<Object, Object> asDict(Object value) {
     return (Map<Object, Object>) value;
   }
 
-  /** A list like this one, which is a tuple when the original is. */
-  static Object listLike(Object original, List<Object> elements) {
+  /** The elements as a tuple if the original is a tuple, otherwise as a list. */
+  static Object newSequenceLike(Object original, List<Object> elements) {
     return original instanceof Tuple ? new Tuple(elements) : elements;
   }
 
-  /** A copy of the elements that a loop over the value visits. */
+  /** A copy of the elements that iteration over the value yields; those of a dict are its keys. */
   List<Object> elements(Object value, SourcePosition position) {
     if (value instanceof List) {
-      budget.reserve(list(value).size(), position);
-      return new ArrayList<>(list(value));
+      budget.reserve(asList(value).size(), position);
+      return new ArrayList<>(asList(value));
     }
     if (value instanceof Map) {
-      budget.reserve(dict(value).size(), position);
-      return new ArrayList<>(dict(value).keySet());
+      budget.reserve(asDict(value).size(), position);
+      return new ArrayList<>(asDict(value).keySet());
     }
-    throw new ScriptException(position, "a " + typeName(value) + " has no elements to go over");
+    throw new ScriptException(
+        position, "a value of type " + typeName(value) + " is not iterable");
   }
 
-  /** The elements of a value that has as many as there are names for them. */
-  List<Object> unpack(Object value, int nameCount, SourcePosition position) {
+  /** The elements of a value, which must be as many as the variables they are assigned to. */
+  List<Object> unpack(Object value, int variableCount, SourcePosition position) {
     List<Object> elements = elements(value, position);
-    if (elements.size() != nameCount) {
-      throw new ScriptException(position, elements.size() + " values for " + nameCount + " names");
+    if (elements.size() != variableCount) {
+      throw new ScriptException(
+          position,
+          "cannot unpack " + elements.size() + " values into " + variableCount + " variables");
     }
     return elements;
   }
 
-  /** The value as key of a dict, in which 1 and 1.0 are the same key. */
-  static Object key(Object value, SourcePosition position) {
+  /** Converts a value to a dict key; 1 and 1.0 are the same key. */
+  static Object toKey(Object value, SourcePosition position) {
     if (!isKey(value)) {
-      throw new ScriptException(position, "a " + typeName(value) + " cannot be a key");
+      throw new ScriptException(
+          position, "a value of type " + typeName(value) + " cannot be a dict key");
     }
     if (value instanceof Double number
         && number == Math.rint(number)
@@ -139,15 +143,16 @@
   }
 
   /**
-   * The index that a possibly negative one stands for.
+   * Converts an index, which counts from the end if it is negative, to one from the start.
    *
-   * @throws ScriptException where there is no such element
+   * @throws ScriptException if the index is out of range
    */
-  static int index(long given, int size, SourcePosition position) {
-    long index = given < 0 ? given + size : given;
-    if (index < 0 || index >= size) {
-      throw new ScriptException(position, "there is no element " + given + " of " + size);
+  static int resolveIndex(long index, int size, SourcePosition position) {
+    long indexFromStart = index < 0 ? index + size : index;
+    if (indexFromStart < 0 || indexFromStart >= size) {
+      throw new ScriptException(
+          position, "index " + index + " is out of range, the length is " + size);
     }
-    return (int) index;
+    return (int) indexFromStart;
   }
 }
--- a/src/test/java/bitternpulley/config/BrokerConfigurationReaderTest.java
+++ b/src/test/java/bitternpulley/config/BrokerConfigurationReaderTest.java
@@ -133,7 +133,7 @@
       {"membership()\nleases(lasts_s = 1)\n", "'leases.lasts_s'"},
       {"membership()\nleases(witnesses = [1, 1])\n", "'leases.witnesses'"},
       {"x = 1 +\n", ":1:8: "},
-      {"nothing()\n", ":1:1: nothing is called 'nothing'"}
+      {"nothing()\n", ":1:1: the name 'nothing' is not defined"}
     };
   }
 
