--- a/src/test/java/bitternpulley/script/ScriptRunnerTest.java
+++ b/src/test/java/bitternpulley/script/ScriptRunnerTest.java
@@ -19,11 +19,11 @@
 class ScriptRunnerTest {
   private static final String FILE = "t.star";
 
-  /** How long a script of {@link #endsEveryScriptWithinItsLimits} may run, in nanoseconds. */
+  /** Maximum run time of a script of {@link #stopsEveryScriptAtItsLimits}, in nanoseconds. */
   private static final double MAX_RUN_NANOS = 20e9;
 
-  /** What random texts consist of. */
-  private static final List<String> WORDS =
+  /** The fragments that random scripts are joined from. */
+  private static final List<String> FRAGMENTS =
       List.of(
           "x",
           " = ",
@@ -66,7 +66,7 @@
           "note(",
           "a=");
 
-  private final List<String> calls = new ArrayList<>();
+  private final List<String> recordedArguments = new ArrayList<>();
 
   private String run(String text) {
     return run(text, EvaluationLimits.DEFAULT);
@@ -86,7 +86,7 @@
                   String function, Map<String, Argument> arguments, SourcePosition position) {
                 arguments.forEach(
                     (name, argument) ->
-                        calls.add(
+                        recordedArguments.add(
                             position
                                 + " "
                                 + name
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void evaluatesFunctionsLoopsAndTextsLikeStarlark() {
+  void evaluatesFunctionsLoopsAndStringsLikeStarlark() {
     String text =
         """
         # two teams of equal shares
@@ -135,7 +135,8 @@
   void passesArgumentsWithTheirPositionsToTheHost() {
     run("x = 3\nnote(a = x,\n     b = [x] * 2)\n");
     assertEquals(
-        List.of("t.star:2:1 a=3 at t.star:2:6", "t.star:2:1 b=[3, 3] at t.star:3:6"), calls);
+        List.of("t.star:2:1 a=3 at t.star:2:6", "t.star:2:1 b=[3, 3] at t.star:3:6"),
+        recordedArguments);
   }
 
   @ParameterizedTest
@@ -174,10 +175,10 @@
     assertEquals(FILE + ":" + position, String.valueOf(error.position()), error.getMessage());
   }
 
-  /** Each of these texts would use unbounded time, memory or stack if there were no limit. */
+  /** Without limits, each of these scripts would use excessive time, memory or stack. */
   @Test
-  void endsEveryScriptWithinItsLimits() {
-    for (String text :
+  void stopsEveryScriptAtItsLimits() {
+    for (String script :
         List.of(
             "x = [0] * 100000000000\n",
             "x = 'a' * 999999999\n",
@@ -196,14 +197,16 @@
             "x" + "[0]".repeat(50000) + "\n",
             "x = 'a'" + ".upper()".repeat(50000) + "\n",
             "x = 1" + " and 1".repeat(100000) + "\n")) {
-      long before = System.nanoTime();
+      long startNanos = System.nanoTime();
       try {
-        run(text, new EvaluationLimits(1 << 20, 64, 200_000, 1_000_000, 10_000));
-        throw new AssertionError("has no bound: " + text.substring(0, Math.min(60, text.length())));
+        run(script, new EvaluationLimits(1 << 20, 64, 200_000, 1_000_000, 10_000));
+        throw new AssertionError(
+            "completed without reaching a limit: "
+                + script.substring(0, Math.min(60, script.length())));
       } catch (ScriptException error) {
         assertTrue(
-            System.nanoTime() - before < MAX_RUN_NANOS,
-            "took long: " + text.substring(0, Math.min(60, text.length())));
+            System.nanoTime() - startNanos < MAX_RUN_NANOS,
+            "took too long: " + script.substring(0, Math.min(60, script.length())));
       }
     }
   }
@@ -226,14 +229,17 @@
   }
 
   @Provide
-  Arbitrary<String> texts() {
-    return Arbitraries.of(WORDS).list().ofMaxSize(40).map(parts -> String.join("", parts));
+  Arbitrary<String> randomScripts() {
+    return Arbitraries.of(FRAGMENTS)
+        .list()
+        .ofMaxSize(40)
+        .map(fragments -> String.join("", fragments));
   }
 
   @Property(tries = 3000)
-  void throwsOnlyScriptExceptionsForAnyText(@ForAll("texts") String text) {
+  void throwsOnlyScriptExceptionsForAnyScript(@ForAll("randomScripts") String script) {
     try {
-      run(text, new EvaluationLimits(1000, 16, 10_000, 10_000, 1000));
+      run(script, new EvaluationLimits(1000, 16, 10_000, 10_000, 1000));
     } catch (ScriptException error) {
       assertTrue(!error.toString().isEmpty());
     }
