--- a/src/main/java/bitternpulley/script/SyntaxErrors.java
+++ b/src/main/java/bitternpulley/script/SyntaxErrorListener.java
@@ -6,24 +6,24 @@
 import org.antlr.v4.runtime.Token;
 
 /** Throws a {@link ScriptException} at the first syntax error. */
-final class SyntaxErrors extends BaseErrorListener {
+final class SyntaxErrorListener extends BaseErrorListener {
   private final SourceFile source;
 
-  SyntaxErrors(SourceFile source) {
+  SyntaxErrorListener(SourceFile source) {
     this.source = source;
   }
 
   @Override
   public void syntaxError(
       Recognizer<?, ?> recognizer,
-      Object offending,
+      Object offendingSymbol,
       int line,
       int column,
       String message,
       RecognitionException cause) {
     String text =
-        offending instanceof Token token
-            ? "'" + token.getText() + "' does not belong here"
+        offendingSymbol instanceof Token token
+            ? "unexpected '" + token.getText() + "'"
             : message;
     throw new ScriptException(source.position(line, column), text);
   }
