--- a/src/main/java/bitternpulley/benchmark/MeasureContracts.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureContracts.java
@@ -61,7 +61,7 @@
   }
 
   public static void main(String[] args) {
-    Bounded.run(MOST_SECONDS, () -> measure(args));
+    MeasurementRunner.run(MOST_SECONDS, () -> measure(args));
   }
 
   private static void measure(String[] args) throws Exception {
--- a/src/main/java/bitternpulley/benchmark/MeasureMembership.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembership.java
@@ -50,7 +50,7 @@
   }
 
   public static void main(String[] args) {
-    Bounded.run(
+    MeasurementRunner.run(
         MOST_SECONDS,
         () -> {
           long seed = args.length > 0 && !args[0].isEmpty() ? Long.parseLong(args[0]) : 1;
--- a/src/main/java/bitternpulley/benchmark/MeasureMembershipCase.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembershipCase.java
@@ -86,7 +86,7 @@
       System.err.println("CASE is one of " + String.join(", ", CASES.keySet()));
       System.exit(2);
     }
-    Bounded.run(
+    MeasurementRunner.run(
         MOST_SECONDS,
         () -> {
           long seed = args.length > 1 && !args[1].isEmpty() ? Long.parseLong(args[1]) : 1;
--- a/src/main/java/bitternpulley/benchmark/MeasureScaleServers.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureScaleServers.java
@@ -56,7 +56,7 @@
     int parts = Integer.parseInt(args[0]);
     List<Integer> sizes =
         IntStream.range(1, args.length).mapToObj(i -> Integer.parseInt(args[i])).toList();
-    Bounded.run(
+    MeasurementRunner.run(
         MOST_SECONDS, () -> System.out.println(new MeasureScaleServers(parts).measure(sizes)));
   }
 
--- a/src/main/java/bitternpulley/benchmark/package-info.java
+++ b/src/main/java/bitternpulley/benchmark/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Measurements of the real program against the project's own stand-ins, one class for each {@code
- * make measure-NAME}. Each ends by itself within 40 s and prints one JSON object last, whose
- * figures are computed from what clients and servers saw. Nothing here runs in service.
+ * Measurements of the real aggregator against emulated slot servers, each started by its {@code
+ * make measure-NAME}. Each ends by itself, within 40 s or, for {@link
+ * bitternpulley.benchmark.MeasureScaleServers}, 300 s. Its last line of output is one JSON object
+ * with figures computed from what clients and servers observed. Not used in production.
  */
 package bitternpulley.benchmark;
