--- a/src/main/java/bitternpulley/benchmark/MeasureScaleServers.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureScaleServers.java
@@ -16,33 +16,33 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * One real aggregator before a growing number of hollow slot servers, one for each section: time
- * until ready, memory, descriptors, links, processor time a part, and latency at a fixed rate. The
- * last line is one JSON object with each size's figures and the lines fitted to them. See
- * docs/CAPACITY.md.
+ * Measures one real aggregator with a growing number of emulated slot servers that do no work, one
+ * for each shard: time until ready, memory, descriptors, connections, processor time per part, and
+ * latency at a fixed rate. The last line of output is one JSON object with the figures of each size
+ * and the lines fitted to them. See docs/CAPACITY.md.
  */
 final class MeasureScaleServers {
-  private static final int MOST_SECONDS = 300;
+  private static final int TIMEOUT_SECONDS = 300;
 
   /**
-   * Descriptors that the aggregator is told it has: a third of them is more than one link to each
-   * server.
+   * Descriptor limit in the aggregator's configuration. A third of it allows more than one
+   * connection to each server.
    */
   private static final int SOCKETS = 12_000;
 
   private static final int INSTANCES = 530;
 
-  /** Event loops of the hollow servers. */
-  private static final int LOOPS = 2;
+  /** Event loops of the emulated servers. */
+  private static final int EVENT_LOOPS = 2;
 
-  private static final int WARM_UP = 200;
+  private static final int WARM_UP_QUERIES = 200;
   private static final int QUERIES = 400;
-  private static final double PER_SECOND = 25;
-  private static final double AIM_MS = 500;
+  private static final double QUERIES_PER_SECOND = 25;
+  private static final double LATENCY_OBJECTIVE_MS = 500;
   private static final double DEADLINE_MS = 1500;
 
-  /** Ms for which a ready aggregator may open its links before the load begins. */
-  private static final long LINKS_WITHIN_MS = 8000;
+  /** Time in ms that a ready aggregator has to open its connections before the load starts. */
+  private static final long CONNECT_TIME_MS = 8000;
 
   private final int parts;
   private final ObjectMapper json = new ObjectMapper();
@@ -51,19 +51,23 @@
     this.parts = parts;
   }
 
-  /** Arguments: parts of a query, then the numbers of servers. */
+  /**
+   * Runs the measurement.
+   *
+   * @param args the parts of a query, then the numbers of servers
+   */
   public static void main(String[] args) {
     int parts = Integer.parseInt(args[0]);
     List<Integer> sizes =
         IntStream.range(1, args.length).mapToObj(i -> Integer.parseInt(args[i])).toList();
     MeasurementRunner.run(
-        MOST_SECONDS, () -> System.out.println(new MeasureScaleServers(parts).measure(sizes)));
+        TIMEOUT_SECONDS, () -> System.out.println(new MeasureScaleServers(parts).measure(sizes)));
   }
 
   private ObjectNode measure(List<Integer> sizes) throws Exception {
     List<ObjectNode> rows = new ArrayList<>();
     for (int size : sizes) {
-      ObjectNode row = measure(size);
+      ObjectNode row = measureSize(size);
       System.out.println(row);
       rows.add(row);
     }
@@ -71,22 +75,22 @@
         json.createObjectNode()
             .put("measure", "scale-servers")
             .put("parts_per_query", parts)
-            .put("queries_per_second", PER_SECOND);
+            .put("queries_per_second", QUERIES_PER_SECOND);
     out.putArray("sizes").addAll(rows);
     ObjectNode fits = out.putObject("per_server");
     for (String figure :
         List.of("ready_ms", "resident_kb", "descriptors", "cpu_us_per_part", "p50_ms", "p99_ms")) {
-      fit(fits.putObject(figure), rows, figure);
+      putFit(fits.putObject(figure), rows, figure);
     }
     return out;
   }
 
-  /** Least squares of a figure by the number of servers. */
-  private static void fit(ObjectNode into, List<ObjectNode> rows, String figure) {
+  /** Fits a line to a figure over the number of servers by least squares, if there are at least three rows. */
+  private static void putFit(ObjectNode out, List<ObjectNode> rows, String figure) {
     SimpleRegression line = new SimpleRegression();
-    rows.forEach(r -> line.addData(r.path("servers").asDouble(), r.path(figure).asDouble()));
+    rows.forEach(row -> line.addData(row.path("servers").asDouble(), row.path(figure).asDouble()));
     if (line.getN() > 2) {
-      into.put("slope", line.getSlope())
+      out.put("slope", line.getSlope())
           .put("slope_error", line.getSlopeStdErr())
           .put("at_zero", line.getIntercept())
           .put("residual", Math.sqrt(line.getMeanSquareError()))
@@ -94,58 +98,64 @@
     }
   }
 
-  private ObjectNode measure(int size) throws Exception {
-    HollowServers servers = new HollowServers(size, LOOPS);
+  private ObjectNode measureSize(int size) throws Exception {
+    HollowServers servers = new HollowServers(size, EVENT_LOOPS);
     try (Node node = new Node("n0", configuration(servers, size), null)) {
-      long from = System.nanoTime();
+      long startNanos = System.nanoTime();
       node.start().awaitReady();
-      double readyMs = (System.nanoTime() - from) / 1e6;
-      int links = awaitLinks(servers, size);
-      ProcessUse rest = ProcessUse.of(node.pid());
+      double readyMs = (System.nanoTime() - startNanos) / 1e6;
+      int connectionsAtRest = awaitConnections(servers, size);
+      ProcessUsage atRest = ProcessUsage.ofProcess(node.pid());
       Random random = new Random(size);
-      OpenLoopLoad warm = new OpenLoopLoad(node.front(), n -> query(n, random.nextInt(size), size));
-      warm.run(0, WARM_UP, PER_SECOND);
-      ProcessUse before = ProcessUse.of(node.pid());
+      OpenLoopLoad warmUp =
+          new OpenLoopLoad(node.front(), number -> request(number, random.nextInt(size), size));
+      warmUp.run(0, WARM_UP_QUERIES, QUERIES_PER_SECOND);
+      ProcessUsage before = ProcessUsage.ofProcess(node.pid());
       long partsBefore = servers.parts();
-      OpenLoopLoad load = new OpenLoopLoad(node.front(), n -> query(n, random.nextInt(size), size));
-      load.run(WARM_UP, QUERIES, PER_SECOND);
-      ProcessUse after = ProcessUse.of(node.pid());
+      OpenLoopLoad load =
+          new OpenLoopLoad(node.front(), number -> request(number, random.nextInt(size), size));
+      load.run(WARM_UP_QUERIES, QUERIES, QUERIES_PER_SECOND);
+      ProcessUsage after = ProcessUsage.ofProcess(node.pid());
       long sent = servers.parts() - partsBefore;
       return json.createObjectNode()
           .put("servers", size)
           .put("ready_ms", readyMs)
-          .put("links_at_rest", links)
-          .put("resident_kb_at_rest", rest.residentKb())
-          .put("resident_kb", after.mostResidentKb())
+          .put("links_at_rest", connectionsAtRest)
+          .put("resident_kb_at_rest", atRest.residentKb())
+          .put("resident_kb", after.peakResidentKb())
           .put("descriptors", after.descriptors())
           .put("links", servers.open())
           .put("parts", sent)
           .put("served", load.served())
           .put("asked", QUERIES)
           .put("cpu_us_per_part", sent == 0 ? 0 : 1000 * (after.cpuMs() - before.cpuMs()) / sent)
-          .put("cpu_ms_rest", rest.cpuMs())
-          .put("p50_ms", load.micros().getValueAtPercentile(50) / 1000.0)
-          .put("p99_ms", load.micros().getValueAtPercentile(99) / 1000.0);
+          .put("cpu_ms_rest", atRest.cpuMs())
+          .put("p50_ms", load.latencyMicros().getValueAtPercentile(50) / 1000.0)
+          .put("p99_ms", load.latencyMicros().getValueAtPercentile(99) / 1000.0);
     }
   }
 
-  private static int awaitLinks(HollowServers servers, int size) throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LINKS_WITHIN_MS);
-    int most = 0;
-    while (most < size && System.nanoTime() < end) {
-      most = Math.max(most, servers.open());
+  /**
+   * Waits until one connection per server has been open at the same time, for at most {@link
+   * #CONNECT_TIME_MS}, and returns the highest number of open connections seen.
+   */
+  private static int awaitConnections(HollowServers servers, int size) throws InterruptedException {
+    long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CONNECT_TIME_MS);
+    int highest = 0;
+    while (highest < size && System.nanoTime() < endNanos) {
+      highest = Math.max(highest, servers.open());
       TimeUnit.MILLISECONDS.sleep(10);
     }
-    return most;
+    return highest;
   }
 
-  private String query(int number, int first, int size) {
+  private String request(int number, int firstShard, int size) {
     String slices =
         IntStream.range(0, Math.min(parts, size))
             .mapToObj(
                 i ->
                     "{\"slice\":"
-                        + (first + i) % size
+                        + (firstShard + i) % size
                         + ",\"mass\":"
                         + 1.0 / Math.min(parts, size)
                         + "}")
@@ -170,29 +180,46 @@
             .put("seed", "8c1f30d27a5be964");
     config.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", SOCKETS);
     config.set("known", servers.list());
-    ObjectNode s =
+    ObjectNode settings =
         config
             .putObject("settings")
             .put("tick", 5.0)
             .put("instances", INSTANCES)
             .put("selfIndex", 0)
             .put("zone", 0);
-    s.putArray("failureDomains").add(servers.zone());
-    s.putArray("requestClasses")
+    settings.putArray("failureDomains").add(servers.zone());
+    putQueryClass(settings);
+    putDomain(settings, size);
+    putPolicyLimits(settings);
+    putRules(settings);
+    settings.putObject("costs").put("handshake", 0.02);
+    return config;
+  }
+
+  private static void putQueryClass(ObjectNode settings) {
+    settings
+        .putArray("requestClasses")
         .addObject()
         .put("name", "find")
-        .put("aim", AIM_MS)
+        .put("aim", LATENCY_OBJECTIVE_MS)
         .put("deadline", DEADLINE_MS)
         .put("lateWorth", 0.3)
         .put("effect", "pure")
         .put("worth", 1);
+  }
+
+  private static void putDomain(ObjectNode settings, int size) {
     ObjectNode domain =
-        s.putObject("domain").put("cells", size).put("shards", size).put("width", 1);
+        settings.putObject("domain").put("cells", size).put("shards", size).put("width", 1);
     for (String share : List.of("minShare", "wholeAt", "classPartial")) {
-      ArrayNode of = domain.putArray(share);
-      of.add(1);
+      ArrayNode shareByClass = domain.putArray(share);
+      shareByClass.add(1);
     }
-    s.putObject("policyLimits")
+  }
+
+  private void putPolicyLimits(ObjectNode settings) {
+    settings
+        .putObject("policyLimits")
         .put("connectTimeout", 250)
         .put("keepalive", 15000)
         .put("maxAttempts", 4)
@@ -202,14 +229,16 @@
         .put("retryAfter", true)
         .put("secondCopies", false)
         .put("streamsPerConn", 100);
-    s.putObject("rules")
+  }
+
+  private static void putRules(ObjectNode settings) {
+    settings
+        .putObject("rules")
         .put("answerSlack", 20)
         .put("cold", 17000)
         .put("coldFrom", 0.2)
         .put("fall", 1000)
         .put("stopSendingWithin", 250)
         .put("tipMultiple", 2);
-    s.putObject("costs").put("handshake", 0.02);
-    return config;
   }
 }
--- a/src/main/java/bitternpulley/benchmark/OpenLoopLoad.java
+++ b/src/main/java/bitternpulley/benchmark/OpenLoopLoad.java
@@ -17,81 +17,85 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * Queries at a fixed rate over kept connections. Latency counts from the moment at which a query
- * was due, however late it could be sent, so that a stall of the program is seen by all queries
- * that were due in it. Bounded in count.
+ * Sends a bounded number of queries at a fixed rate over keep-alive connections. Latency is
+ * measured from the time at which a query was due, even if it was sent later, so that a stall of
+ * the aggregator shows in the latency of every query that was due during the stall.
  */
 final class OpenLoopLoad {
   private static final int CONNECTIONS = 32;
   private static final int TIMEOUT_MS = 5000;
 
-  /** Microseconds up to which latencies are told apart, to three digits. */
-  private static final long MOST_MICROS = 60_000_000;
+  /** Highest latency that is recorded, in microseconds; a higher one is recorded as this one. */
+  private static final long MAX_LATENCY_MICROS = 60_000_000;
 
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
-  private final HostPort front;
-  private final IntFunction<String> query;
-  private final ConcurrentHistogram micros = new ConcurrentHistogram(MOST_MICROS, DIGITS);
+  private final HostPort address;
+  private final IntFunction<String> requestByNumber;
+  private final ConcurrentHistogram latencyMicros =
+      new ConcurrentHistogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
   private final AtomicInteger served = new AtomicInteger();
-  private final BlockingQueue<Socket> idle = new ArrayBlockingQueue<>(CONNECTIONS);
+  private final BlockingQueue<Socket> idleConnections = new ArrayBlockingQueue<>(CONNECTIONS);
 
-  /** Load for a front; {@code query} gives the whole text of the n-th request. */
-  OpenLoopLoad(HostPort front, IntFunction<String> query) {
-    this.front = front;
-    this.query = query;
+  /**
+   * Creates load for the aggregator at an address; {@code requestByNumber} returns the n-th HTTP
+   * request.
+   */
+  OpenLoopLoad(HostPort address, IntFunction<String> requestByNumber) {
+    this.address = address;
+    this.requestByNumber = requestByNumber;
   }
 
-  /** Latencies in microseconds of the queries that were answered 200. */
-  ConcurrentHistogram micros() {
-    return micros;
+  /** Returns the latencies in microseconds of the queries that were answered with status 200. */
+  ConcurrentHistogram latencyMicros() {
+    return latencyMicros;
   }
 
-  /** Queries answered 200. */
+  /** Returns the number of queries that were answered with status 200. */
   int served() {
     return served.get();
   }
 
   /**
-   * Sends so many queries at so many a second, numbered from {@code first}, and waits for their
-   * answers.
+   * Sends {@code count} queries, numbered from {@code firstNumber}, and waits for their responses.
    */
-  void run(int first, int count, double perSecond) throws InterruptedException {
+  void run(int firstNumber, int count, double queriesPerSecond) throws InterruptedException {
     ExecutorService senders = Executors.newFixedThreadPool(CONNECTIONS);
-    long from = System.nanoTime();
+    long startNanos = System.nanoTime();
     for (int i = 0; i < count; i++) {
-      long due = from + (long) (i * 1e9 / perSecond);
-      TimeUnit.NANOSECONDS.sleep(Math.max(0, due - System.nanoTime()));
-      int number = first + i;
-      senders.execute(() -> ask(number, due));
+      long dueNanos = startNanos + (long) (i * 1e9 / queriesPerSecond);
+      TimeUnit.NANOSECONDS.sleep(Math.max(0, dueNanos - System.nanoTime()));
+      int number = firstNumber + i;
+      senders.execute(() -> sendQuery(number, dueNanos));
     }
     senders.shutdown();
     senders.awaitTermination(2L * TIMEOUT_MS, TimeUnit.MILLISECONDS);
     senders.shutdownNow();
-    for (Socket s = idle.poll(); s != null; s = idle.poll()) {
-      closeQuietly(s);
+    for (Socket idle = idleConnections.poll(); idle != null; idle = idleConnections.poll()) {
+      closeQuietly(idle);
     }
   }
 
-  private void ask(int number, long due) {
-    Socket socket = idle.poll();
+  private void sendQuery(int number, long dueNanos) {
+    Socket socket = idleConnections.poll();
     try {
       if (socket == null) {
-        socket = new Socket(front.host(), front.port());
+        socket = new Socket(address.host(), address.port());
         socket.setTcpNoDelay(true);
         socket.setSoTimeout(TIMEOUT_MS);
       }
       OutputStream out = socket.getOutputStream();
-      out.write(query.apply(number).getBytes(StandardCharsets.US_ASCII));
-      boolean ok = readAnswer(socket.getInputStream());
+      out.write(requestByNumber.apply(number).getBytes(StandardCharsets.US_ASCII));
+      boolean ok = readResponse(socket.getInputStream());
       if (ok) {
         served.incrementAndGet();
-        micros.recordValue(Math.min(MOST_MICROS, (System.nanoTime() - due) / 1000));
+        latencyMicros.recordValue(
+            Math.min(MAX_LATENCY_MICROS, (System.nanoTime() - dueNanos) / 1000));
       }
-      if (!idle.offer(socket)) {
+      if (!idleConnections.offer(socket)) {
         closeQuietly(socket);
       }
-    } catch (IOException e) {
+    } catch (IOException exception) {
       if (socket != null) {
         closeQuietly(socket);
       }
@@ -101,28 +105,29 @@
   private static void closeQuietly(Socket socket) {
     try {
       socket.close();
-    } catch (IOException e) {
-      // it is of no further use
+    } catch (IOException exception) {
+      // The socket is not used again.
     }
   }
 
-  /** Reads a whole answer with a length; whether its status is 200. */
-  private static boolean readAnswer(InputStream in) throws IOException {
+  /** Reads a response with a Content-Length header and returns whether its status is 200. */
+  private static boolean readResponse(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
       int next = in.read();
       if (next < 0) {
-        throw new IOException("ended in its head");
+        throw new IOException("connection closed before the end of the response head");
       }
       head.append((char) next);
     }
-    String lower = head.toString().toLowerCase(Locale.ROOT);
-    int at = lower.indexOf("content-length:");
+    String lowerCaseHead = head.toString().toLowerCase(Locale.ROOT);
+    int lengthHeader = lowerCaseHead.indexOf("content-length:");
+    int lengthStart = lengthHeader + "content-length:".length();
     int length =
         Integer.parseInt(
-            lower.substring(at + "content-length:".length(), lower.indexOf('\r', at)).trim());
+            lowerCaseHead.substring(lengthStart, lowerCaseHead.indexOf('\r', lengthHeader)).trim());
     if (in.readNBytes(length).length < length) {
-      throw new IOException("ended in its body");
+      throw new IOException("connection closed before the end of the response body");
     }
     return head.toString().startsWith("HTTP/1.1 200 ");
   }
