--- a/src/main/java/bitternpulley/benchmark/MeasureContracts.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureContracts.java
@@ -17,254 +17,318 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Three teams share one aggregator, over both fronts. Four days of the same seed: a calm one, the
- * same with one team ten times over its share and retrying, that without contracts, and one on
- * which a single team asks for more than there is.
+ * Measures the admission of three tenants that share one aggregator, over the platform protocol and
+ * the search API. Four runs use the same seed: one with normal load, one in which a tenant asks for
+ * ten times its share and retries, the same without contracts, and one in which a single tenant
+ * asks for more than the capacity.
  */
 final class MeasureContracts {
   private static final int CELLS = 6;
   private static final int CORES = 2;
-  private static final int SECONDS = 7;
+  private static final int RUN_SECONDS = 7;
 
-  /** The first second of a day is the program's warming up and counts on no side. */
-  private static final int WARM = 1;
+  /** The first second of a run warms up the aggregator and is counted nowhere. */
+  private static final int WARM_UP_SECONDS = 1;
 
-  private static final int MOST_SECONDS = 40;
-  private static final double AIM = 500;
-  private static final double DEADLINE = 1500;
-  private static final int HOLDS = 3000;
+  private static final int TIMEOUT_SECONDS = 40;
+  private static final double LATENCY_OBJECTIVE_MS = 500;
+  private static final double DEADLINE_MS = 1500;
+  private static final int MAX_PENDING = 3000;
   private static final int SEARCH_PARTS = 4;
 
-  /** Microseconds of work of a part, and shares of capacity. */
-  private static final int WORK = 10_000;
+  /** Work of a part, in microseconds. */
+  private static final int PART_WORK_MICROS = 10_000;
 
+  /** Share of the capacity that the contract of tenant "appeal" guarantees. */
   private static final double APPEAL_SHARE = 0.4;
-  private static final double APPEAL_WORTH = 10;
-  private static final String KEY = "booking:a-long-and-random-secret";
+
+  private static final double APPEAL_PRIORITY_WEIGHT = 10;
+  private static final String API_KEY = "booking:a-long-and-random-secret";
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private record Day(
-      Team.Tally appeal, Team.Tally stock, Team.Tally booking, double workShare, String accounts) {}
+  private record RunResult(
+      TenantClients.Tally appeal,
+      TenantClients.Tally stock,
+      TenantClients.Tally booking,
+      double capacityUsed,
+      String accounts) {}
 
   private final long seed;
   private final EventLoop serverLoop = new EventLoop();
   private final Fleet fleet;
   private final double partsPerSecond;
 
-  /** Names the program of each day apart, so that the rules see no part twice. */
-  private int days;
+  /**
+   * The runs so far. Each run's aggregator has its own name, so that the rule check sees no part
+   * twice.
+   */
+  private int runs;
 
   private MeasureContracts(long seed) throws IOException {
     this.seed = seed;
     this.fleet = new Fleet(serverLoop, CELLS, CORES);
-    this.partsPerSecond = fleet.workPerSecond() * 1000 / WORK;
+    this.partsPerSecond = fleet.workPerSecond() * 1000 / PART_WORK_MICROS;
   }
 
+  /**
+   * Runs the measurement.
+   *
+   * @param args the seed, or nothing for seed 1
+   */
   public static void main(String[] args) {
-    MeasurementRunner.run(MOST_SECONDS, () -> measure(args));
+    MeasurementRunner.run(TIMEOUT_SECONDS, () -> measure(args));
   }
 
   private static void measure(String[] args) throws Exception {
     long seed = args.length > 0 && !args[0].isEmpty() ? Long.parseLong(args[0]) : 1;
-    MeasureContracts m = new MeasureContracts(seed);
-    double calm = 0.55;
-    Day base = m.day("calm", true, calm, true);
-    Day over = m.day("overrun", true, 10, true);
-    Day off = m.day("overrun, contracts off", false, 10, true);
-    Day single = m.day("one team alone", true, 5, false);
+    MeasureContracts measurement = new MeasureContracts(seed);
+    double normalLoad = 0.55;
+    RunResult normal = measurement.run("calm", true, normalLoad, true);
+    RunResult overload = measurement.run("overrun", true, 10, true);
+    RunResult noContracts = measurement.run("overrun, contracts off", false, 10, true);
+    RunResult single = measurement.run("one team alone", true, 5, false);
+    ObjectNode out = measurement.figures(normal, overload, noContracts, single);
+    measurement.fleet.rules().breaches().forEach(breach -> System.out.println("broken: " + breach));
+    System.out.println(out);
+  }
+
+  private ObjectNode figures(
+      RunResult normal, RunResult overload, RunResult noContracts, RunResult single) {
     ObjectNode out = JSON.createObjectNode();
-    out.put(
-        "others_kept_min",
-        round(Math.min(kept(over.stock, base.stock), kept(over.booking, base.booking))));
+    out.put("others_kept_min", round(minKeptByOthers(overload, normal)));
     out.put(
         "others_worst5s_min",
-        round(Math.min(worst(over.stock, base.stock), worst(over.booking, base.booking))));
+        round(
+            Math.min(
+                minKeptOverFiveSeconds(overload.stock, normal.stock),
+                minKeptOverFiveSeconds(overload.booking, normal.booking))));
     out.put(
         "overrunner_kept",
         round(
             Math.min(
                 1,
-                served(over.appeal)
+                servedInTime(overload.appeal)
                     * SEARCH_PARTS
-                    / (APPEAL_SHARE * m.partsPerSecond * (SECONDS - WARM)))));
+                    / (APPEAL_SHARE * partsPerSecond * (RUN_SECONDS - WARM_UP_SECONDS)))));
     out.put(
         "returned_served",
         round(
-            over.appeal.returned == 0
+            overload.appeal.delayedRetries == 0
                 ? 0
-                : (double) over.appeal.returnedServed / over.appeal.returned));
-    out.put("single_use", round(single.workShare));
-    out.put("rules_broken", m.fleet.rules().broken());
-    out.put(
-        "others_kept_min_off",
-        round(Math.min(kept(off.stock, base.stock), kept(off.booking, base.booking))));
+                : (double) overload.appeal.delayedRetriesServed / overload.appeal.delayedRetries));
+    out.put("single_use", round(single.capacityUsed));
+    out.put("rules_broken", fleet.rules().broken());
+    out.put("others_kept_min_off", round(minKeptByOthers(noContracts, normal)));
     out.put("seed", seed);
-    m.fleet.rules().breaches().forEach(b -> System.out.println("broken: " + b));
-    System.out.println(out);
+    return out;
   }
 
   /**
-   * One day: {@code appeal} is how many times its share the first team asks for, the others ask for
-   * about half of theirs.
+   * Runs a new aggregator under load. Tenant "appeal" asks for {@code appealLoad} times its share;
+   * the other tenants, if {@code withOthers}, ask for about half of theirs.
    */
-  private Day day(String name, boolean contracts, double appeal, boolean others) throws Exception {
-    HostPort front = new HostPort("127.0.0.1", Ports.free());
-    HostPort search = new HostPort("127.0.0.1", Ports.free());
-    EventLoop clients = new EventLoop();
-    ObjectNode configuration =
-        fleet.configuration("n" + days++, front.toString(), "8c1f30d27a5be964", HOLDS);
-    // During an appeal its searches count for more than all else: left to worth alone, they would
-    // take everything.
-    ((ObjectNode) configuration.at("/settings/requestClasses/0")).put("worth", APPEAL_WORTH);
-    try (Node program =
-        new Node("n" + days, configuration, script(search, contracts)).start().awaitReady()) {
-      Team a =
-          new Team(
-              clients,
-              front,
-              seed,
-              appeal * APPEAL_SHARE * partsPerSecond / SEARCH_PARTS,
-              SEARCH_PARTS,
-              Team.Manners.HALF_AND_HALF,
-              AIM,
-              DEADLINE,
-              SECONDS,
-              WARM,
-              n -> platform("slot-search", "a" + seed + "-" + n, n, SEARCH_PARTS));
-      Team s =
-          new Team(
-              clients,
-              front,
-              seed + 1,
-              0.5 * 0.35 * partsPerSecond / CELLS,
-              CELLS,
-              Team.Manners.AS_TOLD,
-              AIM,
-              DEADLINE,
-              SECONDS,
-              WARM,
-              n -> platform("stock-report", "s" + seed + "-" + n, 0, CELLS));
-      Team b =
-          new Team(
-              clients,
-              search,
-              seed + 2,
-              0.5 * 0.25 * partsPerSecond,
-              1,
-              Team.Manners.AS_TOLD,
-              AIM,
-              DEADLINE,
-              SECONDS,
-              WARM,
-              n -> booking(n));
-      double before = fleet.workDone();
-      a.begin();
-      if (others) {
-        s.begin();
-        b.begin();
+  private RunResult run(String name, boolean withContracts, double appealLoad, boolean withOthers)
+      throws Exception {
+    HostPort platformAddress = new HostPort("127.0.0.1", Ports.free());
+    HostPort searchAddress = new HostPort("127.0.0.1", Ports.free());
+    EventLoop clientLoop = new EventLoop();
+    ObjectNode configuration = configuration("n" + runs++, platformAddress);
+    String script = script(searchAddress, withContracts);
+    try (Node aggregator = new Node("n" + runs, configuration, script).start().awaitReady()) {
+      TenantClients appeal = appealClients(clientLoop, platformAddress, appealLoad);
+      TenantClients stock = stockClients(clientLoop, platformAddress);
+      TenantClients booking = bookingClients(clientLoop, searchAddress);
+      double workBefore = fleet.workDone();
+      appeal.start();
+      if (withOthers) {
+        stock.start();
+        booking.start();
       }
-      TimeUnit.MILLISECONDS.sleep(1000L * WARM);
-      double warm = fleet.workDone();
-      TimeUnit.MILLISECONDS.sleep(1000L * (SECONDS - WARM));
-      double share = (fleet.workDone() - warm) / (fleet.workPerSecond() * (SECONDS - WARM));
-      String accounts = program.order("accounts");
-      TimeUnit.MILLISECONDS.sleep((long) DEADLINE / 3);
-      Day day = new Day(a.tally(), s.tally(), b.tally(), share, accounts);
-      System.out.println(
-          String.format(
-              Locale.ROOT,
-              "%s: work %.2f of what there is (%.0f ms); in time %s %s %s; tries %d of %d"
-                  + " queries; came back as told %d, served %d",
-              name,
-              share,
-              fleet.workDone() - before,
-              part(day.appeal),
-              part(day.stock),
-              part(day.booking),
-              day.appeal.tries,
-              day.appeal.queries,
-              day.appeal.returned,
-              day.appeal.returnedServed));
+      TimeUnit.MILLISECONDS.sleep(1000L * WARM_UP_SECONDS);
+      double workAfterWarmUp = fleet.workDone();
+      TimeUnit.MILLISECONDS.sleep(1000L * (RUN_SECONDS - WARM_UP_SECONDS));
+      double capacityUsed =
+          (fleet.workDone() - workAfterWarmUp)
+              / (fleet.workPerSecond() * (RUN_SECONDS - WARM_UP_SECONDS));
+      String accounts = aggregator.order("accounts");
+      TimeUnit.MILLISECONDS.sleep((long) DEADLINE_MS / 3);
+      RunResult result =
+          new RunResult(appeal.tally(), stock.tally(), booking.tally(), capacityUsed, accounts);
+      printSummary(name, result, fleet.workDone() - workBefore);
       System.out.println(accounts);
-      program
-          .log()
-          .lines()
-          .filter(l -> l.contains("ERROR") || l.contains("SEVERE") || l.contains("Exception"))
-          .limit(5)
-          .forEach(System.out::println);
-      return day;
+      printErrors(aggregator);
+      return result;
     }
   }
 
-  private static String part(Team.Tally t) {
-    return String.format(Locale.ROOT, "%.0f/%.0f", served(t), t.sum(t.asked, WARM, SECONDS));
+  private ObjectNode configuration(String name, HostPort address) {
+    ObjectNode configuration =
+        fleet.configuration(name, address.toString(), "8c1f30d27a5be964", MAX_PENDING);
+    // During an appeal its searches have a higher priority weight than all other queries; if
+    // priority weights alone decided, they would take the whole capacity.
+    ((ObjectNode) configuration.at("/settings/requestClasses/0"))
+        .put("worth", APPEAL_PRIORITY_WEIGHT);
+    return configuration;
+  }
+
+  private TenantClients appealClients(EventLoop loop, HostPort address, double load) {
+    return new TenantClients(
+        loop,
+        address,
+        seed,
+        load * APPEAL_SHARE * partsPerSecond / SEARCH_PARTS,
+        SEARCH_PARTS,
+        TenantClients.RetryBehavior.ALTERNATING,
+        LATENCY_OBJECTIVE_MS,
+        DEADLINE_MS,
+        RUN_SECONDS,
+        WARM_UP_SECONDS,
+        number -> platformRequest("slot-search", "a" + seed + "-" + number, number, SEARCH_PARTS));
+  }
+
+  private TenantClients stockClients(EventLoop loop, HostPort address) {
+    return new TenantClients(
+        loop,
+        address,
+        seed + 1,
+        0.5 * 0.35 * partsPerSecond / CELLS,
+        CELLS,
+        TenantClients.RetryBehavior.AFTER_RETRY_AFTER,
+        LATENCY_OBJECTIVE_MS,
+        DEADLINE_MS,
+        RUN_SECONDS,
+        WARM_UP_SECONDS,
+        number -> platformRequest("stock-report", "s" + seed + "-" + number, 0, CELLS));
+  }
+
+  private TenantClients bookingClients(EventLoop loop, HostPort address) {
+    return new TenantClients(
+        loop,
+        address,
+        seed + 2,
+        0.5 * 0.25 * partsPerSecond,
+        1,
+        TenantClients.RetryBehavior.AFTER_RETRY_AFTER,
+        LATENCY_OBJECTIVE_MS,
+        DEADLINE_MS,
+        RUN_SECONDS,
+        WARM_UP_SECONDS,
+        number -> searchRequest(number));
+  }
+
+  private static void printSummary(String name, RunResult result, double workMs) {
+    System.out.println(
+        String.format(
+            Locale.ROOT,
+            "%s: used %.2f of the capacity (%.0f ms of work); served in time / due: appeal %s,"
+                + " stock %s, booking %s; appeal: %d attempts for %d queries, %d retries after"
+                + " Retry-After, %d of them served",
+            name,
+            result.capacityUsed,
+            workMs,
+            servedOfDue(result.appeal),
+            servedOfDue(result.stock),
+            servedOfDue(result.booking),
+            result.appeal.attempts,
+            result.appeal.queries,
+            result.appeal.delayedRetries,
+            result.appeal.delayedRetriesServed));
+  }
+
+  private static void printErrors(Node aggregator) throws IOException {
+    aggregator
+        .log()
+        .lines()
+        .filter(
+            line -> line.contains("ERROR") || line.contains("SEVERE") || line.contains("Exception"))
+        .limit(5)
+        .forEach(System.out::println);
+  }
+
+  private static String servedOfDue(TenantClients.Tally tally) {
+    return String.format(
+        Locale.ROOT,
+        "%.0f/%.0f",
+        servedInTime(tally),
+        tally.sum(tally.due, WARM_UP_SECONDS, RUN_SECONDS));
+  }
+
+  private static double servedInTime(TenantClients.Tally tally) {
+    return tally.sum(tally.servedInTime, WARM_UP_SECONDS, RUN_SECONDS);
   }
 
-  private static double served(Team.Tally t) {
-    return t.sum(t.inTime, WARM, SECONDS);
+  /** Returns the lower of the fractions that tenants "stock" and "booking" keep. */
+  private static double minKeptByOthers(RunResult result, RunResult normal) {
+    return Math.min(kept(result.stock, normal.stock), kept(result.booking, normal.booking));
   }
 
-  /** What a team keeps, of what it had on the calm day of the same seed. */
-  private static double kept(Team.Tally t, Team.Tally base) {
-    return served(t) / Math.max(1, served(base));
+  /** Returns a tenant's queries served in time as a fraction of those under normal load. */
+  private static double kept(TenantClients.Tally tally, TenantClients.Tally normal) {
+    return servedInTime(tally) / Math.max(1, servedInTime(normal));
   }
 
-  private static double worst(Team.Tally t, Team.Tally base) {
-    double worst = Double.POSITIVE_INFINITY;
-    for (int from = WARM; from + 5 <= SECONDS; from++) {
-      double had = base.sum(base.inTime, from, from + 5);
-      worst = Math.min(worst, t.sum(t.inTime, from, from + 5) / Math.max(1, had));
+  /** Returns the lowest such fraction in any five consecutive seconds. */
+  private static double minKeptOverFiveSeconds(
+      TenantClients.Tally tally, TenantClients.Tally normal) {
+    double lowest = Double.POSITIVE_INFINITY;
+    for (int from = WARM_UP_SECONDS; from + 5 <= RUN_SECONDS; from++) {
+      double servedNormally = normal.sum(normal.servedInTime, from, from + 5);
+      lowest =
+          Math.min(
+              lowest, tally.sum(tally.servedInTime, from, from + 5) / Math.max(1, servedNormally));
     }
-    return worst;
+    return lowest;
   }
 
-  private static double round(double v) {
-    return Math.round(v * 1000) / 1000.0;
+  private static double round(double value) {
+    return Math.round(value * 1000) / 1000.0;
   }
 
-  private String platform(String kind, String id, int first, int parts) {
+  private String platformRequest(String queryClass, String id, int firstShard, int parts) {
     StringBuilder slices = new StringBuilder();
     for (int i = 0; i < parts; i++) {
       slices
           .append(i == 0 ? "" : ",")
           .append("{\"slice\":")
-          .append((first + i) % CELLS)
+          .append((firstShard + i) % CELLS)
           .append(",\"mass\":")
           .append(1.0 / parts)
           .append('}');
     }
-    String body = "{\"slices\":[" + slices + "],\"filter\":\"w=" + WORK + " " + id + "\"}";
+    String body =
+        "{\"slices\":[" + slices + "],\"filter\":\"w=" + PART_WORK_MICROS + " " + id + "\"}";
     return "POST /"
-        + kind
+        + queryClass
         + " HTTP/1.1\r\nHost: b\r\nRequest-Id: "
         + id
         + "-"
         + Long.toHexString(System.nanoTime())
         + "\r\nRequest-Timeout: "
-        + DEADLINE / 1000
+        + DEADLINE_MS / 1000
         + "\r\nContent-Length: "
         + body.length()
         + "\r\n\r\n"
         + body;
   }
 
-  private String booking(int n) {
-    String body = "{\"query\":{\"match\":{\"slot\":\"w=" + WORK + " " + n + "\"}}}";
+  private String searchRequest(int number) {
+    String body =
+        "{\"query\":{\"match\":{\"slot\":\"w=" + PART_WORK_MICROS + " " + number + "\"}}}";
     return "POST /bookings/_search?preference=_shards:"
-        + n % CELLS
+        + number % CELLS
         + " HTTP/1.1\r\nHost: b\r\nAuthorization: ApiKey "
-        + Base64.getEncoder().encodeToString(KEY.getBytes(StandardCharsets.UTF_8))
+        + Base64.getEncoder().encodeToString(API_KEY.getBytes(StandardCharsets.UTF_8))
         + "\r\nIdempotency-Key: b"
         + seed
         + "-"
-        + n
+        + number
         + "\r\nContent-Length: "
         + body.length()
         + "\r\n\r\n"
         + body;
   }
 
-  private String script(HostPort search, boolean contracts) {
+  private String script(HostPort searchAddress, boolean withContracts) {
     byte[] salt = {1, 2, 3, 4, 5, 6, 7, 8};
     String hash =
         HexFormat.of()
@@ -274,23 +338,26 @@
     List<String> lines =
         List.of(
             "opensearch(listen = \""
-                + search
+                + searchAddress
                 + "\", server_port = "
                 + fleet.searchPort()
                 + ", indices = {",
             "  \"bookings\": {\"class\": \"slot-booking\"},",
             "})",
             "accounts(list = True)");
-    String teams =
+    String contracts =
         String.join(
             "\n",
-            "contract(id = \"appeal\", share = 0.4, platform = [\"slot-search\"], classes = {\"slot-search\": terms()})",
-            "contract(id = \"stock\", share = 0.35, platform = [\"stock-report\"], classes = {\"stock-report\": terms()})",
-            "contract(id = \"booking\", share = 0.25, classes = {\"slot-booking\": terms(worth = 2)}, keys = [",
+            "contract(id = \"appeal\", share = 0.4, platform = [\"slot-search\"],"
+                + " classes = {\"slot-search\": terms()})",
+            "contract(id = \"stock\", share = 0.35, platform = [\"stock-report\"],"
+                + " classes = {\"stock-report\": terms()})",
+            "contract(id = \"booking\", share = 0.25,"
+                + " classes = {\"slot-booking\": terms(worth = 2)}, keys = [",
             "  {\"id\": \"booking\", \"salt\": \"0102030405060708\", \"sha256\": \""
                 + hash
                 + "\"},",
             "])");
-    return String.join("\n", lines) + "\n" + (contracts ? teams + "\n" : "");
+    return String.join("\n", lines) + "\n" + (withContracts ? contracts + "\n" : "");
   }
 }
