--- a/src/main/java/bitternpulley/benchmark/MeasureMembership.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembership.java
@@ -14,27 +14,28 @@
 import java.util.stream.IntStream;
 
 /**
- * Seven processes under query load find out who of them is here, while by seed one is stopped, two
- * are killed, datagrams are lost and late, two hear each other one way, and a zone is cut off, one
- * way and then both, as slot servers start anew. Every verdict is read from the processes' own
- * logs.
+ * Measures membership with seven aggregator processes under query load. Datagrams are lost, delayed
+ * and repeated throughout. Two processes that the seed chooses are killed and started again, then
+ * one is paused. Finally one process cannot reach another in one direction, and one zone is
+ * partitioned from the other, first in one direction and then in both, while slot servers restart
+ * cold. Verdicts of death are counted in the processes' own logs.
  */
 final class MeasureMembership {
   private static final int NODES = 7;
-  private static final int MOST_SECONDS = 40;
-  private static final double PER_SECOND = 40;
-  private static final double PATIENCE = 20_000;
+  private static final int TIMEOUT_SECONDS = 40;
+  private static final double QUERIES_PER_SECOND = 40;
+  private static final double WAIT_TIMEOUT_MS = 20_000;
 
-  /** The second zone, which is cut off: all three are there, of seven. */
+  /** The three processes of the second zone, which is partitioned from the other four. */
   private static final List<Integer> MINORITY = List.of(1, 3, 5);
 
   private final long seed;
   private final Random random;
   private final Cluster cluster;
   private final Callers callers;
-  private final List<Double> detected = new ArrayList<>();
+  private final List<Double> detectionTimesMs = new ArrayList<>();
   private double bytesPerSecond;
-  private double partsMost;
+  private double maxLeaseShareSum;
 
   private MeasureMembership(long seed) throws Exception {
     this.seed = seed;
@@ -46,140 +47,175 @@
             seed,
             "membership(deployment = 'measure')\nleases(lasts_s = 4)\n",
             "make measure-membership SEED=" + seed);
-    callers = new Callers(cluster, seed, PER_SECOND);
+    callers = new Callers(cluster, seed, QUERIES_PER_SECOND);
   }
 
+  /**
+   * Runs the measurement.
+   *
+   * @param args the seed, or nothing for seed 1
+   */
   public static void main(String[] args) {
     MeasurementRunner.run(
-        MOST_SECONDS,
+        TIMEOUT_SECONDS,
         () -> {
           long seed = args.length > 0 && !args[0].isEmpty() ? Long.parseLong(args[0]) : 1;
-          try (MeasureCloser m = new MeasureCloser(new MeasureMembership(seed))) {
-            System.out.println(m.measure.measure());
+          try (ClusterCloser closer = new ClusterCloser(new MeasureMembership(seed))) {
+            System.out.println(closer.measurement.measure());
           }
         });
   }
 
-  /** Ends the processes, whatever became of the measurement. */
-  private record MeasureCloser(MeasureMembership measure) implements AutoCloseable {
+  /** Ends the processes of a measurement, also when it fails. */
+  private record ClusterCloser(MeasureMembership measurement) implements AutoCloseable {
     @Override
     public void close() throws IOException {
-      measure.cluster.close();
+      measurement.cluster.close();
     }
   }
 
   private ObjectNode measure() throws Exception {
-    cluster.until("all find each other", PATIENCE, this::settled);
+    cluster.until("all members are alive in one view", WAIT_TIMEOUT_MS, this::hasConverged);
     List<Integer> order = new ArrayList<>(IntStream.range(0, NODES).boxed().toList());
     Collections.shuffle(order, random);
-    String stopped = "n" + order.get(0);
     List<Integer> killed = order.subList(1, 3);
+    killAndRestart(killed);
+    // Up to here, only the killed processes may have been declared dead. From here on no process may
+    // be, and during the partition only those that a majority cannot reach.
+    int falseDeaths = deathsExceptOf(killed);
+    int falseDeathsOfPause = pauseAndResume(order.get(0));
+    int deathsBeforePartition = deathsExceptOf(MINORITY);
+    double convergenceMs = partitionAndHeal(order.get(3), order.get(4));
+    recordLeaseShares();
+    callers.end();
+    falseDeaths += deathsExceptOf(MINORITY) - deathsBeforePartition;
+    ObjectNode out = figures(falseDeaths, falseDeathsOfPause, convergenceMs);
+    callers.lost().forEach(lost -> System.out.println("lost: " + lost));
+    cluster.fleet().rules().breaches().forEach(breach -> System.out.println("broken: " + breach));
+    System.out.println("timeline: " + cluster.timeline().file());
+    return out;
+  }
+
+  /**
+   * Makes the network unreliable, kills processes at once, records how long the others take to
+   * declare each dead, and starts the killed ones again.
+   */
+  private void killAndRestart(List<Integer> killed) throws Exception {
     cluster.does("lose 0.05 nodes = nodes");
     cluster.does("delay 1 40 nodes = nodes");
     cluster.does("repeat 0.05 nodes = nodes");
-    double bytesBefore = bytes();
-    double from = cluster.timeline().now();
-    for (int k : killed) {
-      callers.disturbed(k);
-      cluster.does("kill n" + k);
+    double bytesBefore = maxBytesSent();
+    double startMs = cluster.timeline().now();
+    for (int node : killed) {
+      callers.disturbed(node);
+      cluster.does("kill n" + node);
     }
-    double died = cluster.timeline().now();
-    for (int k : killed) {
-      cluster.until("all know of n" + k, PATIENCE, () -> cluster.allHold(k, "dead"));
-      detected.add(cluster.timeline().now() - died);
+    double killedAtMs = cluster.timeline().now();
+    for (int node : killed) {
+      cluster.until(
+          "all others consider n" + node + " dead",
+          WAIT_TIMEOUT_MS,
+          () -> cluster.allHold(node, "dead"));
+      detectionTimesMs.add(cluster.timeline().now() - killedAtMs);
     }
-    bytesPerSecond = (bytes() - bytesBefore) / ((cluster.timeline().now() - from) / 1000);
-    parts();
-    for (int k : killed) {
-      cluster.does((random.nextBoolean() ? "restart n" : "renew n") + k);
-      callers.well(k);
+    bytesPerSecond = (maxBytesSent() - bytesBefore) / ((cluster.timeline().now() - startMs) / 1000);
+    recordLeaseShares();
+    for (int node : killed) {
+      cluster.does((random.nextBoolean() ? "restart n" : "renew n") + node);
+      callers.well(node);
     }
-    cluster.until("the killed are back", PATIENCE, this::settled);
-    // Until now only the killed may have been called dead; from now on nobody, and then only those
-    // that a majority cannot reach.
-    int falseDead = deaths(killed);
-    int beforeStop = deaths(List.of());
-    callers.disturbed(order.get(0));
-    Scenario.of("0 pause " + stopped + "\n3000 resume " + stopped).play(cluster);
-    cluster.until("the stopped one is held for alive", PATIENCE, this::settled);
-    callers.well(order.get(0));
-    int deadOfStopped = deaths(List.of()) - beforeStop;
-    int before = deaths(MINORITY);
+    cluster.until("the killed members are alive again", WAIT_TIMEOUT_MS, this::hasConverged);
+  }
+
+  /** Pauses a process for 3 s and returns how many verdicts of death there were meanwhile. */
+  private int pauseAndResume(int node) throws Exception {
+    int deathsBefore = deathsExceptOf(List.of());
+    callers.disturbed(node);
+    Scenario.of("0 pause n" + node + "\n3000 resume n" + node).play(cluster);
+    cluster.until("the paused member is considered alive", WAIT_TIMEOUT_MS, this::hasConverged);
+    callers.well(node);
+    return deathsExceptOf(List.of()) - deathsBefore;
+  }
+
+  /**
+   * Cuts the direction from one process to another, then partitions {@link #MINORITY}, and returns
+   * after how many ms from the end of all faults all members hold the same view.
+   */
+  private double partitionAndHeal(int sender, int receiver) throws Exception {
     Scenario.of(
             "0 cut n"
-                + order.get(3)
+                + sender
                 + " > n"
-                + order.get(4)
+                + receiver
                 + "\n0 cut n1,n3,n5 > n0,n2,n4,n6\n1000 cut n1,n3,n5 = n0,n2,n4,n6\n"
                 + "1500 cold s"
                 + random.nextInt(3)
                 + "\n2500 cold s"
                 + (3 + random.nextInt(3)))
         .play(cluster);
-    for (int k = 0; k < 7; k++) {
+    for (int i = 0; i < 7; i++) {
       TimeUnit.MILLISECONDS.sleep(500);
-      parts();
+      recordLeaseShares();
     }
     cluster.does("heal nodes = nodes");
-    double converged = cluster.until("all hold the same view", PATIENCE, this::settled);
-    parts();
-    callers.end();
+    return cluster.until("all members hold the same view", WAIT_TIMEOUT_MS, this::hasConverged);
+  }
+
+  private ObjectNode figures(int falseDeaths, int falseDeathsOfPause, double convergenceMs) {
     ObjectNode out = new ObjectMapper().createObjectNode();
     out.put("processes", NODES).put("faults", cluster.timeline().injected());
-    out.put("detect_ms_median", median(detected))
-        .put("detect_ms_max", Math.round(Collections.max(detected)));
-    out.put("false_dead", falseDead + deaths(MINORITY) - before)
-        .put("false_dead_paused_3s", deadOfStopped);
-    out.put("converge_ms_max", Math.round(converged))
+    out.put("detect_ms_median", median(detectionTimesMs))
+        .put("detect_ms_max", Math.round(Collections.max(detectionTimesMs)));
+    out.put("false_dead", falseDeaths).put("false_dead_paused_3s", falseDeathsOfPause);
+    out.put("converge_ms_max", Math.round(convergenceMs))
         .put("bytes_per_s_max", Math.round(bytesPerSecond));
     out.put("asked", callers.asked())
         .put("served", callers.served())
         .put("refused", callers.refused());
     out.put("failed", callers.failed()).put("excused", callers.excused());
     out.put("extra_answers", callers.extra()).put("lost", callers.lost().size());
-    out.put("parts_sum_max", partsMost);
+    out.put("parts_sum_max", maxLeaseShareSum);
     out.put(
         "cold_share_max",
         cluster.fleet().servers().stream()
-            .mapToDouble(s -> cluster.fleet().rules().coldShare(s.id()))
+            .mapToDouble(server -> cluster.fleet().rules().coldShare(server.id()))
             .max()
             .orElse(0));
     out.put("rules_broken", cluster.fleet().rules().broken()).put("seed", seed);
-    callers.lost().forEach(l -> System.out.println("lost: " + l));
-    cluster.fleet().rules().breaches().forEach(b -> System.out.println("broken: " + b));
-    System.out.println("timeline: " + cluster.timeline().file());
     return out;
   }
 
   /**
-   * What all that run would take together of what all may do together, as they tell one after
-   * another.
+   * Updates the highest sum of the shares of the total capacity that the running processes take by
+   * their leases, each read from its process one after another.
    */
-  private void parts() throws IOException {
-    partsMost = Math.max(partsMost, cluster.parts().values().stream().mapToDouble(p -> p).sum());
+  private void recordLeaseShares() throws IOException {
+    maxLeaseShareSum =
+        Math.max(
+            maxLeaseShareSum, cluster.parts().values().stream().mapToDouble(share -> share).sum());
   }
 
-  private boolean settled() {
+  private boolean hasConverged() {
     return IntStream.range(0, NODES).allMatch(i -> cluster.allHold(i, "alive"))
         && cluster.viewsEqual();
   }
 
-  /** The most that any process sends, bytes so far. */
-  private double bytes() {
+  /** Returns the bytes of datagrams sent so far by the process that has sent the most. */
+  private double maxBytesSent() {
     return IntStream.range(0, NODES).mapToDouble(i -> cluster.bytesOf(i)).max().orElse(0);
   }
 
-  /** Verdicts of death on members other than these, in the logs of all processes. */
-  private int deaths(List<Integer> but) throws IOException {
+  /** Returns the verdicts of death on members not excluded, in the logs of all processes. */
+  private int deathsExceptOf(List<Integer> excluded) throws IOException {
     int deaths = 0;
     for (int i = 0; i < NODES; i++) {
-      deaths += but.contains(i) ? 0 : (int) cluster.deaths(i);
+      deaths += excluded.contains(i) ? 0 : (int) cluster.deaths(i);
     }
     return deaths;
   }
 
-  private static long median(List<Double> of) {
-    List<Double> sorted = new ArrayList<>(of);
+  private static long median(List<Double> values) {
+    List<Double> sorted = new ArrayList<>(values);
     Collections.sort(sorted);
     return Math.round(sorted.get(sorted.size() / 2));
   }
--- a/src/main/java/bitternpulley/benchmark/MeasureMembershipMany.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembershipMany.java
@@ -13,26 +13,32 @@
 import java.util.stream.IntStream;
 
 /**
- * Twelve processes under query load, of which one stands still for 30 s. Meanwhile one is killed,
- * then half of the rest at once, then all but one: who is left knows of each, the one that wakes
- * blames nobody, and the two find each other. At half the usual interval, so that it ends in its
- * time.
+ * Measures membership with twelve aggregator processes under query load, of which one is paused for
+ * 30 s. Meanwhile one process is killed, then half of the others at once, then all but one; the
+ * processes that are left must consider each killed one dead. The resumed process must not declare
+ * the last live one dead, and the two must find each other. The membership interval is half the
+ * usual one, so that the measurement ends within its time limit.
  */
 final class MeasureMembershipMany {
   private static final int NODES = 12;
-  private static final int MOST_SECONDS = 40;
-  private static final double PER_SECOND = 30;
-  private static final double PATIENCE = 12_000;
-  private static final double STOPPED = 30_000;
+  private static final int TIMEOUT_SECONDS = 40;
+  private static final double QUERIES_PER_SECOND = 30;
+  private static final double WAIT_TIMEOUT_MS = 12_000;
+  private static final double PAUSE_MS = 30_000;
 
-  /** Verdicts of death on members that were neither killed nor stopped till then. */
-  private long falseDead;
+  /** Verdicts of death on members that had been neither killed nor paused by then. */
+  private long falseDeaths;
 
   private MeasureMembershipMany() {}
 
+  /**
+   * Runs the measurement.
+   *
+   * @param args the seed, or nothing for seed 1
+   */
   public static void main(String[] args) {
     MeasurementRunner.run(
-        MOST_SECONDS,
+        TIMEOUT_SECONDS,
         () -> {
           long seed = args.length > 0 && !args[0].isEmpty() ? Long.parseLong(args[0]) : 1;
           try (Cluster cluster =
@@ -40,7 +46,8 @@
                   "measure-membership-many",
                   NODES,
                   seed,
-                  "membership(deployment = 'measure', interval_ms = 500, timeout_ms = 150, alone_after_s = 5)\n",
+                  "membership(deployment = 'measure', interval_ms = 500, timeout_ms = 150,"
+                      + " alone_after_s = 5)\n",
                   "make measure-membership-many SEED=" + seed)) {
             System.out.println(new MeasureMembershipMany().measure(cluster, seed));
           }
@@ -48,73 +55,87 @@
   }
 
   private ObjectNode measure(Cluster cluster, long seed) throws Exception {
-    Callers callers = new Callers(cluster, seed, PER_SECOND);
+    Callers callers = new Callers(cluster, seed, QUERIES_PER_SECOND);
     List<Integer> order = new ArrayList<>(IntStream.range(0, NODES).boxed().toList());
     Collections.shuffle(order, new Random(seed));
-    int stopped = order.remove(0);
-    callers.disturbed(stopped);
-    cluster.does("pause n" + stopped);
-    double resumesAt = cluster.timeline().now() + STOPPED;
+    int paused = order.remove(0);
+    callers.disturbed(paused);
+    cluster.does("pause n" + paused);
+    double resumeAtMs = cluster.timeline().now() + PAUSE_MS;
     List<Integer> live = new ArrayList<>(order);
     ObjectNode out = new ObjectMapper().createObjectNode().put("processes", NODES);
     out.put("detect_ms_one", kill(cluster, callers, live, 1));
     out.put("detect_ms_half", kill(cluster, callers, live, live.size() / 2));
     out.put("detect_ms_all_but_one", kill(cluster, callers, live, live.size() - 1));
-    out.put("false_dead", falseDead);
-    double left = resumesAt - cluster.timeline().now();
-    if (left > 0) {
-      TimeUnit.MILLISECONDS.sleep((long) left);
+    out.put("false_dead", falseDeaths);
+    double remainingMs = resumeAtMs - cluster.timeline().now();
+    if (remainingMs > 0) {
+      TimeUnit.MILLISECONDS.sleep((long) remainingMs);
     }
-    String before = cluster.node(stopped).log();
-    cluster.does("resume n" + stopped);
+    resume(cluster, paused, live.get(0), out);
+    callers.end();
+    putLoadFigures(out, cluster, callers);
+    out.put("rules_broken", cluster.fleet().rules().broken()).put("seed", seed);
+    callers.lost().forEach(lost -> System.out.println("lost: " + lost));
+    System.out.println("timeline: " + cluster.timeline().file());
+    return out;
+  }
+
+  /** Resumes the paused process and waits until it and the last live one find each other. */
+  private static void resume(Cluster cluster, int paused, int live, ObjectNode out)
+      throws IOException, InterruptedException {
+    String logBefore = cluster.node(paused).log();
+    cluster.does("resume n" + paused);
     out.put(
         "back_ms_stopped_30s",
         Math.round(
             cluster.until(
-                "the two find each other",
-                PATIENCE,
-                () -> cluster.allHold(stopped, "alive") && cluster.allHold(live.get(0), "alive"))));
+                "the resumed and the last live member consider each other alive",
+                WAIT_TIMEOUT_MS,
+                () -> cluster.allHold(paused, "alive") && cluster.allHold(live, "alive"))));
     out.put(
         "blamed_by_stopped",
         cluster
-            .node(stopped)
+            .node(paused)
             .log()
-            .substring(before.length())
+            .substring(logBefore.length())
             .lines()
-            .filter(l -> l.contains("member " + live.get(0) + " ") && l.contains(" is dead"))
+            .filter(line -> line.contains("member " + live + " ") && line.contains(" is dead"))
             .count());
-    callers.end();
+  }
+
+  private static void putLoadFigures(ObjectNode out, Cluster cluster, Callers callers) {
     out.put("faults", cluster.timeline().injected())
         .put("asked", callers.asked())
         .put("served", callers.served());
     out.put("excused", callers.excused())
         .put("extra_answers", callers.extra())
         .put("lost", callers.lost().size());
-    out.put("rules_broken", cluster.fleet().rules().broken()).put("seed", seed);
-    callers.lost().forEach(l -> System.out.println("lost: " + l));
-    System.out.println("timeline: " + cluster.timeline().file());
-    return out;
   }
 
-  /** Kills so many at once, and returns after how many ms all that are left know of each. */
+  /**
+   * Kills {@code count} live processes at once and returns after how many ms all processes that are
+   * left consider each of them dead.
+   */
   private long kill(Cluster cluster, Callers callers, List<Integer> live, int count)
       throws IOException, InterruptedException {
-    for (int i : live) {
-      falseDead += cluster.deaths(i);
+    for (int node : live) {
+      falseDeaths += cluster.deaths(node);
     }
     List<Integer> killed = new ArrayList<>(live.subList(0, count));
     live.removeAll(killed);
-    double from = cluster.timeline().now();
-    for (int k : killed) {
-      callers.disturbed(k);
-      cluster.does("kill n" + k);
+    double startMs = cluster.timeline().now();
+    for (int node : killed) {
+      callers.disturbed(node);
+      cluster.does("kill n" + node);
     }
     cluster.until(
-        "all that are left know of " + killed,
-        PATIENCE,
+        "all processes that are left consider " + killed + " dead",
+        WAIT_TIMEOUT_MS,
         () ->
             killed.stream()
-                .allMatch(k -> live.stream().allMatch(i -> cluster.holds(i, k, "dead"))));
-    return Math.round(cluster.timeline().now() - from);
+                .allMatch(
+                    dead -> live.stream().allMatch(node -> cluster.holds(node, dead, "dead"))));
+    return Math.round(cluster.timeline().now() - startMs);
   }
 }
