--- a/src/main/java/bitternpulley/benchmark/MeasureMembership.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembership.java
@@ -80,8 +80,8 @@
     Collections.shuffle(order, random);
     List<Integer> killed = order.subList(1, 3);
     killAndRestart(killed);
-    // Up to here, only the killed processes may have been declared dead. From here on no process may
-    // be, and during the partition only those that a majority cannot reach.
+    // Up to here, only the killed processes may have been declared dead. From here on, no process
+    // may be, and during the partition only those that a majority cannot reach.
     int falseDeaths = deathsExceptOf(killed);
     int falseDeathsOfPause = pauseAndResume(order.get(0));
     int deathsBeforePartition = deathsExceptOf(MINORITY);
