--- a/src/main/java/bitternpulley/config/ClassTermsReader.java
+++ b/src/main/java/bitternpulley/config/ClassTermsReader.java
@@ -32,8 +32,8 @@
       if (settings.isPresent()) {
         String classPointer = pointer + "/" + field.getKey();
         int position = SiteClasses.position(settings.get(), field.getKey(), script, classPointer);
-        Settings.QueryClass site = settings.get().classes().get(position);
-        termsByClass.put(position, terms(field.getValue(), site, classPointer));
+        Settings.QueryClass siteClass = settings.get().classes().get(position);
+        termsByClass.put(position, terms(field.getValue(), siteClass, classPointer));
       } else {
         termsByClass.put(termsByClass.size(), uncheckedTerms(field.getValue()));
       }
@@ -49,29 +49,36 @@
         terms.path("worth").asDouble(1));
   }
 
-  /** Returns the terms of a class, which may be stricter than those of the site but not laxer. */
-  private Router.ClassTerms terms(JsonNode terms, Settings.QueryClass site, String pointer) {
-    double latencyObjective = terms.path("wanted_ms").asDouble(site.latencyObjective());
-    if (latencyObjective > site.latencyObjective()) {
-      throw script.error(pointer + "/wanted_ms", "is past the site's " + site.latencyObjective());
+  /**
+   * Returns the terms of a class. All of them except the priority weight must be at least as strict
+   * as those of the site.
+   */
+  private Router.ClassTerms terms(JsonNode terms, Settings.QueryClass siteClass, String pointer) {
+    double latencyObjective = terms.path("wanted_ms").asDouble(siteClass.latencyObjective());
+    if (latencyObjective > siteClass.latencyObjective()) {
+      throw script.error(
+          pointer + "/wanted_ms",
+          "exceeds the site's latency objective of " + siteClass.latencyObjective());
     }
-    double deadline = terms.path("give_up_ms").asDouble(site.deadline());
-    if (deadline > site.deadline()) {
-      throw script.error(pointer + "/give_up_ms", "is past the site's " + site.deadline());
+    double deadline = terms.path("give_up_ms").asDouble(siteClass.deadline());
+    if (deadline > siteClass.deadline()) {
+      throw script.error(
+          pointer + "/give_up_ms", "exceeds the site's deadline of " + siteClass.deadline());
     }
     if (deadline < latencyObjective) {
       throw script.error(
-          pointer + "/give_up_ms", "is before the wanted time of " + latencyObjective);
+          pointer + "/give_up_ms", "is below 'wanted_ms', which is " + latencyObjective);
     }
-    double minimumShare = terms.path("least_share").asDouble(site.minimumShare());
-    if (minimumShare < site.minimumShare()) {
+    double minimumShare = terms.path("least_share").asDouble(siteClass.minimumShare());
+    if (minimumShare < siteClass.minimumShare()) {
       throw script.error(
-          pointer + "/least_share", "is laxer than the site's " + site.minimumShare());
+          pointer + "/least_share",
+          "is below the site's minimum share of " + siteClass.minimumShare());
     }
     return new Router.ClassTerms(
         latencyObjective,
         deadline,
         minimumShare,
-        terms.path("worth").asDouble(site.priorityWeight()));
+        terms.path("worth").asDouble(siteClass.priorityWeight()));
   }
 }
