--- a/src/main/java/bitternpulley/config/ContractsReader.java
+++ b/src/main/java/bitternpulley/config/ContractsReader.java
@@ -28,7 +28,7 @@
   private final TenantIdentificationReader tenants;
   private final ClassTermsReader classTerms;
   private final Map<String, Contract> contracts = new LinkedHashMap<>();
-  private double guaranteedQuotas;
+  private double guaranteedQuotaSum;
 
   /**
    * Creates a reader of one script.
@@ -78,18 +78,18 @@
   private String id(JsonNode contract, String pointer) {
     String id = contract.get("id").textValue();
     if (contracts.containsKey(id)) {
-      throw script.error(pointer + "/id", "is that of another contract: " + id);
+      throw script.error(pointer + "/id", "is already the id of another contract: " + id);
     }
     return id;
   }
 
   private double guaranteedQuota(JsonNode contract, String pointer) {
     double quota = contract.get("share").doubleValue();
-    guaranteedQuotas += quota;
-    if (guaranteedQuotas > 1 + ROUNDING_TOLERANCE) {
+    guaranteedQuotaSum += quota;
+    if (guaranteedQuotaSum > 1 + ROUNDING_TOLERANCE) {
       throw script.error(
           pointer + "/share",
-          "brings the shares together to " + guaranteedQuotas + ", which is more than there is");
+          "raises the sum of the shares to " + guaranteedQuotaSum + ", which is more than 1");
     }
     return quota;
   }
@@ -106,7 +106,7 @@
     int siteLimit = settings.map(site -> site.limits().maxPending()).orElse(Integer.MAX_VALUE);
     int maxPending = contract.path("holds").asInt(siteLimit);
     if (maxPending > siteLimit) {
-      throw script.error(pointer + "/holds", "is more than the site's " + siteLimit);
+      throw script.error(pointer + "/holds", "exceeds the site's limit of " + siteLimit);
     }
     return maxPending;
   }
