--- a/src/main/java/bitternpulley/config/TenantIdentificationReader.java
+++ b/src/main/java/bitternpulley/config/TenantIdentificationReader.java
@@ -9,11 +9,14 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads how the teams of contracts are identified; no two contracts may claim the same name. */
+/**
+ * Reads how requests are attributed to the teams of contracts. Each API key id, index and platform
+ * class may be listed only once among all contracts.
+ */
 final class TenantIdentificationReader {
   private final BrokerScript script;
   private final Optional<Settings> settings;
-  private final Map<String, ApiKey> keys = new HashMap<>();
+  private final Map<String, ApiKey> apiKeysById = new HashMap<>();
   private final Map<String, String> teamByIndex = new HashMap<>();
   private final Map<String, String> teamByPlatformClass = new HashMap<>();
   private final Map<Integer, String> teamByClass = new HashMap<>();
@@ -33,7 +36,7 @@
   /** Returns how the teams of all added contracts are identified. */
   TenantIdentification identification() {
     return hasContracts
-        ? new TenantIdentification(keys, teamByIndex, teamByClass, defaultTeam != null)
+        ? new TenantIdentification(apiKeysById, teamByIndex, teamByClass, defaultTeam != null)
         : TenantIdentification.NONE;
   }
 
@@ -51,7 +54,7 @@
       return;
     }
     if (defaultTeam != null) {
-      throw script.error(pointer + "/default", "is that of another contract: " + defaultTeam);
+      throw script.error(pointer + "/default", "is already set by contract " + defaultTeam);
     }
     defaultTeam = team;
   }
@@ -62,7 +65,7 @@
       byte[] salt = HexFormat.of().parseHex(key.get("salt").textValue());
       byte[] hash = HexFormat.of().parseHex(key.get("sha256").textValue());
       String idPointer = pointer + "/" + position + "/id";
-      claim(keys, key.get("id").textValue(), new ApiKey(team, salt, hash), idPointer);
+      claim(apiKeysById, key.get("id").textValue(), new ApiKey(team, salt, hash), idPointer);
       position++;
     }
   }
@@ -74,7 +77,7 @@
       String index = entry.textValue();
       String indexPointer = pointer + "/" + position;
       if (!knownIndices.has(index)) {
-        throw script.error(indexPointer, "names no index of opensearch(): " + index);
+        throw script.error(indexPointer, "is not an index of opensearch(): " + index);
       }
       claim(teamByIndex, index, team, indexPointer);
       position++;
@@ -88,7 +91,7 @@
       String classPointer = pointer + "/" + position;
       claim(teamByPlatformClass, name, team, classPointer);
       if (!contract.get("classes").has(name)) {
-        throw script.error(classPointer, "is no class of this contract: " + name);
+        throw script.error(classPointer, "is not a query class of this contract: " + name);
       }
       settings.ifPresent(
           site -> teamByClass.put(SiteClasses.position(site, name, script, pointer), team));
@@ -98,7 +101,8 @@
 
   private <V> void claim(Map<String, V> owners, String name, V owner, String pointer) {
     if (owners.putIfAbsent(name, owner) != null) {
-      throw script.error(pointer, "is claimed by another contract as well: " + name);
+      throw script.error(
+          pointer, "must be unique among all contracts, but is listed twice: " + name);
     }
   }
 }
