--- a/src/main/java/bitternpulley/config/MembershipReader.java
+++ b/src/main/java/bitternpulley/config/MembershipReader.java
@@ -44,7 +44,7 @@
     double timeout = membership.path("timeout_ms").asDouble(defaults.timeout());
     if (TIMEOUTS_PER_PROBE * timeout > interval) {
       throw script.error(
-          "/membership/timeout_ms", "is over a third of interval_ms, which is " + interval);
+          "/membership/timeout_ms", "is more than a third of 'interval_ms', which is " + interval);
     }
     double withoutMajoritySeconds =
         membership.path("alone_after_s").asDouble(defaults.withoutMajorityAfter() / MS_PER_SECOND);
--- a/src/main/java/bitternpulley/config/SearchConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/SearchConfigurationReader.java
@@ -124,12 +124,12 @@
     List<String> classes = settings.classes().stream().map(Settings.QueryClass::name).toList();
     if (!classes.contains(className)) {
       String key = "indices." + name + ".class";
-      throw ConfigurationException.ofKey(key, "'" + key + "' names no query class of the settings");
+      throw ConfigurationException.ofKey(key, "'" + key + "' is not a query class of the settings");
     }
     return classes.indexOf(className);
   }
 
-  /** The shards under the key 'sections' of an index; all shards if there are none. */
+  /** The shards under the key 'sections' of an index; all shards if the key lists none. */
   private static List<Integer> shards(String name, JsonNode index, int shardCount) {
     List<Integer> shards = new ArrayList<>();
     for (JsonNode shard : index.path("sections")) {
--- a/src/main/java/bitternpulley/config/SiteClasses.java
+++ b/src/main/java/bitternpulley/config/SiteClasses.java
@@ -15,6 +15,6 @@
       }
       position++;
     }
-    throw script.error(pointer, "is no class of the site");
+    throw script.error(pointer, "is not a query class of the site");
   }
 }
