--- a/src/main/java/bitternpulley/config/ConfigurationFile.java
+++ b/src/main/java/bitternpulley/config/ConfigurationFile.java
@@ -41,7 +41,7 @@
       throw error(file, "cannot read " + file);
     }
     if (!root.isObject()) {
-      throw error(file, file + " holds no JSON object");
+      throw error(file, file + " is not a JSON object");
     }
     return root;
   }
--- a/src/main/java/bitternpulley/config/ConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/ConfigurationReader.java
@@ -15,9 +15,9 @@
  */
 public final class ConfigurationReader {
   /**
-   * Minimum interval between actions of the process. Its timers have a fixed granularity, and it
-   * may wait for its share of a core; with a shorter tick, answers sent just in time
-   * would arrive late.
+   * Minimum interval between actions of the process. Timers of the process have a fixed
+   * granularity, and the process may have to wait for its share of a core; with a shorter tick,
+   * answers sent just in time would arrive late.
    */
   private static final double MIN_TICK_MS = 4;
 
@@ -45,8 +45,11 @@
     EndpointList lastEndpoints = lastEndpoints(file.path("known"), zones);
     int sockets = sockets(file.path("limits"));
     int callsPerConnection =
-        (int) limit(settings.path("policyLimits"), "streamsPerConn", DEFAULT_CALLS_PER_CONNECTION);
-    double keepalive = limit(settings.path("policyLimits"), "keepalive", DEFAULT_KEEPALIVE_MS);
+        (int)
+            nonNegativeSetting(
+                settings.path("policyLimits"), "streamsPerConn", DEFAULT_CALLS_PER_CONNECTION);
+    double keepalive =
+        nonNegativeSetting(settings.path("policyLimits"), "keepalive", DEFAULT_KEEPALIVE_MS);
     return new Configuration(
         file.requiredText("LB_NAME", "name"),
         file.requiredAddress("LB_LISTEN", "listen"),
@@ -56,7 +59,9 @@
         lastEndpoints,
         SettingsReader.read(settings).withMinimumTick(MIN_TICK_MS),
         new Configuration.ConnectionSettings(
-            callsPerConnection, keepalive, limit(settings.path("costs"), "handshake", 0) > 0),
+            callsPerConnection,
+            keepalive,
+            nonNegativeSetting(settings.path("costs"), "handshake", 0) > 0),
         zones,
         operations(file),
         peers(file));
@@ -103,7 +108,7 @@
     return (int) sockets;
   }
 
-  private static double limit(JsonNode section, String key, double defaultValue) {
+  private static double nonNegativeSetting(JsonNode section, String key, double defaultValue) {
     return Sections.inSection("settings", () -> Fields.nonNegative(section, key, defaultValue));
   }
 
@@ -111,7 +116,7 @@
     try {
       return Long.parseUnsignedLong(file.path("seed").asText(""), HEXADECIMAL_RADIX);
     } catch (NumberFormatException exception) {
-      throw ConfigurationException.ofKey("seed", "'seed' is not a hexadecimal number of 64 bits");
+      throw ConfigurationException.ofKey("seed", "'seed' is not a 64-bit hexadecimal number");
     }
   }
 
--- a/src/main/java/bitternpulley/config/EndpointList.java
+++ b/src/main/java/bitternpulley/config/EndpointList.java
@@ -59,7 +59,7 @@
   private static Entry entry(JsonNode member, List<String> zones) {
     String id = text(member, "id");
     Router.ServerState state = state(member, id);
-    // Only a live server needs an address; draining and removed servers may come without one.
+    // Only a live server needs an address; draining and removed servers may have none.
     HostPort address = member.hasNonNull("host_port") ? address(member, id) : null;
     if (address == null && state == Router.ServerState.LIVE) {
       throw serverError(id, "host_port", "'host_port' is missing");
@@ -80,7 +80,7 @@
       case "up" -> Router.ServerState.LIVE;
       case "draining" -> Router.ServerState.DRAINING;
       case "removed" -> Router.ServerState.GONE;
-      default -> throw serverError(id, "phase", "'phase' is none that is known");
+      default -> throw serverError(id, "phase", "'phase' has an unknown value");
     };
   }
 
--- a/src/main/java/bitternpulley/config/SettingsValidator.java
+++ b/src/main/java/bitternpulley/config/SettingsValidator.java
@@ -35,7 +35,8 @@
     double width = atLeastOne(layout, "width");
     if (width > cells) {
       throw ConfigurationException.ofKey(
-          "width", "settings: 'width' is " + width + ", over 'cells', which is " + cells);
+          "width",
+          "settings: 'width' is " + width + ", but must not exceed 'cells', which is " + cells);
     }
   }
 
@@ -56,9 +57,9 @@
               + key
               + "' is "
               + value
-              + ", which is not below "
+              + ", but must be below "
               + boundName
-              + ", "
+              + ", which is "
               + bound);
     }
   }
--- a/src/main/java/bitternpulley/config/StrictJson.java
+++ b/src/main/java/bitternpulley/config/StrictJson.java
@@ -31,11 +31,11 @@
   public static JsonNode read(byte[] text) throws IOException {
     try (JsonParser parser = FACTORY.createParser(text)) {
       if (parser.nextToken() == null) {
-        throw new JsonParseException(parser, "there is no value");
+        throw new JsonParseException(parser, "the text contains no value");
       }
       JsonNode value = value(parser);
       if (parser.nextToken() != null) {
-        throw new JsonParseException(parser, "there is more behind the value");
+        throw new JsonParseException(parser, "unexpected content after the value");
       }
       return value;
     }
