--- a/src/main/java/bitternpulley/config/BrokerScript.java
+++ b/src/main/java/bitternpulley/config/BrokerScript.java
@@ -14,7 +14,7 @@
 final class BrokerScript {
   private final ObjectNode document;
 
-  /** By JSON pointer; a nested key without an entry has the position of the nearest parent. */
+  /** By JSON pointer; a key without an entry has the position of the nearest enclosing key. */
   private final Map<String, SourcePosition> positions;
 
   private final String output;
--- a/src/main/java/bitternpulley/config/ScriptValues.java
+++ b/src/main/java/bitternpulley/config/ScriptValues.java
@@ -26,7 +26,8 @@
 
   private static JsonNode toJson(Object value, SourcePosition position, int depth) {
     if (depth > MAX_DEPTH) {
-      throw new ScriptException(position, "nested more than " + MAX_DEPTH + " deep");
+      throw new ScriptException(
+          position, "the value is nested more than " + MAX_DEPTH + " levels deep");
     }
     if (value instanceof List<?> list) {
       return array(list, position, depth);
@@ -53,7 +54,7 @@
     if (value == None.NONE) {
       return NODES.nullNode();
     }
-    throw new ScriptException(position, "a function is no value for a setting");
+    throw new ScriptException(position, "a function cannot be the value of a setting");
   }
 
   private static JsonNode integer(long value) {
@@ -71,7 +72,7 @@
     dict.forEach(
         (key, value) -> {
           if (!(key instanceof String name)) {
-            throw new ScriptException(position, "a key that is no text");
+            throw new ScriptException(position, "a dict key must be a string");
           }
           object.set(name, toJson(value, position, depth + 1));
         });
--- a/src/main/java/bitternpulley/script/EvaluationBudget.java
+++ b/src/main/java/bitternpulley/script/EvaluationBudget.java
@@ -49,7 +49,7 @@
   void enter(SourcePosition position) {
     depth++;
     if (depth > EVALUATIONS_PER_LEVEL * limits.depth()) {
-      throw new ScriptException(position, "nested too deeply");
+      throw new ScriptException(position, "expressions and calls are nested too deeply");
     }
   }
 
--- a/src/main/java/bitternpulley/script/IndentationLexer.java
+++ b/src/main/java/bitternpulley/script/IndentationLexer.java
@@ -19,8 +19,8 @@
   private static final int TAB_WIDTH = 8;
 
   /**
-   * Operators that can be prefixes, and {@code else} and {@code elif} keywords, that a line may
-   * have for each permitted nesting level.
+   * Maximum number of {@code else} and {@code elif} keywords and of operators that can be prefixes
+   * in one line, for each permitted nesting level.
    */
   private static final int NESTING_TOKENS_PER_LEVEL = 4;
 
@@ -97,7 +97,8 @@
     }
     if (openBrackets > maxDepth || nestingTokens > NESTING_TOKENS_PER_LEVEL * maxDepth) {
       throw new ScriptException(
-          source.position(token), "nested more than " + maxDepth + " levels deep");
+          source.position(token),
+          "the expression is nested more than " + maxDepth + " levels deep");
     }
   }
 
@@ -109,7 +110,7 @@
       add(newline, ScriptParser.INDENT);
       if (indents.size() > maxDepth) {
         throw new ScriptException(
-            source.position(newline), "blocks nested more than " + maxDepth + " levels deep");
+            source.position(newline), "blocks are nested more than " + maxDepth + " levels deep");
       }
     }
     while (width < indents.peek()) {
--- a/src/main/java/bitternpulley/script/ScriptRunner.java
+++ b/src/main/java/bitternpulley/script/ScriptRunner.java
@@ -33,7 +33,7 @@
       new ScriptEvaluator(source, budget, host).run(parse(source, text));
     } catch (StackOverflowError overflow) {
       // The nesting limits suffice for a stack of the default size; the caller's may be smaller.
-      throw new ScriptException(null, file + ": nested too deeply");
+      throw new ScriptException(null, file + ": the script is nested too deeply");
     }
     return budget.output();
   }
--- a/src/main/java/bitternpulley/script/SequenceFunctions.java
+++ b/src/main/java/bitternpulley/script/SequenceFunctions.java
@@ -10,7 +10,10 @@
 
 /** The functions that create lists and dicts or select from them. */
 final class SequenceFunctions {
-  /** What one tuple of {@code enumerate()}, with its two elements, counts against the budget. */
+  /**
+   * Elements that the budget counts for each tuple of {@code enumerate()}: the tuple and its two
+   * elements.
+   */
   private static final int INDEXED_ELEMENT_SIZE = 3;
 
   private final EvaluationBudget budget;
@@ -71,7 +74,7 @@
     List<Object> candidates =
         arguments.size() == 1 ? values.elements(arguments.get(0), position) : arguments;
     if (candidates.isEmpty()) {
-      throw new ScriptException(position, name + "() of an empty sequence");
+      throw new ScriptException(position, name + "() does not accept an empty sequence");
     }
     Object extreme = candidates.get(0);
     for (Object candidate : candidates) {
--- a/src/main/java/bitternpulley/script/StringMethods.java
+++ b/src/main/java/bitternpulley/script/StringMethods.java
@@ -70,7 +70,7 @@
 
   private static List<Object> split(String text, String separator, SourcePosition position) {
     if (separator.isEmpty()) {
-      throw new ScriptException(position, "split() with an empty separator");
+      throw new ScriptException(position, "split() does not accept an empty separator");
     }
     return new ArrayList<>(Arrays.asList(text.split(Pattern.quote(separator), -1)));
   }
--- a/src/main/java/bitternpulley/script/Subscripts.java
+++ b/src/main/java/bitternpulley/script/Subscripts.java
@@ -77,7 +77,8 @@
       list.set(Values.resolveIndex(index, list.size(), position), value);
     } else {
       throw new ScriptException(
-          position, "cannot assign to this element of a " + Values.typeName(container));
+          position,
+          "cannot assign to this element of a value of type " + Values.typeName(container));
     }
   }
 }
