--- a/src/main/java/bitternpulley/policy/ArrivalRecord.java
+++ b/src/main/java/bitternpulley/policy/ArrivalRecord.java
@@ -66,7 +66,7 @@
         .toArray();
   }
 
-  /** The smallest of the sorted values that is not exceeded by the given share of them. */
+  /** The smallest of the sorted values that is at least as large as the given share of them. */
   static double percentile(double[] sorted, double share) {
     return sorted[Math.max(0, Math.min(sorted.length, (int) Math.ceil(share * sorted.length)) - 1)];
   }
--- a/src/main/java/bitternpulley/policy/EndpointWatch.java
+++ b/src/main/java/bitternpulley/policy/EndpointWatch.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 
 /**
- * Requests the endpoint list from discovery where it is sent on request only. A failed request is
+ * Requests the endpoint list at sites whose discovery sends it on request only. A failed request is
  * repeated with exponential backoff.
  */
 final class EndpointWatch {
--- a/src/main/java/bitternpulley/policy/LatencyTracker.java
+++ b/src/main/java/bitternpulley/policy/LatencyTracker.java
@@ -23,8 +23,7 @@
   private static final double QUEUE_FULL_MULTIPLE = 2;
 
   /**
-   * Half-life in ms, without answers, of the difference between the latency of a server and the
-   * latency of its zone.
+   * Half-life in ms of the difference between the latency of an idle server and that of its zone.
    */
   private static final double DEVIATION_HALF_LIFE_MS = 4000;
 
@@ -45,7 +44,10 @@
     baseline = initialLatency;
   }
 
-  /** The latency of the fastest zone in ms, which slow servers or zones cannot raise. */
+  /**
+   * The latency of the fastest zone in ms. Slow zones do not raise it, and single slow answers
+   * hardly do.
+   */
   double baseline() {
     return baseline;
   }
--- a/src/main/java/bitternpulley/policy/PartState.java
+++ b/src/main/java/bitternpulley/policy/PartState.java
@@ -171,8 +171,8 @@
   }
 
   /**
-   * Until when the part is not sent again to a server that ended an attempt without running it. The
-   * backoff grows with the square of the number of attempts so far.
+   * The time until which the part is not sent again to a server that ended an attempt without
+   * running it. The backoff grows with the square of the number of attempts so far.
    *
    * @param unit backoff after one attempt in ms
    */
--- a/src/main/java/bitternpulley/policy/QueryCompletion.java
+++ b/src/main/java/bitternpulley/policy/QueryCompletion.java
@@ -117,7 +117,7 @@
 
   /**
    * The retry delay in ms for a rejected client, by which the parts now in flight should have been
-   * answered; 0 if such a delay is not permitted.
+   * answered; 0 if the settings permit no such delay.
    */
   double retryAfter() {
     Settings.Limits limits = settings.limits();
--- a/src/main/java/bitternpulley/policy/QueryIntake.java
+++ b/src/main/java/bitternpulley/policy/QueryIntake.java
@@ -9,8 +9,8 @@
 /** Creates the state of a query that arrives, with its deadlines. */
 final class QueryIntake {
   /**
-   * Ticks before a deadline at which an answer is sent, to allow for the decision and for the way
-   * to the client.
+   * Number of ticks before a deadline at which an answer is sent, to allow for the time of the
+   * decision and of the transmission to the client.
    */
   private static final double LEAD_TICKS = 3;
 
--- a/src/main/java/bitternpulley/policy/QueryRegistry.java
+++ b/src/main/java/bitternpulley/policy/QueryRegistry.java
@@ -30,7 +30,7 @@
     return queriesById.get(id);
   }
 
-  /** The query whose parts have this number, or null. */
+  /** The query with this query number, which its parts carry, or null. */
   QueryState queryByNumber(long number) {
     return queriesByNumber.get(number);
   }
--- a/src/main/java/bitternpulley/policy/QueryState.java
+++ b/src/main/java/bitternpulley/policy/QueryState.java
@@ -89,7 +89,7 @@
     return missingView;
   }
 
-  /** How much the query takes of the limit on queries and missing parts. */
+  /** The number that the query adds towards the limit on queries and missing parts. */
   int pendingCount() {
     return 1 + missing.size();
   }
--- a/src/main/java/bitternpulley/policy/ReplicaSelector.java
+++ b/src/main/java/bitternpulley/policy/ReplicaSelector.java
@@ -4,9 +4,10 @@
 import bitternpulley.routing.Settings;
 
 /**
- * Chooses the server for a part: of the servers that hold its shard, the one with the least
- * expected latency times its number of parts in flight plus one. Outliers and servers to which the
- * part was sent before are the last resort.
+ * Chooses the server for a part: of the servers that hold its shard, the one with the lowest cost.
+ * The cost is mainly the expected latency of the server, multiplied by the number of parts in
+ * flight there plus one. Outliers and servers to which the part was sent before are the last
+ * resort.
  */
 final class ReplicaSelector {
   /** Cost factor per unit of the configured cost of crossing zones. */
@@ -44,7 +45,7 @@
     this.processShare = processShare;
   }
 
-  /** The server for a part without an attempt in flight, or null where none can take it now. */
+  /** The server for a part without an attempt in flight, or null if none can take it now. */
   TrackedServer selectForAttempt(PartState part, double now) {
     return select(part, Purpose.ATTEMPT, now);
   }
--- a/src/main/java/bitternpulley/policy/RetryBudget.java
+++ b/src/main/java/bitternpulley/policy/RetryBudget.java
@@ -17,7 +17,7 @@
 
   /**
    * Requests are counted over a window that is one tick shorter, and retries over one that is one
-   * tick longer, so that rounded times never exceed the budget.
+   * tick longer, so that the budget is never exceeded because of rounded times.
    */
   RetryBudget(Settings settings) {
     rules = settings.rules();
--- a/src/main/java/bitternpulley/policy/RoutingPolicy.java
+++ b/src/main/java/bitternpulley/policy/RoutingPolicy.java
@@ -12,8 +12,9 @@
 
 /**
  * Makes the decisions of one aggregator instance. It applies each event to the state and, at the
- * end of each batch, reviews the queries that the events affect. The decisions themselves are left
- * to the policy classes that it creates.
+ * end of each batch, reviews the queries that the events affect: a review ends the query if that is
+ * due, queues it for admission, or sends, hedges or cancels its attempts. The decisions themselves
+ * are left to the policy classes that it creates.
  */
 public final class RoutingPolicy implements Router {
   private final Settings settings;
--- a/src/main/java/bitternpulley/policy/ServerLatency.java
+++ b/src/main/java/bitternpulley/policy/ServerLatency.java
@@ -16,7 +16,7 @@
 
   private boolean isSlowOutlier;
 
-  /** The smoothed latency in ms, or 0 where none was recorded. */
+  /** The smoothed latency in ms, or 0 if none was recorded. */
   double smoothed() {
     return smoothed;
   }
@@ -26,7 +26,8 @@
   }
 
   /**
-   * Whether the latency is not so far above the baseline that this server alone must be the cause.
+   * Whether the latency is at most {@link #SLOW_MULTIPLE} times the baseline; a longer latency is
+   * attributed to this server alone.
    */
   boolean isComparableTo(double baselineLatency) {
     return smoothed <= SLOW_MULTIPLE * baselineLatency;
--- a/src/main/java/bitternpulley/policy/StepArrivals.java
+++ b/src/main/java/bitternpulley/policy/StepArrivals.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The answers to the parts of one step in the order of their arrival, without the parts that were
- * never answered.
+ * The arrivals of the answers to the parts of one step, in the order in which they were recorded.
+ * If the step is answered without a part, an assumed arrival of that part is recorded.
  */
 final class StepArrivals {
   /**
--- a/src/main/java/bitternpulley/policy/TrackedServer.java
+++ b/src/main/java/bitternpulley/policy/TrackedServer.java
@@ -158,7 +158,7 @@
     return inFlight.isEmpty() ? Double.POSITIVE_INFINITY : inFlight.iterator().next().sentAt();
   }
 
-  /** Ms since the oldest attempt in flight was sent; 0 where there is none. */
+  /** Ms since the oldest attempt in flight was sent; 0 if there is none. */
   double oldestAge(double now) {
     return Math.max(0, now - oldestSentAt());
   }
--- a/src/main/java/bitternpulley/policy/WaitTimePolicy.java
+++ b/src/main/java/bitternpulley/policy/WaitTimePolicy.java
@@ -25,7 +25,10 @@
   /** The share s of a step's parts, heaviest first, that must be answered for an early end. */
   private static final double EARLY_END_SHARE = 0.75;
 
-  /** The share t of a step's parts, heaviest first, of which a missing one extends the wait. */
+  /**
+   * The share t of a step's parts, heaviest first, that must be answered at T*; if one of them is
+   * missing, the wait is extended.
+   */
   private static final double EXTENSION_SHARE = 0.5;
 
   /** The percentile u of the best waits of past steps to which the wait is extended. */
@@ -40,7 +43,9 @@
   /** Number of steps below which a record counts as empty. */
   private static final int MINIMUM_RECORD_STEPS = 20;
 
-  /** Share of the time to the objective that is recorded as the arrival of an unanswered part. */
+  /**
+   * Share of the time to the objective that is recorded as the arrival time of an unanswered part.
+   */
   private static final double CENSORED_SHARE = 0.9;
 
   /** Multiple of the baseline latency reserved for the second step of a query. */
@@ -84,7 +89,8 @@
   }
 
   /**
-   * The share of the payoff that remains for an answer after this wait: less after the objective.
+   * The share of the payoff that remains for an answer after this wait: 1 up to the objective, the
+   * late priority weight of the class up to the answer deadline, and 0 after that.
    */
   private static double timePayoff(QueryState query, double wait) {
     double time = query.stepStartedAt() + wait;
