--- a/src/main/java/bitternpulley/health/ClientRetryDetector.java
+++ b/src/main/java/bitternpulley/health/ClientRetryDetector.java
@@ -20,7 +20,7 @@
   private double commonTimeout;
   private int votes;
 
-  /** Records a query's remaining time in ms and returns whether the query is certainly a retry. */
+  /** Records a query's remaining time in ms and returns whether the query counts as a retry. */
   public boolean recordAndClassify(double timeLeft) {
     if (Math.abs(timeLeft - commonTimeout) <= TIMEOUT_TOLERANCE) {
       votes = Math.min(votes + 1, MAX_VOTES);
--- a/src/main/java/bitternpulley/health/ConcurrencyLimit.java
+++ b/src/main/java/bitternpulley/health/ConcurrencyLimit.java
@@ -15,8 +15,8 @@
   private static final double INCREASE = 0.25;
 
   /**
-   * Share of the limit that a late answer removes. One late answer in eight leaves the limit
-   * unchanged.
+   * Share of the limit that a late answer removes. At a limit of about 88 parts, one late answer in
+   * eight leaves the limit unchanged.
    */
   private static final double DECREASE_SHARE = 0.02;
 
@@ -36,7 +36,10 @@
 
   private double limit;
 
-  /** Resets the limit to its initial value for this number of known servers. */
+  /**
+   * Resets the limit to its initial value for this number of known servers. Before the first call,
+   * the limit is 0.
+   */
   public void reset(int servers) {
     limit = Math.max(MIN_LIMIT, INITIAL_PARTS_PER_SERVER * servers);
   }
--- a/src/main/java/bitternpulley/health/ProcessPauses.java
+++ b/src/main/java/bitternpulley/health/ProcessPauses.java
@@ -24,7 +24,7 @@
     }
   }
 
-  /** For how many ms since {@code time} the process did not run. */
+  /** The number of ms since {@code time} during which the process did not run. */
   public double pausedSince(double time) {
     double paused = 0;
     for (Pause pause : recentPauses) {
--- a/src/main/java/bitternpulley/health/ServerConcurrencyLimit.java
+++ b/src/main/java/bitternpulley/health/ServerConcurrencyLimit.java
@@ -11,7 +11,10 @@
   private static final double INITIAL_LIMIT = 32;
   private static final double MIN_LIMIT = 1;
 
-  /** Factor applied to the limit after a rejection for a full queue. */
+  /**
+   * Factor applied after a rejection for a full queue: to the limit, or to the number of parts in
+   * flight and cancelled attempts if that is lower.
+   */
   private static final double REJECTION_FACTOR = 0.5;
 
   /** Factor applied to the limit after a late answer. */
@@ -53,9 +56,9 @@
   }
 
   /**
-   * The earliest time at which there may be capacity: {@code now} while parts are in flight, since
-   * each answer frees capacity; otherwise the time at which the oldest cancelled attempt expires,
-   * or infinity if the limit is too low for any deferrable part.
+   * The earliest time at which there may be capacity: {@code now} if there is capacity or while
+   * parts are in flight, since each answer frees capacity; otherwise the time at which the oldest
+   * cancelled attempt expires, or infinity if the limit is too low for any deferrable part.
    */
   public double nextCapacityAt(int inFlight, PartPriority priority, double now) {
     if (inFlight > 0 || hasCapacity(inFlight, priority, now)) {
@@ -108,7 +111,7 @@
     }
   }
 
-  /** Resets the limit for a new server process, which has none of the previous process's queue. */
+  /** Resets the limit for a new server process, which starts with an empty queue. */
   public void reset() {
     cancelledSentAt.clear();
     limit = INITIAL_LIMIT;
--- a/src/main/java/bitternpulley/health/WorkEstimate.java
+++ b/src/main/java/bitternpulley/health/WorkEstimate.java
@@ -15,15 +15,18 @@
   /** Weight of an answer slower than the quick latency. */
   private static final double QUICK_LATENCY_RISE = 0.01;
 
-  /** Number of answers to sole requests over which their mean latency is taken. */
+  /**
+   * Number of answers to sole requests over which their mean latency is taken; see {@link
+   * #recordSoleRequestAnswer}.
+   */
   private static final int SOLE_REQUEST_SPAN = 20;
 
   /** One answer to a sole request counts as at most this multiple of the mean. */
   private static final double MAX_SOLE_REQUEST_MULTIPLE = 3;
 
   /**
-   * Relative increase of the least mean per answer, which is too slow to matter during any
-   * overload.
+   * Relative increase of the least mean per answer to a sole request, which is too slow to matter
+   * during any overload.
    */
   private static final double LEAST_MEAN_RISE = 0.0002;
 
@@ -48,7 +51,7 @@
 
   /**
    * Records the latency in ms of an answer to a sole request: when it was sent, its server was
-   * warm, was no outlier and had no other request of this instance in flight.
+   * warm, was not a slow outlier and had no other request of this instance in flight.
    */
   public void recordSoleRequestAnswer(double latency) {
     recordAnswer(latency);
--- a/src/main/java/bitternpulley/health/ZoneLatency.java
+++ b/src/main/java/bitternpulley/health/ZoneLatency.java
@@ -23,7 +23,10 @@
   /** Weight of one new connection in the share of failed connections. */
   private static final double CONNECTION_SMOOTHING = 0.15;
 
-  /** Fraction by which each part sent reduces the share of failed connections. */
+  /**
+   * Fraction by which each call of {@link #admitNewConnection} reduces the share of failed
+   * connections, so that new connections are tried again after some time.
+   */
   private static final double CONNECTION_DECAY = 0.02;
 
   private double latency;
@@ -82,8 +85,8 @@
   }
 
   /**
-   * Whether a part may be sent over a new connection. Each call counts as a part sent and reduces
-   * the share of failed connections.
+   * Whether a part may be sent over a new connection. Each call reduces the share of failed
+   * connections.
    */
   public boolean admitNewConnection() {
     boolean isReliable = connectionFailureShare <= MAX_CONNECTION_FAILURE_SHARE;
