--- a/src/main/java/bitternpulley/routing/Router.java
+++ b/src/main/java/bitternpulley/routing/Router.java
@@ -81,15 +81,16 @@
    * One server of an endpoint list.
    *
    * @param server id of the server
-   * @param cell cell of the server, which holds the shards of this cell
-   * @param startedAt when the server process started, or 0 if long ago
+   * @param cell cell of the server, which determines the shards that the server holds, see {@link
+   *     Settings.Layout}
+   * @param startedAt when the server process started, or 0 if it started long ago
    */
   record Endpoint(String server, int zone, int cell, ServerState state, double startedAt) {}
 
   /**
    * The delays that this instance itself adds to a query.
    *
-   * @param unreadFor ms for which the bytes of the query may have been unread
+   * @param unreadFor ms for which the received bytes of the query may have waited to be read
    * @param loopLag recent delay in ms of the event loop, which may also delay the answer
    */
   record Lateness(double unreadFor, double loopLag) {
--- a/src/main/java/bitternpulley/routing/Settings.java
+++ b/src/main/java/bitternpulley/routing/Settings.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The settings of an instance, which the configuration of its site supplies at startup. An optional
- * value that is absent disables the feature that it controls.
+ * The settings of an instance, which the configuration of its site supplies at startup. Values that
+ * the configuration omits have defaults, most of which disable the feature that they control.
  *
  * @param self number of this instance, from 0
  * @param instances number of instances of the site
