--- a/src/main/java/bitternpulley/policy/OutlierDetector.java
+++ b/src/main/java/bitternpulley/policy/OutlierDetector.java
@@ -33,7 +33,7 @@
   }
 
   boolean isOutlier(TrackedServer server, double now) {
-    return server.failures().indicateOutlier() || isUnresponsive(server, now);
+    return server.failures().indicatesOutlier() || isUnresponsive(server, now);
   }
 
   /** Whether the server is an outlier that may receive a trial request now. */
--- a/src/main/java/bitternpulley/policy/ServerFailures.java
+++ b/src/main/java/bitternpulley/policy/ServerFailures.java
@@ -37,7 +37,7 @@
   }
 
   /** Whether the server refuses connections or has failed several times in a row. */
-  boolean indicateOutlier() {
+  boolean indicatesOutlier() {
     return refusesConnections || consecutiveFailures >= OUTLIER_FAILURES;
   }
 
