--- a/src/main/java/bitternpulley/broker/ContractAccounting.java
+++ b/src/main/java/bitternpulley/broker/ContractAccounting.java
@@ -35,14 +35,14 @@
   }
 
   /** Puts contracts in force in place of the previous ones. */
-  void activate(ContractBook book) {
-    if (control == null && book.isEmpty()) {
+  void activate(ContractBook contracts) {
+    if (control == null && contracts.isEmpty()) {
       return;
     }
     if (control == null) {
       control = createControl();
     }
-    control.apply(book, context.now());
+    control.apply(contracts, context.now());
   }
 
   private AdmissionControl createControl() {
--- a/src/main/java/bitternpulley/broker/Event.java
+++ b/src/main/java/bitternpulley/broker/Event.java
@@ -8,7 +8,7 @@
 import bitternpulley.routing.Router;
 import java.util.List;
 
-/** An input of the core: something that happened. */
+/** An input of the core that describes something that happened. */
 public sealed interface Event {
   /** Calls the method of the handler for this kind of event. */
   void dispatch(EventHandler handler);
@@ -143,7 +143,7 @@
   }
 
   /** New contracts are in force from now on. */
-  record ContractsActivated(ContractBook book) implements Event {
+  record ContractsActivated(ContractBook contracts) implements Event {
     @Override
     public void dispatch(EventHandler handler) {
       handler.onContractsActivated(this);
--- a/src/main/java/bitternpulley/broker/EventDispatcher.java
+++ b/src/main/java/bitternpulley/broker/EventDispatcher.java
@@ -94,7 +94,7 @@
 
   @Override
   public void onContractsActivated(Event.ContractsActivated event) {
-    accounting.activate(event.book());
+    accounting.activate(event.contracts());
   }
 
   @Override
--- a/src/main/java/bitternpulley/broker/package-info.java
+++ b/src/main/java/bitternpulley/broker/package-info.java
@@ -1,11 +1,12 @@
 /**
- * The core: typed events go into one {@link bitternpulley.broker.Reducer}, which drives the routing
- * policy and returns effects. {@link bitternpulley.broker.Broker} carries these out, those for
- * clients and servers through a {@link bitternpulley.broker.Dialect}.
+ * The core of an aggregator: {@link bitternpulley.broker.Broker} feeds typed events to one {@link
+ * bitternpulley.broker.Reducer}, which drives the routing policy and returns effects. The broker
+ * then carries out the effects, those for clients and servers through a {@link
+ * bitternpulley.broker.Dialect}.
  *
- * <p>It keeps the state of requests, parts and attempts, and enforces the limits on attempts. The
- * core does not choose servers, timeouts or answers, which is up to the routing policy, and does
- * not decide which requests a contract admits. It never blocks, reads no socket and knows no wire
+ * <p>The core keeps the state of requests, parts and attempts, and enforces the limits on attempts.
+ * It does not choose servers, timeouts or answers, which is up to the routing policy, and does not
+ * decide which requests a contract admits. It never blocks, reads no socket and knows no wire
  * format. All of it runs on the event loop's thread.
  *
  * <p>Invariants: each request has at most one final answer; each part has at most one attempt in
