--- a/src/main/java/bitternpulley/contracts/Account.java
+++ b/src/main/java/bitternpulley/contracts/Account.java
@@ -7,8 +7,8 @@
  */
 final class Account {
   /**
-   * A team saves up at most {@link RetryAllowance#INITIAL} times the retries that this many parts
-   * earn, and at least {@link RetryAllowance#INITIAL}.
+   * The upper bound of the retries that a team can save up is {@link RetryAllowance#INITIAL} times
+   * the retries that this many parts earn, but not less than {@link RetryAllowance#INITIAL}.
    */
   private static final double RETRY_BURST_PARTS = 10;
 
--- a/src/main/java/bitternpulley/contracts/CapacityEstimate.java
+++ b/src/main/java/bitternpulley/contracts/CapacityEstimate.java
@@ -1,12 +1,13 @@
 package bitternpulley.contracts;
 
 /**
- * Estimates the capacity of the aggregator and its servers, in standard parts a second, from
- * latencies alone. Capacity counts as scarce while many outcomes are late, or while many pending
- * queries are likely to be late. There is no limit until capacity is scarce for the first time. The
- * limit then starts from the delivered rate, falls while capacity stays scarce, and rises while the
- * limit is used up and capacity is not scarce. The limit never falls far below the best delivered
- * rate, so that one faulty server cannot reduce it indefinitely. See docs/contracts.md for the
+ * Estimates the capacity of the aggregator and its servers, in standard parts a second, from the
+ * latencies and outcomes that the aggregator itself observes. Capacity counts as scarce while many
+ * outcomes are late, or while many pending queries are likely to be late. The estimate serves as a
+ * limit on admitted work. There is no limit until capacity is scarce for the first time. The limit
+ * then starts from the delivered rate, falls while capacity stays scarce, and rises while the limit
+ * is used up and capacity is not scarce. The limit never falls far below the best delivered rate,
+ * so that one faulty server cannot reduce it indefinitely. See docs/contracts.md for the
  * alternatives considered.
  */
 final class CapacityEstimate {
@@ -136,7 +137,7 @@
 
   /** Whether the expected wait time exceeds a share of the latency objective. */
   private boolean isWaitLongerThan(double share) {
-    return pending.parts() > share * latencyObjective / 1000 * bestDeliveredRate;
+    return pending.estimatedWork() > share * latencyObjective / 1000 * bestDeliveredRate;
   }
 
   /** Records that an attempt delivered this many standard parts. */
--- a/src/main/java/bitternpulley/contracts/CapacityPool.java
+++ b/src/main/java/bitternpulley/contracts/CapacityPool.java
@@ -7,8 +7,8 @@
  */
 final class CapacityPool {
   /**
-   * Time over which idle capacity accumulates at most. The time is short because borrowed capacity
-   * cannot be withdrawn.
+   * Longest time over which idle capacity accumulates. It is short because borrowed capacity cannot
+   * be withdrawn.
    */
   private static final double MAX_IDLE_MS = 250;
 
@@ -30,7 +30,7 @@
 
   /**
    * Lendable capacity that was neither used by its owners nor distributed to borrowers; negative
-   * after owners used savings.
+   * after owners used quota that they had saved up.
    */
   private double undistributed;
 
--- a/src/main/java/bitternpulley/contracts/Contract.java
+++ b/src/main/java/bitternpulley/contracts/Contract.java
@@ -11,7 +11,7 @@
  * @param guaranteedQuota the share that the team may always use
  * @param ceiling the share that the team may never exceed, borrowed capacity included; at least
  *     {@code guaranteedQuota}
- * @param burst limit on the unused quota that may accumulate, as ms of the quota's rate
+ * @param burst limit on the unused quota that may accumulate, expressed as ms of the quota's rate
  * @param borrows whether the team may use idle capacity of other teams
  * @param lends whether other teams may use the team's idle capacity
  * @param retriesPerPart number of attempts beyond a part's first, made by the aggregator, that each
--- a/src/main/java/bitternpulley/contracts/PendingWork.java
+++ b/src/main/java/bitternpulley/contracts/PendingWork.java
@@ -14,7 +14,7 @@
 
   private int queries;
   private int lagging;
-  private double parts;
+  private double estimatedWork;
 
   /** A query is lagging once it has been pending for {@code laggingAfterMs}. */
   PendingWork(double laggingAfterMs) {
@@ -26,8 +26,8 @@
   }
 
   /** The estimated work of the pending queries, in standard parts. */
-  double parts() {
-    return parts;
+  double estimatedWork() {
+    return estimatedWork;
   }
 
   /** Whether more than this share of the pending queries is lagging. */
@@ -37,13 +37,13 @@
 
   void add(UsageCharge charge) {
     queries++;
-    parts += charge.booked();
+    estimatedWork += charge.booked();
     notLagging.add(charge);
   }
 
   void remove(UsageCharge charge) {
     queries--;
-    parts = queries == 0 ? 0 : parts - charge.booked();
+    estimatedWork = queries == 0 ? 0 : estimatedWork - charge.booked();
     if (charge.isLagging()) {
       lagging--;
     }
--- a/src/main/java/bitternpulley/contracts/RetryReservations.java
+++ b/src/main/java/bitternpulley/contracts/RetryReservations.java
@@ -48,7 +48,10 @@
   private final Map<Long, Reservation> byFingerprint = new HashMap<>();
   private double reservedAmount;
 
-  /** Drops expired reservations; returns the standard parts reserved for callers to return. */
+  /**
+   * Drops expired reservations; returns the number of standard parts that are reserved for rejected
+   * callers.
+   */
   double reservedAmount(double now) {
     while (!byDueTime.isEmpty() && byDueTime.peek().isObsolete(now)) {
       close(byDueTime.poll());
--- a/src/main/java/bitternpulley/contracts/TenantIdentification.java
+++ b/src/main/java/bitternpulley/contracts/TenantIdentification.java
@@ -23,7 +23,7 @@
   public enum KeyStatus {
     /** There is no header. */
     ABSENT,
-    /** The key of a configured team. */
+    /** The header contains the key of a configured team. */
     KNOWN,
     /** The header contains anything else. */
     UNKNOWN
@@ -50,8 +50,8 @@
    *
    * @param keys API keys by their id
    * @param teamByIndex the team of each index that belongs to a team
-   * @param teamByClass the team of each query class, by position, whose platform queries belong to
-   *     a team
+   * @param teamByClass the team of each query class, by position, whose queries over the platform's
+   *     protocol belong to a team
    * @param hasDefaultContract whether a default contract applies to requests without an identified
    *     team
    */
@@ -114,7 +114,7 @@
     return teamByIndex.get(index);
   }
 
-  /** The team that a class's platform queries belong to, or null. */
+  /** The team that queries of a class over the platform's protocol belong to, or null. */
   public String teamOfClass(int queryClass) {
     return teamByClass.get(queryClass);
   }
