--- a/src/main/java/bitternpulley/membership/FailureDetector.java
+++ b/src/main/java/bitternpulley/membership/FailureDetector.java
@@ -3,8 +3,11 @@
 import java.util.List;
 
 /**
- * Decides when to declare a suspect dead: only after two of this instance's own probes have failed,
- * while this instance hears from a majority, and not shortly after this instance was paused.
+ * Decides when to declare a suspect dead: after two of this instance's own probes have failed,
+ * while this instance hears from a majority, and not shortly after this instance was paused. Once
+ * the suspicion has lasted for {@link MembershipSettings#withoutMajorityAfter}, a majority is no
+ * longer required; nor are failed probes if this instance has received no message at all for that
+ * time.
  */
 final class FailureDetector {
   /** Intervals after a pause during which no member is declared dead. */
@@ -28,7 +31,10 @@
   private final MemberTransitions transitions;
   private final CheckQueue checks;
 
-  /** When a majority became responsive; {@link #NEVER} if none is or no member is suspect. */
+  /**
+   * When a majority of the members became responsive; {@link #NEVER} if no majority is responsive
+   * or no member is suspect.
+   */
   private double majoritySince = NEVER;
 
   private double declarationsPostponedUntil;
--- a/src/main/java/bitternpulley/membership/GossipUpdate.java
+++ b/src/main/java/bitternpulley/membership/GossipUpdate.java
@@ -7,8 +7,8 @@
  * @param epoch epoch of the process that the claim is about
  * @param incarnation incarnation of that process
  * @param state the member's claimed state
- * @param accuser number of the member that first claimed a state other than alive; -1 if there is
- *     none
+ * @param accuser number of a member that claims a state other than alive: the sender of the update,
+ *     or a member whose claim it forwards; -1 if there is none
  * @param metadata the member's metadata, or null
  * @param payload the member's payload, or null
  */
--- a/src/main/java/bitternpulley/membership/LocalHealth.java
+++ b/src/main/java/bitternpulley/membership/LocalHealth.java
@@ -24,14 +24,14 @@
     return score;
   }
 
-  /** Factor by which the time-out of probes is multiplied. */
+  /** Factor by which the timeout of probes is multiplied. */
   double timeoutFactor() {
     return 1 + score;
   }
 
   /**
    * Factor by which the probe interval is multiplied. The factor grows less than that of the
-   * time-out, since only answered probes lower the score again.
+   * timeout, since only answered probes lower the score again.
    */
   double intervalFactor() {
     return 1 + score / INTERVAL_DOUBLING_SCORE;
--- a/src/main/java/bitternpulley/membership/Member.java
+++ b/src/main/java/bitternpulley/membership/Member.java
@@ -5,7 +5,10 @@
  * are ms of the caller's clock. A member is suspect exactly while it has a {@link Suspicion}.
  */
 final class Member {
-  /** Messages read from one member per interval: about 10 are usual; a backlog arrives at once. */
+  /**
+   * Maximum number of messages read from one member per interval: about 10 are usual, but a backlog
+   * arrives at once.
+   */
   private static final int MAX_MESSAGES_PER_INTERVAL = 256;
 
   /**
--- a/src/main/java/bitternpulley/membership/Membership.java
+++ b/src/main/java/bitternpulley/membership/Membership.java
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Digest of the view, which is equal on instances that see the same members as active, dead and
-   * left.
+   * Digest of the view, which is equal on instances that see the same processes of the members as
+   * active, dead and left.
    */
   public int viewDigest() {
     return composer.viewDigest();
--- a/src/main/java/bitternpulley/membership/Probe.java
+++ b/src/main/java/bitternpulley/membership/Probe.java
@@ -8,10 +8,10 @@
  * pings through relays; if none is answered, the probe fails.
  */
 final class Probe {
-  /** Time-outs after which relays are asked to ping the target. */
+  /** Number of timeouts after which relays are asked to ping the target. */
   private static final double RELAYS_AFTER_TIMEOUTS = 1;
 
-  /** Time-outs after which the probe has failed. */
+  /** Number of timeouts after which the probe has failed. */
   private static final double FAILS_AFTER_TIMEOUTS = 3;
 
   private final Member target;
--- a/src/main/java/bitternpulley/membership/Suspicion.java
+++ b/src/main/java/bitternpulley/membership/Suspicion.java
@@ -6,7 +6,7 @@
 /**
  * The suspicion of one member: which members accuse it, and how long it has to refute. The duration
  * decreases from the maximum to the minimum as other members confirm the suspicion (Lifeguard's
- * dynamic suspicion time-out). Times are ms of the caller's clock.
+ * dynamic suspicion timeout). Times are ms of the caller's clock.
  */
 final class Suspicion {
   /** Duration of an unconfirmed suspicion, as a multiple of the minimum duration. */
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Records that another instance declared the suspect dead. As that instance has probed the
-   * suspect itself and hears from a majority, this counts as all required confirmations.
+   * Records that another instance declared the suspect dead. As that instance has normally probed
+   * the suspect itself and hears from a majority, this counts as all required confirmations.
    */
   void recordDeathReport() {
     isReportedDead = true;
--- a/src/main/java/bitternpulley/membership/ViewDigest.java
+++ b/src/main/java/bitternpulley/membership/ViewDigest.java
@@ -24,8 +24,8 @@
   }
 
   /**
-   * Digest that is equal on instances that see the same members as active, dead and left. Suspicion
-   * is transient and does not count.
+   * Digest that is equal on instances that see the same processes of the members as active, dead
+   * and left. Suspicion is transient and does not count.
    */
   int viewDigest(long ownEpoch, Collection<Member> others) {
     computeIfNeeded(ownEpoch, others);
