--- a/src/main/java/bitternpulley/emulator/DiscoveryService.java
+++ b/src/main/java/bitternpulley/emulator/DiscoveryService.java
@@ -9,42 +9,46 @@
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import java.util.function.Supplier;
 
 /**
- * Discovery: each connection is taken for a watch, is told the whole list, then every change and
- * the pulse between.
+ * Emulates discovery. Every connection is treated as a watch: it is sent the full endpoint list,
+ * then every change, and heartbeats in between.
  */
 final class DiscoveryService {
-  /** Ms between empty lines while nothing changes. */
-  private static final double PULSE = 2000;
+  /** Interval between the empty lines that are sent as heartbeats. */
+  private static final double HEARTBEAT_MS = 2000;
 
   private final EventLoop loop;
   private final Set<Watch> watches = new LinkedHashSet<>();
-  private final java.util.function.Supplier<String> whole;
+  private final Supplier<String> fullList;
 
-  DiscoveryService(EventLoop loop, java.util.function.Supplier<String> whole) {
+  /** Creates a service that sends each new watch the line that {@code fullList} returns. */
+  DiscoveryService(EventLoop loop, Supplier<String> fullList) {
     this.loop = loop;
-    this.whole = whole;
-    loop.after(PULSE, this::pulse);
+    this.fullList = fullList;
+    loop.schedule(HEARTBEAT_MS, this::sendHeartbeat);
   }
 
+  /** Starts to listen at any free port of a host and returns the address. */
   HostPort listen(String host) throws IOException {
     return new StreamServer(Watch::new).listen(loop, new HostPort(host, 0));
   }
 
-  /** Tells all watches a change. */
-  void tell(String change) {
-    Set.copyOf(watches).forEach(w -> w.line(change));
+  /** Sends a line to all watches. */
+  void publish(String line) {
+    Set.copyOf(watches).forEach(watch -> watch.writeLine(line));
   }
 
-  private void pulse() {
-    tell("");
-    loop.after(PULSE, this::pulse);
+  private void sendHeartbeat() {
+    publish("");
+    loop.schedule(HEARTBEAT_MS, this::sendHeartbeat);
   }
 
+  /** A connection that watches the endpoint list. */
   private final class Watch implements Connection.Owner {
     private final Connection connection;
-    private String head = "";
+    private String requestHead = "";
 
     Watch(Connection connection) {
       this.connection = connection;
@@ -52,16 +56,16 @@
 
     @Override
     public void received(ByteBuffer bytes) {
-      head += StandardCharsets.ISO_8859_1.decode(bytes);
-      if (head.contains("\r\n\r\n") && watches.add(this)) {
+      requestHead += StandardCharsets.ISO_8859_1.decode(bytes);
+      if (requestHead.contains("\r\n\r\n") && watches.add(this)) {
         write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        line(whole.get());
-      } else if (head.length() > 8192) {
+        writeLine(fullList.get());
+      } else if (requestHead.length() > 8192) {
         connection.close();
       }
     }
 
-    void line(String text) {
+    void writeLine(String text) {
       write(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
     }
 
--- a/src/main/java/bitternpulley/emulator/Fleet.java
+++ b/src/main/java/bitternpulley/emulator/Fleet.java
@@ -12,189 +12,206 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 
 /**
- * Slot servers in a ring over some zones, discovery that knows them, and the settings of a site
- * that has them.
+ * Emulated slot servers in a ring over several zones, discovery that lists them, and the
+ * configuration of aggregators that use them.
  */
 public final class Fleet {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final String HOSTS = "127.0.3.";
+  private static final String HOST_PREFIX = "127.0.3.";
 
   private final List<SlotServer> servers = new ArrayList<>();
   private final RuleCheck rules = new RuleCheck();
-  private final int cores;
+  private final int coresPerServer;
   private final int searchPort;
   private final List<String> zones;
-  private final View common;
-  private final List<View> views = new java.util.concurrent.CopyOnWriteArrayList<>();
+  private final DiscoveryView commonView;
+  private final List<DiscoveryView> views = new CopyOnWriteArrayList<>();
   private final EventLoop loop;
   private final Map<SlotServer, String> phases = new ConcurrentHashMap<>();
   private final Map<SlotServer, Long> startedAt = new ConcurrentHashMap<>();
-  private volatile int revision = 1;
+  private final AtomicInteger revision = new AtomicInteger(1);
 
-  /** Discovery as one aggregator has it: with addresses of its own for each server. */
-  public final class View {
-    private final Function<SlotServer, HostPort> addresses;
-    private final DiscoveryService watches;
-    private final HostPort at;
+  /** A discovery service that lists the servers at addresses chosen for its watchers. */
+  public final class DiscoveryView {
+    private final Function<SlotServer, HostPort> serverAddresses;
+    private final DiscoveryService service;
+    private final HostPort address;
 
-    private View(Function<SlotServer, HostPort> addresses) throws IOException {
-      this.addresses = addresses;
-      watches = new DiscoveryService(loop, () -> list(this).toString());
-      at = watches.listen("127.0.0.1");
+    private DiscoveryView(Function<SlotServer, HostPort> serverAddresses) throws IOException {
+      this.serverAddresses = serverAddresses;
+      service = new DiscoveryService(loop, () -> endpointList(this).toString());
+      address = service.listen("127.0.0.1");
     }
 
-    /** Where it is watched. */
-    public HostPort at() {
-      return at;
+    /** Returns the address of the discovery service. */
+    public HostPort address() {
+      return address;
     }
   }
 
-  /** Starts {@code cells} servers of so many cores each, in two zones by turns. */
-  public Fleet(EventLoop loop, int cells, int cores) throws IOException {
-    this(loop, cells, cores, List.of("gulberg", "johar"));
+  /** Starts servers with this many cores each, assigned to two zones in turn. */
+  public Fleet(EventLoop loop, int serverCount, int coresPerServer) throws IOException {
+    this(loop, serverCount, coresPerServer, List.of("gulberg", "johar"));
   }
 
   /**
-   * Starts {@code cells} servers of so many cores each, in these zones by turns; every section is
-   * held by two of them.
+   * Starts servers with this many cores each, assigned to the zones in turn. Two servers have each
+   * shard.
    */
-  public Fleet(EventLoop loop, int cells, int cores, List<String> zones) throws IOException {
-    this.cores = cores;
+  public Fleet(EventLoop loop, int serverCount, int coresPerServer, List<String> zones)
+      throws IOException {
+    this.coresPerServer = coresPerServer;
     this.zones = List.copyOf(zones);
-    searchPort = freePort(cells);
-    for (int i = 0; i < cells; i++) {
-      SlotServer server = new SlotServer("s" + i, i, cells, cores, loop, rules);
-      server.listen(HOSTS + (i + 1), searchPort);
+    searchPort = findFreePort(serverCount);
+    for (int i = 0; i < serverCount; i++) {
+      SlotServer server = new SlotServer("s" + i, i, serverCount, coresPerServer, loop, rules);
+      server.listen(HOST_PREFIX + (i + 1), searchPort);
       servers.add(server);
     }
     this.loop = loop;
-    common = view(SlotServer::frames);
+    commonView = createView(SlotServer::frameAddress);
   }
 
-  /** Discovery that names each server at an address of this view's own. */
-  public View view(Function<SlotServer, HostPort> addresses) throws IOException {
-    View view = new View(addresses);
+  /**
+   * Creates a discovery service that lists each server at the address that the function returns.
+   */
+  public DiscoveryView createView(Function<SlotServer, HostPort> serverAddresses)
+      throws IOException {
+    DiscoveryView view = new DiscoveryView(serverAddresses);
     views.add(view);
     return view;
   }
 
-  /** The zones, by number. */
+  /** Returns the names of the zones, by number. */
   public List<String> zones() {
     return zones;
   }
 
-  /** The number of the zone that a server stands in. */
-  public int zone(SlotServer server) {
+  /** Returns the number of the zone in which a server is. */
+  public int zoneOf(SlotServer server) {
     return server.cell() % zones.size();
   }
 
-  /** A port that is free on every server's host just now. */
-  private static int freePort(int cells) throws IOException {
-    IOException last = null;
+  /** Returns a port that is currently free on the hosts of all servers. */
+  private static int findFreePort(int serverCount) throws IOException {
+    IOException lastFailure = null;
     for (int attempt = 0; attempt < 20; attempt++) {
       int port;
-      try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getByName(HOSTS + 1))) {
-        port = any.getLocalPort();
+      try (ServerSocket anyPort = new ServerSocket(0, 1, InetAddress.getByName(HOST_PREFIX + 1))) {
+        port = anyPort.getLocalPort();
       }
       try {
-        for (int i = 1; i < cells; i++) {
-          new ServerSocket(port, 1, InetAddress.getByName(HOSTS + (i + 1))).close();
+        for (int i = 1; i < serverCount; i++) {
+          new ServerSocket(port, 1, InetAddress.getByName(HOST_PREFIX + (i + 1))).close();
         }
         return port;
-      } catch (IOException e) {
-        last = e;
+      } catch (IOException exception) {
+        lastFailure = exception;
       }
     }
-    throw last;
+    throw lastFailure;
   }
 
+  /** Returns all servers, by number. */
   public List<SlotServer> servers() {
     return servers;
   }
 
+  /** Returns the check of the rules that all servers report to. */
   public RuleCheck rules() {
     return rules;
   }
 
-  public HostPort discovery() {
-    return common.at();
+  /** Returns the address of the discovery service that lists the servers' own addresses. */
+  public HostPort discoveryAddress() {
+    return commonView.address();
   }
 
-  /** The port at which every server speaks the search API. */
+  /** Returns the port at which every server serves the search API. */
   public int searchPort() {
     return searchPort;
   }
 
-  /** Ms of work that all cores do in a second. */
+  /** Returns how many ms of work all cores together do in a second. */
   public double workPerSecond() {
-    return 1000.0 * cores * servers.size();
+    return 1000.0 * coresPerServer * servers.size();
   }
 
-  /** Ms of work that was finished so far. */
+  /** Returns how many ms of work were finished so far. */
   public double workDone() {
-    return servers.stream().mapToDouble(SlotServer::workDone).sum();
+    return servers.stream().mapToDouble(SlotServer::workDoneMs).sum();
   }
 
-  private ObjectNode list(View view) {
-    ObjectNode list = JSON.createObjectNode().put("revision", revision).put("complete", true);
+  private ObjectNode endpointList(DiscoveryView view) {
+    ObjectNode list = JSON.createObjectNode().put("revision", revision.get()).put("complete", true);
     ArrayNode members = list.putArray("members");
-    servers.forEach(s -> entry(members, s, view));
+    servers.forEach(server -> addMember(members, server, view));
     return list;
   }
 
   /**
-   * A new process of a server: cold, as the settings' rules have it, and checked for what it is
-   * sent until it is warm.
+   * Emulates the restart of a server: discovery announces the new process, and the work that the
+   * server is sent is checked against the limits of the settings until it has warmed up.
    */
   public void restart(SlotServer server) {
     startedAt.put(server, System.currentTimeMillis());
-    rules.cold(server.id(), cores, System.nanoTime() / 1e6);
+    rules.serverStarted(server.id(), coresPerServer, System.nanoTime() / 1e6);
     tell(server, "up");
   }
 
-  /** Has discovery tell all that watch it what a server is from now on: up, draining or removed. */
+  /** Publishes a new phase of a server to all watchers: up, draining or removed. */
   public void tell(SlotServer server, String phase) {
-    server.drains(!phase.equals("up"));
+    server.setDraining(!phase.equals("up"));
     phases.put(server, phase);
-    int next = ++revision;
-    for (View view : views) {
-      ObjectNode change = JSON.createObjectNode().put("revision", next).put("complete", false);
-      entry(change.putArray("members"), server, view);
-      loop.execute(() -> view.watches.tell(change.toString()));
+    int nextRevision = revision.incrementAndGet();
+    for (DiscoveryView view : views) {
+      ObjectNode change =
+          JSON.createObjectNode().put("revision", nextRevision).put("complete", false);
+      addMember(change.putArray("members"), server, view);
+      loop.execute(() -> view.service.publish(change.toString()));
     }
   }
 
-  private void entry(ArrayNode members, SlotServer s, View view) {
+  private void addMember(ArrayNode members, SlotServer server, DiscoveryView view) {
     members
         .addObject()
-        .put("id", s.id())
-        .put("host_port", view.addresses.apply(s).toString())
-        .put("locality", zones.get(zone(s)))
-        .put("cell", s.cell())
-        .put("phase", phases.getOrDefault(s, "up"))
+        .put("id", server.id())
+        .put("host_port", view.serverAddresses.apply(server).toString())
+        .put("locality", zones.get(zoneOf(server)))
+        .put("cell", server.cell())
+        .put("phase", phases.getOrDefault(server, "up"))
         .put("size", 1.0)
-        .put("up_since_ms", startedAt.getOrDefault(s, 0L));
+        .put("up_since_ms", startedAt.getOrDefault(server, 0L));
   }
 
   /**
-   * The configuration of one of several aggregators, in its zone, that has discovery at an address
-   * of its own.
+   * Returns the configuration of one of several aggregators that uses the servers' addresses of a
+   * view, and discovery at an address of its own.
    */
   public ObjectNode configuration(
-      int number, int instances, String listen, int holds, View view, HostPort discovery) {
+      int number,
+      int instances,
+      String listen,
+      int maxOpenQueries,
+      DiscoveryView view,
+      HostPort discoveryAddress) {
     ObjectNode config =
-        configuration(number, instances, listen, holds).put("discovery", discovery.toString());
-    config.set("known", list(view));
+        configuration(number, instances, listen, maxOpenQueries)
+            .put("discovery", discoveryAddress.toString());
+    config.set("known", endpointList(view));
     return config;
   }
 
-  /** One of several aggregators' configuration, with its number among them. */
-  public ObjectNode configuration(int number, int instances, String listen, int holds) {
+  /** Returns the configuration of one of several aggregators, by its number. */
+  public ObjectNode configuration(int number, int instances, String listen, int maxOpenQueries) {
     ObjectNode config =
-        configuration("n" + number, listen, Long.toHexString(0x8c1f30d27a5be964L + number), holds);
+        configuration(
+            "n" + number, listen, Long.toHexString(0x8c1f30d27a5be964L + number), maxOpenQueries);
     ((ObjectNode) config.path("settings"))
         .put("instances", instances)
         .put("selfIndex", number)
@@ -202,65 +219,83 @@
     return config;
   }
 
-  /** The aggregator's configuration: three classes of query, as a booking service has them. */
-  public ObjectNode configuration(String name, String listen, String seed, int holds) {
+  /**
+   * Returns the configuration of a single aggregator with the query classes of a booking service.
+   */
+  public ObjectNode configuration(String name, String listen, String seed, int maxOpenQueries) {
     ObjectNode config =
         JSON.createObjectNode()
             .put("name", name)
             .put("listen", listen)
-            .put("discovery", common.at().toString())
+            .put("discovery", commonView.address().toString())
             .put("seed", seed);
     config.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 2048);
-    config.set("known", list(common));
-    ObjectNode s =
+    config.set("known", endpointList(commonView));
+    ObjectNode settings =
         config
             .putObject("settings")
             .put("tick", 5.0)
             .put("instances", 1)
             .put("selfIndex", 0)
             .put("zone", 0);
-    zones.forEach(s.putArray("failureDomains")::add);
-    ArrayNode classes = s.putArray("requestClasses");
-    queryClass(classes, "slot-search", "pure", 1);
-    queryClass(classes, "slot-booking", "token", 2);
-    queryClass(classes, "stock-report", "pure", 5);
+    zones.forEach(settings.putArray("failureDomains")::add);
+    ArrayNode classes = settings.putArray("requestClasses");
+    addQueryClass(classes, "slot-search", "pure", 1);
+    addQueryClass(classes, "slot-booking", "token", 2);
+    addQueryClass(classes, "stock-report", "pure", 5);
+    putDomain(settings);
+    putPolicyLimits(settings, maxOpenQueries);
+    putRules(settings);
+    return config;
+  }
+
+  private static void addQueryClass(
+      ArrayNode classes, String name, String effect, double priorityWeight) {
+    classes
+        .addObject()
+        .put("name", name)
+        .put("aim", 500)
+        .put("deadline", 1500)
+        .put("lateWorth", 0.3)
+        .put("effect", effect)
+        .put("dedupWindow", 5000)
+        .put("worth", priorityWeight);
+  }
+
+  private void putDomain(ObjectNode settings) {
     ObjectNode domain =
-        s.putObject("domain")
+        settings
+            .putObject("domain")
             .put("cells", servers.size())
             .put("shards", servers.size())
             .put("width", 2);
     domain.putArray("minShare").add(1).add(1).add(0.8);
     domain.putArray("wholeAt").add(1).add(1).add(1);
     domain.putArray("classPartial").add(0.9).add(0.9).add(0.8);
-    s.putObject("policyLimits")
+  }
+
+  private static void putPolicyLimits(ObjectNode settings, int maxOpenQueries) {
+    settings
+        .putObject("policyLimits")
         .put("connectTimeout", 250)
         .put("keepalive", 15000)
         .put("maxAttempts", 4)
-        .put("maxOpen", holds)
+        .put("maxOpen", maxOpenQueries)
         .put("maxRetryAfter", 2000)
         .put("mayCancel", true)
         .put("retryAfter", true)
         .put("secondCopies", false)
         .put("streamsPerConn", 100);
-    s.putObject("rules")
-        .put("answerSlack", 20)
-        .put("cold", RuleCheck.COLD_TIME)
-        .put("coldFrom", RuleCheck.COLD_FROM)
-        .put("fall", RuleCheck.FALL)
-        .put("stopSendingWithin", 250)
-        .put("tipMultiple", RuleCheck.TIP);
-    return config;
   }
 
-  private static void queryClass(ArrayNode classes, String name, String effect, double worth) {
-    classes
-        .addObject()
-        .put("name", name)
-        .put("aim", 500)
-        .put("deadline", 1500)
-        .put("lateWorth", 0.3)
-        .put("effect", effect)
-        .put("dedupWindow", 5000)
-        .put("worth", worth);
+  private static void putRules(ObjectNode settings) {
+    settings
+        .putObject("rules")
+        .put("answerSlack", 20)
+        .put("cold", RuleCheck.WARMUP_MS)
+        .put("coldFrom", RuleCheck.WARMUP_START_FRACTION)
+        .put("fall", RuleCheck.OVERLOAD_WINDOW_MS)
+        .put("stopSendingWithin", 250)
+        .put("tipMultiple", RuleCheck.OVERLOAD_MULTIPLE);
   }
 }
--- a/src/main/java/bitternpulley/emulator/HollowServers.java
+++ b/src/main/java/bitternpulley/emulator/HollowServers.java
@@ -18,62 +18,63 @@
 import java.util.stream.IntStream;
 
 /**
- * Very many slot servers that do no work: each takes frames on a loopback host of its own and
- * answers every part at once. For measurements of what an aggregator's side costs; discovery names
- * them once and then only keeps its watches alive. Connections are spread over a few event loops.
+ * Emulates a large number of slot servers that do no work: each accepts frames on a loopback host
+ * of its own and answers every part at once. They serve to measure the costs on the aggregator's
+ * side. Discovery sends the endpoint list once and then only heartbeats. Connections are spread
+ * over a few event loops.
  */
 public final class HollowServers {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** Hosts in one block of 127.4.x, of which the last byte runs from 1. */
-  private static final int BLOCK = 250;
+  /** Number of hosts in each block 127.4.x, in which the last byte counts from 1. */
+  private static final int HOSTS_PER_BLOCK = 250;
 
   private static final String ZONE = "a";
 
   private final List<EventLoop> loops;
-  private final List<HostPort> at;
-  private final AtomicInteger open = new AtomicInteger();
-  private final AtomicLong parts = new AtomicLong();
+  private final List<HostPort> addresses;
+  private final AtomicInteger openConnections = new AtomicInteger();
+  private final AtomicLong answeredParts = new AtomicLong();
   private final HostPort discovery;
 
-  /** Starts so many servers, one for each section, with discovery beside them. */
-  public HollowServers(int count, int loopCount) throws IOException {
+  /** Starts {@code serverCount} servers, one for each shard, and discovery. */
+  public HollowServers(int serverCount, int loopCount) throws IOException {
     loops = IntStream.range(0, loopCount).mapToObj(i -> new EventLoop()).toList();
     List<HostPort> listening = new ArrayList<>();
-    for (int i = 0; i < count; i++) {
-      String host = "127.4." + i / BLOCK + "." + (1 + i % BLOCK);
+    for (int i = 0; i < serverCount; i++) {
+      String host = "127.4." + i / HOSTS_PER_BLOCK + "." + (1 + i % HOSTS_PER_BLOCK);
       listening.add(
           new StreamServer(Session::new).listen(loops.get(i % loopCount), new HostPort(host, 0)));
     }
-    at = List.copyOf(listening);
-    String whole = list().toString();
-    discovery = new DiscoveryService(loops.get(0), () -> whole).listen("127.0.0.1");
+    addresses = List.copyOf(listening);
+    String fullList = list().toString();
+    discovery = new DiscoveryService(loops.get(0), () -> fullList).listen("127.0.0.1");
   }
 
-  /** Where discovery is watched. */
+  /** Returns the address of discovery. */
   public HostPort discovery() {
     return discovery;
   }
 
-  /** Connections open at all servers together. */
+  /** Returns the number of open connections to all servers together. */
   public int open() {
-    return open.get();
+    return openConnections.get();
   }
 
-  /** Parts answered so far. */
+  /** Returns how many parts were answered so far. */
   public long parts() {
-    return parts.get();
+    return answeredParts.get();
   }
 
-  /** The whole list, as discovery tells it. */
+  /** Returns the full endpoint list as discovery sends it. */
   public ObjectNode list() {
     ObjectNode list = JSON.createObjectNode().put("revision", 1).put("complete", true);
     ArrayNode members = list.putArray("members");
-    for (int i = 0; i < at.size(); i++) {
+    for (int i = 0; i < addresses.size(); i++) {
       members
           .addObject()
           .put("id", "s" + i)
-          .put("host_port", at.get(i).toString())
+          .put("host_port", addresses.get(i).toString())
           .put("locality", ZONE)
           .put("cell", i)
           .put("phase", "up")
@@ -83,19 +84,19 @@
     return list;
   }
 
-  /** The zone that all of them stand in. */
+  /** Returns the zone of all servers. */
   public String zone() {
     return ZONE;
   }
 
-  /** One connection of frames: every part of a call is answered by itself. */
+  /** A connection for frames; every part of a call is answered separately. */
   private final class Session implements Connection.Owner {
     private final Connection connection;
     private final FrameCodec codec = new FrameCodec();
 
     Session(Connection connection) {
       this.connection = connection;
-      open.incrementAndGet();
+      openConnections.incrementAndGet();
     }
 
     @Override
@@ -110,20 +111,20 @@
     }
 
     private void answer(String call) {
-      int from = 0;
-      while (from < call.length()) {
-        int line = call.indexOf('\n', from);
-        String[] words = call.substring(from, line).split(" ");
-        from = line + 1 + Integer.parseInt(words[words.length - 1]);
-        parts.incrementAndGet();
-        byte[] text = (words[0] + " S 1 -\n5be2a07c19f04d63").getBytes(StandardCharsets.ISO_8859_1);
-        connection.write(FrameCodec.encode('5', text), () -> {});
+      int sectionStart = 0;
+      while (sectionStart < call.length()) {
+        int lineEnd = call.indexOf('\n', sectionStart);
+        String[] words = call.substring(sectionStart, lineEnd).split(" ", 0);
+        sectionStart = lineEnd + 1 + Integer.parseInt(words[words.length - 1]);
+        answeredParts.incrementAndGet();
+        byte[] rest = (words[0] + " S 1 -\n5be2a07c19f04d63").getBytes(StandardCharsets.ISO_8859_1);
+        connection.write(FrameCodec.encode('5', rest), () -> {});
       }
     }
 
     @Override
     public void closed() {
-      open.decrementAndGet();
+      openConnections.decrementAndGet();
     }
   }
 }
--- a/src/main/java/bitternpulley/emulator/RuleCheck.java
+++ b/src/main/java/bitternpulley/emulator/RuleCheck.java
@@ -7,173 +7,204 @@
 import java.util.Map;
 
 /**
- * The rules that servers can see, over all of them: at most four attempts a part and never two at
- * once, keyed parts again only within their window, parts only to holders, nothing new to a server
- * that drains, no more work to a cold one than it bears. Parts are forgotten once they are old.
+ * Checks the rules whose violation the servers can observe, over all servers together: a part has
+ * at most four attempts and never two at a time, a part with an idempotency key is retried only
+ * within the deduplication window, a part goes only to servers that have its shard, a draining
+ * server gets nothing new, and a server that is warming up gets no more work than it can bear. The
+ * state of old parts is discarded.
  */
 public final class RuleCheck {
-  private static final int MOST_ATTEMPTS = 4;
+  private static final int MAX_ATTEMPTS = 4;
 
-  /** Ms: the rules' figures and what a busy machine may add to them. */
-  private static final double KEYED_WINDOW = 5000 + 50;
+  /** The 5000 ms of the rule, and 50 ms that a busy machine may add. */
+  private static final double DEDUPLICATION_WINDOW_MS = 5000 + 50;
 
-  private static final double DRAIN = 250 + 50;
+  /** The 250 ms of the rule, and 50 ms that a busy machine may add. */
+  private static final double DRAIN_NOTICE_MS = 250 + 50;
 
   /**
-   * Ms that the word on a given-up part may be behind the part's next attempt, which goes over
-   * another connection.
+   * Time that the cancellation of an attempt may arrive after the part's next attempt, which goes
+   * over another connection.
    */
-  private static final double CROSSING = 100;
+  private static final double CANCELLATION_DELAY_MS = 100;
 
-  private static final double FORGET = 15_000;
-  private static final int MOST_BREACHES = 20;
+  private static final double PART_RETENTION_MS = 15_000;
+  private static final int MAX_RECORDED_VIOLATIONS = 20;
 
-  /**
-   * What the stand-ins' settings say of cold servers: share of capacity at first, ms until warm,
-   * window and multiple.
-   */
-  static final double COLD_FROM = 0.2;
+  /** Share of its capacity that a server has when it starts, as in the emulators' settings. */
+  static final double WARMUP_START_FRACTION = 0.2;
+
+  /** Time until a server has its full capacity, as in the emulators' settings. */
+  static final double WARMUP_MS = 17_000;
 
-  static final double COLD_TIME = 17_000;
-  static final double FALL = 1000;
-  static final double TIP = 2;
+  /** Time over which the work sent to a server is summed up, as in the emulators' settings. */
+  static final double OVERLOAD_WINDOW_MS = 1000;
 
   /**
-   * What a cold server is sent: the window it falls in, and the most of what it bears that any
-   * window held.
+   * Multiple of its capacity that a server may be sent while warming up, as in the emulators'
+   * settings.
    */
-  private static final class Cold {
+  static final double OVERLOAD_MULTIPLE = 2;
+
+  /** The work sent to a server while it is warming up. */
+  private static final class WarmUp {
     final int cores;
-    final double since;
+    final double startMs;
+
+    /** Time and work in ms of each part within the overload window. */
     final ArrayDeque<double[]> window = new ArrayDeque<>();
-    double sum;
-    double mostShare;
-    double total;
 
-    Cold(int cores, double since) {
+    double windowWorkMs;
+
+    /** The largest share of its limit that the server was sent within any window. */
+    double maxLimitShare;
+
+    double totalWorkMs;
+
+    WarmUp(int cores, double startMs) {
       this.cores = cores;
-      this.since = since;
+      this.startMs = startMs;
     }
   }
 
+  /** The attempts of a part. */
   private static final class Part {
     int attempts;
-    int out;
-    double first;
-    double endedAt;
-    double overlapSince = Double.NaN;
+    int inFlight;
+    double firstAttemptMs;
+    double lastEndMs;
+    double overlapStartMs = Double.NaN;
   }
 
-  private final Map<String, Cold> cold = new HashMap<>();
+  private final Map<String, WarmUp> warmUps = new HashMap<>();
   private final Map<String, Part> parts = new HashMap<>();
-  private final List<String> breaches = new ArrayList<>();
-  private int broken;
-  private double sweptAt;
-
-  /** An attempt has come in whole; {@code drains} is since when its server drains, or NaN. */
-  public synchronized void begin(
-      String part, boolean keyed, boolean holds, double drains, double now) {
-    sweep(now);
-    Part p = parts.computeIfAbsent(part, x -> new Part());
-    p.first = p.attempts == 0 ? now : p.first;
-    if (++p.attempts > MOST_ATTEMPTS) {
-      breach(part + " was tried " + p.attempts + " times");
+  private final List<String> violations = new ArrayList<>();
+  private int violationCount;
+  private double lastCleanupMs;
+
+  /**
+   * Checks an attempt that a server has received.
+   *
+   * @param partId the id of the part
+   * @param hasKey whether the query has an idempotency key
+   * @param hasShard whether the server has the part's shard
+   * @param drainingSinceMs since when the server has been draining, or NaN
+   * @param nowMs the current time
+   */
+  public synchronized void attemptStarted(
+      String partId, boolean hasKey, boolean hasShard, double drainingSinceMs, double nowMs) {
+    discardOldParts(nowMs);
+    Part part = parts.computeIfAbsent(partId, ignored -> new Part());
+    part.firstAttemptMs = part.attempts == 0 ? nowMs : part.firstAttemptMs;
+    if (++part.attempts > MAX_ATTEMPTS) {
+      recordViolation(partId + " had " + part.attempts + " attempts");
     }
-    if (++p.out > 1) {
-      p.overlapSince = now;
+    if (++part.inFlight > 1) {
+      part.overlapStartMs = nowMs;
     }
-    if (keyed && p.attempts > 1 && now > p.first + KEYED_WINDOW) {
-      breach(part + " was sent again after its window");
+    if (hasKey && part.attempts > 1 && nowMs > part.firstAttemptMs + DEDUPLICATION_WINDOW_MS) {
+      recordViolation(partId + " was retried after its deduplication window");
     }
-    if (!holds) {
-      breach(part + " went to a server that does not hold its section");
+    if (!hasShard) {
+      recordViolation(partId + " was sent to a server that does not have its shard");
     }
-    if (now > drains + DRAIN) {
-      breach(part + " went to a server that drains");
+    if (nowMs > drainingSinceMs + DRAIN_NOTICE_MS) {
+      recordViolation(partId + " was sent to a draining server");
     }
   }
 
-  /** An attempt has ended: answered, given up, or its connection closed. */
-  public synchronized void end(String part, double now) {
-    Part p = parts.get(part);
-    if (p == null) {
+  /** Records that an attempt was answered or cancelled, or that its connection was closed. */
+  public synchronized void attemptEnded(String partId, double nowMs) {
+    Part part = parts.get(partId);
+    if (part == null) {
       return;
     }
-    p.out--;
-    p.endedAt = now;
-    if (!Double.isNaN(p.overlapSince) && p.out <= 1) {
-      if (now > p.overlapSince + CROSSING) {
-        breach(part + " was out twice for " + Math.round(now - p.overlapSince) + " ms");
+    part.inFlight--;
+    part.lastEndMs = nowMs;
+    if (!Double.isNaN(part.overlapStartMs) && part.inFlight <= 1) {
+      if (nowMs > part.overlapStartMs + CANCELLATION_DELAY_MS) {
+        recordViolation(
+            partId
+                + " had two attempts in flight for "
+                + Math.round(nowMs - part.overlapStartMs)
+                + " ms");
       }
-      p.overlapSince = Double.NaN;
+      part.overlapStartMs = Double.NaN;
     }
   }
 
-  /** A server of so many cores has started just now. */
-  synchronized void cold(String server, int cores, double now) {
-    cold.put(server, new Cold(cores, now));
+  /** Records that a server has restarted, which warms up from now on. */
+  synchronized void serverStarted(String server, int cores, double nowMs) {
+    warmUps.put(server, new WarmUp(cores, nowMs));
   }
 
-  /** A part of so many ms of work has come to a server. */
-  synchronized void work(String server, double work, double now) {
-    Cold c = cold.get(server);
-    if (c == null || now > c.since + COLD_TIME) {
+  /** Records that a server has received a part of this many ms of work. */
+  synchronized void workReceived(String server, double workMs, double nowMs) {
+    WarmUp warmUp = warmUps.get(server);
+    if (warmUp == null || nowMs > warmUp.startMs + WARMUP_MS) {
       return;
     }
-    c.window.add(new double[] {now, work});
-    c.sum += work;
-    c.total += work;
-    while (c.window.peek()[0] < now - FALL) {
-      c.sum -= c.window.poll()[1];
+    warmUp.window.add(new double[] {nowMs, workMs});
+    warmUp.windowWorkMs += workMs;
+    warmUp.totalWorkMs += workMs;
+    while (warmUp.window.peek()[0] < nowMs - OVERLOAD_WINDOW_MS) {
+      warmUp.windowWorkMs -= warmUp.window.poll()[1];
     }
-    double share =
-        c.sum
-            / (TIP * c.cores * (COLD_FROM + (1 - COLD_FROM) * (now - c.since) / COLD_TIME) * FALL);
-    if (share > 1 && c.mostShare <= 1) {
-      breach(
+    double limitShare =
+        warmUp.windowWorkMs
+            / (OVERLOAD_MULTIPLE
+                * warmUp.cores
+                * (WARMUP_START_FRACTION
+                    + (1 - WARMUP_START_FRACTION) * (nowMs - warmUp.startMs) / WARMUP_MS)
+                * OVERLOAD_WINDOW_MS);
+    if (limitShare > 1 && warmUp.maxLimitShare <= 1) {
+      recordViolation(
           server
               + " was sent "
-              + Math.round(c.sum)
-              + " ms of work within a window while cold, "
-              + share
-              + " of what it bears");
+              + Math.round(warmUp.windowWorkMs)
+              + " ms of work within a window while warming up, "
+              + limitShare
+              + " times its limit");
     }
-    c.mostShare = Math.max(c.mostShare, share);
+    warmUp.maxLimitShare = Math.max(warmUp.maxLimitShare, limitShare);
   }
 
   /**
-   * The most of what it bears that a server was sent within a window since it started last, while
-   * cold; 0 where it was never.
+   * Returns the largest share of its limit that a server was sent within any window of its last
+   * warm-up; 0 for a server that was never restarted.
    */
   public synchronized double coldShare(String server) {
-    return cold.containsKey(server) ? cold.get(server).mostShare : 0;
+    return warmUps.containsKey(server) ? warmUps.get(server).maxLimitShare : 0;
   }
 
-  /** Ms of work that a server was sent while cold since it started last. */
+  /** Returns how many ms of work a server was sent during its last warm-up. */
   public synchronized double coldWork(String server) {
-    return cold.containsKey(server) ? cold.get(server).total : 0;
+    return warmUps.containsKey(server) ? warmUps.get(server).totalWorkMs : 0;
   }
 
-  private void breach(String what) {
-    broken++;
-    if (breaches.size() < MOST_BREACHES) {
-      breaches.add(what);
+  private void recordViolation(String description) {
+    violationCount++;
+    if (violations.size() < MAX_RECORDED_VIOLATIONS) {
+      violations.add(description);
     }
   }
 
-  private void sweep(double now) {
-    if (now > sweptAt + FORGET) {
-      sweptAt = now;
-      parts.values().removeIf(p -> p.out == 0 && now > p.endedAt + FORGET);
+  private void discardOldParts(double nowMs) {
+    if (nowMs > lastCleanupMs + PART_RETENTION_MS) {
+      lastCleanupMs = nowMs;
+      parts
+          .values()
+          .removeIf(part -> part.inFlight == 0 && nowMs > part.lastEndMs + PART_RETENTION_MS);
     }
   }
 
-  /** How many rules were broken, and the first of them in words. */
+  /** Returns how many violations were observed. */
   public synchronized int broken() {
-    return broken;
+    return violationCount;
   }
 
+  /** Returns descriptions of the first violations. */
   public synchronized List<String> breaches() {
-    return List.copyOf(breaches);
+    return List.copyOf(violations);
   }
 }
--- a/src/main/java/bitternpulley/emulator/SlotServer.java
+++ b/src/main/java/bitternpulley/emulator/SlotServer.java
@@ -16,47 +16,51 @@
 import java.util.regex.Pattern;
 
 /**
- * One slot server in both dialects over one queue of work. How much work a part is, in
- * microseconds, stands in what is asked: {@code w=9000} in a query's filter or a search's body;
- * without it a part takes {@link #USUAL_WORK}.
+ * Emulates a slot server that implements the frame protocol and the search API over one work queue.
+ * A query's filter or a search's body states the work of a part in microseconds, such as {@code
+ * w=9000}; without that, a part takes {@link #DEFAULT_WORK_MS}.
  */
 public final class SlotServer {
-  /** Ms of work of a part that tells none. */
-  static final double USUAL_WORK = 10;
+  /** Work of a part whose query does not state it. */
+  static final double DEFAULT_WORK_MS = 10;
 
   private static final Pattern WORK = Pattern.compile("w=([0-9]{1,9})");
-  private static final Pattern SECTION = Pattern.compile("_shards:([0-9]{1,6})");
-  private static final int MOST_BODY = 64 * 1024;
-  private static final int MOST_CONNECTIONS = 2000;
-  private static final HttpServer.Timeouts PATIENT =
+  private static final Pattern SHARD = Pattern.compile("_shards:([0-9]{1,6})");
+  private static final int MAX_BODY_BYTES = 64 * 1024;
+  private static final int MAX_CONNECTIONS = 2000;
+  private static final int QUEUE_CAPACITY = 200;
+  private static final HttpServer.Timeouts LONG_TIMEOUTS =
       new HttpServer.Timeouts(60_000, 60_000, 60_000);
 
   private final String id;
   private final int cell;
-  private final int cells;
+  private final int serverCount;
   private final EventLoop loop;
   private final WorkQueue work;
   private final RuleCheck rules;
-  private HostPort frames;
-  private boolean silent;
-  private double drains = Double.NaN;
+  private HostPort frameAddress;
+  private boolean unresponsive;
+  private double drainingSinceMs = Double.NaN;
 
-  SlotServer(String id, int cell, int cells, int cores, EventLoop loop, RuleCheck rules) {
+  /** Creates a server that has the shard of its own number and, in a ring, the one before it. */
+  SlotServer(String id, int cell, int serverCount, int cores, EventLoop loop, RuleCheck rules) {
     this.id = id;
     this.cell = cell;
-    this.cells = cells;
+    this.serverCount = serverCount;
     this.loop = loop;
     this.rules = rules;
-    this.work = new WorkQueue(loop, cores, 200);
+    this.work = new WorkQueue(loop, cores, QUEUE_CAPACITY);
   }
 
-  /** Listens on a host of its own, for searches at the port that all servers share. */
+  /** Listens for frames at any port of a host, and for searches at {@code searchPort}. */
   void listen(String host, int searchPort) throws IOException {
-    frames = new StreamServer(Session::new).listen(loop, new HostPort(host, 0));
-    HttpServer http = new HttpServer(loop, MOST_BODY, MOST_CONNECTIONS, PATIENT, new Searches());
+    frameAddress = new StreamServer(FrameSession::new).listen(loop, new HostPort(host, 0));
+    HttpServer http =
+        new HttpServer(loop, MAX_BODY_BYTES, MAX_CONNECTIONS, LONG_TIMEOUTS, new SearchHandler());
     http.listen(new HostPort(host, searchPort));
   }
 
+  /** Returns the id by which discovery lists this server. */
   public String id() {
     return id;
   }
@@ -65,171 +69,190 @@
     return cell;
   }
 
-  /** Where it takes frames. */
-  public HostPort frames() {
-    return frames;
+  /** Returns the address at which this server accepts frames. */
+  public HostPort frameAddress() {
+    return frameAddress;
   }
 
-  /** Times as long that each part takes from now on. */
-  public void slow(double times) {
-    loop.execute(() -> work.slowness(times));
+  /** Sets the factor by which parts that start from now on take longer than usual. */
+  public void slow(double factor) {
+    loop.execute(() -> work.setSlowdown(factor));
   }
 
-  /** Takes parts and answers none, or answers again. */
+  /** Sets whether this server accepts parts without answering them. */
   public void silent(boolean on) {
-    loop.execute(() -> silent = on);
+    loop.execute(() -> unresponsive = on);
   }
 
-  /** From now on nothing new may come, or again; the time of the first word counts. */
-  public void drains(boolean on) {
-    loop.execute(() -> drains = !on ? Double.NaN : Double.isNaN(drains) ? now() : drains);
+  /**
+   * Sets whether this server is draining and must be sent nothing new. The time counts from the
+   * first announcement.
+   */
+  public void setDraining(boolean on) {
+    loop.execute(
+        () ->
+            drainingSinceMs =
+                !on ? Double.NaN : Double.isNaN(drainingSinceMs) ? now() : drainingSinceMs);
   }
 
-  /** Ms of work finished so far. */
-  public double workDone() {
-    return work.workDone();
+  /** Returns how many ms of work were finished so far. */
+  public double workDoneMs() {
+    return work.workDoneMs();
   }
 
   private static double now() {
     return System.nanoTime() / 1e6;
   }
 
-  private boolean holds(int section) {
-    return cell == Math.floorMod(section, cells) || cell == Math.floorMod(section + 1, cells);
+  private boolean hasShard(int shard) {
+    return cell == Math.floorMod(shard, serverCount)
+        || cell == Math.floorMod(shard + 1, serverCount);
   }
 
-  private static double workOf(String asked) {
-    Matcher m = WORK.matcher(asked);
-    return m.find() ? Long.parseLong(m.group(1)) / 1000.0 : USUAL_WORK;
+  private static double workMs(String query) {
+    Matcher work = WORK.matcher(query);
+    return work.find() ? Long.parseLong(work.group(1)) / 1000.0 : DEFAULT_WORK_MS;
   }
 
-  /** One connection of frames. */
-  private final class Session implements Connection.Owner {
+  /** A connection for frames. */
+  private final class FrameSession implements Connection.Owner {
     private final Connection connection;
     private final FrameCodec codec = new FrameCodec();
-    private final Set<String> out = new HashSet<>();
+    private final Set<String> partsInFlight = new HashSet<>();
 
-    Session(Connection connection) {
+    FrameSession(Connection connection) {
       this.connection = connection;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
       try {
-        codec.read(bytes, this::frame);
-      } catch (IllegalArgumentException e) {
+        codec.read(bytes, this::handleFrame);
+      } catch (IllegalArgumentException exception) {
         connection.close();
       }
     }
 
-    private void frame(FrameCodec.Frame frame) {
+    private void handleFrame(FrameCodec.Frame frame) {
       String text = new String(frame.rest(), StandardCharsets.UTF_8);
       if (frame.letter() == '2') {
-        if (out.remove(text)) {
-          rules.end(text, now());
+        if (partsInFlight.remove(text)) {
+          rules.attemptEnded(text, now());
         }
       } else if (frame.letter() == '1') {
-        call(text);
+        handleCall(text);
       }
     }
 
-    private void call(String text) {
-      String[] words = text.substring(0, text.indexOf('\n')).split(" ");
-      String part = words[0];
-      rules.begin(part, words[2].contains(",k="), holds(Integer.parseInt(words[1])), drains, now());
-      rules.work(id, workOf(text), now());
-      out.add(part);
-      if (silent) {
+    private void handleCall(String text) {
+      String[] words = text.substring(0, text.indexOf('\n')).split(" ", 0);
+      String partId = words[0];
+      rules.attemptStarted(
+          partId,
+          words[2].contains(",k="),
+          hasShard(Integer.parseInt(words[1])),
+          drainingSinceMs,
+          now());
+      rules.workReceived(id, workMs(text), now());
+      partsInFlight.add(partId);
+      if (unresponsive) {
         return;
       }
       work.submit(
-          workOf(text),
+          workMs(text),
           new WorkQueue.Job() {
             @Override
-            public void done() {
-              answer(part, "S", String.format("%016x", part.hashCode()));
+            public void completed() {
+              answer(partId, "S", String.format("%016x", partId.hashCode()));
             }
 
             @Override
-            public void full() {
-              answer(part, "B", "");
+            public void rejected() {
+              answer(partId, "B", "");
             }
           });
     }
 
-    private void answer(String part, String end, String value) {
-      if (out.remove(part)) {
-        rules.end(part, now());
+    private void answer(String partId, String status, String value) {
+      if (partsInFlight.remove(partId)) {
+        rules.attemptEnded(partId, now());
         connection.write(
             FrameCodec.encode(
-                '5', (part + " " + end + " 0 -\n" + value).getBytes(StandardCharsets.UTF_8)),
+                '5', (partId + " " + status + " 0 -\n" + value).getBytes(StandardCharsets.UTF_8)),
             () -> {});
       }
     }
 
     @Override
     public void closed() {
-      out.forEach(part -> rules.end(part, now()));
-      out.clear();
+      partsInFlight.forEach(partId -> rules.attemptEnded(partId, now()));
+      partsInFlight.clear();
     }
   }
 
-  /** The search API as one section answers it. */
-  private final class Searches implements HttpServer.Handler {
+  /** Answers searches of single shards. */
+  private final class SearchHandler implements HttpServer.Handler {
     @Override
     public void handle(HttpServer.Request request, HttpServer.Exchange exchange) {
-      String part = request.head().header("X-Opaque-Id");
-      Matcher section = SECTION.matcher(request.head().target());
-      if (part == null || !section.find()) {
+      String partId = request.head().header("X-Opaque-Id");
+      Matcher shard = SHARD.matcher(request.head().target());
+      if (partId == null || !shard.find()) {
         exchange.reply(
             json(
                 400,
-                "{\"error\":{\"type\":\"parsing_exception\",\"reason\":\"no section\"},\"status\":400}"));
+                "{\"error\":{\"type\":\"parsing_exception\",\"reason\":\"no section\"},"
+                    + "\"status\":400}"));
         return;
       }
-      rules.begin(
-          part,
+      rules.attemptStarted(
+          partId,
           request.head().header("Idempotency-Key") != null,
-          holds(Integer.parseInt(section.group(1))),
-          drains,
+          hasShard(Integer.parseInt(shard.group(1))),
+          drainingSinceMs,
           now());
-      boolean[] open = {true};
-      exchange.onDisconnect(() -> end(open, part));
-      if (silent) {
+      boolean[] inFlight = {true};
+      exchange.onDisconnect(() -> end(inFlight, partId));
+      if (unresponsive) {
         return;
       }
       work.submit(
-          workOf(new String(request.body(), StandardCharsets.UTF_8)),
-          new WorkQueue.Job() {
-            @Override
-            public void done() {
-              end(open, part);
-              exchange.reply(
-                  json(
-                      200,
-                      "{\"took\":1,\"timed_out\":false,\"_shards\":{\"total\":1,\"successful\":1,"
-                          + "\"skipped\":0,\"failed\":0},\"hits\":{\"total\":{\"value\":1,\"relation\":\"eq\"},\"hits\":["
-                          + "{\"_index\":\"i\",\"_id\":\""
-                          + part.hashCode()
-                          + "\",\"_score\":1.0}]}}"));
-            }
+          workMs(new String(request.body(), StandardCharsets.UTF_8)),
+          searchJob(inFlight, partId, exchange));
+    }
 
-            @Override
-            public void full() {
-              end(open, part);
-              exchange.reply(
-                  json(
-                      429,
-                      "{\"error\":{\"type\":\"rejected_execution_exception\",\"reason\":\"full\"},"
-                          + "\"status\":429}"));
-            }
-          });
+    private WorkQueue.Job searchJob(
+        boolean[] inFlight, String partId, HttpServer.Exchange exchange) {
+      return new WorkQueue.Job() {
+        @Override
+        public void completed() {
+          end(inFlight, partId);
+          exchange.reply(
+              json(
+                  200,
+                  "{\"took\":1,\"timed_out\":false,\"_shards\":{\"total\":1,\"successful\":1,"
+                      + "\"skipped\":0,\"failed\":0},\"hits\":{\"total\":{\"value\":1,"
+                      + "\"relation\":\"eq\"},\"hits\":["
+                      + "{\"_index\":\"i\",\"_id\":\""
+                      + partId.hashCode()
+                      + "\",\"_score\":1.0}]}}"));
+        }
+
+        @Override
+        public void rejected() {
+          end(inFlight, partId);
+          exchange.reply(
+              json(
+                  429,
+                  "{\"error\":{\"type\":\"rejected_execution_exception\",\"reason\":\"full\"},"
+                      + "\"status\":429}"));
+        }
+      };
     }
 
-    private void end(boolean[] open, String part) {
-      if (open[0]) {
-        open[0] = false;
-        rules.end(part, now());
+    private void end(boolean[] inFlight, String partId) {
+      if (inFlight[0]) {
+        inFlight[0] = false;
+        rules.attemptEnded(partId, now());
       }
     }
 
--- a/src/main/java/bitternpulley/emulator/WorkQueue.java
+++ b/src/main/java/bitternpulley/emulator/WorkQueue.java
@@ -4,66 +4,72 @@
 import java.util.ArrayDeque;
 
 /**
- * A machine with cores and a waiting room, first in, first out. All calls come on the loop's turn.
+ * Emulates a machine with a number of cores and a bounded first-in first-out queue. All calls must
+ * be made in a turn of the event loop.
  */
 final class WorkQueue {
-  /** What becomes of a part. */
+  /** Receives the outcome of a part. */
   interface Job {
-    void done();
+    /** Handles the completion of the work. */
+    void completed();
 
-    void full();
+    /** Handles the rejection of the work because the queue is full. */
+    void rejected();
   }
 
-  private record Waiting(double work, Job job) {}
+  /** A job that waits for a core. */
+  private record QueuedJob(double workMs, Job job) {}
 
   private final EventLoop loop;
   private final int cores;
-  private final int room;
-  private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
-  private int busy;
-  private double slowness = 1;
-  private double workDone;
+  private final int capacity;
+  private final ArrayDeque<QueuedJob> queue = new ArrayDeque<>();
+  private int busyCores;
+  private double slowdown = 1;
+  private double workDoneMs;
 
-  WorkQueue(EventLoop loop, int cores, int room) {
+  /** Creates a queue in which {@code capacity} jobs can wait for one of the cores. */
+  WorkQueue(EventLoop loop, int cores, int capacity) {
     this.loop = loop;
     this.cores = cores;
-    this.room = room;
+    this.capacity = capacity;
   }
 
-  /** Times as long that each part takes from now on. */
-  void slowness(double times) {
-    slowness = times;
+  /** Sets the factor by which parts that start from now on take longer than usual. */
+  void setSlowdown(double factor) {
+    slowdown = factor;
   }
 
-  /** Ms of work that was finished, as it takes at the usual speed. */
-  double workDone() {
-    return workDone;
+  /** Returns the work finished so far, in ms that it takes at the usual speed. */
+  double workDoneMs() {
+    return workDoneMs;
   }
 
-  void submit(double work, Job job) {
-    if (busy < cores) {
-      begin(new Waiting(work, job), now());
-    } else if (queue.size() < room) {
-      queue.add(new Waiting(work, job));
+  /** Starts a job of this many ms of work, queues it, or rejects it when the queue is full. */
+  void submit(double workMs, Job job) {
+    if (busyCores < cores) {
+      start(new QueuedJob(workMs, job), now());
+    } else if (queue.size() < capacity) {
+      queue.add(new QueuedJob(workMs, job));
     } else {
-      job.full();
+      job.rejected();
     }
   }
 
-  private void begin(Waiting w, double from) {
-    busy++;
-    // Alarms ring late by up to their grid: the next part counts from when this one was due, so
-    // that no time of a core is lost.
-    double due = from + w.work() * slowness;
-    loop.after(
-        due - now(),
+  private void start(QueuedJob queued, double startMs) {
+    busyCores++;
+    // Timers fire late by up to their resolution. The next job therefore starts when this one was
+    // due, so that no core time is lost.
+    double dueMs = startMs + queued.workMs() * slowdown;
+    loop.schedule(
+        dueMs - now(),
         () -> {
-          busy--;
-          workDone += w.work();
+          busyCores--;
+          workDoneMs += queued.workMs();
           if (!queue.isEmpty()) {
-            begin(queue.poll(), due);
+            start(queue.poll(), dueMs);
           }
-          w.job().done();
+          queued.job().completed();
         });
   }
 
--- a/src/main/java/bitternpulley/emulator/package-info.java
+++ b/src/main/java/bitternpulley/emulator/package-info.java
@@ -1,11 +1,11 @@
 /**
- * Stand-ins of what the aggregator works with: slot servers that speak the platform's frames and
- * the search API, over one queue of work, and discovery. Written from the protocols; for
- * measurements, the demo and tests, never for service.
+ * Emulators of the systems that the aggregator works with, for measurements, the demo and tests,
+ * and never used in service: slot servers that implement the platform's frame protocol and the
+ * search API over one work queue, and discovery. They are written from the protocol specifications.
  *
- * <p>{@link bitternpulley.emulator.Fleet} puts one together (start reading there). A server works
- * as real ones do: so many cores, a waiting room, parts whose work the query tells; it can be made
- * slow or silent while it runs. {@link bitternpulley.emulator.RuleCheck} sees every attempt and
- * says which rules were broken.
+ * <p>{@link bitternpulley.emulator.Fleet} creates a fleet (start reading there). A server behaves
+ * like a real one: it has a number of cores, a bounded queue, and parts whose work the query
+ * states; it can be made slow or silent while it runs. {@link bitternpulley.emulator.RuleCheck}
+ * observes every attempt and reports which rules were violated.
  */
 package bitternpulley.emulator;
--- a/src/main/java/bitternpulley/faultinjection/Cluster.java
+++ b/src/main/java/bitternpulley/faultinjection/Cluster.java
@@ -57,12 +57,12 @@
     targets =
         new Targets(
             IntStream.range(0, count).mapToObj(i -> zones.get(i % zones.size())).toList(),
-            fleet.servers().stream().map(s -> zones.get(fleet.zone(s))).toList());
+            fleet.servers().stream().map(s -> zones.get(fleet.zoneOf(s))).toList());
     timeline = new Timeline(name, seed);
     this.replay = replay;
     for (int i = 0; i < count; i++) {
       String node = "n" + i;
-      Fleet.View view = fleet.view(s -> ways.address(node, s.id()));
+      Fleet.DiscoveryView view = fleet.createView(s -> ways.address(node, s.id()));
       ObjectNode config =
           fleet.configuration(
               i,
@@ -70,7 +70,7 @@
               "127.0.0.1:" + Ports.free(),
               HOLDS,
               view,
-              ways.stream(node, "discovery", view.at()));
+              ways.stream(node, "discovery", view.address()));
       config.put("peer_listen", ways.datagrams().listen(i).toString());
       ArrayNode peers = config.putArray("peers");
       ways.datagrams().peersOf(i).forEach(p -> peers.add(p.toString()));
--- a/src/main/java/bitternpulley/faultinjection/Ways.java
+++ b/src/main/java/bitternpulley/faultinjection/Ways.java
@@ -31,7 +31,7 @@
         }
       }
       for (SlotServer s : fleet.servers()) {
-        stream("n" + a, s.id(), s.frames());
+        stream("n" + a, s.id(), s.frameAddress());
       }
     }
   }
