--- a/src/main/java/bitternpulley/faultinjection/Ports.java
+++ b/src/main/java/bitternpulley/faultinjection/Ports.java
@@ -1,6 +1,7 @@
 package bitternpulley.faultinjection;
 
 import java.io.IOException;
+import java.net.BindException;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -16,44 +17,48 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Ports for processes of a scenario. They lie below the system's own range, from which outgoing
- * connections take theirs. A locked file for each port keeps other test programs on this machine
- * from choosing it between the choice and the bind; the system releases it with this program.
+ * Allocates ports for the processes of a scenario. The ports lie below the range from which the
+ * operating system assigns ports to outgoing connections. A locked file for each port keeps other
+ * test programs on this machine from choosing the port between the choice and the bind; the
+ * operating system releases the lock when this program ends.
  */
 public final class Ports {
-  private static final int FIRST = 15_000;
-  private static final int COUNT = 15_000;
-  private static final Path LOCKS =
+  private static final int FIRST_PORT = 15_000;
+  private static final int PORT_COUNT = 15_000;
+  private static final Path LOCK_DIRECTORY =
       Path.of(System.getProperty("java.io.tmpdir"), "bitternpulley-ports");
 
-  /** Held until this program ends, by port. */
-  private static final Map<Integer, FileLock> RESERVED = new ConcurrentHashMap<>();
+  /** The locks of the allocated ports, by port, held until this program ends. */
+  private static final Map<Integer, FileLock> LOCKS = new ConcurrentHashMap<>();
 
   private Ports() {}
 
-  /** A port that is free on the loopback host for TCP and UDP, and is given to nobody else here. */
+  /**
+   * Reserves and returns a port that is free on the loopback host for TCP and UDP. No other test
+   * program on this machine gets the same port while this program runs.
+   */
   public static int free() throws IOException {
     return free(List.of("127.0.0.1"));
   }
 
-  /** The same on all these hosts. */
+  /** Reserves and returns a port that is free on all these hosts for TCP and UDP. */
   public static int free(List<String> hosts) throws IOException {
     while (true) {
-      int port = FIRST + ThreadLocalRandom.current().nextInt(COUNT);
-      if (!RESERVED.containsKey(port) && isFree(hosts, port) && reserve(port)) {
+      int port = FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT);
+      if (!LOCKS.containsKey(port) && isFree(hosts, port) && tryLock(port)) {
         return port;
       }
     }
   }
 
-  private static synchronized boolean reserve(int port) throws IOException {
-    if (RESERVED.containsKey(port)) {
+  private static synchronized boolean tryLock(int port) throws IOException {
+    if (LOCKS.containsKey(port)) {
       return false;
     }
-    Files.createDirectories(LOCKS);
+    Files.createDirectories(LOCK_DIRECTORY);
     FileChannel file =
         FileChannel.open(
-            LOCKS.resolve(Integer.toString(port)),
+            LOCK_DIRECTORY.resolve(Integer.toString(port)),
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE);
     FileLock lock = file.tryLock();
@@ -61,18 +66,18 @@
       file.close();
       return false;
     }
-    RESERVED.put(port, lock);
+    LOCKS.put(port, lock);
     return true;
   }
 
   private static boolean isFree(List<String> hosts, int port) throws IOException {
     for (String host : hosts) {
-      InetSocketAddress at = new InetSocketAddress(InetAddress.getByName(host), port);
+      InetSocketAddress address = new InetSocketAddress(InetAddress.getByName(host), port);
       try (ServerSocket tcp = new ServerSocket();
           DatagramSocket udp = new DatagramSocket(null)) {
-        tcp.bind(at);
-        udp.bind(at);
-      } catch (java.net.BindException e) {
+        tcp.bind(address);
+        udp.bind(address);
+      } catch (BindException exception) {
         return false;
       }
     }
--- a/src/main/java/bitternpulley/faultinjection/Scenario.java
+++ b/src/main/java/bitternpulley/faultinjection/Scenario.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What befalls a cluster, and when: lines of a time in ms and a fault as {@link Cluster#does} takes
- * it, for example
+ * A sequence of timed faults for a cluster. Each line of its text has a time in ms and a fault in
+ * the syntax of {@link Cluster#does}, for example
  *
  * <pre>
  * 1000 lose 0.05 all = all
@@ -17,44 +17,46 @@
  * 6000 cut zone:gulberg &gt; zone:johar
  * </pre>
  *
- * The same lines with the same seed do the same again.
+ * The same lines with the same seed inject the same faults.
  */
 public final class Scenario {
-  private record Step(double at, String fault) {}
+  /** A fault and its time in ms since the start of the scenario. */
+  private record Step(double atMs, String fault) {}
 
   private final List<Step> steps = new ArrayList<>();
 
-  /** The steps of a text; blank lines and what follows a {@code #} are passed over. */
+  /** Parses a scenario; blank lines and what follows a {@code #} are ignored. */
   public static Scenario of(String text) {
     Scenario scenario = new Scenario();
     for (String line : text.lines().toList()) {
-      String said = line.replaceAll("#.*", "").trim();
-      if (!said.isEmpty()) {
-        String[] words = said.split("\\s+", 2);
+      String statement = line.replaceAll("#.*", "").trim();
+      if (!statement.isEmpty()) {
+        String[] words = statement.split("\\s+", 2);
         if (words.length < 2 || !words[0].matches("[0-9]+")) {
-          throw new IllegalArgumentException("a line is a time in ms and a fault: " + line);
+          throw new IllegalArgumentException(
+              "a scenario line must have a time in ms and a fault: " + line);
         }
-        scenario.at(Double.parseDouble(words[0]), words[1]);
+        scenario.addStep(Double.parseDouble(words[0]), words[1]);
       }
     }
     return scenario;
   }
 
-  /** One more step, so many ms after the beginning. */
-  public Scenario at(double ms, String fault) {
-    steps.add(new Step(ms, fault));
+  /** Adds a fault at a time in ms since the start of the scenario. */
+  public Scenario addStep(double atMs, String fault) {
+    steps.add(new Step(atMs, fault));
     return this;
   }
 
-  /** Does all of it to a cluster, each step in its time, and returns after the last. */
+  /** Injects each fault into the cluster at its time, and returns after the last one. */
   public void play(Cluster cluster) throws IOException, InterruptedException {
-    double from = cluster.timeline().now();
-    List<Step> order = new ArrayList<>(steps);
-    order.sort(Comparator.comparingDouble(Step::at));
-    for (Step step : order) {
-      double left = from + step.at() - cluster.timeline().now();
-      if (left > 0) {
-        TimeUnit.MICROSECONDS.sleep((long) (left * 1000));
+    double startMs = cluster.timeline().now();
+    List<Step> orderedSteps = new ArrayList<>(steps);
+    orderedSteps.sort(Comparator.comparingDouble(Step::atMs));
+    for (Step step : orderedSteps) {
+      double remainingMs = startMs + step.atMs() - cluster.timeline().now();
+      if (remainingMs > 0) {
+        TimeUnit.MICROSECONDS.sleep((long) (remainingMs * 1000));
       }
       cluster.does(step.fault());
     }
