--- a/src/main/java/bitternpulley/faultinjection/Cluster.java
+++ b/src/main/java/bitternpulley/faultinjection/Cluster.java
@@ -161,10 +161,10 @@
       case "resume" -> node.resume();
       case "kill" -> node.kill();
       case "leave" -> node.terminate();
-      case "hangup" -> node.hangup();
+      case "hangup" -> node.reloadConfiguration();
       case "restart" -> node.start().awaitReady();
       case "renew" -> {
-        node.forget();
+        node.deleteState();
         node.start().awaitReady();
       }
       default -> throw new IllegalArgumentException("no such fault of a process: " + verb);
@@ -261,7 +261,7 @@
 
   /** The numbers of the processes that run, stopped or not. */
   public List<Integer> running() {
-    return IntStream.range(0, size()).filter(i -> nodes.get(i).alive()).boxed().toList();
+    return IntStream.range(0, size()).filter(i -> nodes.get(i).isAlive()).boxed().toList();
   }
 
   /**
@@ -297,7 +297,7 @@
 
   private void failIfOneEndedByItself() throws IOException {
     for (Node node : nodes) {
-      if (node.hasEndedByItself()) {
+      if (node.hasExitedUnexpectedly()) {
         throw new AssertionError(
             node.name() + " has ended by itself; replay: " + replay + "; its log:\n" + node.log());
       }
--- a/src/main/java/bitternpulley/faultinjection/Node.java
+++ b/src/main/java/bitternpulley/faultinjection/Node.java
@@ -16,202 +16,207 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One aggregator of a scenario: the real program with the flags of the deploy file's {@code run}
- * line, in a folder of its own. It can be stopped and continued, killed, started again with or
- * without what it kept, and started twice.
+ * One aggregator of a scenario: the real program, started with the JVM flags of the deploy file's
+ * {@code run} line and with a directory of its own. It can be paused and resumed, killed, restarted
+ * with or without its stored state, and started twice.
  */
 public final class Node implements AutoCloseable {
   private static final long READY_WITHIN_MS = 20_000;
-  private static final int DOOR_TIMEOUT_MS = 5_000;
+  private static final int ADMIN_TIMEOUT_MS = 5_000;
 
   private final String name;
   private final ObjectNode configuration;
-  private final Path folder;
-  private final Path memory;
+  private final Path directory;
+  private final Path stateDirectory;
   private final String script;
-  private final HostPort front;
-  private final HostPort door;
+  private final HostPort listenAddress;
+  private final HostPort adminAddress;
   private Process process;
-  private boolean isEndExpected;
-  private int starts;
+  private boolean exitExpected;
+  private int startCount;
 
-  /** A node that is not started yet; {@code script} is its operators' script, or null. */
+  /** Creates a node without starting it; {@code script} is its operators' script, or null. */
   public Node(String name, ObjectNode configuration, String script) throws IOException {
     this.name = name;
     this.configuration = configuration;
     this.script = script;
-    folder = Files.createTempDirectory("bitternpulley-" + name);
-    memory = Files.createDirectory(folder.resolve("memory"));
-    front = HostPort.parse(configuration.path("listen").asText());
-    door = new HostPort("127.0.0.1", Ports.free());
+    directory = Files.createTempDirectory("bitternpulley-" + name);
+    stateDirectory = Files.createDirectory(directory.resolve("memory"));
+    listenAddress = HostPort.parse(configuration.path("listen").asText());
+    adminAddress = new HostPort("127.0.0.1", Ports.free());
   }
 
+  /** Returns the name of the node. */
   public String name() {
     return name;
   }
 
-  /** Where its clients come. */
+  /** Returns the address at which the node accepts queries. */
   public HostPort front() {
-    return front;
+    return listenAddress;
   }
 
-  /** Starts a process; one that ran before must have ended. */
+  /** Starts a process; the previous one must have ended. */
   public Node start() throws IOException {
-    starts++;
-    isEndExpected = false;
-    process = process();
+    startCount++;
+    exitExpected = false;
+    process = launch();
     return this;
   }
 
   /**
-   * Starts a second process of the same name, number and folder at other addresses: an upgrade, or
-   * somebody's mistake.
+   * Starts a second process with the same name and number, but a directory, a query address and an
+   * admin address of its own: as in an upgrade, or by an operator's mistake.
    */
   public Node twin() throws IOException {
-    ObjectNode other = configuration.deepCopy().put("listen", "127.0.0.1:" + Ports.free());
-    Node twin = new Node(name, other, script);
-    return twin.start();
+    ObjectNode otherConfiguration =
+        configuration.deepCopy().put("listen", "127.0.0.1:" + Ports.free());
+    Node second = new Node(name, otherConfiguration, script);
+    return second.start();
   }
 
-  private Process process() throws IOException {
-    Path config = folder.resolve("config.json");
-    Files.writeString(config, configuration.toString());
+  private Process launch() throws IOException {
+    Path configurationFile = directory.resolve("config.json");
+    Files.writeString(configurationFile, configuration.toString());
     ProcessBuilder builder =
         new ProcessBuilder(command())
             .redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile()));
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(directory.resolve("log").toFile()));
     builder
         .environment()
         .putAll(
             Map.of(
                 "LB_CONFIG",
-                config.toString(),
+                configurationFile.toString(),
                 "LB_ADMIN",
-                door.toString(),
+                adminAddress.toString(),
                 "TMPDIR",
-                memory.toString()));
+                stateDirectory.toString()));
     if (script != null) {
-      Path file = folder.resolve("broker.star");
-      Files.writeString(file, script);
-      builder.environment().put("LB_BROKER", file.toString());
+      Path scriptFile = directory.resolve("broker.star");
+      Files.writeString(scriptFile, script);
+      builder.environment().put("LB_BROKER", scriptFile.toString());
     }
     return builder.start();
   }
 
   /**
-   * What starts the program on the classes that this very one runs on, be they the jar or freshly
-   * compiled.
+   * Returns the command that starts the program from the class path of the current process, which
+   * may be the jar or freshly compiled classes.
    */
   public static List<String> command() throws IOException {
-    String run =
+    String runLine =
         Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-            .filter(l -> l.startsWith("run"))
+            .filter(line -> line.startsWith("run"))
             .findFirst()
             .orElseThrow();
     List<String> command =
         new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin/java").toString()));
-    Arrays.stream(run.split("[ \"]")).filter(w -> w.startsWith("-X")).forEach(command::add);
+    Arrays.stream(runLine.split("[ \"]", 0))
+        .filter(word -> word.startsWith("-X"))
+        .forEach(command::add);
     command.addAll(
         List.of("-cp", System.getProperty("java.class.path"), "bitternpulley.Main", "serve"));
     return command;
   }
 
-  /** Waits until the door says that clients are taken. */
+  /** Waits until the node reports at its admin address that it accepts queries. */
   public Node awaitReady() throws IOException, InterruptedException {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_WITHIN_MS);
-    while (System.nanoTime() < end && process.isAlive()) {
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_WITHIN_MS);
+    while (System.nanoTime() < deadline && process.isAlive()) {
       try {
         if (order("health").startsWith("200")) {
           return this;
         }
-      } catch (IOException e) {
-        // it does not listen yet
+      } catch (IOException exception) {
+        // the process does not listen yet
       }
       TimeUnit.MILLISECONDS.sleep(10);
     }
-    throw new IOException(name + " is not ready; its log:\n" + log());
+    throw new IOException(name + " is not ready; log:\n" + log());
   }
 
-  /** What the operators' door answers to a call, without the end of its line. */
-  public String order(String call) throws IOException {
-    try (Socket socket = new Socket(door.host(), door.port())) {
-      socket.setSoTimeout(DOOR_TIMEOUT_MS);
-      socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.UTF_8));
+  /** Sends a command to the admin address and returns the answer without its line end. */
+  public String order(String command) throws IOException {
+    try (Socket socket = new Socket(adminAddress.host(), adminAddress.port())) {
+      socket.setSoTimeout(ADMIN_TIMEOUT_MS);
+      socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.UTF_8));
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
     }
   }
 
-  /** All that the processes of this node have written. */
+  /** Returns the output of all processes of this node. */
   public String log() throws IOException {
-    return Files.readString(folder.resolve("log"));
+    return Files.readString(directory.resolve("log"));
   }
 
-  /** The id of its process, which must have been started. */
+  /** Returns the id of the process, which must have been started. */
   public long pid() {
     return process.pid();
   }
 
-  public boolean alive() {
+  /** Returns whether the process was started and has not ended. */
+  public boolean isAlive() {
     return process != null && process.isAlive();
   }
 
-  /** Whether its process has ended though it was neither killed nor told to end. */
-  public boolean hasEndedByItself() {
-    return process != null && !process.isAlive() && !isEndExpected;
+  /** Returns whether the process has ended without being killed or told to terminate. */
+  public boolean hasExitedUnexpectedly() {
+    return process != null && !process.isAlive() && !exitExpected;
   }
 
-  /** How often it was started. */
-  public int starts() {
-    return starts;
+  /** Returns how many times a process was started. */
+  public int startCount() {
+    return startCount;
   }
 
   /**
-   * Holds the process where it is, as a collector or a starved core would: its sockets stay open
-   * and silent.
+   * Suspends the process, as a garbage collection or a lack of processor time would: its sockets
+   * stay open but silent.
    */
   public void pause() throws IOException {
     signal("STOP");
   }
 
-  /** Lets it go on. */
+  /** Lets a suspended process continue. */
   public void resume() throws IOException {
     signal("CONT");
   }
 
-  /** Tells it to end, as at a planned restart. */
+  /** Tells the process to terminate, as at a planned restart. */
   public void terminate() throws IOException {
-    isEndExpected = true;
+    exitExpected = true;
     signal("TERM");
   }
 
-  /** Has it read its configuration again. */
-  public void hangup() throws IOException {
+  /** Makes the process reload its configuration. */
+  public void reloadConfiguration() throws IOException {
     signal("HUP");
   }
 
-  private void signal(String name) throws IOException {
+  private void signal(String signalName) throws IOException {
     try {
-      new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
-    } catch (InterruptedException e) {
+      new ProcessBuilder("kill", "-" + signalName, String.valueOf(process.pid())).start().waitFor();
+    } catch (InterruptedException exception) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Ends the process at once, stopped or not; its connections are reset. */
+  /** Kills the process at once, even if it is suspended; its connections are reset. */
   public void kill() {
-    isEndExpected = true;
+    exitExpected = true;
     process.destroyForcibly();
     try {
       process.waitFor();
-    } catch (InterruptedException e) {
+    } catch (InterruptedException exception) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Drops what it kept on disk, as a machine that is new does. */
-  public void forget() throws IOException {
-    try (var kept = Files.list(memory)) {
-      kept.map(Path::toFile).forEach(File::delete);
+  /** Deletes the state stored on disk, as if the node were moved to a new machine. */
+  public void deleteState() throws IOException {
+    try (var stateFiles = Files.list(stateDirectory)) {
+      stateFiles.map(Path::toFile).forEach(File::delete);
     }
   }
 
@@ -220,9 +225,9 @@
     if (process != null) {
       kill();
     }
-    try (var files = Files.walk(folder)) {
-      for (Path p : files.sorted(Comparator.reverseOrder()).toList()) {
-        Files.deleteIfExists(p);
+    try (var files = Files.walk(directory)) {
+      for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+        Files.deleteIfExists(file);
       }
     }
   }
