--- a/src/main/java/bitternpulley/faultinjection/Callers.java
+++ b/src/main/java/bitternpulley/faultinjection/Callers.java
@@ -7,6 +7,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 import java.util.Random;
@@ -14,96 +15,106 @@
 import java.util.regex.Pattern;
 
 /**
- * Clients of a cluster: queries at times drawn ahead by seed, each to a process by chance and over
- * a connection of its own, on which every answer is counted. A query is lost if it has none in its
- * time though its process was neither killed nor stopped meanwhile; whoever does that says so.
+ * Emulates the clients of a cluster. They send queries at random times derived from a seed, each to
+ * a random process over a connection of its own, and count every answer on it. A query is lost if
+ * it gets no answer in time although its process was not disturbed meanwhile; processes that are
+ * killed or paused must be reported with {@link #disturbed}.
  */
 public final class Callers {
-  private static final String[] CLASSES = {"slot-search", "slot-booking", "stock-report"};
-  private static final Pattern ANSWER = Pattern.compile("HTTP/1\\.1 ([0-9]{3})");
-  private static final double TIMEOUT = 1400;
+  private static final String[] QUERY_CLASSES = {"slot-search", "slot-booking", "stock-report"};
+  private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.1 ([0-9]{3})");
+  private static final double TIMEOUT_MS = 1400;
 
-  /** Ms that the protocol adds to each limit, and a busy machine may take between two processes. */
-  private static final double SLACK = 50 + 50;
+  /**
+   * 50 ms that the protocol allows on top of each limit, and 50 ms that a message between two
+   * processes may take on a busy machine.
+   */
+  private static final double TOLERANCE_MS = 50 + 50;
 
   private final EventLoop loop = new EventLoop();
   private final Random random;
   private final Cluster cluster;
-  private final String prefix;
-  private final double[] disturbed;
-  private boolean ending;
-  private int count;
-  private int served;
-  private int refused;
-  private int failed;
-  private int excused;
-  private int extra;
-  private final List<String> lost = new ArrayList<>();
-
-  /** Clients that send so many queries a second in all, until they are ended. */
-  public Callers(Cluster cluster, long seed, double perSecond) {
+  private final String idPrefix;
+
+  /** For each process the end of its last disturbance in ms, or infinity during one. */
+  private final double[] disturbedUntilMs;
+
+  private boolean stopped;
+  private int queryCount;
+  private int servedCount;
+  private int rejectedCount;
+  private int failedCount;
+  private int excusedCount;
+  private int extraAnswerCount;
+  private final List<String> lostQueries = new ArrayList<>();
+
+  /** Starts clients that send {@code queriesPerSecond} queries per second in total. */
+  public Callers(Cluster cluster, long seed, double queriesPerSecond) {
     this.cluster = cluster;
     this.random = new Random(seed);
-    this.prefix = Long.toHexString(System.nanoTime()) + "-";
-    disturbed = new double[cluster.size()];
-    java.util.Arrays.fill(disturbed, Double.NEGATIVE_INFINITY);
-    loop.execute(() -> next(perSecond));
+    this.idPrefix = Long.toHexString(System.nanoTime()) + "-";
+    disturbedUntilMs = new double[cluster.size()];
+    Arrays.fill(disturbedUntilMs, Double.NEGATIVE_INFINITY);
+    loop.execute(() -> sendRepeatedly(queriesPerSecond));
   }
 
   /**
-   * A process is killed, stopped, or starting from now on until {@link #well}: what is asked of it
-   * meanwhile does not count.
+   * Reports that a process is about to be killed or paused, or is starting. Unanswered queries that
+   * were sent to the process before {@link #well} do not count as lost.
    */
   public void disturbed(int node) {
-    loop.execute(() -> disturbed[node] = Double.POSITIVE_INFINITY);
+    loop.execute(() -> disturbedUntilMs[node] = Double.POSITIVE_INFINITY);
   }
 
-  /** It is as it was. */
+  /** Reports that a process works normally again. */
   public void well(int node) {
-    loop.execute(() -> disturbed[node] = now());
+    loop.execute(() -> disturbedUntilMs[node] = now());
   }
 
-  /** Sends no more, and waits until every query is over. */
+  /** Stops sending, and waits until every query has been answered or has timed out. */
   public void end() throws InterruptedException {
-    loop.execute(() -> ending = true);
-    Thread.sleep((long) (TIMEOUT + 4 * SLACK));
+    loop.execute(() -> stopped = true);
+    Thread.sleep((long) (TIMEOUT_MS + 4 * TOLERANCE_MS));
   }
 
   private static double now() {
     return System.nanoTime() / 1e6;
   }
 
-  private void next(double perSecond) {
-    if (!ending) {
-      ask();
-      loop.after(-Math.log(1 - random.nextDouble()) * 1000 / perSecond, () -> next(perSecond));
+  /** Sends a query, and the following ones at exponentially distributed intervals. */
+  private void sendRepeatedly(double queriesPerSecond) {
+    if (!stopped) {
+      sendQuery();
+      loop.schedule(
+          -Math.log(1 - random.nextDouble()) * 1000 / queriesPerSecond,
+          () -> sendRepeatedly(queriesPerSecond));
     }
   }
 
-  private void ask() {
+  private void sendQuery() {
     int node = random.nextInt(cluster.size());
-    int kind = random.nextInt(CLASSES.length);
-    int first = random.nextInt(6);
-    int parts = kind == 2 ? 6 : 1 + random.nextInt(3);
+    int queryClass = random.nextInt(QUERY_CLASSES.length);
+    int firstShard = random.nextInt(6);
+    int partCount = queryClass == 2 ? 6 : 1 + random.nextInt(3);
     StringBuilder slices = new StringBuilder();
-    for (int i = 0; i < parts; i++) {
+    for (int i = 0; i < partCount; i++) {
       slices
           .append(i == 0 ? "" : ",")
           .append("{\"slice\":")
-          .append((first + i) % 6)
+          .append((firstShard + i) % 6)
           .append(",\"mass\":")
-          .append(1.0 / parts)
+          .append(1.0 / partCount)
           .append('}');
     }
-    String id = prefix + count++;
+    String id = idPrefix + queryCount++;
     String body = "{\"slices\":[" + slices + "],\"filter\":\"w=4000\"}";
     String request =
         "POST /"
-            + CLASSES[kind]
+            + QUERY_CLASSES[queryClass]
             + " HTTP/1.1\r\nHost: b\r\nRequest-Id: "
             + id
             + "\r\nRequest-Timeout: "
-            + String.format(Locale.ROOT, "%.3f", TIMEOUT / 1000)
+            + String.format(Locale.ROOT, "%.3f", TIMEOUT_MS / 1000)
             + "\r\nIdempotency-Key: k-"
             + id
             + "\r\nContent-Length: "
@@ -113,115 +124,122 @@
     new Query(node, id).send(cluster.node(node).front(), request);
   }
 
+  /** One query and its answers. */
   private final class Query implements Connection.Owner {
     private final int node;
     private final String id;
-    private final double sentAt = now();
-    private final StringBuilder came = new StringBuilder();
-    private double answeredAt = Double.NaN;
-    private int answers;
+    private final double sentAtMs = now();
+    private final StringBuilder receivedText = new StringBuilder();
+    private double answeredAtMs = Double.NaN;
+    private int answerCount;
 
     Query(int node, String id) {
       this.node = node;
       this.id = id;
     }
 
-    void send(HostPort to, String request) {
+    void send(HostPort address, String request) {
       try {
-        Connection[] made = new Connection[1];
-        made[0] =
+        Connection[] connection = new Connection[1];
+        connection[0] =
             Connection.open(
                 loop,
-                to,
-                TIMEOUT,
+                address,
+                TIMEOUT_MS,
                 this,
                 () ->
-                    made[0].write(
+                    connection[0].write(
                         ByteBuffer.wrap(request.getBytes(StandardCharsets.US_ASCII)), () -> {}));
-        loop.after(
-            TIMEOUT + 2 * SLACK,
+        loop.schedule(
+            TIMEOUT_MS + 2 * TOLERANCE_MS,
             () -> {
-              over();
-              made[0].close();
+              checkAnswered();
+              connection[0].close();
             });
-      } catch (UncheckedIOException e) {
-        excused++; // this machine has no socket for a client: nothing was asked
+      } catch (UncheckedIOException exception) {
+        excusedCount++; // No socket could be opened on this machine, so no query was sent.
       }
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-      came.append(StandardCharsets.ISO_8859_1.decode(bytes));
-      Matcher m = ANSWER.matcher(came);
+      receivedText.append(StandardCharsets.ISO_8859_1.decode(bytes));
+      Matcher statusLine = STATUS_LINE.matcher(receivedText);
       int found = 0;
-      while (m.find()) {
+      while (statusLine.find()) {
         found++;
-        if (found == 1 && Double.isNaN(answeredAt)) {
-          answeredAt = now();
-          int status = Integer.parseInt(m.group(1));
-          served += status == 200 ? 1 : 0;
-          refused += status == 429 || status == 503 ? 1 : 0;
-          failed += status != 200 && status != 429 && status != 503 ? 1 : 0;
+        if (found == 1 && Double.isNaN(answeredAtMs)) {
+          answeredAtMs = now();
+          int status = Integer.parseInt(statusLine.group(1));
+          servedCount += status == 200 ? 1 : 0;
+          rejectedCount += status == 429 || status == 503 ? 1 : 0;
+          failedCount += status != 200 && status != 429 && status != 503 ? 1 : 0;
         }
       }
-      extra += Math.max(0, found - Math.max(1, answers));
-      answers = Math.max(answers, found);
+      extraAnswerCount += Math.max(0, found - Math.max(1, answerCount));
+      answerCount = Math.max(answerCount, found);
     }
 
-    /** The whole of its time has passed: one answer, or a reason why none. */
-    private void over() {
-      boolean inTime = answeredAt <= sentAt + TIMEOUT + SLACK;
+    /** Counts the query as excused or lost if no answer came within its time. */
+    private void checkAnswered() {
+      boolean inTime = answeredAtMs <= sentAtMs + TIMEOUT_MS + TOLERANCE_MS;
       if (!inTime) {
-        if (disturbed[node] >= sentAt) {
-          excused++;
+        if (disturbedUntilMs[node] >= sentAtMs) {
+          excusedCount++;
         } else {
-          lost.add(
+          lostQueries.add(
               cluster.node(node).name()
                   + " "
                   + id
                   + " after "
-                  + Math.round(answeredAt - sentAt)
+                  + Math.round(answeredAtMs - sentAtMs)
                   + " ms");
-          cluster.timeline().see("lost", lost.get(lost.size() - 1));
+          cluster.timeline().recordObservation("lost", lostQueries.get(lostQueries.size() - 1));
         }
       }
     }
 
     @Override
     public void closed() {
-      // what has come by then is what there is; counted once its time is over
+      // What was received until now is evaluated when the query's time has passed.
     }
   }
 
-  /** Queries asked, answered in full or in part, and refused or failed. */
+  /** Returns how many queries were sent. */
   public int asked() {
-    return count;
+    return queryCount;
   }
 
+  /** Returns how many queries got a complete or partial answer. */
   public int served() {
-    return served;
+    return servedCount;
   }
 
+  /** Returns how many queries were rejected with status 429 or 503. */
   public int refused() {
-    return refused;
+    return rejectedCount;
   }
 
+  /** Returns how many queries were answered with any other status. */
   public int failed() {
-    return failed;
+    return failedCount;
   }
 
-  /** Queries to processes that were killed or stopped meanwhile, which got no answer in time. */
+  /**
+   * Returns how many queries got no answer in time because their process was disturbed, or could
+   * not be sent for lack of a socket.
+   */
   public int excused() {
-    return excused;
+    return excusedCount;
   }
 
-  /** Answers beyond one a query. */
+  /** Returns how many answers came in addition to the first one of a query. */
   public int extra() {
-    return extra;
+    return extraAnswerCount;
   }
 
-  /** Queries that got no answer in their time, though nothing was done to their process. */
+  /** Returns the queries that got no answer in time although their process was not disturbed. */
   public List<String> lost() {
-    return List.copyOf(lost);
+    return List.copyOf(lostQueries);
   }
 }
--- a/src/main/java/bitternpulley/faultinjection/Cluster.java
+++ b/src/main/java/bitternpulley/faultinjection/Cluster.java
@@ -79,7 +79,7 @@
     for (Node n : nodes) {
       n.awaitReady();
     }
-    timeline.see("ready", count);
+    timeline.recordObservation("ready", count);
   }
 
   public int size() {
@@ -116,7 +116,7 @@
    * heal}. Ends are as {@link Targets} has them.
    */
   public void does(String fault) throws IOException, InterruptedException {
-    timeline.inject(fault);
+    timeline.recordFault(fault);
     String[] words = fault.trim().split("\\s+");
     int ways = List.of(words).indexOf(">") + List.of(words).indexOf("=") + 1;
     if (ways > 0) {
@@ -291,7 +291,7 @@
       }
       TimeUnit.MILLISECONDS.sleep(20);
     }
-    timeline.see(what, Math.round(timeline.now() - from) + " ms");
+    timeline.recordObservation(what, Math.round(timeline.now() - from) + " ms");
     return timeline.now() - from;
   }
 
--- a/src/main/java/bitternpulley/faultinjection/Timeline.java
+++ b/src/main/java/bitternpulley/faultinjection/Timeline.java
@@ -3,71 +3,73 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.io.Writer;
 import java.nio.file.Files;
 import java.nio.file.Path;
 
 /**
- * What was injected and what was seen, in order, as JSON lines: {@code
- * {"at_ms":1234,"what":"kill","of":"n3"}}.
+ * Log of the injected faults and of the observations, in order, as JSON lines such as {@code
+ * {"at_ms":1234,"kind":"inject","what":"kill n3","of":""}}.
  */
 public final class Timeline implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final long start = System.nanoTime();
+  private final long startNanos = System.nanoTime();
   private final Path file;
-  private final Writer out;
-  private int injected;
+  private final Writer writer;
+  private int faultCount;
 
-  /** Written to {@code target/faults/NAME-SEED.jsonl}. */
+  /** Creates the file {@code target/faults/NAME-SEED.jsonl}. */
   public Timeline(String name, long seed) throws IOException {
     file =
         Files.createDirectories(Path.of("target", "faults")).resolve(name + "-" + seed + ".jsonl");
-    out = Files.newBufferedWriter(file);
+    writer = Files.newBufferedWriter(file);
   }
 
-  /** Ms since it began. */
+  /** Returns the time in ms since this timeline was created. */
   public double now() {
-    return (System.nanoTime() - start) / 1e6;
+    return (System.nanoTime() - startNanos) / 1e6;
   }
 
-  /** A fault that the scenario puts in, or takes away. */
-  public synchronized void inject(String fault) {
-    injected++;
-    line("inject", fault, "");
+  /** Records that a scenario injects or removes a fault. */
+  public synchronized void recordFault(String fault) {
+    faultCount++;
+    writeLine("inject", fault, "");
   }
 
-  /** Something that came of it. */
-  public synchronized void see(String what, Object of) {
-    line("see", what, of);
+  /** Records an observation, with its subject or value. */
+  public synchronized void recordObservation(String observation, Object subject) {
+    writeLine("see", observation, subject);
   }
 
-  private void line(String kind, String what, Object of) {
+  private void writeLine(String kind, String event, Object subject) {
     ObjectNode line =
         JSON.createObjectNode()
             .put("at_ms", Math.round(now()))
             .put("kind", kind)
-            .put("what", what)
-            .put("of", String.valueOf(of));
+            .put("what", event)
+            .put("of", String.valueOf(subject));
     try {
-      out.write(line + "\n");
-      out.flush();
-    } catch (IOException e) {
-      throw new java.io.UncheckedIOException(e);
+      writer.write(line + "\n");
+      writer.flush();
+    } catch (IOException exception) {
+      throw new UncheckedIOException(exception);
     }
   }
 
-  /** Faults put in or taken away so far. */
+  /** Returns how many faults were injected or removed so far. */
   public synchronized int injected() {
-    return injected;
+    return faultCount;
   }
 
+  /** Returns the file to which this timeline is written. */
   public Path file() {
     return file;
   }
 
   @Override
   public void close() throws IOException {
-    out.close();
+    writer.close();
   }
 }
