--- a/src/main/java/bitternpulley/faultinjection/Cluster.java
+++ b/src/main/java/bitternpulley/faultinjection/Cluster.java
@@ -19,86 +19,98 @@
 import java.util.stream.IntStream;
 
 /**
- * Several processes of the real program over one fleet of stand-in servers, in zones by turns, with
- * a path for each direction between each two that speak, by datagrams or streams; all that is done
- * to them and seen goes to the timeline.
+ * Several processes of the real program, spread over zones, with one fleet of emulated slot
+ * servers. Each direction between two communicating parties, by datagrams or streams, is a link of
+ * its own into which faults can be injected. All faults and observations go to the timeline.
  */
 public final class Cluster implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int CELLS = 6;
-  private static final int CORES = 2;
-  private static final int HOLDS = 2000;
+  private static final int SERVER_COUNT = 6;
+  private static final int CORES_PER_SERVER = 2;
+  private static final int MAX_OPEN_QUERIES = 2000;
 
   private final List<Node> nodes = new ArrayList<>();
   private final Fleet fleet;
-  private final Ways ways;
-  private final Targets targets;
+  private final ClusterLinks links;
+  private final FaultTargets targets;
   private final Timeline timeline;
-  private final String replay;
+  private final String replayCommand;
 
   /**
-   * So many processes in two zones, started and ready; {@code script} is the operators' script of
-   * each.
+   * Starts processes in two zones and waits until they are ready; {@code script} is the operators'
+   * script of each process.
    */
-  public Cluster(String name, int count, long seed, String script, String replay)
+  public Cluster(String name, int nodeCount, long seed, String script, String replayCommand)
       throws IOException, InterruptedException {
-    this(name, count, List.of("gulberg", "johar"), seed, script, replay);
+    this(name, nodeCount, List.of("gulberg", "johar"), seed, script, replayCommand);
   }
 
   /**
-   * So many processes in these zones by turns; {@code replay} is the command that plays the same
-   * again.
+   * Starts processes, assigned to the zones in turn, and waits until they are ready; {@code
+   * replayCommand} is the command that repeats the scenario.
    */
   public Cluster(
-      String name, int count, List<String> zones, long seed, String script, String replay)
+      String name,
+      int nodeCount,
+      List<String> zones,
+      long seed,
+      String script,
+      String replayCommand)
       throws IOException, InterruptedException {
-    fleet = new Fleet(new EventLoop(), CELLS, CORES, zones);
-    ways = new Ways(count, fleet, seed);
+    fleet = new Fleet(new EventLoop(), SERVER_COUNT, CORES_PER_SERVER, zones);
+    links = new ClusterLinks(nodeCount, fleet, seed);
     targets =
-        new Targets(
-            IntStream.range(0, count).mapToObj(i -> zones.get(i % zones.size())).toList(),
-            fleet.servers().stream().map(s -> zones.get(fleet.zoneOf(s))).toList());
+        new FaultTargets(
+            IntStream.range(0, nodeCount)
+                .mapToObj(number -> zones.get(number % zones.size()))
+                .toList(),
+            fleet.servers().stream().map(server -> zones.get(fleet.zoneOf(server))).toList());
     timeline = new Timeline(name, seed);
-    this.replay = replay;
-    for (int i = 0; i < count; i++) {
-      String node = "n" + i;
-      Fleet.DiscoveryView view = fleet.createView(s -> ways.address(node, s.id()));
-      ObjectNode config =
+    this.replayCommand = replayCommand;
+    for (int number = 0; number < nodeCount; number++) {
+      String node = "n" + number;
+      Fleet.DiscoveryView discovery =
+          fleet.createView(server -> links.proxyAddress(node, server.id()));
+      ObjectNode configuration =
           fleet.configuration(
-              i,
-              count,
+              number,
+              nodeCount,
               "127.0.0.1:" + Ports.free(),
-              HOLDS,
-              view,
-              ways.stream(node, "discovery", view.address()));
-      config.put("peer_listen", ways.datagrams().listen(i).toString());
-      ArrayNode peers = config.putArray("peers");
-      ways.datagrams().peersOf(i).forEach(p -> peers.add(p.toString()));
-      nodes.add(new Node(node, config, script).start());
+              MAX_OPEN_QUERIES,
+              discovery,
+              links.openStream(node, "discovery", discovery.address()));
+      configuration.put("peer_listen", links.datagrams().listenAddress(number).toString());
+      ArrayNode peers = configuration.putArray("peers");
+      links.datagrams().peerAddresses(number).forEach(peer -> peers.add(peer.toString()));
+      nodes.add(new Node(node, configuration, script).start());
     }
-    for (Node n : nodes) {
-      n.awaitReady();
+    for (Node node : nodes) {
+      node.awaitReady();
     }
-    timeline.recordObservation("ready", count);
+    timeline.recordObservation("ready", nodeCount);
   }
 
+  /** Returns the number of processes, running or not. */
   public int size() {
     return nodes.size();
   }
 
-  public Node node(int i) {
-    return nodes.get(i);
+  /** Returns the process with this number. */
+  public Node node(int number) {
+    return nodes.get(number);
   }
 
+  /** Returns the emulated slot servers. */
   public Fleet fleet() {
     return fleet;
   }
 
-  /** Bytes of datagrams that a process has sent so far. */
+  /** Returns how many bytes a process has sent in datagrams so far. */
   public long bytesOf(int node) {
-    return ways.datagrams().bytesOf(node);
+    return links.datagrams().sentBytes(node);
   }
 
+  /** Returns the log of faults and observations. */
   public Timeline timeline() {
     return timeline;
   }
@@ -106,56 +118,57 @@
   // --- Faults ------------------------------------------------------------------------------------
 
   /**
-   * Puts in a fault, or takes one away; the line goes to the timeline as it is. For processes:
-   * {@code pause}, {@code resume}, {@code kill}, {@code restart}, {@code renew} (started again
-   * without memory), {@code leave} (SIGTERM), {@code hangup}. For slot servers: {@code slow TIMES},
-   * {@code silent}, {@code speak}, {@code drain}, {@code up}, {@code cold} (a new process of it).
-   * For ways, behind whose verb and figures stand the two ends, with {@code >} for one direction
-   * and {@code =} for both: {@code cut}, {@code reset}, {@code lose SHARE}, {@code delay MS
-   * JITTER}, {@code repeat SHARE}, {@code garble SHARE}, {@code throttle BYTES_PER_SECOND}, {@code
-   * heal}. Ends are as {@link Targets} has them.
+   * Injects or removes a fault, and records its text in the timeline. Faults of processes: {@code
+   * pause}, {@code resume}, {@code kill}, {@code restart}, {@code renew} (restart without stored
+   * state), {@code leave} (SIGTERM) and {@code hangup} (SIGHUP). Faults of slot servers: {@code
+   * slow FACTOR}, {@code silent}, {@code speak} (ends {@code silent}), {@code drain}, {@code up}
+   * and {@code cold} (restart). The target of these follows the fault. Faults of links: {@code
+   * cut}, {@code reset}, {@code lose SHARE}, {@code delay MS JITTER}, {@code repeat SHARE}, {@code
+   * garble SHARE}, {@code throttle BYTES_PER_SECOND} and {@code heal}. The two ends of the links
+   * follow the fault, with {@code >} between them for one direction and {@code =} for both. {@link
+   * FaultTargets} describes the syntax of targets and ends.
    */
   public void does(String fault) throws IOException, InterruptedException {
     timeline.recordFault(fault);
-    String[] words = fault.trim().split("\\s+");
-    int ways = List.of(words).indexOf(">") + List.of(words).indexOf("=") + 1;
-    if (ways > 0) {
-      onWays(words, ways);
+    String[] words = fault.trim().split("\\s+", 0);
+    int directionIndex = List.of(words).indexOf(">") + List.of(words).indexOf("=") + 1;
+    if (directionIndex > 0) {
+      applyToLinks(words, directionIndex);
       return;
     }
-    for (String target : targets.of(words[words.length - 1])) {
+    for (String target : targets.resolve(words[words.length - 1])) {
       int number = Integer.parseInt(target.substring(1));
       if (target.startsWith("n")) {
-        onNode(words[0], nodes.get(number));
+        applyToNode(words[0], nodes.get(number));
       } else {
-        onServer(words, fleet.servers().get(number));
+        applyToServer(words, fleet.servers().get(number));
       }
     }
   }
 
-  private void onWays(String[] words, int at) {
-    Set<String> from = targets.of(words[at - 1]);
-    Set<String> to = targets.of(words[at + 1]);
-    Consumer<Path> fault =
+  private void applyToLinks(String[] words, int directionIndex) {
+    Set<String> from = targets.resolve(words[directionIndex - 1]);
+    Set<String> to = targets.resolve(words[directionIndex + 1]);
+    Consumer<DirectedLink> fault =
         switch (words[0]) {
-          case "cut" -> p -> p.cut(true);
-          case "reset" -> p -> p.reset(true);
-          case "lose" -> p -> p.lose(figure(words, 1));
-          case "delay" -> p -> p.delay(figure(words, 1), figure(words, 2));
-          case "repeat" -> p -> p.repeat(figure(words, 1));
-          case "garble" -> p -> p.garble(figure(words, 1));
-          case "throttle" -> p -> p.throttle(figure(words, 1));
-          case "heal" -> Path::heal;
-          default -> throw new IllegalArgumentException("no such fault of a way: " + words[0]);
+          case "cut" -> link -> link.setCut(true);
+          case "reset" -> link -> link.setResetting(true);
+          case "lose" -> link -> link.setLoss(argument(words, 1));
+          case "delay" -> link -> link.setDelay(argument(words, 1), argument(words, 2));
+          case "repeat" -> link -> link.setDuplication(argument(words, 1));
+          case "garble" -> link -> link.setCorruption(argument(words, 1));
+          case "throttle" -> link -> link.setBandwidth(argument(words, 1));
+          case "heal" -> DirectedLink::heal;
+          default -> throw new IllegalArgumentException("unknown fault of a link: " + words[0]);
         };
-    ways.each(from, to, words[at].equals("="), fault);
+    links.forEach(from, to, words[directionIndex].equals("="), fault);
   }
 
-  private static double figure(String[] words, int at) {
-    return Double.parseDouble(words[at]);
+  private static double argument(String[] words, int index) {
+    return Double.parseDouble(words[index]);
   }
 
-  private void onNode(String verb, Node node) throws IOException, InterruptedException {
+  private void applyToNode(String verb, Node node) throws IOException, InterruptedException {
     switch (verb) {
       case "pause" -> node.pause();
       case "resume" -> node.resume();
@@ -167,91 +180,99 @@
         node.deleteState();
         node.start().awaitReady();
       }
-      default -> throw new IllegalArgumentException("no such fault of a process: " + verb);
+      default -> throw new IllegalArgumentException("unknown fault of a process: " + verb);
     }
   }
 
-  private void onServer(String[] words, SlotServer server) {
+  private void applyToServer(String[] words, SlotServer server) {
     switch (words[0]) {
-      case "slow" -> server.slow(figure(words, 1));
+      case "slow" -> server.slow(argument(words, 1));
       case "silent" -> server.silent(true);
       case "speak" -> server.silent(false);
       case "drain" -> fleet.tell(server, "draining");
       case "up" -> fleet.tell(server, "up");
       case "cold" -> fleet.restart(server);
-      default -> throw new IllegalArgumentException("no such fault of a slot server: " + words[0]);
+      default -> throw new IllegalArgumentException("unknown fault of a slot server: " + words[0]);
     }
   }
 
-  // --- What is seen ------------------------------------------------------------------------------
+  // --- Observations ------------------------------------------------------------------------------
 
-  /** What a process says of the others: its door's answer to {@code members}. */
-  public JsonNode members(int at) throws IOException {
-    String answer = nodes.get(at).order("members");
+  /**
+   * Returns what a process reports about all members: the answer of its {@code members} command.
+   */
+  public JsonNode members(int node) throws IOException {
+    String answer = nodes.get(node).order("members");
     if (!answer.startsWith("200 ")) {
-      throw new IOException(nodes.get(at).name() + ": " + answer);
+      throw new IOException(nodes.get(node).name() + ": " + answer);
     }
     return JSON.readTree(answer.substring(4));
   }
 
-  /** How one holds another: alive, suspect, dead or left. */
-  public String state(int at, int of) throws IOException {
-    for (JsonNode m : members(at).path("members")) {
-      if (m.path("number").asInt() == of) {
-        return m.path("state").asText();
+  /**
+   * Returns the state of a member as a process reports it: alive, suspect, dead, left or unknown.
+   */
+  public String reportedState(int observer, int member) throws IOException {
+    for (JsonNode entry : members(observer).path("members")) {
+      if (entry.path("number").asInt() == member) {
+        return entry.path("state").asText();
       }
     }
     return "unknown";
   }
 
   /**
-   * The part of what all may do together that each process that runs takes by its leases, as it
-   * tells, by number.
+   * Returns, by number, the quota that each running process reports: the share of the common budget
+   * that its leases permit it to use.
    */
   public Map<Integer, Double> parts() throws IOException {
-    Map<Integer, Double> parts = new TreeMap<>();
-    for (int i : running()) {
-      parts.put(i, members(i).path("lease").path("part").asDouble());
+    Map<Integer, Double> quotas = new TreeMap<>();
+    for (int number : running()) {
+      quotas.put(number, members(number).path("lease").path("part").asDouble());
     }
-    return parts;
+    return quotas;
   }
 
-  /** Verdicts of death on one, in the logs of all processes so far. */
-  public long deaths(int of) throws IOException {
+  /** Returns how often all processes together have logged that a member is dead. */
+  public long deaths(int member) throws IOException {
     long deaths = 0;
-    for (Node n : nodes) {
+    for (Node node : nodes) {
       deaths +=
-          n.log()
+          node.log()
               .lines()
-              .filter(l -> l.contains("member " + of + " ") && l.contains(" is dead, was "))
+              .filter(
+                  line ->
+                      line.contains("member " + member + " ") && line.contains(" is dead, was "))
               .count();
     }
     return deaths;
   }
 
-  /** Whether one holds another so; false where it does not say. */
-  public boolean holds(int at, int of, String state) {
+  /** Returns whether a process reports this state for a member; false when it does not answer. */
+  public boolean holds(int observer, int member, String state) {
     try {
-      return state(at, of).equals(state);
-    } catch (IOException e) {
+      return reportedState(observer, member).equals(state);
+    } catch (IOException exception) {
       return false;
     }
   }
 
-  /** Whether all processes that run hold this one so. */
-  public boolean allHold(int of, String state) {
-    return running().stream().filter(i -> i != of).allMatch(i -> holds(i, of, state));
+  /** Returns whether all other running processes report this state for a member. */
+  public boolean allHold(int member, String state) {
+    return running().stream()
+        .filter(observer -> observer != member)
+        .allMatch(observer -> holds(observer, member, state));
   }
 
-  /** Whether all processes that run have the same view. */
+  /** Returns whether all running processes report the same membership view. */
   public boolean viewsEqual() {
     return running().stream()
             .map(
-                i -> {
+                node -> {
                   try {
-                    return members(i).path("view").asText();
-                  } catch (IOException e) {
-                    return "none of " + i;
+                    return members(node).path("view").asText();
+                  } catch (IOException exception) {
+                    return "none of " + node;
                   }
                 })
             .distinct()
@@ -259,57 +280,64 @@
         == 1;
   }
 
-  /** The numbers of the processes that run, stopped or not. */
+  /** Returns the numbers of the processes that run, paused ones included. */
   public List<Integer> running() {
-    return IntStream.range(0, size()).filter(i -> nodes.get(i).isAlive()).boxed().toList();
+    return IntStream.range(0, size())
+        .filter(number -> nodes.get(number).isAlive())
+        .boxed()
+        .toList();
   }
 
   /**
-   * Waits until it holds, and returns after how many ms; fails with the seed's command after {@code
-   * most} ms.
+   * Waits until a condition holds and returns the time waited in ms. Fails with the replay command
+   * after {@code timeoutMs}, or when a process exits unexpectedly.
    */
-  public double until(String what, double most, BooleanSupplier holds)
+  public double until(String description, double timeoutMs, BooleanSupplier condition)
       throws IOException, InterruptedException {
-    double from = timeline.now();
-    while (!holds.getAsBoolean()) {
-      failIfOneEndedByItself();
-      if (timeline.now() > from + most) {
-        StringBuilder views = new StringBuilder();
-        for (int i : running()) {
-          views.append("\n").append(nodes.get(i).name()).append(' ').append(members(i));
+    double startMs = timeline.now();
+    while (!condition.getAsBoolean()) {
+      failOnUnexpectedExit();
+      if (timeline.now() > startMs + timeoutMs) {
+        StringBuilder reports = new StringBuilder();
+        for (int number : running()) {
+          reports.append("\n").append(nodes.get(number).name()).append(' ').append(members(number));
         }
         throw new AssertionError(
-            "waited "
-                + most
-                + " ms in vain: "
-                + what
+            "condition not met within "
+                + timeoutMs
+                + " ms: "
+                + description
                 + "; replay: "
-                + replay
+                + replayCommand
                 + "; timeline: "
                 + timeline.file()
-                + views);
+                + reports);
       }
       TimeUnit.MILLISECONDS.sleep(20);
     }
-    timeline.recordObservation(what, Math.round(timeline.now() - from) + " ms");
-    return timeline.now() - from;
+    timeline.recordObservation(description, Math.round(timeline.now() - startMs) + " ms");
+    return timeline.now() - startMs;
   }
 
-  private void failIfOneEndedByItself() throws IOException {
+  private void failOnUnexpectedExit() throws IOException {
     for (Node node : nodes) {
       if (node.hasExitedUnexpectedly()) {
         throw new AssertionError(
-            node.name() + " has ended by itself; replay: " + replay + "; its log:\n" + node.log());
+            node.name()
+                + " exited unexpectedly; replay: "
+                + replayCommand
+                + "; log:\n"
+                + node.log());
       }
     }
   }
 
   @Override
   public void close() throws IOException {
-    for (Node n : nodes) {
-      n.close();
+    for (Node node : nodes) {
+      node.close();
     }
-    ways.close();
+    links.close();
     timeline.close();
   }
 }
