--- a/src/jmh/java/bitternpulley/contracts/AdmissionBenchmark.java
+++ b/src/jmh/java/bitternpulley/contracts/AdmissionBenchmark.java
@@ -17,8 +17,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * The cost of one query in admission control: admitted, one attempt sent and answered, settled. The
- * queries come from one team after another.
+ * The cost of one query in admission control: it is admitted, one attempt is sent and answered, and
+ * its charge is settled. The queries come from one tenant after another.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -37,39 +37,42 @@
   @Param({"10", "10000"})
   public int contracts;
 
-  /** Whether capacity was scarce, so that every query is charged to the quota buckets. */
+  /** Whether capacity is scarce, so that every query is charged to the quota buckets. */
   @Param({"false", "true"})
   public boolean scarce;
 
   private AdmissionControl control;
   private AdmissionRequest[] requests;
   private double now;
-  private int next;
+  private int nextRequest;
 
-  /** Puts the contracts in force and, for the scarce case, limits capacity. */
+  /** Applies the contracts and, for the scarce case, limits capacity. */
   @Setup
   public void applyContracts() {
-    Map<String, Contract> byTeam = new LinkedHashMap<>();
+    Map<String, Contract> byTenant = new LinkedHashMap<>();
     requests = new AdmissionRequest[contracts];
     for (int i = 0; i < contracts; i++) {
-      String team = "t" + i;
-      byTeam.put(team, contract(team));
-      requests[i] = new AdmissionRequest(team, QUERY_CLASS, 1, 0, false, i + 1);
+      String tenant = "t" + i;
+      byTenant.put(tenant, contract(tenant));
+      requests[i] = new AdmissionRequest(tenant, QUERY_CLASS, 1, 0, false, i + 1);
     }
     control = new AdmissionControl(new double[] {LATENCY_OBJECTIVE_MS}, MAX_RETRY_AFTER_MS);
-    control.apply(new ContractBook(1, byTeam, null), 0);
+    control.apply(new ContractBook(1, byTenant, null), 0);
     if (scarce) {
       limitCapacity();
     }
   }
 
-  private Contract contract(String team) {
+  private Contract contract(String tenant) {
     Map<Integer, Router.ClassTerms> classes =
         Map.of(QUERY_CLASS, new Router.ClassTerms(LATENCY_OBJECTIVE_MS, 1500, 1, 1));
-    return new Contract(team, 0.9 / contracts, 1, 500, true, true, 0.2, 0.5, 1000, classes);
+    return new Contract(tenant, 0.9 / contracts, 1, 500, true, true, 0.2, 0.5, 1000, classes);
   }
 
-  /** Queries that are never answered limit the rate; it then follows what is delivered. */
+  /**
+   * Admits queries that are never answered. This limits the admitted rate, which then follows the
+   * rate of delivered work.
+   */
   private void limitCapacity() {
     for (int i = 0; i < UNANSWERED_QUERIES; i++) {
       control.admit(requests[i % contracts], 0);
@@ -77,7 +80,7 @@
     now = 1000;
     control.advance(now);
     if (Double.isInfinite(control.capacity())) {
-      throw new IllegalStateException("nothing is scarce");
+      throw new IllegalStateException("capacity is not limited");
     }
   }
 
@@ -85,8 +88,8 @@
   @Benchmark
   public Object admittedAndSettled() {
     now += 1;
-    next = next + 1 == contracts ? 0 : next + 1;
-    AdmissionDecision decision = control.admit(requests[next], now);
+    nextRequest = nextRequest + 1 == contracts ? 0 : nextRequest + 1;
+    AdmissionDecision decision = control.admit(requests[nextRequest], now);
     if (decision instanceof UsageCharge charge) {
       control.onAttemptSent(charge);
       control.onAttemptEnded(charge, Router.Outcome.OK, ATTEMPT_MS, now);
--- a/src/jmh/java/bitternpulley/membership/MembershipBenchmark.java
+++ b/src/jmh/java/bitternpulley/membership/MembershipBenchmark.java
@@ -17,7 +17,7 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Processor time of the membership protocol: of a tick, ten of which make an interval, and of a
+ * CPU time of the membership protocol: of a tick, ten of which make a protocol interval, and of a
  * ping that is answered.
  */
 @State(Scope.Thread)
@@ -36,7 +36,7 @@
 
   private Membership membership;
   private double now;
-  private int from;
+  private int lastSender;
 
   /** Creates a member that has received a message of all others. */
   @Setup
@@ -51,8 +51,8 @@
             MembershipSettings.DEFAULT,
             1,
             now);
-    for (int number = 1; number < members; number++) {
-      membership.onMessage(message(Kind.SYNC, number), now);
+    for (int sender = 1; sender < members; sender++) {
+      membership.onMessage(message(Kind.SYNC, sender), now);
     }
   }
 
@@ -69,11 +69,11 @@
   }
 
   private int nextSender() {
-    from = from % (members - 1) + 1;
-    return from;
+    lastSender = lastSender % (members - 1) + 1;
+    return lastSender;
   }
 
-  /** A tick, with a message of another member now and then, so that none becomes suspect. */
+  /** A tick after a message of the next member in turn, so that no member becomes suspect. */
   @Benchmark
   public List<MembershipAction> tick() {
     now += 100;
