--- a/src/test/java/bitternpulley/process/MembershipProcessTest.java
+++ b/src/test/java/bitternpulley/process/MembershipProcessTest.java
@@ -12,58 +12,58 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/**
- * Five processes that find out who of them is here, with faults between them; asserted over all of
- * them.
- */
+/** Membership of five processes with faults between them, checked in the views of all of them. */
 public class MembershipProcessTest {
   private static final int NODES = 5;
-  private static final double PATIENCE = 40_000;
-  private Cluster c;
+  private static final double WAIT_TIMEOUT_MS = 40_000;
+  private Cluster cluster;
 
   @BeforeClass
   public void start() throws Exception {
-    c =
+    cluster =
         new Cluster(
             "membership-test",
             NODES,
             1,
             "membership(deployment = 'test')\n",
             "mvn test -Dtest=MembershipProcessTest");
-    c.until("all find each other", PATIENCE, () -> allAlive() && c.viewsEqual());
+    cluster.until(
+        "all members find each other", WAIT_TIMEOUT_MS, () -> allAlive() && cluster.viewsEqual());
   }
 
   @AfterClass(alwaysRun = true)
   public void stop() throws IOException {
-    if (c != null) {
-      c.close();
+    if (cluster != null) {
+      cluster.close();
     }
   }
 
   private boolean allAlive() {
-    return IntStream.range(0, NODES).allMatch(i -> c.allHold(i, "alive"));
+    return IntStream.range(0, NODES).allMatch(i -> cluster.allHold(i, "alive"));
   }
 
-  private static long deaths(Cluster c) throws IOException {
+  private static long deaths(Cluster cluster) throws IOException {
     long deaths = 0;
     for (int i = 0; i < NODES; i++) {
-      deaths += c.deaths(i);
+      deaths += cluster.deaths(i);
     }
     return deaths;
   }
 
   @Test(priority = 1)
-  public void oneStoppedForThreeSecondsIsNotCalledDead() throws Exception {
-    long before = deaths(c);
-    Scenario.of("0 pause n1\n3000 resume n1").play(c);
-    c.until("all alive and agreed", PATIENCE, () -> allAlive() && c.viewsEqual());
-    assertEquals(deaths(c), before);
-    assertTrue(c.node(1).log().contains("this instance did not run for "), c.node(1).log());
+  public void processPausedForThreeSecondsIsNotDeclaredDead() throws Exception {
+    long deathsBefore = deaths(cluster);
+    Scenario.of("0 pause n1\n3000 resume n1").play(cluster);
+    cluster.until(
+        "all alive, with equal views", WAIT_TIMEOUT_MS, () -> allAlive() && cluster.viewsEqual());
+    assertEquals(deaths(cluster), deathsBefore);
+    assertTrue(
+        cluster.node(1).log().contains("this instance did not run for "), cluster.node(1).log());
   }
 
   @Test(priority = 2)
-  public void lossAndOneWayCutsKillNobody() throws Exception {
-    long before = deaths(c);
+  public void packetLossAndOneWayPartitionCauseNoDeaths() throws Exception {
+    long deathsBefore = deaths(cluster);
     Scenario.of(
             """
         0 lose 0.2 nodes = nodes
@@ -73,66 +73,75 @@
         0 cut n0 > n1
         6000 heal nodes = nodes
         """)
-        .play(c);
-    c.until("all alive and agreed", PATIENCE, () -> allAlive() && c.viewsEqual());
-    assertEquals(deaths(c), before);
+        .play(cluster);
+    cluster.until(
+        "all alive, with equal views", WAIT_TIMEOUT_MS, () -> allAlive() && cluster.viewsEqual());
+    assertEquals(deaths(cluster), deathsBefore);
   }
 
   @Test(priority = 3)
-  public void theKilledIsKnownToAllAndItsRestartIsAnotherProcess() throws Exception {
-    long epoch = c.members(0).path("members").get(2).path("epoch").asLong();
-    c.does("kill n2");
-    c.until("all know", PATIENCE, () -> c.allHold(2, "dead"));
-    assertTrue(IntStream.of(0, 1, 3, 4).allMatch(i -> c.allHold(i, "alive")));
-    c.does("restart n2");
-    c.until("back", PATIENCE, () -> c.allHold(2, "alive") && c.viewsEqual());
-    assertTrue(c.members(0).path("members").get(2).path("epoch").asLong() > epoch);
+  public void allDetectKilledProcessAndItsRestartHasALaterEpoch() throws Exception {
+    long epoch = cluster.members(0).path("members").get(2).path("epoch").asLong();
+    cluster.does("kill n2");
+    cluster.until("all to detect the death", WAIT_TIMEOUT_MS, () -> cluster.allHold(2, "dead"));
+    assertTrue(IntStream.of(0, 1, 3, 4).allMatch(i -> cluster.allHold(i, "alive")));
+    cluster.does("restart n2");
+    cluster.until(
+        "the restarted process to be alive",
+        WAIT_TIMEOUT_MS,
+        () -> cluster.allHold(2, "alive") && cluster.viewsEqual());
+    assertTrue(cluster.members(0).path("members").get(2).path("epoch").asLong() > epoch);
   }
 
   /**
-   * An upgrade, or somebody's mistake: the second process of a name waits, and is another one once
-   * the first has ended.
+   * A second process of the same name is started, as in an upgrade or by mistake. It waits until
+   * the first has ended, and then joins under a later epoch.
    */
   @Test(priority = 5)
-  public void aSecondProcessOfANameChangesNothingUntilTheFirstHasEnded() throws Exception {
-    long epoch = c.members(1).path("members").get(0).path("epoch").asLong();
-    try (Node twin = c.node(0).twin().awaitReady()) {
+  public void secondProcessOfANameJoinsOnlyAfterTheFirstHasEnded() throws Exception {
+    long epoch = cluster.members(1).path("members").get(0).path("epoch").asLong();
+    try (Node second = cluster.node(0).twin().awaitReady()) {
       assertTrue(
-          twin.order("members").startsWith("400 membership is off, or waits for its address"),
-          twin.order("members"));
-      assertTrue(IntStream.range(1, NODES).allMatch(i -> c.holds(i, 0, "alive")));
-      assertEquals(c.members(1).path("members").get(0).path("epoch").asLong(), epoch);
-      c.does("kill n0");
-      c.until(
-          "the second is known for another process",
-          PATIENCE,
+          second.order("members").startsWith("400 membership is off, or waits for its address"),
+          second.order("members"));
+      assertTrue(IntStream.range(1, NODES).allMatch(i -> cluster.holds(i, 0, "alive")));
+      assertEquals(cluster.members(1).path("members").get(0).path("epoch").asLong(), epoch);
+      cluster.does("kill n0");
+      cluster.until(
+          "the second process to be known under its own epoch",
+          WAIT_TIMEOUT_MS,
           () ->
-              c.allHold(0, "alive") && c.running().stream().allMatch(i -> epochOfFirst(i) > epoch));
-      assertTrue(twin.order("members").startsWith("200 "), twin.order("members"));
+              cluster.allHold(0, "alive")
+                  && cluster.running().stream().allMatch(i -> epochOfFirstMember(i) > epoch));
+      assertTrue(second.order("members").startsWith("200 "), second.order("members"));
     }
   }
 
-  private long epochOfFirst(int at) {
+  private long epochOfFirstMember(int observer) {
     try {
-      return c.members(at).path("members").get(0).path("epoch").asLong();
+      return cluster.members(observer).path("members").get(0).path("epoch").asLong();
     } catch (IOException e) {
       return 0;
     }
   }
 
   @Test(priority = 4)
-  public void aMinorityCutOffJudgesNobody() throws Exception {
-    long before = c.node(3).log().lines().filter(l -> l.contains(" is dead, was ")).count();
-    c.does("cut n3,n4 = n0,n1,n2");
-    c.until(
-        "the majority knows",
-        PATIENCE,
-        () -> IntStream.range(0, 3).allMatch(i -> c.holds(i, 3, "dead") && c.holds(i, 4, "dead")));
-    c.does("heal n3,n4 = n0,n1,n2");
-    c.until("all alive and agreed", PATIENCE, () -> allAlive() && c.viewsEqual());
+  public void isolatedMinorityDeclaresNobodyDead() throws Exception {
+    long deathsBefore =
+        cluster.node(3).log().lines().filter(line -> line.contains(" is dead, was ")).count();
+    cluster.does("cut n3,n4 = n0,n1,n2");
+    cluster.until(
+        "the majority to detect the deaths",
+        WAIT_TIMEOUT_MS,
+        () ->
+            IntStream.range(0, 3)
+                .allMatch(i -> cluster.holds(i, 3, "dead") && cluster.holds(i, 4, "dead")));
+    cluster.does("heal n3,n4 = n0,n1,n2");
+    cluster.until(
+        "all alive, with equal views", WAIT_TIMEOUT_MS, () -> allAlive() && cluster.viewsEqual());
     assertEquals(
-        c.node(3).log().lines().filter(l -> l.contains(" is dead, was ")).count(),
-        before,
-        c.node(3).log());
+        cluster.node(3).log().lines().filter(line -> line.contains(" is dead, was ")).count(),
+        deathsBefore,
+        cluster.node(3).log());
   }
 }
