--- a/src/test/java/bitternpulley/process/AttemptLog.java
+++ b/src/test/java/bitternpulley/process/AttemptLog.java
@@ -9,71 +9,75 @@
 import java.util.stream.Collectors;
 
 /**
- * What reached the stand-in slot servers, in either dialect, and the one set of rule checks over
- * it.
+ * Records the attempts that reached the fake slot servers over either protocol, and checks them
+ * against the rules that a slot server can observe.
  */
 final class AttemptLog {
   /**
-   * One attempt as its server saw it; {@code ended} by its answer, a cancel or the end of its
+   * One attempt as its server saw it. It ends with its answer, a cancellation or the end of its
    * connection.
    */
   static final class Attempt {
-    final String dialect;
+    final String protocol;
     final String part;
-    final String key;
-    final int section;
-    final StandIn server;
-    final long at = System.nanoTime();
-    private long ended;
+    final String idempotencyKey;
+    final int shard;
+    final FakeSlotServer server;
+    final long startedAtNanos = System.nanoTime();
+    private long endedAtNanos;
 
-    Attempt(String dialect, String part, String key, int section, StandIn server) {
-      this.dialect = dialect;
+    Attempt(
+        String protocol, String part, String idempotencyKey, int shard, FakeSlotServer server) {
+      this.protocol = protocol;
       this.part = part;
-      this.key = key;
-      this.section = section;
+      this.idempotencyKey = idempotencyKey;
+      this.shard = shard;
       this.server = server;
     }
 
-    boolean over() {
-      return ended != 0;
+    boolean hasEnded() {
+      return endedAtNanos != 0;
     }
   }
 
-  private static final int MOST_ATTEMPTS = 4;
-  private static final long WINDOW_MS = 5050;
-  private static final long DRAIN_MS = 250;
-  private static final long CROSSING_MS = 10_000;
+  private static final int MAX_ATTEMPTS = 4;
+  private static final long DEDUP_WINDOW_MS = 5050;
+  private static final long DRAIN_GRACE_MS = 250;
+  private static final long PREVIOUS_END_TIMEOUT_MS = 10_000;
   private final List<Attempt> attempts = new ArrayList<>();
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
 
   /**
-   * Notes an attempt. Two servers' threads may read a cancel and the next attempt in either order,
-   * so it waits.
+   * Records the start of an attempt. The threads of two servers may read a cancellation and the
+   * next attempt of the same part in either order, so this waits for the previous attempt to end.
    */
-  synchronized Attempt begin(Attempt a) {
-    long end = System.currentTimeMillis() + CROSSING_MS;
-    while (attempts.stream().anyMatch(o -> o.part.equals(a.part) && !o.over())) {
-      long left = end - System.currentTimeMillis();
-      if (left <= 0) {
-        broken.add("two attempts out at once: " + a.part);
+  synchronized Attempt begin(Attempt attempt) {
+    long deadline = System.currentTimeMillis() + PREVIOUS_END_TIMEOUT_MS;
+    while (attempts.stream()
+        .anyMatch(other -> other.part.equals(attempt.part) && !other.hasEnded())) {
+      long remaining = deadline - System.currentTimeMillis();
+      if (remaining <= 0) {
+        violations.add("two concurrent attempts: " + attempt.part);
         break;
       }
       try {
-        wait(left);
+        wait(remaining);
       } catch (InterruptedException e) {
         throw new IllegalStateException(e);
       }
     }
-    if (a.server.drainingSince != 0 && a.at - a.server.drainingSince > DRAIN_MS * 1_000_000) {
-      broken.add(a.part + " sent to a draining server");
+    if (attempt.server.drainingSinceNanos != 0
+        && attempt.startedAtNanos - attempt.server.drainingSinceNanos
+            > DRAIN_GRACE_MS * 1_000_000) {
+      violations.add(attempt.part + " sent to a draining server");
     }
-    attempts.add(a);
+    attempts.add(attempt);
     notifyAll();
-    return a;
+    return attempt;
   }
 
-  synchronized void end(Attempt a) {
-    a.ended = a.ended == 0 ? System.nanoTime() : a.ended;
+  synchronized void end(Attempt attempt) {
+    attempt.endedAtNanos = attempt.endedAtNanos == 0 ? System.nanoTime() : attempt.endedAtNanos;
     notifyAll();
   }
 
@@ -81,34 +85,43 @@
     return List.copyOf(attempts);
   }
 
-  List<Attempt> of(String dialect) {
-    return all().stream().filter(a -> a.dialect.equals(dialect)).toList();
+  List<Attempt> forProtocol(String protocol) {
+    return all().stream().filter(attempt -> attempt.protocol.equals(protocol)).toList();
   }
 
-  /** The rules that a slot server can see, the same for both dialects. */
-  static void check(List<Attempt> of, List<String> broken) {
-    Map<String, List<Attempt>> parts = of.stream().collect(Collectors.groupingBy(a -> a.part));
-    parts.forEach(
+  /** Checks the rules that a slot server can observe, which are the same for both protocols. */
+  static void checkRules(List<Attempt> attempts, List<String> violations) {
+    Map<String, List<Attempt>> attemptsByPart =
+        attempts.stream().collect(Collectors.groupingBy(attempt -> attempt.part));
+    attemptsByPart.forEach(
         (part, tries) -> {
-          assertTrue(tries.size() <= MOST_ATTEMPTS, part + " was tried " + tries.size() + " times");
+          assertTrue(
+              tries.size() <= MAX_ATTEMPTS, part + " was attempted " + tries.size() + " times");
           assertEquals(
-              tries.stream().map(a -> String.valueOf(a.key)).distinct().count(),
+              tries.stream()
+                  .map(attempt -> String.valueOf(attempt.idempotencyKey))
+                  .distinct()
+                  .count(),
               1,
-              part + " changes its key");
-          long span = tries.get(tries.size() - 1).at - tries.get(0).at;
+              part + " changes its idempotency key");
+          long span = tries.get(tries.size() - 1).startedAtNanos - tries.get(0).startedAtNanos;
           assertTrue(
-              tries.get(0).key == null || span <= WINDOW_MS * 1_000_000, part + " left its window");
+              tries.get(0).idempotencyKey == null || span <= DEDUP_WINDOW_MS * 1_000_000,
+              part + " was retried outside its deduplication window");
           tries.forEach(
-              a -> assertTrue(a.server.holds(a.section), part + " went to " + a.server.id));
+              attempt ->
+                  assertTrue(
+                      attempt.server.holds(attempt.shard),
+                      part + " went to " + attempt.server.id + ", which does not hold its shard"));
         });
-    assertEquals(broken, List.of());
+    assertEquals(violations, List.of());
   }
 
-  void check(String dialect) {
-    List<String> seen;
+  void checkRules(String protocol) {
+    List<String> recordedViolations;
     synchronized (this) {
-      seen = List.copyOf(broken);
+      recordedViolations = List.copyOf(violations);
     }
-    check(of(dialect), seen);
+    checkRules(forProtocol(protocol), recordedViolations);
   }
 }
--- a/src/test/java/bitternpulley/process/DescriptorsProcessTest.java
+++ b/src/test/java/bitternpulley/process/DescriptorsProcessTest.java
@@ -16,92 +16,88 @@
 import org.testng.annotations.Test;
 
 /**
- * More idle clients than the program has descriptors for, while discovery is away: who needs one
- * keeps it.
+ * More idle clients than the program has descriptors, while discovery does not answer. Descriptors
+ * must remain for requests, for slot servers, for the admin endpoint and for discovery.
  */
 public class DescriptorsProcessTest extends ProcessTest {
-  private static final int SOCKETS = 160;
-  private static final int IDLE = 400;
+  private static final int DESCRIPTOR_LIMIT = 160;
+  private static final int IDLE_CLIENTS = 400;
 
-  /** What discovery has counts as told so long after it can be reached again. */
-  private static final long TOLD_WITHIN = TimeUnit.SECONDS.toNanos(6);
+  /** Limit on the time from discovery being reachable again to its lists being in use. */
+  private static final long WATCH_RESUME_LIMIT_NANOS = TimeUnit.SECONDS.toNanos(6);
 
-  private final List<Socket> idle = new ArrayList<>();
-  private CountDownLatch back;
+  private final List<Socket> idleClients = new ArrayList<>();
+  private CountDownLatch discoveryReleased;
 
   @BeforeMethod
   @Override
   public void start() throws IOException {
-    d = new Deployment();
-    ((ObjectNode) d.config().path("limits")).put("sockets", SOCKETS);
-    d.startAndAwaitReady();
-    back = new CountDownLatch(1);
+    deployment = new Deployment();
+    ((ObjectNode) deployment.config().path("limits")).put("sockets", DESCRIPTOR_LIMIT);
+    deployment.startAndAwaitReady();
+    discoveryReleased = new CountDownLatch(1);
   }
 
   @AfterMethod(alwaysRun = true)
-  public void closeIdle() throws IOException {
-    back.countDown();
-    for (Socket s : idle) {
-      s.close();
+  public void closeIdleClients() throws IOException {
+    discoveryReleased.countDown();
+    for (Socket client : idleClients) {
+      client.close();
     }
-    idle.clear();
+    idleClients.clear();
   }
 
-  private int descriptors() {
-    return new File("/proc/" + d.process.pid() + "/fd").list().length;
+  private int openDescriptors() {
+    return new File("/proc/" + deployment.process.pid() + "/fd").list().length;
   }
 
-  private void loseDiscovery() throws IOException {
-    Deployment.await("a watch", () -> !d.watches.isEmpty());
-    d.keepDiscoverySilent(back);
-    d.breakWatches();
+  private void silenceDiscovery() throws IOException {
+    Deployment.await("a watch", () -> !deployment.discovery.watchTargets.isEmpty());
+    deployment.discovery.withholdInitialList(discoveryReleased);
+    deployment.discovery.closeWatches();
   }
 
-  private void fill() throws IOException {
-    for (int i = 0; i < IDLE; i++) {
-      idle.add(Deployment.connect(d.listen));
+  private void connectIdleClients() throws IOException {
+    for (int i = 0; i < IDLE_CLIENTS; i++) {
+      idleClients.add(TestClient.connect(deployment.listenAddress));
     }
   }
 
   @Test
-  public void serversAndOperatorsAreReachedAndClientsAreServed() throws IOException {
-    loseDiscovery();
-    fill();
-    for (int section = 0; section < 6; section++) {
-      assertEquals(d.ask("slot-search", "beside" + section, section).status(), 200);
+  public void servesClientsAndAdminDespiteIdleClients() throws IOException {
+    silenceDiscovery();
+    connectIdleClients();
+    for (int shard = 0; shard < 6; shard++) {
+      assertEquals(deployment.sendQuery("slot-search", "beside" + shard, shard).status(), 200);
     }
-    assertTrue(d.order("health").startsWith("200"));
-    assertTrue(descriptors() <= SOCKETS, descriptors() + " descriptors");
+    assertTrue(deployment.callAdmin("health").startsWith("200"));
+    assertTrue(openDescriptors() <= DESCRIPTOR_LIMIT, openDescriptors() + " descriptors");
   }
 
-  /** Guards against a watch that is not taken up again since idle clients hold what it needs. */
+  /** Guards against a watch that cannot be reopened since idle clients use all descriptors. */
   @Test
-  public void whatDiscoveryTellsAtItsReturnIsHeededInTime() throws IOException {
-    loseDiscovery();
-    fill();
-    int watched = d.watches.size();
-    back.countDown();
-    long from = System.nanoTime();
-    StandIn leaves = d.servers.get(2);
-    Deployment.await("a fresh watch", () -> d.watches.size() > watched);
-    d.tell(leaves, "draining");
-    assertTrue(System.nanoTime() - from < TOLD_WITHIN, "the watch came too late");
+  public void resumesWatchInTimeDespiteIdleClients() throws IOException {
+    silenceDiscovery();
+    connectIdleClients();
+    int watchesBefore = deployment.discovery.watchTargets.size();
+    discoveryReleased.countDown();
+    long releasedAt = System.nanoTime();
+    FakeSlotServer drained = deployment.servers.get(2);
+    Deployment.await("a new watch", () -> deployment.discovery.watchTargets.size() > watchesBefore);
+    deployment.discovery.announce(drained, "draining");
+    assertTrue(
+        System.nanoTime() - releasedAt < WATCH_RESUME_LIMIT_NANOS, "the watch came too late");
     Deployment.await(
-        "it is heeded",
+        "the drain to take effect",
         () -> {
-          try {
-            int before = leaves.heads.size();
-            return d.ask("slot-search", "w" + System.nanoTime(), 1, 2).status() == 200
-                && leaves.heads.size() == before;
-          } catch (IOException e) {
-            throw new AssertionError(e);
-          }
+          int requestsBefore = drained.requests.size();
+          return queryStatus("w", 1, 2) == 200 && drained.requests.size() == requestsBefore;
         });
-    int before = d.log.all().size();
+    int attemptsBefore = deployment.attemptLog.all().size();
     for (int i = 0; i < 10; i++) {
-      assertEquals(d.ask("slot-search", "x" + i, 1, 2).status(), 200);
+      assertEquals(deployment.sendQuery("slot-search", "x" + i, 1, 2).status(), 200);
     }
-    assertTrue(d.log.all().size() > before);
-    assertTrue(descriptors() <= SOCKETS, descriptors() + " descriptors");
+    assertTrue(deployment.attemptLog.all().size() > attemptsBefore);
+    assertTrue(openDescriptors() <= DESCRIPTOR_LIMIT, openDescriptors() + " descriptors");
   }
 }
--- a/src/test/java/bitternpulley/process/EdgeBytesProcessTest.java
+++ b/src/test/java/bitternpulley/process/EdgeBytesProcessTest.java
@@ -2,6 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 
+import bitternpulley.process.FakeSlotServer.Behavior;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -12,101 +13,98 @@
 import org.testng.annotations.Test;
 
 /**
- * What the program writes at each of its edges, byte for byte as recorded: to clients of both
- * fronts, to slot servers in both protocols, to discovery and to operators. Ports and times are
- * masked, nothing else.
+ * Compares the bytes that the program writes on each of its interfaces with a recording: to clients
+ * of both fronts, to slot servers over both protocols, to discovery and to admin callers. Only what
+ * differs from run to run is masked.
  */
 public class EdgeBytesProcessTest extends ProcessTest {
   private static final Path RECORDED = Path.of("src/test/resources/edges/recorded.txt");
-  private static final String ANY = "{\"query\":{\"match_all\":{}}}";
+  private static final String MATCH_ALL = "{\"query\":{\"match_all\":{}}}";
 
-  private final List<String> seen = new ArrayList<>();
+  private final List<String> exchanges = new ArrayList<>();
 
   @Test
-  public void everyEdgeWritesWhatWasRecorded() throws Exception {
-    seen.clear();
-    watch();
-    platformClients();
-    searchClients();
-    slotServers();
-    operators();
-    assertEquals(String.join("\n", seen), Files.readString(RECORDED).trim());
+  public void writesRecordedBytesOnEveryInterface() throws Exception {
+    exchanges.clear();
+    recordWatch();
+    recordPlatformReplies();
+    recordPlatformFailures();
+    recordSearchReplies();
+    recordSlotServerRequests();
+    recordAdminReplies();
+    assertEquals(String.join("\n", exchanges), Files.readString(RECORDED).trim());
   }
 
-  private void watch() {
-    Deployment.await("a watch", () -> !d.watches.isEmpty());
-    record("discovery", d.watches.get(0));
+  private void recordWatch() {
+    Deployment.await("a watch", () -> !deployment.discovery.watchTargets.isEmpty());
+    record("discovery", deployment.discovery.watchTargets.get(0));
   }
 
-  private void platformClients() throws IOException {
-    record("ready", raw(d.listen, "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n"));
-    record("healthy", raw(d.listen, "GET /-/healthy HTTP/1.1\r\nConnection: close\r\n\r\n"));
-    record("unknown", raw(d.listen, "GET /-/what HTTP/1.1\r\nConnection: close\r\n\r\n"));
-    record("complete", raw(d.listen, query("slot-search", "e1", 0, 3)));
-    record("malformed", raw(d.listen, query("slot-search", "e2", 0).replace("slices", "slicez")));
-    record("no class", raw(d.listen, query("nothing", "e3", 0)));
-    record("no id", raw(d.listen, query("slot-search", "e4", 0).replace("Request-Id: e4\r\n", "")));
+  private void recordPlatformReplies() throws IOException {
+    record("ready", platformReply("GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n"));
+    record("healthy", platformReply("GET /-/healthy HTTP/1.1\r\nConnection: close\r\n\r\n"));
+    record("unknown", platformReply("GET /-/what HTTP/1.1\r\nConnection: close\r\n\r\n"));
+    record("complete", platformReply(query("slot-search", "e1", 0, 3)));
+    record("malformed", platformReply(query("slot-search", "e2", 0).replace("slices", "slicez")));
+    record("no class", platformReply(query("nothing", "e3", 0)));
+    record("no id", platformReply(query("slot-search", "e4", 0).replace("Request-Id: e4\r\n", "")));
     record(
         "no key",
-        raw(d.listen, query("slot-booking", "e5", 0).replace("Idempotency-Key: k-e5\r\n", "")));
+        platformReply(query("slot-booking", "e5", 0).replace("Idempotency-Key: k-e5\r\n", "")));
     record(
         "too long",
-        raw(d.listen, "POST /slot-search HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"));
+        platformReply("POST /slot-search HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"));
     record(
         "no method",
-        raw(
-            d.listen,
+        platformReply(
             "PUT /slot-search HTTP/1.1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"));
-    record("no HTTP", raw(d.listen, "what is this\r\n\r\n"));
-    d.servers.forEach(
-        s -> s.act = (index, section) -> section == 4 ? StandIn.Act.ERROR : StandIn.Act.SERVE);
-    record("partial", raw(d.listen, query("stock-report", "e6", 0, 1, 2, 3, 4, 5)));
-    record("rejected after errors", raw(d.listen, query("slot-search", "e7", 4)));
-    d.servers.forEach(
-        s -> s.act = (index, section) -> section == 4 ? StandIn.Act.FULL : StandIn.Act.SERVE);
-    record("rejected", raw(d.listen, query("slot-search", "e8", 4)));
-    d.servers.forEach(
-        s -> s.act = (index, section) -> section == 4 ? StandIn.Act.SILENT : StandIn.Act.SERVE);
+    record("no HTTP", platformReply("what is this\r\n\r\n"));
+  }
+
+  private void recordPlatformFailures() throws IOException {
+    setShardBehavior(4, Behavior.ERROR);
+    record("partial", platformReply(query("stock-report", "e6", 0, 1, 2, 3, 4, 5)));
+    record("rejected after errors", platformReply(query("slot-search", "e7", 4)));
+    setShardBehavior(4, Behavior.FULL);
+    record("rejected", platformReply(query("slot-search", "e8", 4)));
+    setShardBehavior(4, Behavior.SILENT);
     record(
         "failed",
-        raw(
-            d.listen,
+        platformReply(
             query("slot-booking", "e10", 4)
                 .replace("Request-Timeout: 4.5", "Request-Timeout: 1.5")));
-    d.servers.forEach(s -> s.act = (index, section) -> StandIn.Act.SERVE);
+    setAllServers(Behavior.SERVE);
   }
 
-  private void searchClients() throws IOException {
-    record("search", raw(d.searchListen, search("/slots/_search?size=2", ANY)));
+  private void recordSearchReplies() throws IOException {
+    record("search", searchReply(search("/slots/_search?size=2", MATCH_ALL)));
     record(
         "msearch",
-        raw(
-            d.searchListen,
+        searchReply(
             search(
                 "/_msearch", "{\"index\":\"slots\"}\n{\"size\":1}\n{\"index\":\"none\"}\n{}\n")));
-    record("search unknown", raw(d.searchListen, search("/none/_search", ANY)));
-    record("search illegal", raw(d.searchListen, search("/slots/_search", "{\"aggs\":{}}")));
-    record("search malformed", raw(d.searchListen, search("/slots/_search", "{")));
-    record("search no path", raw(d.searchListen, search("/slots/_count", ANY)));
-    d.servers.forEach(
-        s -> s.act = (index, section) -> section == 4 ? StandIn.Act.ERROR : StandIn.Act.SERVE);
-    record("search failed", raw(d.searchListen, search("/slots/_search", ANY)));
-    record("search partial", raw(d.searchListen, search("/stock/_search?size=1", ANY)));
-    d.servers.forEach(s -> s.act = (index, section) -> StandIn.Act.SERVE);
+    record("search unknown", searchReply(search("/none/_search", MATCH_ALL)));
+    record("search illegal", searchReply(search("/slots/_search", "{\"aggs\":{}}")));
+    record("search malformed", searchReply(search("/slots/_search", "{")));
+    record("search no path", searchReply(search("/slots/_count", MATCH_ALL)));
+    setShardBehavior(4, Behavior.ERROR);
+    record("search failed", searchReply(search("/slots/_search", MATCH_ALL)));
+    record("search partial", searchReply(search("/stock/_search?size=1", MATCH_ALL)));
+    setAllServers(Behavior.SERVE);
   }
 
-  private void slotServers() throws IOException {
-    d.servers.forEach(s -> s.heads.clear());
-    d.ask("slot-booking", "e9", 2);
-    d.search("/bookings/_search?size=3", ANY, "Idempotency-Key: k9");
-    for (StandIn server : d.servers) {
-      for (String head : server.heads) {
-        record("slot server", head);
+  private void recordSlotServerRequests() throws IOException {
+    deployment.servers.forEach(server -> server.requests.clear());
+    deployment.sendQuery("slot-booking", "e9", 2);
+    deployment.sendSearch("/bookings/_search?size=3", MATCH_ALL, "Idempotency-Key: k9");
+    for (FakeSlotServer server : deployment.servers) {
+      for (String request : server.requests) {
+        record("slot server", request);
       }
     }
   }
 
-  private void operators() throws IOException {
+  private void recordAdminReplies() throws IOException {
     for (String call :
         List.of(
             "health",
@@ -120,12 +118,12 @@
             "members",
             "what",
             "x".repeat(600))) {
-      record("admin " + call.substring(0, Math.min(20, call.length())), d.order(call));
+      record("admin " + call.substring(0, Math.min(20, call.length())), deployment.callAdmin(call));
     }
   }
 
-  private static String query(String requestClass, String id, int... sections) {
-    return Deployment.query(requestClass, id, 4.5, sections)
+  private static String query(String queryClass, String id, int... shards) {
+    return TestClient.queryRequest(queryClass, id, 4.5, shards)
         .replace("Host: b\r\n", "Host: b\r\nConnection: close\r\n");
   }
 
@@ -138,21 +136,29 @@
         + body;
   }
 
-  private static String raw(String to, String text) throws IOException {
-    try (Socket socket = Deployment.connect(to)) {
-      socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+  private String platformReply(String request) throws IOException {
+    return rawReply(deployment.listenAddress, request);
+  }
+
+  private String searchReply(String request) throws IOException {
+    return rawReply(deployment.searchListenAddress, request);
+  }
+
+  private static String rawReply(String address, String text) throws IOException {
+    try (Socket socket = TestClient.connect(address)) {
+      TestClient.send(socket, text);
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
   }
 
-  private void record(String what, String text) {
-    seen.add(
-        what + ": " + mask(text).replace("\\", "\\\\").replace("\r", "\\r").replace("\n", "\\n"));
+  private void record(String label, String text) {
+    exchanges.add(
+        label + ": " + mask(text).replace("\\", "\\\\").replace("\r", "\\r").replace("\n", "\\n"));
   }
 
   /**
-   * Replaces what differs from run to run: addresses, times, the length of a body with a time, and
-   * who served a part.
+   * Masks what differs from run to run: addresses, times, the length of a body with a time, and the
+   * server that served a part.
    */
   private static String mask(String text) {
     String masked =
--- a/src/test/java/bitternpulley/process/EndingsProcessTest.java
+++ b/src/test/java/bitternpulley/process/EndingsProcessTest.java
@@ -4,13 +4,18 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import bitternpulley.process.Deployment.Reply;
-import bitternpulley.process.StandIn.Act;
+import bitternpulley.process.FakeSlotServer.Behavior;
+import bitternpulley.process.TestClient.Reply;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.EOFException;
+import java.io.File;
 import java.io.IOException;
 import java.net.Socket;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -18,368 +23,354 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/**
- * What is owed as clients leave, as the program ends, and as it starts anew: through the real
- * program.
- */
+/** What the real program does when clients disconnect, at its shutdown and at its start. */
 public class EndingsProcessTest extends ProcessTest {
-  /** A request whose client has left while it waited is not sent on so many ms later. */
-  private static final long GONE_FOR = 300;
+  /** Time after a disconnect from which on no attempt is sent for the client. */
+  private static final long DISCONNECT_SETTLE_MS = 300;
 
   /**
-   * The platform may kill the program so many ms after the longest deadline, which counts as 3 s at
-   * most.
+   * The platform may kill the program this long after SIGTERM: some time after the longest
+   * deadline, of which at most 3 s count.
    */
-  private static final long KILL_AFTER = 3700;
-
-  private void everyServer(Act act) {
-    d.servers.forEach(s -> s.act = (index, section) -> act);
-  }
+  private static final long KILL_AFTER_MS = 3700;
 
   private Socket send(String query) throws IOException {
-    Socket client = Deployment.connect(d.listen);
-    client.getOutputStream().write(query.getBytes());
+    Socket client = TestClient.connect(deployment.listenAddress);
+    TestClient.send(client, query);
     return client;
   }
 
   /**
-   * Many more than the servers have room for, so that most wait for their first attempt; then all
-   * leave.
+   * Sends many more queries than the servers have capacity for, so that most wait for their first
+   * attempt. Then disconnects all clients, and checks that nothing more is sent for them.
    */
-  private void aBurstLeaves(boolean reset) throws Exception {
-    everyServer(Act.SILENT);
+  private void disconnectBurst(boolean reset) throws Exception {
+    setAllServers(Behavior.SILENT);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       clients.add(
           send(
-              Deployment.query(
+              TestClient.queryRequest(
                   i % 3 == 0 ? "slot-booking" : "slot-search", "b" + reset + i, 4.5, i % 6)));
     }
-    Deployment.await("some are sent", () -> d.log.all().size() >= 4);
-    for (Socket s : clients) {
-      s.setSoLinger(reset, 0);
-      s.close();
+    Deployment.await("some attempts to be sent", () -> deployment.attemptLog.all().size() >= 4);
+    for (Socket client : clients) {
+      client.setSoLinger(reset, 0);
+      client.close();
     }
-    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(GONE_FOR));
-    int sent = d.log.all().size();
-    everyServer(Act.SERVE);
+    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(DISCONNECT_SETTLE_MS));
+    int sentBefore = deployment.attemptLog.all().size();
+    setAllServers(Behavior.SERVE);
     for (int i = 0; i < 6; i++) {
-      int section = i;
-      // Where nothing may be called off, what has gone keeps its room until its time is over.
+      int shard = i;
+      // Without cancellation, attempts that were sent use capacity until their time is over.
       Deployment.await(
-          "there is room again",
-          () -> {
-            try {
-              return d.ask("slot-search", "after" + System.nanoTime(), section).status() == 200;
-            } catch (IOException e) {
-              throw new AssertionError(e);
-            }
-          });
+          "capacity to be available again", () -> queryStatus("after", shard) == 200);
     }
     assertTrue(
-        d.log.all().subList(sent, d.log.all().size()).stream()
-            .allMatch(a -> a.part.startsWith("after")),
-        d.log.all().toString());
+        deployment.attemptLog.all().subList(sentBefore, deployment.attemptLog.all().size()).stream()
+            .allMatch(attempt -> attempt.part.startsWith("after")),
+        deployment.attemptLog.all().toString());
   }
 
   @Test
-  public void nothingIsSentForABurstOfClientsThatHasLeft() throws Exception {
-    aBurstLeaves(false);
-    aBurstLeaves(true);
+  public void sendsNothingForDisconnectedClients() throws Exception {
+    disconnectBurst(false);
+    disconnectBurst(true);
   }
 
-  /**
-   * Where nothing may be called off, what has gone runs on; what has not is not sent for nobody.
-   */
+  /** Without cancellation, attempts that were sent run on, but no further ones are sent. */
   @Test
-  public void nothingIsSentForClientsThatHaveLeftWhereNothingMayBeCalledOff() throws Exception {
-    d.close();
-    d = new Deployment();
-    ((ObjectNode) d.config().at("/settings/policyLimits")).put("mayCancel", false);
-    d.startAndAwaitReady();
-    aBurstLeaves(false);
+  public void sendsNothingForDisconnectedClientsWithoutCancellation() throws Exception {
+    deployment.close();
+    deployment = new Deployment();
+    ((ObjectNode) deployment.config().at("/settings/policyLimits")).put("mayCancel", false);
+    deployment.startAndAwaitReady();
+    disconnectBurst(false);
   }
 
-  private void endsInTime(long toldAt) throws Exception {
-    assertTrue(d.process.waitFor(30, TimeUnit.SECONDS));
-    long ms = (System.nanoTime() - toldAt) / 1_000_000;
-    assertEquals(d.process.exitValue(), 0);
-    assertTrue(ms < KILL_AFTER, "it took " + ms + " ms");
+  private void assertShutDownInTime(long signalledAt) throws Exception {
+    assertTrue(deployment.process.waitFor(30, TimeUnit.SECONDS));
+    long elapsedMs = (System.nanoTime() - signalledAt) / 1_000_000;
+    assertEquals(deployment.process.exitValue(), 0);
+    assertTrue(elapsedMs < KILL_AFTER_MS, "the shutdown took " + elapsedMs + " ms");
     assertFalse(
-        d.output.stream().anyMatch(l -> l.contains("ERROR") || l.contains("SEVERE")),
-        d.output.toString());
+        deployment.output.stream()
+            .anyMatch(line -> line.contains("ERROR") || line.contains("SEVERE")),
+        deployment.output.toString());
   }
 
   /**
-   * In flight at servers that hang, half read, keyed and possibly run: each has its one answer, and
-   * SIGTERM comes twice.
+   * Each request gets one answer: those in flight at servers that do not answer, those only half
+   * read, and those of a keyed class that may have run. SIGTERM comes twice.
    */
   @Test
-  public void whateverIsUnderWayAtSigtermHasItsOneAnswer() throws Exception {
-    everyServer(Act.SILENT);
+  public void answersEveryPendingRequestOnceAfterSigterm() throws Exception {
+    setAllServers(Behavior.SILENT);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       clients.add(
-          send(Deployment.query(i % 2 == 0 ? "slot-booking" : "slot-search", "h" + i, 1.5, i)));
+          send(
+              TestClient.queryRequest(
+                  i % 2 == 0 ? "slot-booking" : "slot-search", "h" + i, 1.5, i)));
     }
-    Deployment.await("some are sent", () -> d.log.all().size() >= 3);
-    String half = Deployment.query("slot-search", "half", 1.5, 0);
-    Socket begun = send(half.substring(0, 60));
-    long toldAt = System.nanoTime();
-    d.process.destroy();
-    Deployment.await("draining", () -> !ready());
-    begun.getOutputStream().write(half.substring(60).getBytes());
-    clients.add(begun);
-    d.process.destroy();
-    clients.add(send(Deployment.query("slot-search", "coming", 1.5, 3)));
+    Deployment.await("some attempts to be sent", () -> deployment.attemptLog.all().size() >= 3);
+    String splitRequest = TestClient.queryRequest("slot-search", "half", 1.5, 0);
+    Socket halfSent = send(splitRequest.substring(0, 60));
+    long signalledAt = System.nanoTime();
+    deployment.process.destroy();
+    Deployment.await("the program to drain", () -> !isReady());
+    TestClient.send(halfSent, splitRequest.substring(60));
+    clients.add(halfSent);
+    deployment.process.destroy();
+    clients.add(send(TestClient.queryRequest("slot-search", "coming", 1.5, 3)));
     for (int i = 0; i < clients.size(); i++) {
-      Reply reply = Deployment.reply(clients.get(i));
+      Reply reply = TestClient.readReply(clients.get(i));
       String part = "h" + i + ".";
       boolean keyedAndSent =
-          i % 2 == 0 && d.log.all().stream().anyMatch(a -> a.part.startsWith(part));
+          i % 2 == 0
+              && deployment.attemptLog.all().stream()
+                  .anyMatch(attempt -> attempt.part.startsWith(part));
       assertTrue(
-          reply.status() == 500 || !keyedAndSent && reply.status() == 429,
-          "it may have run: " + i + " " + reply);
-      assertEquals(clients.get(i).getInputStream().read(), -1, "one answer, and an orderly end");
+          reply.status() == 500 || (!keyedAndSent && reply.status() == 429),
+          "answer to request " + i + ", which may have run: " + reply);
+      assertEquals(clients.get(i).getInputStream().read(), -1, "one answer, then an orderly close");
       clients.get(i).close();
     }
-    endsInTime(toldAt);
+    assertShutDownInTime(signalledAt);
   }
 
-  /**
-   * Clients that go on sending on the connection they have, up to its end, and come again at once.
-   */
+  /** Clients send one request after another on their connections until these are closed. */
   @Test
-  public void clientsThatGoOnSendingUpToTheEndLoseNothing() throws Exception {
-    int count = 8;
+  public void answersEveryRequestOfPersistentClientsDuringShutdown() throws Exception {
+    int clientCount = 8;
     AtomicInteger answers = new AtomicInteger();
-    List<String> faults = new java.util.concurrent.CopyOnWriteArrayList<>();
-    CountDownLatch ended = new CountDownLatch(count);
-    for (int c = 0; c < count; c++) {
-      int me = c;
-      StandIn.daemon(
+    List<String> faults = new CopyOnWriteArrayList<>();
+    CountDownLatch ended = new CountDownLatch(clientCount);
+    for (int i = 0; i < clientCount; i++) {
+      int client = i;
+      FakeSlotServer.runInDaemonThread(
           () -> {
-            try (Socket mine = Deployment.connect(d.listen)) {
-              for (int n = 0; ; n++) {
-                try {
-                  mine.getOutputStream()
-                      .write(
-                          Deployment.query("slot-search", "c" + me + "-" + n, 2, n % 6).getBytes());
-                  Reply reply = Deployment.reply(mine);
-                  answers.incrementAndGet();
-                  if (reply.status() != 200 && reply.status() != 429) {
-                    faults.add(reply.toString());
-                  }
-                  if ("close".equals(reply.headers().get("connection"))) {
-                    break;
-                  }
-                } catch (java.io.EOFException e) {
-                  break; // an orderly end between requests: this one goes to another aggregator
-                } catch (IOException e) {
-                  faults.add(e.toString());
-                  break;
-                }
-              }
+            try (Socket socket = TestClient.connect(deployment.listenAddress)) {
+              sendUntilClosed(socket, "c" + client + "-", answers, faults);
             } finally {
               ended.countDown();
             }
           });
     }
-    Deployment.await("all have been served", () -> answers.get() > 20 * count);
-    long toldAt = System.nanoTime();
-    d.process.destroy();
+    Deployment.await("answers to all clients", () -> answers.get() > 20 * clientCount);
+    long signalledAt = System.nanoTime();
+    deployment.process.destroy();
     assertTrue(ended.await(30, TimeUnit.SECONDS));
     assertEquals(faults, List.of());
-    endsInTime(toldAt);
+    assertShutDownInTime(signalledAt);
   }
 
-  /**
-   * A client that rests on its connection, and one that never reads its answer's end, do not keep
-   * the program.
-   */
+  private static void sendUntilClosed(
+      Socket socket, String idPrefix, AtomicInteger answers, List<String> faults) {
+    for (int number = 0; ; number++) {
+      try {
+        TestClient.send(
+            socket, TestClient.queryRequest("slot-search", idPrefix + number, 2, number % 6));
+        Reply reply = TestClient.readReply(socket);
+        answers.incrementAndGet();
+        if (reply.status() != 200 && reply.status() != 429) {
+          faults.add(reply.toString());
+        }
+        if ("close".equals(reply.headers().get("connection"))) {
+          break;
+        }
+      } catch (EOFException e) {
+        break; // orderly close between requests: a client would send this one elsewhere
+      } catch (IOException e) {
+        faults.add(e.toString());
+        break;
+      }
+    }
+  }
+
+  /** Neither a client that is idle after its answer nor one that never sends delays shutdown. */
   @Test
-  public void restingClientsDoNotKeepTheProgram() throws Exception {
-    try (Socket resting = send(Deployment.query("slot-search", "r", 2, 0));
-        Socket silent = Deployment.connect(d.listen)) {
-      assertEquals(Deployment.reply(resting).status(), 200);
-      long toldAt = System.nanoTime();
-      d.process.destroy();
-      endsInTime(toldAt);
-      assertEquals(resting.getInputStream().read(), -1, "an orderly end");
-      assertEquals(silent.getInputStream().read(), -1, "an orderly end");
+  public void idleClientsDoNotDelayShutdown() throws Exception {
+    try (Socket idle = send(TestClient.queryRequest("slot-search", "r", 2, 0));
+        Socket silent = TestClient.connect(deployment.listenAddress)) {
+      assertEquals(TestClient.readReply(idle).status(), 200);
+      long signalledAt = System.nanoTime();
+      deployment.process.destroy();
+      assertShutDownInTime(signalledAt);
+      assertEquals(idle.getInputStream().read(), -1, "an orderly close");
+      assertEquals(silent.getInputStream().read(), -1, "an orderly close");
     }
   }
 
   @Test
-  public void sigtermBeforeReadinessAnswersWhoeverWaits() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
-    d.close();
-    d = new Deployment();
-    d.keepDiscoverySilent(held); // until the program was told to end
-    d.start();
-    Deployment.await("it has asked discovery", () -> !d.watches.isEmpty());
+  public void answersWaitingClientsOnSigtermBeforeReadiness() throws Exception {
+    CountDownLatch shutdownStarted = new CountDownLatch(1);
+    deployment.close();
+    deployment = new Deployment();
+    deployment.discovery.withholdInitialList(shutdownStarted);
+    deployment.start();
+    Deployment.await("a watch", () -> !deployment.discovery.watchTargets.isEmpty());
     Socket[] client = new Socket[1];
     Deployment.await(
-        "it listens",
+        "the program to listen",
         () -> {
           try {
-            client[0] = send(Deployment.query("slot-search", "early", 2, 0));
+            client[0] = send(TestClient.queryRequest("slot-search", "early", 2, 0));
             return true;
           } catch (IOException e) {
             return false;
           }
         });
-    long toldAt = System.nanoTime();
-    d.process.destroy();
-    int status = Deployment.reply(client[0]).status();
+    long signalledAt = System.nanoTime();
+    deployment.process.destroy();
+    int status = TestClient.readReply(client[0]).status();
     assertTrue(status == 200 || status == 429, "status " + status);
     client[0].close();
-    held.countDown();
-    endsInTime(toldAt);
+    shutdownStarted.countDown();
+    assertShutDownInTime(signalledAt);
   }
 
   @SuppressWarnings("try") // the early close is the disconnect under test
   @Test
-  public void sigtermDuringSighupEndsInOrder() throws Exception {
-    everyServer(Act.SILENT);
-    try (Socket client = send(Deployment.query("slot-search", "held", 1.5, 2))) {
-      Deployment.await("it is sent", () -> d.log.all().size() >= 1);
-      d.moveDiscovery();
-      d.hangup(d.config().toString());
-      long toldAt = System.nanoTime();
-      d.process.destroy();
-      assertTrue(Deployment.reply(client).status() >= 429);
+  public void shutsDownOrderlyOnSigtermDuringReload() throws Exception {
+    setAllServers(Behavior.SILENT);
+    try (Socket client = send(TestClient.queryRequest("slot-search", "held", 1.5, 2))) {
+      Deployment.await("the query to be sent", () -> deployment.attemptLog.all().size() >= 1);
+      deployment.moveDiscovery();
+      deployment.reloadBySighup(deployment.config().toString());
+      long signalledAt = System.nanoTime();
+      deployment.process.destroy();
+      assertTrue(TestClient.readReply(client).status() >= 429);
       assertEquals(client.getInputStream().read(), -1);
       client.close();
-      endsInTime(toldAt);
+      assertShutDownInTime(signalledAt);
     }
   }
 
   @DataProvider
-  public Object[][] handshakes() {
+  public Object[][] handshakeCosts() {
     return new Object[][] {{0.0}, {0.02}};
   }
 
-  /** Guards against a start that waits for a discovery that is down, or refuses to be one. */
-  @Test(dataProvider = "handshakes")
-  public void aStartIsReadyThoughDiscoveryIsSilent(double price) throws Exception {
+  /** Guards against a start that waits for a silent discovery, or fails without discovery. */
+  @Test(dataProvider = "handshakeCosts")
+  public void becomesReadyWhileDiscoveryIsSilent(double handshakeCost) throws Exception {
     CountDownLatch never = new CountDownLatch(1);
-    d.close();
-    d = new Deployment();
-    ((ObjectNode) d.config().path("settings")).putObject("costs").put("handshake", price);
-    d.keepDiscoverySilent(never);
-    long from = System.nanoTime();
-    d.startAndAwaitReady();
-    assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(10));
-    assertEquals(d.ask("slot-search", "known", 0, 1).status(), 200);
+    deployment.close();
+    deployment = new Deployment();
+    ((ObjectNode) deployment.config().path("settings"))
+        .putObject("costs")
+        .put("handshake", handshakeCost);
+    deployment.discovery.withholdInitialList(never);
+    long startedAt = System.nanoTime();
+    deployment.startAndAwaitReady();
+    assertTrue(System.nanoTime() - startedAt < TimeUnit.SECONDS.toNanos(10));
+    assertEquals(deployment.sendQuery("slot-search", "known", 0, 1).status(), 200);
   }
 
-  /**
-   * Guards against a rush of starts in which each waits for the others' part of the machine, or for
-   * discovery.
-   */
+  /** Guards against concurrent starts that wait for discovery or for each other's CPU time. */
   @Test
-  public void manyThatStartAtOnceWithDiscoverySilentAreReadyInTime() throws Exception {
+  public void concurrentStartsBecomeReadyWhileDiscoveryIsSilent() throws Exception {
     CountDownLatch never = new CountDownLatch(1);
-    List<Deployment> all = new ArrayList<>();
+    List<Deployment> deployments = new ArrayList<>();
     try {
       for (int i = 0; i < 5; i++) {
-        Deployment one = new Deployment();
-        all.add(one);
-        one.keepDiscoverySilent(never);
+        Deployment started = new Deployment();
+        deployments.add(started);
+        started.discovery.withholdInitialList(never);
       }
-      long from = System.nanoTime();
-      for (Deployment one : all) {
-        one.start();
+      long startedAt = System.nanoTime();
+      for (Deployment started : deployments) {
+        started.start();
       }
-      all.forEach(Deployment::awaitReady);
-      assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(10));
+      deployments.forEach(Deployment::awaitReady);
+      assertTrue(System.nanoTime() - startedAt < TimeUnit.SECONDS.toNanos(10));
     } finally {
-      for (Deployment one : all) {
-        one.close();
+      for (Deployment started : deployments) {
+        started.close();
       }
     }
   }
 
-  /** Guards against sends to a server that a whole list names no more. */
+  /** Guards against sends to a server that is missing from a complete list. */
   @Test
-  public void aServerThatAWholeListLeavesOutGetsNothingNew() throws Exception {
-    StandIn left = d.servers.get(2); // of the zone that is asked first
-    d.tellAll(d.servers.stream().filter(s -> s != left).toList());
+  public void sendsNothingToServerMissingFromCompleteList() throws Exception {
+    FakeSlotServer missing = deployment.servers.get(2); // in the preferred zone
+    deployment.discovery.announceCompleteList(
+        deployment.servers.stream().filter(server -> server != missing).toList());
     Deployment.await(
-        "it is heeded",
+        "the list to take effect",
         () -> {
-          try {
-            int before = left.heads.size();
-            return d.ask("slot-search", "w" + System.nanoTime(), 1, 2).status() == 200
-                && left.heads.size() == before;
-          } catch (IOException e) {
-            throw new AssertionError(e);
-          }
+          int requestsBefore = missing.requests.size();
+          return queryStatus("w", 1, 2) == 200 && missing.requests.size() == requestsBefore;
         });
-    int before = left.heads.size();
+    int requestsBefore = missing.requests.size();
     for (int i = 0; i < 10; i++) {
-      assertEquals(d.ask("slot-search", "x" + i, 1, 2).status(), 200);
+      assertEquals(deployment.sendQuery("slot-search", "x" + i, 1, 2).status(), 200);
     }
-    assertEquals(left.heads.size(), before);
+    assertEquals(missing.requests.size(), requestsBefore);
   }
 
-  private long held(String of) throws IOException {
+  private long processStatusKb(String field) throws IOException {
     try (var lines =
-        java.nio.file.Files.lines(
-            java.nio.file.Path.of("/proc", String.valueOf(d.process.pid()), "status"))) {
+        Files.lines(Path.of("/proc", String.valueOf(deployment.process.pid()), "status"))) {
       return lines
-          .filter(l -> l.startsWith(of))
-          .mapToLong(l -> Long.parseLong(l.replaceAll("[^0-9]", "")))
+          .filter(line -> line.startsWith(field))
+          .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", "")))
           .findFirst()
           .orElseThrow();
     }
   }
 
-  private int descriptors() {
-    return new java.io.File("/proc/" + d.process.pid() + "/fd").list().length;
+  private int openDescriptors() {
+    return new File("/proc/" + deployment.process.pid() + "/fd").list().length;
   }
 
   /**
-   * Floods: much at once, silent connections, bodies that never end; sound clients are served
-   * beside them.
+   * The flood has connections that send nothing, requests without the end of their body, and long
+   * input without the end of its head. Every fifth connection is closed or reset.
    */
   @Test
-  public void soundClientsAreServedBesideAFlood() throws Exception {
-    List<Socket> bad = new ArrayList<>();
+  public void servesValidClientsDuringFlood() throws Exception {
+    List<Socket> floodSockets = new ArrayList<>();
     for (int i = 0; i < 150; i++) {
-      Socket s = Deployment.connect(d.listen);
-      bad.add(s);
-      String much =
+      Socket socket = TestClient.connect(deployment.listenAddress);
+      floodSockets.add(socket);
+      String unfinishedRequest =
           "POST /slot-search HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" + "x".repeat(50_000);
       if (i % 3 != 0) {
-        s.getOutputStream().write((i % 3 == 1 ? much : "x".repeat(50_000)).getBytes());
+        TestClient.send(socket, i % 3 == 1 ? unfinishedRequest : "x".repeat(50_000));
       }
       if (i % 5 == 0) {
-        s.setSoLinger(i % 2 == 0, 0);
-        s.close();
+        socket.setSoLinger(i % 2 == 0, 0);
+        socket.close();
       }
     }
     for (int i = 0; i < 30; i++) {
-      assertEquals(d.ask("slot-search", "sound" + i, i % 6).status(), 200);
+      assertEquals(deployment.sendQuery("slot-search", "sound" + i, i % 6).status(), 200);
     }
-    assertTrue(held("VmHWM") < 192 * 1024, "memory at the most: " + held("VmHWM") + " kB");
-    assertTrue(descriptors() < 1024, "descriptors: " + descriptors());
-    int told = 0;
-    for (Socket s : bad) {
-      if (!s.isClosed()) {
+    assertTrue(
+        processStatusKb("VmHWM") < 192 * 1024,
+        "peak memory: " + processStatusKb("VmHWM") + " kB");
+    assertTrue(openDescriptors() < 1024, "descriptors: " + openDescriptors());
+    assertEquals(countErrorsAndOrderlyCloses(floodSockets), 120, "each gets its error");
+  }
+
+  private static int countErrorsAndOrderlyCloses(List<Socket> floodSockets) throws IOException {
+    int count = 0;
+    for (Socket socket : floodSockets) {
+      if (!socket.isClosed()) {
         try {
-          String line = StandIn.head(s.getInputStream())[0];
-          told += line.matches("HTTP/1.1 (400|408|413|431|503) .*") ? 1 : 0;
-        } catch (java.io.EOFException e) {
-          told +=
-              bad.indexOf(s) % 3 == 0
-                  ? 1
-                  : 0; // it said nothing, and its connection was ended in order
+          String line = FakeSlotServer.readHead(socket.getInputStream())[0];
+          count += line.matches("HTTP/1.1 (400|408|413|431|503) .*") ? 1 : 0;
+        } catch (EOFException e) {
+          // An orderly close is enough for a client that sent nothing.
+          count += floodSockets.indexOf(socket) % 3 == 0 ? 1 : 0;
         }
-        s.close();
+        socket.close();
       }
     }
-    assertEquals(told, 120, "each is told what is wrong");
+    return count;
   }
 }
--- a/src/test/java/bitternpulley/process/OperatorsProcessTest.java
+++ b/src/test/java/bitternpulley/process/OperatorsProcessTest.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import bitternpulley.process.Deployment.Reply;
-import bitternpulley.process.StandIn.Act;
+import bitternpulley.process.FakeSlotServer.Behavior;
+import bitternpulley.process.TestClient.Reply;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.net.Socket;
@@ -13,219 +13,215 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What operators do, against the real program. */
+/** The admin endpoint and the signals of operators, against the real program. */
 public class OperatorsProcessTest extends ProcessTest {
-  private int readiness() throws IOException {
-    return Deployment.call(d.listen, "GET /-/ready HTTP/1.1\r\n\r\n", "").status();
+  private int readinessStatus() throws IOException {
+    return TestClient.exchange(
+            deployment.listenAddress, "GET /-/ready HTTP/1.1\r\n\r\n", "")
+        .status();
   }
 
-  /** Guards against callers that say nothing, or too much, and keep the others from being heard. */
+  /** Guards against callers that block others by sending nothing or too much. */
   @Test
-  public void theDoorAnswersWhateverOthersDoThere() throws IOException {
-    List<Socket> silent = new ArrayList<>();
+  public void answersAdminCallsDespiteSilentAndInvalidCallers() throws IOException {
+    List<Socket> silentCallers = new ArrayList<>();
     try {
       for (int i = 0; i < 40; i++) {
-        silent.add(Deployment.connect(d.admin));
+        silentCallers.add(TestClient.connect(deployment.adminAddress));
       }
-      assertTrue(d.order("health").startsWith("200"));
-      for (String bad :
+      assertTrue(deployment.callAdmin("health").startsWith("200"));
+      for (String invalidCall :
           List.of(
               "cordon nobody", "uncordon nobody", "cordon", "health now", "  ", "x".repeat(600))) {
-        assertTrue(d.order(bad).startsWith("400"), bad);
+        assertTrue(deployment.callAdmin(invalidCall).startsWith("400"), invalidCall);
       }
     } finally {
-      for (Socket s : silent) {
-        s.close();
+      for (Socket caller : silentCallers) {
+        caller.close();
       }
     }
   }
 
   /**
-   * Guards against a server that is used while it is out, or left unused for good once it is let
-   * back in.
+   * Guards against a server that is used while it is cordoned, or stays unused once it is
+   * uncordoned.
    */
   @Test
-  public void aCordonedServerGetsNothingWhateverDiscoveryTells() throws IOException {
-    StandIn out = d.servers.get(1);
-    d.mustOrder("cordon s1");
-    d.mustOrder("cordon s1");
-    out.drainingSince = System.nanoTime();
-    int before = out.heads.size();
-    d.tell(out, "removed");
-    d.tell(out, "up");
-    d.tell(d.servers.get(4), "removed"); // once this is heeded, so was what came before
-    d.servers.get(3).act = (index, section) -> Act.ERROR;
-    Deployment.await("the removal is heeded", () -> status("w", 3) != 200);
+  public void sendsNothingToCordonedServerWhateverDiscoveryAnnounces() throws IOException {
+    FakeSlotServer cordoned = deployment.servers.get(1);
+    deployment.callAdminExpectingOk("cordon s1");
+    deployment.callAdminExpectingOk("cordon s1");
+    cordoned.drainingSinceNanos = System.nanoTime();
+    int requestsBefore = cordoned.requests.size();
+    deployment.discovery.announce(cordoned, "removed");
+    deployment.discovery.announce(cordoned, "up");
+    // Once this takes effect, the announcements before it have taken effect as well.
+    deployment.discovery.announce(deployment.servers.get(4), "removed");
+    deployment.servers.get(3).behavior = (index, shard) -> Behavior.ERROR;
+    Deployment.await("the removal to take effect", () -> queryStatus("w", 3) != 200);
     for (int i = 0; i < 10; i++) {
-      assertEquals(status("c" + i, 0, 1), 200);
+      assertEquals(queryStatus("c" + i, 0, 1), 200);
     }
-    assertEquals(out.heads.size(), before);
-    out.drainingSince = 0;
-    d.mustOrder("uncordon s1");
+    assertEquals(cordoned.requests.size(), requestsBefore);
+    cordoned.drainingSinceNanos = 0;
+    deployment.callAdminExpectingOk("uncordon s1");
     Deployment.await(
-        "it is used again", () -> status("u", 0, 1) == 200 && out.heads.size() > before);
+        "the server to be used again",
+        () -> queryStatus("u", 0, 1) == 200 && cordoned.requests.size() > requestsBefore);
   }
 
-  private int status(String id, int... sections) {
-    try {
-      return d.ask("slot-search", id + System.nanoTime(), sections).status();
-    } catch (IOException e) {
-      throw new AssertionError(e);
-    }
-  }
-
-  /**
-   * Guards against orders that end with the process, and against a file that keeps the program from
-   * starting.
-   */
+  /** Guards against overrides that are lost at a restart, and files that prevent a start. */
   @Test
-  public void ordersOutliveTheProcessAndAFileThatCannotBeReadDoesNotEndIt() throws Exception {
-    d.mustOrder("cordon s1");
-    d.process.destroyForcibly().waitFor();
-    d.startAndAwaitReady();
-    d.servers.get(1).drainingSince = System.nanoTime();
+  public void keepsOverridesAcrossRestartAndStartsWithUnreadableFile() throws Exception {
+    deployment.callAdminExpectingOk("cordon s1");
+    deployment.process.destroyForcibly().waitFor();
+    deployment.startAndAwaitReady();
+    deployment.servers.get(1).drainingSinceNanos = System.nanoTime();
     for (int i = 0; i < 10; i++) {
-      assertEquals(status("k" + i, 0, 1), 200);
+      assertEquals(queryStatus("k" + i, 0, 1), 200);
     }
-    assertEquals(d.servers.get(1).heads.size(), 0);
-    Files.write(d.folder().resolve("bitternpulley-orders"), new byte[] {-1, 0, 7});
-    d.process.destroyForcibly().waitFor();
-    d.startAndAwaitReady();
+    assertEquals(deployment.servers.get(1).requests.size(), 0);
+    Files.write(deployment.folder().resolve("bitternpulley-orders"), new byte[] {-1, 0, 7});
+    deployment.process.destroyForcibly().waitFor();
+    deployment.startAndAwaitReady();
     Deployment.await(
-        "it is logged",
-        () -> d.output.stream().anyMatch(l -> l.contains("Cannot read operator overrides")));
-    d.servers.get(1).drainingSince = 0;
-    d.mustOrder("cordon s2");
-    assertEquals(Files.readString(d.folder().resolve("bitternpulley-orders")), "cordoned s2\n");
+        "the log line",
+        () ->
+            deployment.output.stream()
+                .anyMatch(line -> line.contains("Cannot read operator overrides")));
+    deployment.servers.get(1).drainingSinceNanos = 0;
+    deployment.callAdminExpectingOk("cordon s2");
+    assertEquals(
+        Files.readString(deployment.folder().resolve("bitternpulley-orders")), "cordoned s2\n");
   }
 
-  /**
-   * Guards against clients that are held while the aggregator is to be emptied, and against cut
-   * requests.
-   */
+  /** Guards against quiescing that keeps client connections open, or interrupts requests. */
   @Test
-  public void aQuiescedAggregatorServesWhatComesAndKeepsNoConnection() throws IOException {
-    try (Socket idle = Deployment.connect(d.listen);
-        Socket kept = Deployment.connect(d.listen)) {
-      idle.getOutputStream().write(Deployment.query("slot-search", "first", 4, 0).getBytes());
-      assertEquals(Deployment.reply(idle).status(), 200);
-      d.mustOrder("quiesce");
-      assertEquals(readiness(), 503);
-      kept.getOutputStream().write(Deployment.query("slot-search", "kept", 4, 0).getBytes());
-      Reply last = Deployment.reply(kept);
-      assertEquals(last.status(), 200);
-      assertEquals(last.headers().get("connection"), "close");
-      long since = System.nanoTime();
+  public void servesRequestsAndClosesConnectionsWhileQuiesced() throws IOException {
+    try (Socket idle = TestClient.connect(deployment.listenAddress);
+        Socket connected = TestClient.connect(deployment.listenAddress)) {
+      TestClient.send(idle, TestClient.queryRequest("slot-search", "first", 4, 0));
+      assertEquals(TestClient.readReply(idle).status(), 200);
+      deployment.callAdminExpectingOk("quiesce");
+      assertEquals(readinessStatus(), 503);
+      TestClient.send(connected, TestClient.queryRequest("slot-search", "kept", 4, 0));
+      Reply reply = TestClient.readReply(connected);
+      assertEquals(reply.status(), 200);
+      assertEquals(reply.headers().get("connection"), "close");
+      long repliedAt = System.nanoTime();
       assertEquals(idle.getInputStream().read(), -1);
-      assertTrue(System.nanoTime() - since < 2e9, "long before the usual 5 s");
-      assertEquals(status("late", 3), 200);
-      assertTrue(d.order("health").startsWith("200"));
-      d.mustOrder("resume");
-      assertEquals(readiness(), 200);
+      assertTrue(System.nanoTime() - repliedAt < 2e9, "well before the usual 5 s");
+      assertEquals(queryStatus("late", 3), 200);
+      assertTrue(deployment.callAdmin("health").startsWith("200"));
+      deployment.callAdminExpectingOk("resume");
+      assertEquals(readinessStatus(), 200);
     }
   }
 
   /**
-   * Guards against a program that goes on with the old discovery without a word, where its caller
-   * ignores SIGHUP.
+   * Guards against a program that silently keeps the old discovery where its parent process has
+   * SIGHUP ignored.
    */
   @Test
-  public void whereSighupIsIgnoredTheLogSaysSoAndTheDoorReloads() throws Exception {
-    d.close();
-    d = new Deployment().startWithHangupIgnored().awaitReady();
+  public void logsIgnoredSighupAndReloadsThroughAdmin() throws Exception {
+    deployment.close();
+    deployment = new Deployment().startWithSighupIgnored().awaitReady();
     assertTrue(
-        d.output.stream().anyMatch(l -> l.contains("SIGHUP is ignored")), d.output.toString());
-    Deployment.await("a watch", () -> !d.watches.isEmpty());
-    String before = d.config().toString();
-    d.moveDiscovery();
-    int watches = d.watches.size();
-    d.hangup(d.config().toString());
-    d.configure("{");
-    String refused = d.order("reload");
-    assertTrue(refused.startsWith("400") && refused.contains("LB_CONFIG"), refused);
-    d.configure(before.replace("\"discovery\":\"127", "\"discovery\":\"here"));
-    refused = d.order("reload");
-    assertTrue(refused.startsWith("400") && refused.contains("'discovery'"), refused);
-    assertEquals(d.watches.size(), watches, "nothing that was refused moves the watch");
-    d.configure(d.config().toString());
-    d.mustOrder("reload");
-    Deployment.await("a watch where discovery is now", () -> d.watches.size() > watches);
-    assertEquals(status("on", 0, 1), 200);
+        deployment.output.stream().anyMatch(line -> line.contains("SIGHUP is ignored")),
+        deployment.output.toString());
+    Deployment.await("a watch", () -> !deployment.discovery.watchTargets.isEmpty());
+    String oldConfig = deployment.config().toString();
+    deployment.moveDiscovery();
+    int watchesBefore = deployment.discovery.watchTargets.size();
+    deployment.reloadBySighup(deployment.config().toString());
+    deployment.writeConfig("{");
+    String reply = deployment.callAdmin("reload");
+    assertTrue(reply.startsWith("400") && reply.contains("LB_CONFIG"), reply);
+    deployment.writeConfig(oldConfig.replace("\"discovery\":\"127", "\"discovery\":\"here"));
+    reply = deployment.callAdmin("reload");
+    assertTrue(reply.startsWith("400") && reply.contains("'discovery'"), reply);
+    assertEquals(
+        deployment.discovery.watchTargets.size(),
+        watchesBefore,
+        "a rejected configuration does not move the watch");
+    deployment.writeConfig(deployment.config().toString());
+    deployment.callAdminExpectingOk("reload");
+    Deployment.await(
+        "a watch at the new address of discovery",
+        () -> deployment.discovery.watchTargets.size() > watchesBefore);
+    assertEquals(queryStatus("on", 0, 1), 200);
   }
 
   /**
-   * Guards against requests that an upgrade costs, orders that it forgets, and a log that ends with
+   * Guards against a hot restart that fails requests, loses overrides or ends the log together with
    * the socket.
    */
   @Test
-  public void anUpgradeCutsNoRequestAndKeepsOrders() throws Exception {
-    d.close();
-    d = new Deployment().holdSocket();
-    ProcessHandle old = d.startBeside();
-    String oldDoor = d.admin;
-    d.mustOrder("cordon s1");
-    d.servers.get(1).drainingSince = System.nanoTime();
-    for (StandIn s : d.servers) {
-      s.act = (index, section) -> section == 2 ? Act.SILENT : Act.SERVE;
-    }
-    try (Socket held = Deployment.connect(d.listen);
-        Socket idle = Deployment.connect(d.listen)) {
-      idle.getOutputStream().write(Deployment.query("slot-search", "idle", 4, 3).getBytes());
-      assertEquals(Deployment.reply(idle).headers().get("connection"), null);
-      held.getOutputStream().write(Deployment.query("slot-search", "held", 4.5, 2).getBytes());
-      Deployment.await("it is sent", () -> d.log.all().size() == 2);
-      d.startBeside();
-      d.mustOrder("cordon s4");
-      int before = d.servers.get(4).heads.size();
-      old.destroy();
+  public void hotRestartFailsNoRequestAndKeepsOverrides() throws Exception {
+    deployment.close();
+    deployment = new Deployment().holdListenSocket();
+    ProcessHandle oldProcess = deployment.startOnHeldSocket();
+    String oldAdminAddress = deployment.adminAddress;
+    deployment.callAdminExpectingOk("cordon s1");
+    deployment.servers.get(1).drainingSinceNanos = System.nanoTime();
+    setShardBehavior(2, Behavior.SILENT);
+    try (Socket pending = TestClient.connect(deployment.listenAddress);
+        Socket idle = TestClient.connect(deployment.listenAddress)) {
+      TestClient.send(idle, TestClient.queryRequest("slot-search", "idle", 4, 3));
+      assertEquals(TestClient.readReply(idle).headers().get("connection"), null);
+      TestClient.send(pending, TestClient.queryRequest("slot-search", "held", 4.5, 2));
+      Deployment.await("the query to be sent", () -> deployment.attemptLog.all().size() == 2);
+      deployment.startOnHeldSocket();
+      deployment.callAdminExpectingOk("cordon s4");
+      int requestsBefore = deployment.servers.get(4).requests.size();
+      oldProcess.destroy();
       Deployment.await(
-          "the old one takes nothing more",
-          () -> {
-            try {
-              String now = d.admin;
-              d.admin = oldDoor;
-              String answer = d.order("health");
-              d.admin = now;
-              return answer.startsWith("400");
-            } catch (IOException e) {
-              throw new AssertionError(e);
-            }
-          });
-      for (StandIn s : d.servers) {
-        s.act = (index, section) -> Act.SERVE;
-      }
+          "the old process to accept no more clients", () -> rejectsHealthCall(oldAdminAddress));
+      setAllServers(Behavior.SERVE);
       for (int i = 0; i < 10; i++) {
-        assertEquals(status("new" + i, 0, 1, 3), 200);
+        assertEquals(queryStatus("new" + i, 0, 1, 3), 200);
       }
-      Reply last = Deployment.reply(held);
-      assertEquals(last.status(), 200);
-      assertEquals(last.headers().get("connection"), "close");
+      Reply reply = TestClient.readReply(pending);
+      assertEquals(reply.status(), 200);
+      assertEquals(reply.headers().get("connection"), "close");
       assertEquals(idle.getInputStream().read(), -1);
-      Deployment.await("the old one ends", () -> !old.isAlive());
-      assertEquals(status("after", 0, 3), 200);
-      assertEquals(d.servers.get(1).heads.size(), 0);
-      assertEquals(d.servers.get(4).heads.size(), before);
+      Deployment.await("the old process to end", () -> !oldProcess.isAlive());
+      assertEquals(queryStatus("after", 0, 3), 200);
+      assertEquals(deployment.servers.get(1).requests.size(), 0);
+      assertEquals(deployment.servers.get(4).requests.size(), requestsBefore);
       assertTrue(
-          d.output.stream().anyMatch(l -> l.contains("Draining: graceful shutdown started")),
+          deployment.output.stream()
+              .anyMatch(line -> line.contains("Draining: graceful shutdown started")),
           "the log goes on");
     }
   }
 
-  /** Guards against two processes of an upgrade that together hold more than one may. */
+  private boolean rejectsHealthCall(String adminAddress) {
+    try {
+      String currentAddress = deployment.adminAddress;
+      deployment.adminAddress = adminAddress;
+      String reply = deployment.callAdmin("health");
+      deployment.adminAddress = currentAddress;
+      return reply.startsWith("400");
+    } catch (IOException e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  /** Guards against two processes of a hot restart that together exceed the limits of one. */
   @Test
-  public void aProcessThatTakesOverLeavesSomeOfTheLimitsToTheOneBefore() throws Exception {
-    d.close();
-    d = new Deployment();
-    ((ObjectNode) d.config().at("/settings/policyLimits")).put("maxOpen", 8);
-    d.holdSocket().startBeside();
-    d.servers.forEach(s -> s.act = (index, section) -> Act.SILENT);
-    try (Socket first = Deployment.connect(d.listen)) {
-      first
-          .getOutputStream()
-          .write(Deployment.query("slot-search", "first", 4, 0, 1, 2, 3, 4, 5).getBytes());
-      Deployment.await("six parts held", () -> d.log.all().size() == 6);
-      assertEquals(status("second", 0, 1, 2, 3, 4, 5), 429, "7 are more than its part of 8");
-      assertEquals(d.log.all().size(), 6);
+  public void newProcessOfHotRestartLeavesPartOfTheLimitsToTheOld() throws Exception {
+    deployment.close();
+    deployment = new Deployment();
+    ((ObjectNode) deployment.config().at("/settings/policyLimits")).put("maxOpen", 8);
+    deployment.holdListenSocket().startOnHeldSocket();
+    setAllServers(Behavior.SILENT);
+    try (Socket first = TestClient.connect(deployment.listenAddress)) {
+      TestClient.send(first, TestClient.queryRequest("slot-search", "first", 4, 0, 1, 2, 3, 4, 5));
+      Deployment.await("six pending parts", () -> deployment.attemptLog.all().size() == 6);
+      assertEquals(
+          queryStatus("second", 0, 1, 2, 3, 4, 5), 429, "7 exceed its part of the limit of 8");
+      assertEquals(deployment.attemptLog.all().size(), 6);
     }
   }
 }
--- a/src/test/java/bitternpulley/process/PausedProcessTest.java
+++ b/src/test/java/bitternpulley/process/PausedProcessTest.java
@@ -18,16 +18,16 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A process that is stopped for a while, as by a collector, with clients and servers beside it. */
+/** A process that is paused for a while, as by the garbage collector, and goes on. */
 public class PausedProcessTest {
   private static final int CELLS = 6;
   private static final int MAX_PENDING = 200;
-  private static final int SECTION = 2;
+  private static final int SHARD = 2;
   private static final int WARMUP_QUERIES = 30;
-  private static final long STOP_MS = 700;
+  private static final long PAUSE_MS = 700;
 
-  /** Long after what arrived during a stop has been read, long before another stop has passed. */
-  private static final long AFTER_STOP_MS = 200;
+  /** Enough time to read what arrived during a pause, but much less than another pause. */
+  private static final long AFTER_PAUSE_MS = 200;
 
   private Fleet fleet;
   private Node node;
@@ -50,16 +50,17 @@
     assertEquals(fleet.rules().breaches(), List.of());
   }
 
-  private Socket send(double timeoutSeconds, int section) throws IOException {
-    Socket socket = Deployment.connect(node.front().toString());
-    String query = Deployment.query("slot-search", "paused-" + lastId++, timeoutSeconds, section);
-    socket.getOutputStream().write(query.getBytes());
+  private Socket send(double timeoutSeconds, int shard) throws IOException {
+    Socket socket = TestClient.connect(node.front().toString());
+    String query =
+        TestClient.queryRequest("slot-search", "paused-" + lastId++, timeoutSeconds, shard);
+    TestClient.send(socket, query);
     return socket;
   }
 
   private static int statusOf(Socket client) throws IOException {
     try (Socket socket = client) {
-      return Deployment.reply(socket).status();
+      return TestClient.readReply(socket).status();
     }
   }
 
@@ -71,68 +72,68 @@
     return statuses;
   }
 
-  /** Sends queries at short intervals, some time after the process goes on. */
-  private List<Socket> sendAfterStop() throws Exception {
-    TimeUnit.MILLISECONDS.sleep(AFTER_STOP_MS);
+  /** Sends queries at short intervals, some time after the process has resumed. */
+  private List<Socket> sendAfterPause() throws Exception {
+    TimeUnit.MILLISECONDS.sleep(AFTER_PAUSE_MS);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      clients.add(send(1.4, SECTION));
+      clients.add(send(1.4, SHARD));
       TimeUnit.MILLISECONDS.sleep(5);
     }
     return clients;
   }
 
-  /** Regression: all that came for as long again as a stop had lasted was rejected as too late. */
+  /** Regression: queries were rejected as too late for as long again as the pause had lasted. */
   @Test
-  public void queriesSentAfterAStopAreServed() throws Exception {
+  public void servesQueriesSentAfterPause() throws Exception {
     for (int round = 0; round < 3; round++) {
       node.pause();
-      TimeUnit.MILLISECONDS.sleep(STOP_MS);
+      TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
       node.resume();
-      assertEquals(statusesOf(sendAfterStop()), Collections.nCopies(20, 200), "round " + round);
+      assertEquals(statusesOf(sendAfterPause()), Collections.nCopies(20, 200), "round " + round);
     }
   }
 
-  /** Regression: the time of a stop counted as latency of the servers, and as their silence. */
+  /** Regression: the time of a pause counted as latency and as silence of the servers. */
   @Test
-  public void serversThatAnsweredDuringAStopAreUsedAsBefore() throws Exception {
-    List<SlotServer> holders = fleet.servers().subList(SECTION, SECTION + 2);
+  public void keepsUsingServersThatAnsweredDuringPause() throws Exception {
+    List<SlotServer> replicas = fleet.servers().subList(SHARD, SHARD + 2);
     for (int round = 0; round < 4; round++) {
-      holders.forEach(server -> server.slow(5));
+      replicas.forEach(server -> server.slow(5));
       List<Socket> inFlight = new ArrayList<>();
       for (int i = 0; i < 4; i++) {
-        inFlight.add(send(1.4, SECTION));
+        inFlight.add(send(1.4, SHARD));
       }
       TimeUnit.MILLISECONDS.sleep(20);
       node.pause();
-      TimeUnit.MILLISECONDS.sleep(STOP_MS);
-      holders.forEach(server -> server.slow(1));
+      TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
+      replicas.forEach(server -> server.slow(1));
       node.resume();
-      assertEquals(statusesOf(sendAfterStop()), Collections.nCopies(20, 200), "round " + round);
+      assertEquals(statusesOf(sendAfterPause()), Collections.nCopies(20, 200), "round " + round);
       statusesOf(inFlight);
     }
   }
 
-  /** Regression: a stop soon after a longer one counted from the start of the first. */
+  /** Regression: a pause soon after a longer one counted from the start of the first. */
   @Test
-  public void aSecondStopCountsFromItsOwnStart() throws Exception {
+  public void measuresSecondPauseFromItsOwnStart() throws Exception {
     node.pause();
     TimeUnit.MILLISECONDS.sleep(450);
     node.resume();
     TimeUnit.MILLISECONDS.sleep(100);
     node.pause();
-    Socket client = send(1.4, SECTION);
+    Socket client = send(1.4, SHARD);
     TimeUnit.MILLISECONDS.sleep(150);
     node.resume();
     assertEquals(statusOf(client), 200);
   }
 
   /**
-   * The connections wait in the backlog, and their servers do not answer. If the stop did not count
-   * as time in which the queries lay unread, their answers would come as much later.
+   * The connections wait in the backlog, and the servers do not answer. If the pause did not count
+   * as time during which the queries were unread, their answers would be late by its length.
    */
   @Test
-  public void connectionsMadeDuringAStopAreAnsweredInTheirTime() throws Exception {
+  public void answersConnectionsMadeDuringPauseInTime() throws Exception {
     double timeoutMs = 1300;
     fleet.servers().forEach(server -> server.silent(true));
     node.pause();
@@ -141,10 +142,10 @@
     for (int i = 0; i < 60; i++) {
       clients.add(send(timeoutMs / 1000, i % CELLS));
     }
-    TimeUnit.MILLISECONDS.sleep(STOP_MS);
+    TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
     node.resume();
     statusesOf(clients);
     double elapsed = System.nanoTime() / 1e6 - sentAt;
-    assertTrue(elapsed <= timeoutMs + STOP_MS / 2.0, elapsed + " ms");
+    assertTrue(elapsed <= timeoutMs + PAUSE_MS / 2.0, elapsed + " ms");
   }
 }
--- a/src/test/java/bitternpulley/process/ProcessTest.java
+++ b/src/test/java/bitternpulley/process/ProcessTest.java
@@ -1,40 +1,67 @@
 package bitternpulley.process;
 
+import bitternpulley.process.FakeSlotServer.Behavior;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** A program of its own for each test, and the rule checks after each, over both dialects. */
+/** Starts the program anew for each test, and checks the rules over both protocols after it. */
 abstract class ProcessTest {
-  protected Deployment d;
+  protected Deployment deployment;
 
   @BeforeMethod
   public void start() throws IOException {
-    d = new Deployment().startAndAwaitReady();
+    deployment = new Deployment().startAndAwaitReady();
   }
 
   @AfterMethod(alwaysRun = true)
   public void stop() throws IOException {
     try {
-      d.log.check("platform");
-      d.log.check("opensearch");
+      deployment.attemptLog.checkRules("platform");
+      deployment.attemptLog.checkRules("opensearch");
     } finally {
-      d.close();
+      deployment.close();
     }
   }
 
-  /** Starts anew with another limit on what may be held. */
-  protected void restartHolding(int most) throws IOException {
-    d.close();
-    d = new Deployment();
-    ((com.fasterxml.jackson.databind.node.ObjectNode) d.config().at("/settings/policyLimits"))
-        .put("maxOpen", most);
-    d.startAndAwaitReady();
+  /** Starts a new deployment with another limit on pending queries and parts. */
+  protected void restartWithMaxPending(int maxPending) throws IOException {
+    deployment.close();
+    deployment = new Deployment();
+    ((ObjectNode) deployment.config().at("/settings/policyLimits")).put("maxOpen", maxPending);
+    deployment.startAndAwaitReady();
   }
 
-  protected boolean ready() {
+  protected void setAllServers(Behavior behavior) {
+    deployment.servers.forEach(server -> server.behavior = (index, shard) -> behavior);
+  }
+
+  /** Sets what all servers do with one shard; they serve all others. */
+  protected void setShardBehavior(int shard, Behavior behavior) {
+    deployment.servers.forEach(
+        server ->
+            server.behavior =
+                (index, requestedShard) -> requestedShard == shard ? behavior : Behavior.SERVE);
+  }
+
+  /** Sends a platform query under a new id, and returns the status of its answer. */
+  protected int queryStatus(String idPrefix, int... shards) {
+    try {
+      return deployment
+          .sendQuery("slot-search", idPrefix + System.nanoTime(), shards)
+          .status();
+    } catch (IOException e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  protected boolean isReady() {
     try {
-      return Deployment.call(d.listen, "GET /-/ready HTTP/1.1\r\n\r\n", "").status() == 200;
+      return TestClient.exchange(
+                  deployment.listenAddress, "GET /-/ready HTTP/1.1\r\n\r\n", "")
+              .status()
+          == 200;
     } catch (IOException e) {
       throw new AssertionError(e);
     }
--- a/src/test/java/bitternpulley/process/SearchProcessTest.java
+++ b/src/test/java/bitternpulley/process/SearchProcessTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import bitternpulley.process.Deployment.Reply;
-import bitternpulley.process.StandIn.Act;
+import bitternpulley.process.FakeSlotServer.Behavior;
+import bitternpulley.process.TestClient.Reply;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.net.Socket;
@@ -16,31 +16,31 @@
 import java.util.stream.Collectors;
 import org.testng.annotations.Test;
 
-/** The OpenSearch-style front against the real program, and traffic in both dialects at once. */
+/** The OpenSearch-style front against the real program, and traffic over both protocols at once. */
 public class SearchProcessTest extends ProcessTest {
-  private static final String ANY = "{\"query\":{\"match_all\":{}}}";
+  private static final String MATCH_ALL = "{\"query\":{\"match_all\":{}}}";
 
-  private static List<String> ids(Reply r) {
+  private static List<String> ids(Reply reply) {
     List<String> ids = new ArrayList<>();
-    r.json().at("/hits/hits").forEach(h -> ids.add(h.path("_id").asText()));
+    reply.json().at("/hits/hits").forEach(hit -> ids.add(hit.path("_id").asText()));
     return ids;
   }
 
-  private static void assertError(Reply r, int status, String type) {
-    assertEquals(r.status(), status, r.body());
-    assertEquals(r.json().path("status").asInt(), status);
-    assertEquals(r.json().at("/error/type").asText(), type);
-    assertFalse(r.json().at("/error/reason").asText().isEmpty());
-    assertEquals(r.json().at("/error/root_cause/0/type").asText(), type);
+  private static void assertError(Reply reply, int status, String type) {
+    assertEquals(reply.status(), status, reply.body());
+    assertEquals(reply.json().path("status").asInt(), status);
+    assertEquals(reply.json().at("/error/type").asText(), type);
+    assertFalse(reply.json().at("/error/reason").asText().isEmpty());
+    assertEquals(reply.json().at("/error/root_cause/0/type").asText(), type);
   }
 
   @Test
-  public void sectionsOfBothDataCentresMergeIntoOneTopK() throws IOException {
-    Reply r = d.search("/slots/_search?from=3&size=7", ANY);
-    assertEquals(r.status(), 200, r.body());
-    // Document i of section s scores 100 - i - s/10: the order is by i, then by s.
+  public void mergesShardsOfBothZonesIntoOneTopK() throws IOException {
+    Reply reply = deployment.sendSearch("/slots/_search?from=3&size=7", MATCH_ALL);
+    assertEquals(reply.status(), 200, reply.body());
+    // Document i of shard s scores 100 - i - s/10, so the order is by i, then by s.
     assertEquals(
-        ids(r),
+        ids(reply),
         List.of(
             "slots-3-0",
             "slots-4-0",
@@ -49,93 +49,115 @@
             "slots-1-1",
             "slots-2-1",
             "slots-3-1"));
-    JsonNode body = r.json();
+    JsonNode body = reply.json();
     assertEquals(body.at("/hits/total").toString(), "{\"value\":120,\"relation\":\"eq\"}");
     assertEquals(body.at("/hits/max_score").asDouble(), 100.0);
     assertEquals(
         body.path("_shards").toString(),
         "{\"total\":6,\"successful\":6,\"skipped\":0,\"failed\":0}");
     assertFalse(body.path("timed_out").asBoolean());
-    assertEquals(d.log.of("opensearch").stream().map(a -> a.section % 2).distinct().count(), 2);
     assertEquals(
-        d.search("/slots/_search?track_total_hits=50", ANY).json().at("/hits/total").toString(),
+        deployment.attemptLog.forProtocol("opensearch").stream()
+            .map(attempt -> attempt.shard % 2)
+            .distinct()
+            .count(),
+        2);
+    assertEquals(
+        totalHits("/slots/_search?track_total_hits=50").toString(),
         "{\"value\":50,\"relation\":\"gte\"}");
-    assertTrue(
-        d.search("/slots/_search?track_total_hits=false", ANY)
-            .json()
-            .at("/hits/total")
-            .isMissingNode());
+    assertTrue(totalHits("/slots/_search?track_total_hits=false").isMissingNode());
+  }
+
+  private JsonNode totalHits(String target) throws IOException {
+    return deployment.sendSearch(target, MATCH_ALL).json().at("/hits/total");
   }
 
-  /**
-   * Guards against noise behind a good answer that ends the call which follows on the same
-   * connection.
-   */
+  /** Guards against surplus bytes after an answer that fail the next call on the connection. */
   @Test
-  public void noiseBehindAGoodAnswerSpoilsNothing() throws IOException {
-    d.servers.forEach(s -> s.act = (index, section) -> Act.NOISE_BEHIND);
+  public void ignoresTrailingBytesAfterValidAnswer() throws IOException {
+    setAllServers(Behavior.TRAILING_BYTES);
     for (int i = 1; i <= 5; i++) {
-      Reply r = d.search("/slots/_search", ANY);
-      assertEquals(r.json().at("/_shards/successful").asInt(), 6, r.body());
-      assertEquals(d.log.of("opensearch").size(), 6 * i, "one attempt a part");
+      Reply reply = deployment.sendSearch("/slots/_search", MATCH_ALL);
+      assertEquals(reply.json().at("/_shards/successful").asInt(), 6, reply.body());
+      assertEquals(
+          deployment.attemptLog.forProtocol("opensearch").size(),
+          6 * i,
+          "one attempt for each part");
     }
   }
 
   @Test
-  public void aServerThatAnswersOneIndexAndFailsAnotherIsReplacedForThatOne() throws IOException {
-    d.servers.forEach(
-        s ->
-            s.act =
-                (index, section) ->
-                    index.equals("clinics") && s.cell % 2 == 0 ? Act.ERROR : Act.SERVE);
-    Reply r = d.search("/slots,clinics/_search?size=12", ANY);
-    assertEquals(r.status(), 200, r.body());
-    assertEquals(r.json().at("/_shards/total").asInt(), 12);
-    assertEquals(r.json().at("/_shards/failed").asInt(), 0);
+  public void retriesOnlyTheIndexThatAServerFails() throws IOException {
+    deployment.servers.forEach(
+        server ->
+            server.behavior =
+                (index, shard) ->
+                    index.equals("clinics") && server.cell % 2 == 0
+                        ? Behavior.ERROR
+                        : Behavior.SERVE);
+    Reply reply = deployment.sendSearch("/slots,clinics/_search?size=12", MATCH_ALL);
+    assertEquals(reply.status(), 200, reply.body());
+    assertEquals(reply.json().at("/_shards/total").asInt(), 12);
+    assertEquals(reply.json().at("/_shards/failed").asInt(), 0);
     assertEquals(
-        ids(r).stream()
-            .map(i -> i.split("-")[0])
-            .collect(Collectors.groupingBy(i -> i, Collectors.counting()))
+        ids(reply).stream()
+            .map(id -> id.split("-", 2)[0])
+            .collect(Collectors.groupingBy(index -> index, Collectors.counting()))
             .toString(),
         "{slots=6, clinics=6}");
   }
 
   @Test
-  public void lessThanTheWholeIsToldOrNotGiven() throws IOException {
-    d.servers.forEach(s -> s.act = (index, section) -> section == 4 ? Act.ERROR : Act.SERVE);
-    Reply part = d.search("/stock/_search", ANY);
-    assertEquals(part.status(), 200, part.body());
-    assertEquals(part.json().at("/_shards/successful").asInt(), 5);
-    assertEquals(part.json().at("/_shards/failed").asInt(), 1);
-    assertEquals(part.json().at("/_shards/failures/0/shard").asInt(), 4);
-    assertEquals(part.json().at("/_shards/failures/0/reason/type").asText(), "shard_failure");
-    assertEquals(part.json().at("/hits/total/value").asInt(), 100);
-    Reply whole = d.search("/stock/_search?allow_partial_search_results=false", ANY);
-    assertError(whole, 500, "search_phase_execution_exception");
-    assertEquals(whole.json().at("/error/failed_shards/0/shard").asInt(), 4);
-    assertError(d.search("/slots/_search", ANY), 500, "search_phase_execution_exception");
+  public void reportsMissingShardsOrFailsWithoutPartialResults() throws IOException {
+    setShardBehavior(4, Behavior.ERROR);
+    Reply partial = deployment.sendSearch("/stock/_search", MATCH_ALL);
+    assertEquals(partial.status(), 200, partial.body());
+    assertEquals(partial.json().at("/_shards/successful").asInt(), 5);
+    assertEquals(partial.json().at("/_shards/failed").asInt(), 1);
+    assertEquals(partial.json().at("/_shards/failures/0/shard").asInt(), 4);
+    assertEquals(partial.json().at("/_shards/failures/0/reason/type").asText(), "shard_failure");
+    assertEquals(partial.json().at("/hits/total/value").asInt(), 100);
+    Reply failed =
+        deployment.sendSearch("/stock/_search?allow_partial_search_results=false", MATCH_ALL);
+    assertError(failed, 500, "search_phase_execution_exception");
+    assertEquals(failed.json().at("/error/failed_shards/0/shard").asInt(), 4);
+    assertError(
+        deployment.sendSearch("/slots/_search", MATCH_ALL),
+        500,
+        "search_phase_execution_exception");
   }
 
   @Test
-  public void anAnswerThatItsServerCutShortIsNoAnswer() throws IOException {
-    d.servers.forEach(s -> s.act = (index, section) -> s.cell == 3 ? Act.CUT_SHORT : Act.SERVE);
-    assertEquals(d.search("/slots/_search", ANY).json().at("/_shards/successful").asInt(), 6);
-    d.servers.forEach(s -> s.act = (index, section) -> Act.CUT_SHORT);
-    assertError(d.search("/slots/_search", ANY), 500, "search_phase_execution_exception");
+  public void treatsTimedOutAnswerOfServerAsFailure() throws IOException {
+    deployment.servers.forEach(
+        server ->
+            server.behavior =
+                (index, shard) -> server.cell == 3 ? Behavior.TIMED_OUT : Behavior.SERVE);
+    assertEquals(
+        deployment.sendSearch("/slots/_search", MATCH_ALL).json().at("/_shards/successful").asInt(),
+        6);
+    setAllServers(Behavior.TIMED_OUT);
+    assertError(
+        deployment.sendSearch("/slots/_search", MATCH_ALL),
+        500,
+        "search_phase_execution_exception");
   }
 
   @Test
-  public void timeoutsEndInAPartialAnswerOr504() throws IOException {
-    d.servers.forEach(s -> s.act = (index, section) -> section == 4 ? Act.SILENT : Act.SERVE);
-    Reply part = d.search("/stock/_search?timeout=1500ms", ANY);
-    assertEquals(part.status(), 200, part.body());
-    assertTrue(part.json().path("timed_out").asBoolean());
-    assertEquals(part.json().at("/_shards/successful").asInt(), 5);
-    assertError(d.search("/slots/_search", "{\"timeout\":\"1500ms\"}"), 504, "timeout_exception");
+  public void timeoutGivesPartialAnswerOr504() throws IOException {
+    setShardBehavior(4, Behavior.SILENT);
+    Reply partial = deployment.sendSearch("/stock/_search?timeout=1500ms", MATCH_ALL);
+    assertEquals(partial.status(), 200, partial.body());
+    assertTrue(partial.json().path("timed_out").asBoolean());
+    assertEquals(partial.json().at("/_shards/successful").asInt(), 5);
+    assertError(
+        deployment.sendSearch("/slots/_search", "{\"timeout\":\"1500ms\"}"),
+        504,
+        "timeout_exception");
   }
 
   @Test
-  public void whatCannotBeMergedIsTurnedDown() throws IOException {
+  public void rejectsSearchesThatCannotBeMerged() throws IOException {
     for (String body :
         List.of(
             "{\"aggs\":{}}",
@@ -146,119 +168,168 @@
             "{\"sort\":{\"_score\":\"asc\"}}",
             "{\"from\":9999,\"size\":2}",
             "{\"size\":-1}")) {
-      assertError(d.search("/slots/_search", body), 400, "illegal_argument_exception");
+      assertError(deployment.sendSearch("/slots/_search", body), 400, "illegal_argument_exception");
     }
-    assertError(d.search("/slots/_search", "{\"sorts\":1}"), 400, "parsing_exception");
-    assertError(d.search("/slots/_search", "{"), 400, "parsing_exception");
-    assertError(d.search("/slots/_search?scroll=1m", ANY), 400, "illegal_argument_exception");
-    assertError(d.search("/slots,stock/_search", ANY), 400, "illegal_argument_exception");
-    assertError(d.search("/slots,nowhere/_search", ANY), 404, "index_not_found_exception");
-    assertError(d.search("/slots/_search", " ".repeat(70_000)), 413, "content_too_long_exception");
-    assertEquals(d.log.all().size(), 0);
+    assertError(deployment.sendSearch("/slots/_search", "{\"sorts\":1}"), 400, "parsing_exception");
+    assertError(deployment.sendSearch("/slots/_search", "{"), 400, "parsing_exception");
+    assertError(
+        deployment.sendSearch("/slots/_search?scroll=1m", MATCH_ALL),
+        400,
+        "illegal_argument_exception");
+    assertError(
+        deployment.sendSearch("/slots,stock/_search", MATCH_ALL),
+        400,
+        "illegal_argument_exception");
+    assertError(
+        deployment.sendSearch("/slots,nowhere/_search", MATCH_ALL),
+        404,
+        "index_not_found_exception");
+    assertError(
+        deployment.sendSearch("/slots/_search", " ".repeat(70_000)),
+        413,
+        "content_too_long_exception");
+    assertEquals(deployment.attemptLog.all().size(), 0);
     assertEquals(
-        d.search("/slots/_search", "{\"sort\":[{\"_score\":{\"order\":\"desc\"}}]}").status(), 200);
+        deployment
+            .sendSearch("/slots/_search", "{\"sort\":[{\"_score\":{\"order\":\"desc\"}}]}")
+            .status(),
+        200);
   }
 
   @Test
-  public void aQueryThatServersFindFaultyIsNotTriedAgain() throws IOException {
-    d.servers.forEach(s -> s.act = (index, section) -> Act.MALFORMED_QUERY);
-    assertError(d.search("/slots/_search", ANY), 400, "parsing_exception");
-    assertTrue(d.log.all().size() <= 6);
+  public void doesNotRetrySearchThatServersFindMalformed() throws IOException {
+    setAllServers(Behavior.MALFORMED_QUERY);
+    assertError(deployment.sendSearch("/slots/_search", MATCH_ALL), 400, "parsing_exception");
+    assertTrue(deployment.attemptLog.all().size() <= 6);
   }
 
   @Test
-  public void aKeyedClassNeedsItsKeyAndKeepsIt() throws IOException {
-    assertError(d.search("/bookings/_search", ANY), 400, "illegal_argument_exception");
-    d.servers.get(0).act = (index, section) -> Act.RESET;
+  public void keyedClassNeedsKeyAndKeepsItAcrossAttempts() throws IOException {
+    assertError(
+        deployment.sendSearch("/bookings/_search", MATCH_ALL), 400, "illegal_argument_exception");
+    deployment.servers.get(0).behavior = (index, shard) -> Behavior.RESET;
     for (int i = 0; i < 4; i++) {
-      assertEquals(d.search("/bookings/_search", ANY, "Idempotency-Key: k" + i).status(), 200);
+      assertEquals(
+          deployment.sendSearch("/bookings/_search", MATCH_ALL, "Idempotency-Key: k" + i).status(),
+          200);
     }
-    assertTrue(d.log.all().stream().allMatch(a -> a.key.matches("k[0-3]\\.bookings\\.0")));
+    assertTrue(
+        deployment.attemptLog.all().stream()
+            .allMatch(attempt -> attempt.idempotencyKey.matches("k[0-3]\\.bookings\\.0")));
   }
 
   @Test
-  public void whatIsRefusedUnsentIs429WithRetryAfter() throws IOException {
-    restartHolding(7);
-    d.servers.forEach(s -> s.act = (index, section) -> Act.SILENT);
-    try (Socket holder = Deployment.connect(d.searchListen)) {
-      holder
-          .getOutputStream()
-          .write("POST /slots/_search HTTP/1.1\r\nContent-Length: 0\r\n\r\n".getBytes());
-      Deployment.await("six parts held", () -> d.log.all().size() == 6);
-      Reply r = d.search("/slots/_search", ANY);
-      assertError(r, 429, "rejected_execution_exception");
-      assertTrue(Integer.parseInt(r.headers().get("retry-after")) >= 1);
-      assertEquals(d.log.all().size(), 6);
+  public void rejectsBeyondPendingLimitWith429AndRetryAfter() throws IOException {
+    restartWithMaxPending(7);
+    setAllServers(Behavior.SILENT);
+    try (Socket pending = TestClient.connect(deployment.searchListenAddress)) {
+      TestClient.send(pending, "POST /slots/_search HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+      Deployment.await("six pending parts", () -> deployment.attemptLog.all().size() == 6);
+      Reply reply = deployment.sendSearch("/slots/_search", MATCH_ALL);
+      assertError(reply, 429, "rejected_execution_exception");
+      assertTrue(Integer.parseInt(reply.headers().get("retry-after")) >= 1);
+      assertEquals(deployment.attemptLog.all().size(), 6);
     }
-    assertError(d.search("/slots,clinics/_search", ANY), 400, "illegal_argument_exception");
+    assertError(
+        deployment.sendSearch("/slots,clinics/_search", MATCH_ALL),
+        400,
+        "illegal_argument_exception");
   }
 
   @Test
-  public void eachSearchOfAnMsearchHasItsOwnFate() throws IOException {
+  public void answersEachSearchOfMsearchSeparately() throws IOException {
     String body =
         "{}\n"
-            + ANY
+            + MATCH_ALL
             + "\n{\"index\":\"nowhere\"}\n{}\n{\"index\":[\"stock\"]}\n{\"size\":1}\n"
             + "{\"index\":\"bookings\"}\n{}\n{}\n{\"aggs\":{}}\n";
-    Reply r = d.search("/slots/_msearch", body, "Idempotency-Key: m");
-    assertEquals(r.status(), 200, r.body());
+    Reply reply = deployment.sendSearch("/slots/_msearch", body, "Idempotency-Key: m");
+    assertEquals(reply.status(), 200, reply.body());
     List<Integer> statuses = new ArrayList<>();
-    r.json().path("responses").forEach(x -> statuses.add(x.path("status").asInt()));
+    reply.json()
+        .path("responses")
+        .forEach(response -> statuses.add(response.path("status").asInt()));
     assertEquals(statuses, List.of(200, 404, 200, 200, 400));
-    assertEquals(r.json().at("/responses/2/hits/hits").size(), 1);
-    assertError(d.search("/_msearch", "{}\n{}"), 400, "illegal_argument_exception");
+    assertEquals(reply.json().at("/responses/2/hits/hits").size(), 1);
+    assertError(deployment.sendSearch("/_msearch", "{}\n{}"), 400, "illegal_argument_exception");
   }
 
   @Test
-  public void mixedTrafficKeepsTheSameRulesInBothDialects() throws Exception {
-    // One server of each data centre is bad, in a way of its own, and one drains half way through.
-    d.servers.get(1).act = (index, section) -> index.equals("slots") ? Act.RESET : Act.ERROR;
-    d.servers.get(4).act = (index, section) -> section == 4 ? Act.FULL : Act.SERVE;
+  public void mixedTrafficKeepsRulesOverBothProtocols() throws Exception {
+    // One server of each zone is faulty, each in another way, and one server drains meanwhile.
+    deployment.servers.get(1).behavior =
+        (index, shard) -> index.equals("slots") ? Behavior.RESET : Behavior.ERROR;
+    deployment.servers.get(4).behavior =
+        (index, shard) -> shard == 4 ? Behavior.FULL : Behavior.SERVE;
     List<Reply> platform = new ArrayList<>();
     List<Reply> searches = new ArrayList<>();
     List<Throwable> failed = new ArrayList<>();
     List<Thread> clients = new ArrayList<>();
-    for (int c = 0; c < 4; c++) {
-      int client = c;
-      Thread thread =
-          new Thread(
-              () -> {
-                try {
-                  for (int i = 0; i < 15; i++) {
-                    String id = "m" + client + "-" + i;
-                    boolean booking = i % 3 == 0;
-                    Reply r =
-                        client % 2 == 0
-                            ? d.ask(
-                                booking ? "slot-booking" : "slot-search", id, i % 6, (i + 1) % 6)
-                            : booking
-                                ? d.search("/bookings/_search", ANY, "Idempotency-Key: " + id)
-                                : d.search("/slots/_search", ANY);
-                    synchronized (platform) {
-                      (client % 2 == 0 ? platform : searches).add(r);
-                    }
-                  }
-                } catch (IOException | AssertionError e) {
-                  synchronized (platform) {
-                    failed.add(e);
-                  }
-                }
-              });
-      clients.add(thread);
-      thread.start();
+    Object lock = new Object();
+    for (int client = 0; client < 4; client++) {
+      List<Reply> replies = client % 2 == 0 ? platform : searches;
+      clients.add(startMixedClient(client, replies, failed, lock));
     }
-    d.tell(d.servers.get(5), "draining");
-    for (Thread t : clients) {
-      t.join(TimeUnit.SECONDS.toMillis(60));
+    deployment.discovery.announce(deployment.servers.get(5), "draining");
+    for (Thread thread : clients) {
+      thread.join(TimeUnit.SECONDS.toMillis(60));
     }
     assertEquals(failed, List.of());
     assertEquals(platform.size() + searches.size(), 60, "one final answer each");
-    // Sections 0 and 4 lose a sound holder or two; most of the rest must be whole in both dialects.
-    assertTrue(platform.stream().filter(r -> r.status() == 200).count() >= 10, statuses(platform));
-    assertTrue(searches.stream().filter(r -> r.status() == 200).count() >= 10, statuses(searches));
-    assertTrue(d.log.of("platform").size() > 0 && d.log.of("opensearch").size() > 0);
-    d.log.check("platform");
-    d.log.check("opensearch");
+    // Shards 0 and 4 lose one or both replicas; most other answers over both protocols must be
+    // complete.
+    assertTrue(countServed(platform) >= 10, statuses(platform));
+    assertTrue(countServed(searches) >= 10, statuses(searches));
+    assertTrue(
+        deployment.attemptLog.forProtocol("platform").size() > 0
+            && deployment.attemptLog.forProtocol("opensearch").size() > 0);
+    deployment.attemptLog.checkRules("platform");
+    deployment.attemptLog.checkRules("opensearch");
+  }
+
+  /** Starts a client that sends 15 requests. The lists are modified under the lock only. */
+  private Thread startMixedClient(
+      int client, List<Reply> replies, List<Throwable> failed, Object lock) {
+    Thread thread =
+        new Thread(
+            () -> {
+              try {
+                for (int number = 0; number < 15; number++) {
+                  Reply reply =
+                      client % 2 == 0
+                          ? sendMixedQuery(client, number)
+                          : sendMixedSearch(client, number);
+                  synchronized (lock) {
+                    replies.add(reply);
+                  }
+                }
+              } catch (IOException | AssertionError e) {
+                synchronized (lock) {
+                  failed.add(e);
+                }
+              }
+            });
+    thread.start();
+    return thread;
+  }
+
+  private Reply sendMixedQuery(int client, int number) throws IOException {
+    return deployment.sendQuery(
+        number % 3 == 0 ? "slot-booking" : "slot-search",
+        "m" + client + "-" + number,
+        number % 6,
+        (number + 1) % 6);
+  }
+
+  private Reply sendMixedSearch(int client, int number) throws IOException {
+    return number % 3 == 0
+        ? deployment.sendSearch(
+            "/bookings/_search", MATCH_ALL, "Idempotency-Key: m" + client + "-" + number)
+        : deployment.sendSearch("/slots/_search", MATCH_ALL);
+  }
+
+  private static long countServed(List<Reply> replies) {
+    return replies.stream().filter(reply -> reply.status() == 200).count();
   }
 
   private static String statuses(List<Reply> replies) {
--- a/src/test/java/bitternpulley/process/SeveralProcessesTest.java
+++ b/src/test/java/bitternpulley/process/SeveralProcessesTest.java
@@ -9,6 +9,7 @@
 import bitternpulley.net.EventLoop;
 import java.io.IOException;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -16,13 +17,13 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Three processes of the program over one fleet of servers, one of them stopped for a while. */
+/** Three processes of the program with the same servers, one of them paused for a while. */
 public class SeveralProcessesTest {
   private static final int NODES = 3;
   private static final int CELLS = 6;
 
-  /** Ms that the protocol adds to each time limit. */
-  private static final double SLACK = 50;
+  /** Tolerance that the protocol adds to each time limit. */
+  private static final double TOLERANCE_MS = 50;
 
   private final List<Node> nodes = new ArrayList<>();
   private Fleet fleet;
@@ -35,31 +36,33 @@
           new Node("n" + i, fleet.configuration(i, NODES, "127.0.0.1:" + Ports.free(), 200), null)
               .start());
     }
-    for (Node n : nodes) {
-      n.awaitReady();
+    for (Node node : nodes) {
+      node.awaitReady();
     }
   }
 
   @AfterClass(alwaysRun = true)
   public void stop() throws IOException {
-    for (Node n : nodes) {
-      n.close();
+    for (Node node : nodes) {
+      node.close();
     }
     assertEquals(fleet.rules().breaches(), List.of());
   }
 
-  private record Ended(Deployment.Reply reply, double ms) {}
+  private record Answer(TestClient.Reply reply, double elapsedMs) {}
 
-  /** A query to each, of which one is stopped just before and goes on after so many ms. */
-  private List<Ended> askAll(String name, double seconds, long stoppedMs, int... sections)
-      throws Exception {
+  /** Sends one query to each process. One process is paused just before, and resumes later. */
+  private List<Answer> queryAll(
+      String idPrefix, double timeoutSeconds, long pauseMs, int... shards) throws Exception {
     List<Socket> sockets = new ArrayList<>();
-    for (Node n : nodes) {
-      sockets.add(Deployment.connect(n.front().toString()));
+    for (Node node : nodes) {
+      sockets.add(TestClient.connect(node.front().toString()));
     }
     List<byte[]> queries = new ArrayList<>();
     for (int i = 0; i < NODES; i++) {
-      queries.add(Deployment.query("slot-search", name + i, seconds, sections).getBytes());
+      queries.add(
+          TestClient.queryRequest("slot-search", idPrefix + i, timeoutSeconds, shards)
+              .getBytes(StandardCharsets.UTF_8));
     }
     nodes.get(1).pause();
     long[] sentAt = new long[NODES];
@@ -67,27 +70,41 @@
       sentAt[i] = System.nanoTime();
       sockets.get(i).getOutputStream().write(queries.get(i));
     }
-    List<Ended> ended = new ArrayList<>();
-    Thread wakes =
+    Thread resumer = resumeAfter(pauseMs);
+    List<Answer> answers = readAnswers(sockets, sentAt);
+    resumer.join();
+    return answers;
+  }
+
+  private Thread resumeAfter(long pauseMs) {
+    Thread resumer =
         new Thread(
             () -> {
               try {
-                TimeUnit.MILLISECONDS.sleep(stoppedMs);
+                TimeUnit.MILLISECONDS.sleep(pauseMs);
                 nodes.get(1).resume();
               } catch (InterruptedException | IOException e) {
                 throw new IllegalStateException(e);
               }
             });
-    wakes.start();
+    resumer.start();
+    return resumer;
+  }
+
+  /** Reads all answers in parallel, so that each is timed by itself. */
+  private static List<Answer> readAnswers(List<Socket> sockets, long[] sentAt)
+      throws InterruptedException {
     List<Thread> readers = new ArrayList<>();
-    Ended[] found = new Ended[NODES];
+    Answer[] answers = new Answer[NODES];
     for (int i = 0; i < NODES; i++) {
-      int n = i;
+      int index = i;
       Thread reader =
           new Thread(
               () -> {
-                try (Socket s = sockets.get(n)) {
-                  found[n] = new Ended(Deployment.reply(s), (System.nanoTime() - sentAt[n]) / 1e6);
+                try (Socket socket = sockets.get(index)) {
+                  answers[index] =
+                      new Answer(
+                          TestClient.readReply(socket), (System.nanoTime() - sentAt[index]) / 1e6);
                 } catch (IOException e) {
                   throw new IllegalStateException(e);
                 }
@@ -95,47 +112,44 @@
       reader.start();
       readers.add(reader);
     }
-    wakes.join();
-    for (Thread r : readers) {
-      r.join();
+    for (Thread reader : readers) {
+      reader.join();
     }
-    ended.addAll(List.of(found));
-    return ended;
+    return List.of(answers);
   }
 
-  /**
-   * Guards against answers reckoned from the read: the query lay unread while the process was
-   * stopped.
-   */
+  /** Guards against time limits that count from the read of a query, which a pause delays. */
   @Test
-  public void whatLayUnreadIsAnsweredInItsClientsTime() throws Exception {
+  public void answersQueryReadLateWithinClientTimeout() throws Exception {
     fleet.servers().get(2).silent(true);
     fleet.servers().get(3).silent(true);
-    List<Ended> ended = askAll("unread", 0.45, 300, 2);
+    List<Answer> answers = queryAll("unread", 0.45, 300, 2);
     fleet.servers().get(2).silent(false);
     fleet.servers().get(3).silent(false);
-    for (Ended e : ended) {
-      assertTrue(e.reply().status() != 200 && e.ms() <= 450 + SLACK, e.toString());
+    for (Answer answer : answers) {
+      assertTrue(
+          answer.reply().status() != 200 && answer.elapsedMs() <= 450 + TOLERANCE_MS,
+          answer.toString());
     }
   }
 
-  /** Guards against silence until the client's end where no server can take a part. */
-  @Test(dependsOnMethods = "whatLayUnreadIsAnsweredInItsClientsTime")
-  public void aQueryThatNobodyHoldsIsRefusedAtOnce() throws Exception {
+  /** Guards against clients that wait for their whole timeout when no server can take a part. */
+  @Test(dependsOnMethods = "answersQueryReadLateWithinClientTimeout")
+  public void rejectsQueryWithoutUsableServerAtOnce() throws Exception {
     fleet.tell(fleet.servers().get(0), "draining");
     fleet.tell(fleet.servers().get(1), "draining");
     for (int i = 0; i < NODES; i++) {
       String id = "told" + i + "-";
-      Node n = nodes.get(i);
-      // Each hears of it in its own time; what it has sent before is served.
-      int[] tries = {0};
+      Node node = nodes.get(i);
+      // The processes learn of the drains at different times, and serve queries until then.
+      int[] attempts = {0};
       Deployment.await(
-          "n" + i + " hears of the drains",
+          "n" + i + " to learn of the drains",
           () -> {
             try {
-              return Deployment.call(
-                          n.front().toString(),
-                          Deployment.query("slot-search", id + tries[0]++, 1.2, 0),
+              return TestClient.exchange(
+                          node.front().toString(),
+                          TestClient.queryRequest("slot-search", id + attempts[0]++, 1.2, 0),
                           "")
                       .status()
                   == 429;
@@ -144,13 +158,14 @@
             }
           });
     }
-    for (Ended e : askAll("nobody", 1.2, 150, 0, 2)) {
-      assertEquals(e.reply().status(), 429, e.toString());
-      assertTrue(Double.parseDouble(e.reply().headers().get("retry-after")) > 0, e.toString());
-      assertTrue(e.ms() <= 350, e.toString());
+    for (Answer answer : queryAll("nobody", 1.2, 150, 0, 2)) {
+      assertEquals(answer.reply().status(), 429, answer.toString());
+      assertTrue(
+          Double.parseDouble(answer.reply().headers().get("retry-after")) > 0, answer.toString());
+      assertTrue(answer.elapsedMs() <= 350, answer.toString());
     }
-    for (Ended e : askAll("others", 1.2, 150, 2, 3)) {
-      assertEquals(e.reply().status(), 200, e.toString());
+    for (Answer answer : queryAll("others", 1.2, 150, 2, 3)) {
+      assertEquals(answer.reply().status(), 200, answer.toString());
     }
   }
 }
