--- a/src/test/java/bitternpulley/trace/DecisionTraceTest.java
+++ b/src/test/java/bitternpulley/trace/DecisionTraceTest.java
@@ -22,9 +22,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Digests of every decision of the core and of the routing policy in seeded scenarios, with the
- * settings of the sites under deploy/sites. The digests cover effects in fixed words: renaming or
- * moving code does not change them, but a changed decision does.
+ * Compares digests of every decision of the core and of the routing policy in seeded scenarios with
+ * recorded digests. The settings, stored next to the digests, are those of the sites under
+ * deploy/sites. Effects enter a digest in fixed words, so renaming or moving code does not change
+ * it, but a changed decision does.
  *
  * <p>To record the digests after an intended change of decisions, copy the actual value of the
  * failing test to {@code src/test/resources/traces/decisions.txt}.
@@ -37,8 +38,8 @@
   private static final long[] SEEDS = {1, 2};
 
   /**
-   * The load and the events of a simulation. The recorded digests contain the names of the
-   * constants.
+   * The load and the events of a simulation. Each recorded digest is preceded by the name of its
+   * constant.
    */
   enum Scenario {
     CALM {
@@ -234,10 +235,7 @@
         String.join("\n", recorded("decisions.txt", scenario + " ")), String.join("\n", actual));
   }
 
-  /**
-   * Two simulations with one seed have the same digest: nothing but the seed determines the
-   * decisions.
-   */
+  /** Guards against decisions that depend on anything but the events and the seed. */
   @Test
   void sameSeedGivesSameDigest() {
     List<String> actual = new ArrayList<>();
--- a/src/test/java/bitternpulley/trace/HedgingTraceTest.java
+++ b/src/test/java/bitternpulley/trace/HedgingTraceTest.java
@@ -23,9 +23,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Digests of the decisions of the routing policy alone, driven as the simulator drives it, with
- * settings that permit hedged requests: a part may have more than one attempt in flight, and a
- * query may have a second step. The digests cover actions in fixed words.
+ * Compares digests of the decisions of the routing policy with recorded digests. The policy is
+ * called directly, as the simulator does, with settings that permit hedged requests: a part may
+ * have more than one attempt in flight, and a query may have a second step. Actions enter a digest
+ * in fixed words.
  */
 class HedgingTraceTest {
   private static final Path TRACES = Path.of("src/test/resources/traces");
--- a/src/test/java/bitternpulley/trace/TraceDigest.java
+++ b/src/test/java/bitternpulley/trace/TraceDigest.java
@@ -30,7 +30,10 @@
     lines++;
   }
 
-  /** Ends the digest and returns the number of lines with the digest in hexadecimal. */
+  /**
+   * Ends the digest and returns the number of lines and the first 12 bytes of the digest in
+   * hexadecimal.
+   */
   public String end() {
     return lines + " " + HexFormat.of().formatHex(digest.digest(), 0, 12);
   }
--- a/src/test/java/bitternpulley/trace/TraceServers.java
+++ b/src/test/java/bitternpulley/trace/TraceServers.java
@@ -69,7 +69,7 @@
     servers.get(server).state = "LIVE";
   }
 
-  /** Returns how an attempt ends that arrives at the server at time {@code now}. */
+  /** Returns the end of an attempt that arrives at the server at time {@code now}. */
   End receivePart(int serverIndex, double workMs, double now) {
     Server server = servers.get(serverIndex);
     double networkDelay = 0.5 + random.nextDouble();
--- a/src/test/java/bitternpulley/trace/TraceSimulation.java
+++ b/src/test/java/bitternpulley/trace/TraceSimulation.java
@@ -31,6 +31,8 @@
  */
 final class TraceSimulation {
   static final double BEGIN = 1_000_000;
+
+  /** Time after the start of an attempt during which it can be cancelled as unsent. */
   private static final double UNSENT_MAX_AGE_MS = 1.2;
 
   private record ScheduledTask(double time, long number, Runnable action) {}
@@ -77,8 +79,8 @@
   }
 
   /**
-   * Sends all instances the current state of these servers. At the start the instances receive it
-   * at once, later each instance after a random delay.
+   * Sends the current state of these servers to all instances. At the start of the simulation the
+   * instances receive it at once, later each instance receives it after a random delay.
    */
   void sendEndpointList(Router.ListKind kind, int... serverIndexes) {
     List<Router.Endpoint> endpoints = IntStream.of(serverIndexes).mapToObj(this::endpoint).toList();
