--- a/src/test/java/bitternpulley/net/ConnectionTest.java
+++ b/src/test/java/bitternpulley/net/ConnectionTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Tests a connection to a peer whose side the test plays. */
+/** Tests a connection to a peer that the test implements with a plain socket. */
 public class ConnectionTest implements Connection.Owner {
   private static final int TIMEOUT_MS = 30_000;
   private static final int PIECE_BYTES = 64 * 1024;
@@ -63,7 +63,7 @@
         loop.runInTurn(
             () -> {
               ByteBuffer started;
-              do { // until the kernel takes only a part of a piece
+              do { // until the kernel accepts only part of a piece
                 started = piece(1);
                 connection[0].write(started, () -> writtenPieces++);
                 sent[0]++;
@@ -71,7 +71,7 @@
               ByteBuffer queued = piece(2);
               connection[0].write(queued, () -> writtenPieces++);
               connection[0].write(piece(3), () -> writtenPieces++);
-              assertFalse(connection[0].cancelWrite(started), "the kernel has taken a part of it");
+              assertFalse(connection[0].cancelWrite(started), "the kernel has accepted part of it");
               assertTrue(connection[0].cancelWrite(queued));
               assertFalse(connection[0].cancelWrite(queued), "a write can be cancelled only once");
             });
--- a/src/test/java/bitternpulley/net/EventLoopLagTest.java
+++ b/src/test/java/bitternpulley/net/EventLoopLagTest.java
@@ -7,8 +7,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests the lag measurement with ticks and turns in virtual time: of a loop that is on time, of one
- * that is stopped and of one that has a long turn.
+ * Tests the lag measurement with ticks and turns in virtual time, for a loop that is on time, a
+ * loop that is paused and a loop with a long turn.
  */
 public class EventLoopLagTest {
   private EventLoopLag lag;
@@ -40,7 +40,7 @@
   }
 
   @Test
-  public void countsBytesReadAfterAPauseFromTheLastTurn() {
+  public void countsUnreadTimeAfterAPauseFromTheTurnBeforeIt() {
     runOnTime(0, 1000);
     lag.turnStarted(1150);
     assertEquals(lag.unreadMs(1150), 150.0);
@@ -69,7 +69,7 @@
 
   /** Regression: the second of two pauses was counted from the start of the first one. */
   @Test
-  public void countsTheSecondPauseFromItsOwnStart() {
+  public void countsUnreadTimeOfASecondPauseFromItsOwnStart() {
     runOnTime(0, 1000);
     lag.turnStarted(1400);
     lag.tick(1400);
@@ -79,9 +79,9 @@
     assertEquals(lag.unreadMs(1700), 250.0);
   }
 
-  /** Bytes stay unread during a long turn, as before JIT compilation, just as during a pause. */
+  /** During a long turn, as before JIT compilation, bytes stay unread just as during a pause. */
   @Test
-  public void countsALongTurnFromItsStart() {
+  public void countsUnreadTimeOfALongTurnFromItsStart() {
     EventLoopLag longTurn = new EventLoopLag();
     longTurn.tick(0);
     longTurn.turnStarted(10);
@@ -91,7 +91,7 @@
 
   /** Timers can be on time while the results of one poll are handled in separate turns. */
   @Test
-  public void countsBytesAsUnreadWhileTheResultsOfOnePollAreHandled() {
+  public void countsUnreadTimeWhileTheResultsOfOnePollAreHandled() {
     runOnTime(0, 1000);
     lag.socketTurnStarted(1000, 900);
     assertEquals(lag.unreadMs(1000), 0.0, "the socket was polled just now");
@@ -106,13 +106,14 @@
     assertEquals(lag.unreadMs(now), 200.0, "since the poll at 1,000");
     lag.socketTurnEnded(now + 1);
     lag.socketTurnStarted(now + 2, 1150);
-    assertEquals(lag.unreadMs(now + 2), 52.0, "what was armed at 1,150 was found by a later poll");
+    assertEquals(
+        lag.unreadMs(now + 2), 52.0, "an operation armed at 1,150 was found by a later poll");
     lag.socketTurnEnded(now + 3);
     lag.socketTurnStarted(now + 20, 0);
     assertEquals(lag.unreadMs(now + 20), 0.0);
   }
 
-  /** An instance that is always slightly late must not count its queries as minutes old. */
+  /** Otherwise an instance that is always slightly late would count its queries as minutes old. */
   @Test
   public void doesNotAccumulateConstantLag() {
     EventLoopLag slow = new EventLoopLag();
--- a/src/test/java/bitternpulley/net/HttpClientTest.java
+++ b/src/test/java/bitternpulley/net/HttpClientTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests calls to a server whose side the test plays. */
+/** Tests calls to a server that the test implements with plain sockets. */
 public class HttpClientTest implements HttpClient.ResponseHandler {
   private static final int TIMEOUT_MS = 30_000;
 
--- a/src/test/java/bitternpulley/net/HttpCloseRaceTest.java
+++ b/src/test/java/bitternpulley/net/HttpCloseRaceTest.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** Tests requests that cross the close of their connection. The client must never see a reset. */
+/**
+ * Tests requests that arrive while the server closes their connection. The client must never
+ * receive a reset.
+ */
 public class HttpCloseRaceTest extends HttpServerHarness {
   private void closeWhileRequestArrives(Action close) throws Exception {
     try (Socket client = connect(request("/first", ""))) {
@@ -42,15 +45,16 @@
     int first = client.getInputStream().read();
     assertEquals(
         first < 0 ? 0 : handled.stream().filter(target::equals).count(), first < 0 ? 0 : 1);
-    assertEquals(handled.contains(target), first >= 0, "handled, and its client received " + first);
+    assertEquals(
+        handled.contains(target), first >= 0, "handled only if answered; first byte: " + first);
     if (first >= 0) {
       assertEquals(readLine(client), "TTP/1.1 200 OK");
     }
   }
 
   /**
-   * The loop is blocked until the time-out is due: sweep and request race for the next turn, and
-   * either order is correct.
+   * The loop is blocked until the time-out is due, so that the next turn may belong to the idle
+   * check or to the request. Either order is correct.
    */
   @Test(invocationCount = 20)
   public void answersOrClosesWithoutResetWhenRequestCrossesIdleTimeout() throws Exception {
--- a/src/test/java/bitternpulley/net/HttpDisconnectTest.java
+++ b/src/test/java/bitternpulley/net/HttpDisconnectTest.java
@@ -39,13 +39,13 @@
     disconnectWhileRequestsArePending(200, "", false);
   }
 
-  /** The disconnect is unread behind the pipelined requests. */
+  /** The server reads the end of the stream only after the pipelined requests. */
   @Test
   public void noticesDisconnectAfterPipelinedRequests() throws Exception {
     disconnectWhileRequestsArePending(3, request("/ahead", "x").repeat(1000), false);
   }
 
-  /** The disconnect is unread behind more pipelined requests than the server buffers. */
+  /** More pipelined requests than the server buffers precede the end of the stream. */
   @Test
   public void noticesDisconnectAfterMorePipelinedBytesThanAreBuffered() throws Exception {
     disconnectWhileRequestsArePending(2, request("/ahead", "x".repeat(1000)).repeat(2000), false);
--- a/src/test/java/bitternpulley/net/HttpServerHarness.java
+++ b/src/test/java/bitternpulley/net/HttpServerHarness.java
@@ -13,9 +13,9 @@
 import org.testng.annotations.BeforeMethod;
 
 /**
- * A server and plain sockets as its clients, for tests of how connections end. Tests force races by
- * blocking the event loop: the bytes that a test writes meanwhile are still unread in the sockets
- * when the server ends the connection.
+ * An HTTP server with plain sockets as clients, for tests of how connections end. Tests force races
+ * by blocking the event loop: the bytes that a test writes meanwhile are still unread in the
+ * sockets when the server ends the connection.
  */
 public abstract class HttpServerHarness implements HttpServer.Handler {
   /** Time limit of each wait, in ms. */
@@ -32,7 +32,7 @@
   /** Exchanges of the requests whose targets begin with {@code /held}. */
   final List<HttpServer.Exchange> openExchanges = new CopyOnWriteArrayList<>();
 
-  /** Number of clients that disconnected while their request was held. */
+  /** Number of clients that disconnected while their request was kept open. */
   final AtomicInteger disconnects = new AtomicInteger();
 
   EventLoop loop;
@@ -128,7 +128,7 @@
     }
   }
 
-  /** An action of a test while the event loop is blocked. */
+  /** An action that a test performs while the event loop is blocked. */
   interface Action {
     void run() throws IOException;
   }
--- a/src/test/java/bitternpulley/net/HttpServerTest.java
+++ b/src/test/java/bitternpulley/net/HttpServerTest.java
@@ -16,8 +16,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests what clients of the complete program cannot cause: a handler that throws, and very low
- * limits.
+ * Tests the server directly, in cases that clients of the complete program cannot cause, such as a
+ * handler that throws and very low limits.
  */
 public class HttpServerTest implements HttpServer.Handler {
   private static final int TIMEOUT_MS = 30_000;
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Many bodies together may exceed the memory although each is within its limit. */
+  /** Many bodies together may exceed the available memory although each is within its limit. */
   @Test
   public void limitsIncompleteBodiesOfAllConnectionsTogether() throws IOException {
     int maxBodyBytes = 2 << 20;
@@ -134,7 +134,7 @@
     }
   }
 
-  /** Clients that keep unused connections would otherwise leave none for the others. */
+  /** Otherwise clients that keep unused connections would leave none for other clients. */
   @Test
   public void closesConnectionsAfterResponseWhileManyAreUnused() throws IOException {
     HttpServer server =
@@ -252,7 +252,7 @@
       int handled = handler.handledRequests.get();
       assertTrue(
           handled < busyClients / 2,
-          "answered after " + handled + " of " + busyClients + " others");
+          "answered after " + handled + " of " + busyClients + " other requests");
     } finally {
       for (Socket socket : sockets) {
         socket.close();
--- a/src/test/java/bitternpulley/net/HttpShutdownTest.java
+++ b/src/test/java/bitternpulley/net/HttpShutdownTest.java
@@ -27,7 +27,7 @@
     }
   }
 
-  /** When the server stops, the kernel has accepted connections that the server has not. */
+  /** When the server stops, the kernel has accepted connections that the server has not yet. */
   @Test
   public void servesConnectionsInBacklogBeforeListenerCloses() throws Exception {
     List<Socket> clients = new ArrayList<>();
@@ -47,14 +47,14 @@
     awaitCondition("no work is left", () -> pendingWork() == 0);
   }
 
-  /** The client has connected, and its first request is on its way. */
+  /** The client has connected, but its first request arrives after the server stops listening. */
   @Test
   public void servesFirstRequestOfNewConnectionAfterListeningStops() throws Exception {
     try (Socket other = connect(request("/other", ""));
         Socket fresh = connect("")) {
       assertEquals(readStatus(other), 200);
       try (Socket later = connect(request("/behind", ""))) {
-        assertEquals(readStatus(later), 200, "so the fresh connection was accepted before");
+        assertEquals(readStatus(later), 200, "the fresh connection was accepted before this one");
         whileLoopIsBlocked(
             () -> {
               server.drain();
@@ -66,7 +66,7 @@
     }
   }
 
-  /** If the process exited earlier, a client that still reads its response would be reset. */
+  /** If the process exited earlier, a client that is still reading would receive a reset. */
   @Test
   public void reportsPendingWorkUntilClientHasClosedItsSide() throws Exception {
     try (Socket client = connect(request("/held", ""))) {
