--- a/src/test/java/bitternpulley/config/BrokerConfigurationReaderTest.java
+++ b/src/test/java/bitternpulley/config/BrokerConfigurationReaderTest.java
@@ -20,7 +20,7 @@
   private static final String VALID =
       "contract(id = 'a', share = 0.5, classes = {'slot-search': terms()})\n";
 
-  /** The settings under deploy/, with the class names of the example script. */
+  /** The settings of deploy/rehearsal.json, with the class names of the example script. */
   private static Settings siteSettings() {
     String text;
     try {
