--- a/src/test/java/bitternpulley/platform/ConnectionPrewarmerTest.java
+++ b/src/test/java/bitternpulley/platform/ConnectionPrewarmerTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Opening connections ahead of the first parts, at a limited rate. */
+/** Tests that connections are opened before the first parts are sent, at a limited rate. */
 public class ConnectionPrewarmerTest {
   private static final int TIMEOUT_S = 30;
 
@@ -48,7 +48,8 @@
   }
 
   /**
-   * Restarted instances must not connect to a server all at the same time, nor in the same order.
+   * Instances that restart together must not all connect to a server at the same time, nor connect
+   * to the servers in the same order.
    */
   @Test
   public void connectsToEachServerOnceInRandomOrderAtLimitedRate() throws InterruptedException {
--- a/src/test/java/bitternpulley/platform/DiscoveryTest.java
+++ b/src/test/java/bitternpulley/platform/DiscoveryTest.java
@@ -21,11 +21,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The watches of discovery; the test plays the agent step by step. */
+/** Tests the watches of discovery against an agent that the test implements step by step. */
 public class DiscoveryTest {
   private static final int TIMEOUT_MS = 30_000;
 
-  /** Time after the last line of a watch when what it missed counts as received. */
+  /**
+   * Time after which a list that discovery has sent counts as received, even if the watch has not
+   * delivered it.
+   */
   private static final long COUNTS_AS_RECEIVED_AFTER_MS = 6000;
 
   private final BlockingQueue<EndpointList> received = new LinkedBlockingQueue<>();
@@ -169,7 +172,7 @@
     acceptWatch(agent, revision).close();
   }
 
-  /** The backoff grows with each earlier failure. */
+  /** The backoff grows with each consecutive failure. */
   @Test
   public void resetsTheBackoffAfterAWatchThatWasAlive() throws Exception {
     for (int i = 0; i < 6; i++) {
@@ -316,7 +319,7 @@
   }
 
   @Test
-  public void invalidMessageEndsItsWatchAndNothingElse() throws Exception {
+  public void invalidMessageEndsOnlyItsWatch() throws Exception {
     for (String bad : List.of("]", "{\"revision\":42}", "{]}", "x".repeat(10))) {
       try (Socket watch = acceptWatch(agent, 41)) {
         sendChunk(watch, bad + "\n");
--- a/src/test/java/bitternpulley/platform/SlotCancellationTest.java
+++ b/src/test/java/bitternpulley/platform/SlotCancellationTest.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Cancellation of parts before and after they are sent. */
+/** Tests the cancellation of parts before and after they are sent. */
 public class SlotCancellationTest extends SlotServersHarness {
 
   /** While a retry waits for a connection, its idempotency window may end. */
@@ -52,7 +52,7 @@
     assertEquals(outcomes(1), List.of("0 NOT_SENT"));
     start(1, 0);
     try (Socket ended = server.accept()) {
-      assertEquals(ended.getInputStream().read(), -1, "not a byte of the call was sent");
+      assertEquals(ended.getInputStream().read(), -1, "no byte of the call was sent");
     }
     try (Socket sent = server.accept()) {
       assertEquals(readFrame(sent), callFrame(1));
--- a/src/test/java/bitternpulley/platform/SlotConnectionEndTest.java
+++ b/src/test/java/bitternpulley/platform/SlotConnectionEndTest.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The outcomes of attempts when their connection ends. */
+/** Tests the outcomes of attempts when their connection ends. */
 public class SlotConnectionEndTest extends SlotServersHarness {
 
   @Test
-  public void resetsPartsInFlightWhenARetiredConnectionEnds() throws Exception {
+  public void endsPartsInFlightAsResetWhenARetiredConnectionEnds() throws Exception {
     start(0, 0);
     start(1, 0);
     try (Socket first = server.accept()) {
@@ -59,7 +59,7 @@
 
   /** After a reset the parts may have run; the incomplete result does not count. */
   @Test
-  public void resetsEachPartOnceAfterAResetWithinAResult() throws Exception {
+  public void endsEachPartOnceAsResetAfterAResetWithinAResult() throws Exception {
     start(0, 0);
     start(1, 0);
     try (Socket socket = server.accept()) {
@@ -72,7 +72,7 @@
   }
 
   @Test
-  public void resetsEachPartOfACallWhenItsConnectionEnds() throws Exception {
+  public void endsEachPartOfACallAsResetWhenItsConnectionEnds() throws Exception {
     startCall(0, 1, 2);
     try (Socket first = server.accept()) {
       assertEquals(readFrame(first), callFrame(0, 1, 2));
--- a/src/test/java/bitternpulley/platform/SlotConnectionPoolTest.java
+++ b/src/test/java/bitternpulley/platform/SlotConnectionPoolTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Selection of the connection for a call, and opening and closing of connections. */
+/** Tests which connection a call uses, and when connections are opened and closed. */
 public class SlotConnectionPoolTest extends SlotServersHarness {
 
   @Test
@@ -39,7 +39,7 @@
     }
   }
 
-  /** A connection without input since the call was written may have died silently. */
+  /** A connection without input since the call was written may be dead without an error. */
   @Test
   public void retiresAConnectionWithoutInputSinceTheCancelledCallWasSent() throws Exception {
     start(0, 0);
@@ -141,7 +141,7 @@
       try (Socket fresh = server.accept()) {
         assertEquals(readFrame(fresh), callFrame(1));
         assertEquals(
-            idle.getInputStream().read(), -1, "not a byte was sent over the idle connection");
+            idle.getInputStream().read(), -1, "no byte was sent over the idle connection");
       }
     }
   }
--- a/src/test/java/bitternpulley/platform/SlotFramesTest.java
+++ b/src/test/java/bitternpulley/platform/SlotFramesTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The contents of frames exchanged with slot servers. */
+/** Tests the contents of frames exchanged with slot servers. */
 public class SlotFramesTest {
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.ISO_8859_1);
@@ -50,7 +50,7 @@
   }
 
   @Test(dataProvider = "unusableResults")
-  public void unusableResultNamesServerMessageAndDefect(String rest, String defect) {
+  public void errorOfUnusableResultNamesServerFrameTypeAndDefect(String rest, String defect) {
     try {
       SlotFrames.decodeResult("s-1", bytes(rest));
     } catch (ProtocolException expected) {
--- a/src/test/java/bitternpulley/platform/SlotResultsTest.java
+++ b/src/test/java/bitternpulley/platform/SlotResultsTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Results of parts and calls, and the consequences of protocol violations. */
+/** Tests the results of parts and calls, and the consequences of protocol violations. */
 public class SlotResultsTest extends SlotServersHarness {
 
   private static void write(Socket socket, byte[] first, byte[] second) throws IOException {
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Servers are charged for each call, not for each part. */
+  /** A call requires work in addition to that of its parts, so parts share a call. */
   @Test
   public void partsOfACallShareAFrameAndEndIndependently() throws Exception {
     startCall(0, 2, 5);
--- a/src/test/java/bitternpulley/platform/SlotServersHarness.java
+++ b/src/test/java/bitternpulley/platform/SlotServersHarness.java
@@ -23,7 +23,7 @@
 
 /**
  * Provides {@link SlotServers} with one query of nine parts and one slot server "s", which the test
- * plays.
+ * implements.
  */
 abstract class SlotServersHarness {
   static final int TIMEOUT_MS = 30_000;
--- a/src/test/java/bitternpulley/platform/WarmupQueriesTest.java
+++ b/src/test/java/bitternpulley/platform/WarmupQueriesTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** The synthetic queries that warm up the JVM at startup. */
+/** Tests the synthetic queries that warm up the JVM at startup. */
 public class WarmupQueriesTest {
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
