--- a/src/test/java/bitternpulley/policy/AttemptDispatcherTest.java
+++ b/src/test/java/bitternpulley/policy/AttemptDispatcherTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which connections attempts use, and what becomes of attempts when their query ends. */
+/** Tests which connections attempts use, and what happens to attempts when their query ends. */
 class AttemptDispatcherTest {
   @Test
   void opensANewConnectionToALongIdleServer() {
--- a/src/test/java/bitternpulley/policy/HedgingPolicyTest.java
+++ b/src/test/java/bitternpulley/policy/HedgingPolicyTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** What happens to a part whose attempt is late. */
+/** Tests when a late attempt is cancelled or hedged. */
 class HedgingPolicyTest {
   @Test
   void cancelsBeforeRetryingWhenHedgingIsNotAllowed() {
--- a/src/test/java/bitternpulley/policy/LoadShedderTest.java
+++ b/src/test/java/bitternpulley/policy/LoadShedderTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which queries are admitted, and when. */
+/** Tests which queries are admitted, and when. */
 class LoadShedderTest {
   @Test
   void doesNotMistakeFirstAttemptsForClientRetries() {
--- a/src/test/java/bitternpulley/policy/ManyPartsTest.java
+++ b/src/test/java/bitternpulley/policy/ManyPartsTest.java
@@ -12,9 +12,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Queries with one part for each shard of a large fleet. */
+/** Tests queries with one part for each shard of a large fleet. */
 class ManyPartsTest {
-  /** Number of measurements; the cheapest counts, so that other load on the machine does not. */
+  /** Number of measurements, of which the lowest counts, to exclude other load on the machine. */
   private static final int ROUNDS = 20;
 
   /**
@@ -45,11 +45,11 @@
 
   /** CPU time in ns, per part, to handle the answers to a query with one part for each shard. */
   private static double costPerPart(int parts) {
-    double least = Double.POSITIVE_INFINITY;
+    double lowest = Double.POSITIVE_INFINITY;
     for (int round = 0; round < ROUNDS; round++) {
-      least = Math.min(least, (double) costOfAllAnswers(parts));
+      lowest = Math.min(lowest, (double) costOfAllAnswers(parts));
     }
-    return least / parts;
+    return lowest / parts;
   }
 
   private static long costOfAllAnswers(int parts) {
--- a/src/test/java/bitternpulley/policy/OutlierDetectorTest.java
+++ b/src/test/java/bitternpulley/policy/OutlierDetectorTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which servers are avoided, and for how long. */
+/** Tests which servers are avoided, and for how long. */
 class OutlierDetectorTest {
   private static final double PAUSE_MS = 300;
 
--- a/src/test/java/bitternpulley/policy/PolicyHarness.java
+++ b/src/test/java/bitternpulley/policy/PolicyHarness.java
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Sends and answers {@code count} such queries, one after the other. */
+  /** Calls {@link #answerQuery} for {@code count} queries, one after the other. */
   void answerQueries(int count, double latencyMs) {
     for (int i = 0; i < count; i++) {
       answerQuery(1000 + i, latencyMs);
@@ -109,10 +109,10 @@
     parts(id, id * 10, shards, weights);
   }
 
-  void parts(long number, long firstId, int[] shards, double... weights) {
+  void parts(long query, long firstId, int[] shards, double... weights) {
     for (int i = 0; i < shards.length; i++) {
       double weight = weights.length == 0 ? 1.0 / shards.length : weights[i];
-      policy.onPart(new Router.Part(firstId + i, number, shards[i], weight, 0), now, this);
+      policy.onPart(new Router.Part(firstId + i, query, shards[i], weight, 0), now, this);
     }
     policy.completeBatch(now, this);
   }
@@ -142,8 +142,8 @@
   }
 
   /**
-   * The earliest alarm due by {@code until}, or null; of several due at once, the one scheduled
-   * first.
+   * The earliest alarm that is due by {@code until}, or null. Of several alarms due at the same
+   * time, it is the one scheduled first.
    */
   private Alarm nextAlarm(double until) {
     Alarm next = null;
--- a/src/test/java/bitternpulley/policy/ReplicaSelectorTest.java
+++ b/src/test/java/bitternpulley/policy/ReplicaSelectorTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which server a part is sent to. */
+/** Tests to which server a part is sent. */
 class ReplicaSelectorTest {
   @Test
   void spreadsPartsOverServersOfEqualLatency() {
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void addsAPartAtNoCostToACallBeingAssembled() {
+  void addsAPartToACallBeingAssembledWhenEachCallRequiresExtraWork() {
     assertEquals(2, serversUsedByTwoParts(16, 0));
     assertEquals(1, serversUsedByTwoParts(16, 150));
   }
--- a/src/test/java/bitternpulley/policy/RetryPolicyTest.java
+++ b/src/test/java/bitternpulley/policy/RetryPolicyTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** When a part is sent again after an attempt has ended. */
+/** Tests when a part is sent again after an attempt has ended. */
 class RetryPolicyTest {
   private static PolicyHarness harnessWithNonIdempotentPart() {
     PolicyHarness harness =
--- a/src/test/java/bitternpulley/policy/RoutingPolicyTest.java
+++ b/src/test/java/bitternpulley/policy/RoutingPolicyTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The handling of single events. */
+/** Tests the handling of single events. */
 class RoutingPolicyTest {
   @Test
   void reschedulesAnAlarmThatFiresEarly() {
--- a/src/test/java/bitternpulley/policy/ServerFleetTest.java
+++ b/src/test/java/bitternpulley/policy/ServerFleetTest.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Which servers the fleet keeps, and whether a server that returns is used. */
+/** Tests which servers the fleet keeps, and that a server that returns is used. */
 class ServerFleetTest {
   @Test
   void removesGoneServersWithoutAttemptsInFlight() {
--- a/src/test/java/bitternpulley/policy/SlowStartTest.java
+++ b/src/test/java/bitternpulley/policy/SlowStartTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How much work is sent to a server that has just started. */
+/** Tests how much work is sent to a server that has just started. */
 class SlowStartTest {
   private static void restartFirstServer(PolicyHarness harness) {
     harness.updateEndpoints(
@@ -80,8 +80,8 @@
 
   /**
    * All instances together may send 2 x 0.2 x 1.8 cores x 1000 ms in the first window, which is
-   * seven parts of 100 ms. Since the server warms up meanwhile, nine turns come, of which the first
-   * one has just passed at 1000 ms.
+   * seven parts of 100 ms. Since the server warms up meanwhile, nine turns begin in that window; at
+   * 1000 ms the first of them has just ended.
    */
   @Test
   void letsInstancesTakeTurnsAtAStartingServer() {
--- a/src/test/java/bitternpulley/policy/SourceLimitsTest.java
+++ b/src/test/java/bitternpulley/policy/SourceLimitsTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Limits on the source files of the routing policy. */
+/** Checks the limits on the source files of the routing policy. */
 class SourceLimitsTest {
   private static final Path PACKAGE = Path.of("src/main/java/bitternpulley/policy");
   private static final Path DEPLOYMENT = Path.of("deploy/balancer.toml");
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void theDeploymentListsExactlyThePackage() throws IOException {
+  void deploymentListsExactlyTheFilesOfThePackage() throws IOException {
     List<String> lists =
         POLICY_LINE
             .matcher(Files.readString(DEPLOYMENT))
--- a/src/test/java/bitternpulley/policy/UnattainableQueryTest.java
+++ b/src/test/java/bitternpulley/policy/UnattainableQueryTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A query is rejected or failed at once if no server can take one of its parts in time. It waits if
- * a known event may change that.
+ * Tests that a query is rejected or failed at once if no server can take one of its parts in time,
+ * and that the query waits if a known event may change that.
  */
 class UnattainableQueryTest {
   /** An objective of 2,000 ms and a deadline of 6,000 ms, with a payoff for late answers. */
--- a/src/test/java/bitternpulley/policy/WaitTimePolicyTest.java
+++ b/src/test/java/bitternpulley/policy/WaitTimePolicyTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How long a query waits for its parts. */
+/** Tests how long a query waits for its parts. */
 class WaitTimePolicyTest {
   private static PolicyHarness harnessWithPartialAnswers() {
     return PolicyHarness.builder().queryClass(queryClass -> queryClass.minimumShare(0.5)).build();
@@ -52,7 +52,7 @@
     sendQueryAndAnswerTwoHeaviestPartsAfter50Ms(harness, 3);
     harness.advanceTo(start + 299);
     assertEquals(20, harness.results.size());
-    // T* is 300 ms. The two heaviest of the four parts are answered, so the wait is not extended.
+    // The base wait is 300 ms. The two heaviest parts are answered, so the wait is not extended.
     harness.advanceTo(start + 301);
     assertEquals("partial 3 @" + (long) (start + 300), harness.results.get(20));
   }
