--- a/src/test/java/bitternpulley/membership/CheckBudgetTest.java
+++ b/src/test/java/bitternpulley/membership/CheckBudgetTest.java
@@ -64,7 +64,8 @@
         }
       }
     }
-    assertTrue(probes <= MAX_PROBES, probes + " probes in " + DURATION_S + " s, of " + MAX_PROBES);
+    assertTrue(
+        probes <= MAX_PROBES, probes + " probes in " + DURATION_S + " s, at most " + MAX_PROBES);
     assertTrue(probes >= DURATION_S, "round probes must continue: " + probes);
   }
 }
--- a/src/test/java/bitternpulley/membership/MembershipTraceTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipTraceTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Compares all messages and state changes of seeded runs with a recording, as digests of numbers.
- * The runs cover normal operation, message loss, cut paths, pauses and restarts.
+ * Compares digests of all messages and state changes of seeded runs with recorded digests. The runs
+ * cover normal operation, message loss, cut paths, pauses and restarts.
  */
 class MembershipTraceTest {
   private static final Path RECORDED_DIGESTS = Path.of("src/test/resources/traces/membership.txt");
