--- a/src/test/java/bitternpulley/broker/FleetSlowStartTest.java
+++ b/src/test/java/bitternpulley/broker/FleetSlowStartTest.java
@@ -10,8 +10,8 @@
 /** Tests the load that a fleet of aggregators puts on a server that is warming up. */
 public class FleetSlowStartTest {
   /**
-   * Time at which the server restarts. By then, all instances have observed that servers run two
-   * parts at once.
+   * Time at which the server restarts. By then, all instances have observed that servers process
+   * two parts in parallel.
    */
   private static final double RESTART_TIME = 16_000;
 
@@ -19,13 +19,13 @@
   private static final double CORES = 2;
 
   /**
-   * Minimum share of the server's capacity to be used while no other server holds one of its
-   * shards.
+   * Minimum share of the server's capacity that must be used while one of its shards has no other
+   * live server.
    */
   private static final double MIN_USED_SHARE = 0.25;
 
   @Test
-  public void neitherOverloadsNorIdlesAWarmingUpServer() {
+  public void neitherOverloadsAServerThatWarmsUpNorLeavesItIdle() {
     FleetHarness fleet = new FleetHarness();
     int requests = fleet.scheduleRequests(new Random(5), 8, RESTART_TIME + OBSERVATION_TIME);
     fleet.run(RESTART_TIME);
--- a/src/test/java/bitternpulley/broker/TestValue.java
+++ b/src/test/java/bitternpulley/broker/TestValue.java
@@ -1,4 +1,4 @@
 package bitternpulley.broker;
 
-/** A payload that tests recognise. */
+/** A payload with a text by which tests identify it. */
 record TestValue(String text) implements Payload {}
