--- a/src/test/java/bitternpulley/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/bitternpulley/simulator/SimulatorAdapterTest.java
@@ -46,31 +46,31 @@
     assertTrue(done.contains("\"verb\":\"gatherUp\",\"who\":1,\"ref\":7,\"on\":true"), done);
   }
 
-  private static String messageOfRejected(String batch) {
+  private static String errorMessage(String batch) {
     return assertThrows(BatchException.class, () -> new SimulatorAdapter().reply(batch))
         .getMessage();
   }
 
   @Test
   void rejectsTextThatIsNotJson() {
-    String message = messageOfRejected("nonsense");
+    String message = errorMessage("nonsense");
     assertTrue(message.contains("JSON"), message);
   }
 
   @Test
   void namesMissingField() {
-    assertEquals("missing field 'clock'", messageOfRejected("{\"msgs\":[]}"));
+    assertEquals("missing field 'clock'", errorMessage("{\"msgs\":[]}"));
   }
 
   @Test
   void namesMissingSetting() {
-    String message = messageOfRejected(LAUNCH.replace("requestClasses", "others"));
+    String message = errorMessage(LAUNCH.replace("requestClasses", "others"));
     assertTrue(message.contains("requestClasses"), message);
   }
 
   @Test
   void namesSettingOutOfRange() {
-    String message = messageOfRejected(LAUNCH.replace("\"deadline\":400", "\"deadline\":-4"));
+    String message = errorMessage(LAUNCH.replace("\"deadline\":400", "\"deadline\":-4"));
     assertTrue(message.contains("deadline"), message);
   }
 }
