--- a/src/test/java/bitternpulley/gossip/StoredEpochTest.java
+++ b/src/test/java/bitternpulley/gossip/StoredEpochTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Reads an epoch file written by an earlier version of the program. */
+/** Tests that an epoch file written by an earlier version of the program is still read. */
 class StoredEpochTest {
   private static final String FILE_NAME = "bitternpulley-epoch";
 
