--- a/src/test/java/bitternpulley/health/CoreEstimateTest.java
+++ b/src/test/java/bitternpulley/health/CoreEstimateTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Observes pairs of parts at a server with one or two cores. The spread of the work is that of
- * configured sites.
+ * Tests the estimate with simulated pairs of parts at a server with one or two cores. The spread of
+ * the work of parts is that of configured sites.
  */
 class CoreEstimateTest {
   private static final double WORK = 100;
--- a/src/test/java/bitternpulley/health/ServerConcurrencyLimitTest.java
+++ b/src/test/java/bitternpulley/health/ServerConcurrencyLimitTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The limit of parts in flight at one server. */
+/** Tests the limit on parts in flight at one server. */
 class ServerConcurrencyLimitTest {
   private final ServerConcurrencyLimit limit = new ServerConcurrencyLimit();
 
--- a/src/test/java/bitternpulley/health/SlowStartBudgetTest.java
+++ b/src/test/java/bitternpulley/health/SlowStartBudgetTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The slow-start budget of a single instance. */
+/** Tests the slow-start budget of a single instance. */
 class SlowStartBudgetTest {
   private static SlowStartBudget budgetOfServerStartedAtZero(int self, int instances) {
     SlowStartBudget budget =
--- a/src/test/java/bitternpulley/health/WorkEstimateTest.java
+++ b/src/test/java/bitternpulley/health/WorkEstimateTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The estimate of the work of parts whose queries do not state it. */
+/** Tests the estimate of the work of a part when its query does not state it. */
 class WorkEstimateTest {
   @Test
   void loadDoesNotRaiseTheEstimate() {
