--- a/src/test/java/bitternpulley/leases/LeasesTest.java
+++ b/src/test/java/bitternpulley/leases/LeasesTest.java
@@ -13,7 +13,10 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The sum of all quotas never exceeds the budget, and dead members' quota is redistributed. */
+/**
+ * Tests that the sum of all quotas never exceeds the budget, and that the quota of dead members is
+ * redistributed.
+ */
 class LeasesTest {
   private static final double DURATION_MS = 10_000;
   private static final double EFFECT_TIME_MS = 1250;
