--- a/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
+++ b/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class AdmissionControlTest {
-  /** Parts a second. */
+  /** Parts per second. */
   private static final double CAPACITY = 1000;
 
   private static final double APPEAL_QUOTA = 0.4;
@@ -75,7 +75,9 @@
     simulation.runUntil(10_000).resetCounts();
     simulation.runUntil(15_000);
     double lent = appeal.workServed() / 5;
-    assertTrue(lent > 700, "appeal was served " + lent + " parts a second, with 0.35 idle");
+    assertTrue(
+        lent > 700,
+        "appeal was served " + lent + " parts per second while a quota of 0.35 was idle");
     stock.setQueriesPerSecond(10);
     simulation.runUntil(16_000).resetCounts();
     simulation.runUntil(21_000);
@@ -100,12 +102,12 @@
                 quota * CAPACITY / 2,
                 simulation.team(team).workServed() / 10,
                 0.2 * quota * CAPACITY / 2,
-                team + ": parts a second at half the capacity"));
+                team + ": parts per second at half the capacity"));
     simulation.setPartsPerSecond(CAPACITY);
     simulation.runUntil(33_000).resetCounts();
     simulation.runUntil(38_000);
     double served = simulation.teams().stream().mapToDouble(SimulatedTeam::workServed).sum() / 5;
-    assertTrue(served > 850, "served after recovery: " + served + " of 1000 parts a second");
+    assertTrue(served > 850, "served after recovery: " + served + " of 1000 parts per second");
   }
 
   @Test
@@ -238,7 +240,7 @@
     simulation.runUntil(6000).resetCounts();
     simulation.runUntil(14_000);
     double total = (first.workServed() + second.workServed()) / 8;
-    assertTrue(total <= 1080, "more than the capacity was served, in parts a second: " + total);
+    assertTrue(total <= 1080, "more than the capacity was served, in parts per second: " + total);
     double firstGuarantee = Math.min(firstLoad, 300);
     double secondGuarantee = Math.min(secondLoad, 600);
     assertTrue(
--- a/src/test/java/bitternpulley/contracts/ContractChangeTest.java
+++ b/src/test/java/bitternpulley/contracts/ContractChangeTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Contracts change while queries are pending: first a quota, then the classes of a team, then the
- * teams.
+ * Tests changes of contracts while queries are pending. First a quota changes, then the classes of
+ * a team, then the set of teams.
  */
 class ContractChangeTest {
   private final SimulatedTeams simulation = new SimulatedTeams(9, 1000);
--- a/src/test/java/bitternpulley/contracts/SimulatedTeams.java
+++ b/src/test/java/bitternpulley/contracts/SimulatedTeams.java
@@ -20,7 +20,7 @@
   private static final double DEADLINE_MS = 1500;
   private static final double MAX_RETRY_AFTER_MS = 2000;
 
-  /** How many times a client sends one query at most. */
+  /** Maximum number of times that a client sends one query. */
   private static final int MAX_ATTEMPTS = 3;
 
   /** Time that a part takes on an idle server; the rest of its latency is queueing. */
--- a/src/test/java/bitternpulley/contracts/TokenBucketTest.java
+++ b/src/test/java/bitternpulley/contracts/TokenBucketTest.java
@@ -9,7 +9,7 @@
   private final TokenBucket bucket = new TokenBucket(100, DEPTH);
 
   @Test
-  void fillsByItsShareOfTheFlowUpToItsDepth() {
+  void fillsByItsShareOfTheCapacityFlowUpToItsDepth() {
     bucket.take(8);
     bucket.fill(112, 0.5, DEPTH);
     assertEquals(8, bucket.balance());
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void refundStopsAtDepthAndTakesExcess() {
+  void refundStopsAtDepthAndNegativeRefundLowersBalance() {
     bucket.take(3);
     bucket.refund(5, DEPTH);
     assertEquals(DEPTH, bucket.balance());
