--- a/src/main/java/bitternpulley/net/BacklogBarrier.java
+++ b/src/main/java/bitternpulley/net/BacklogBarrier.java
@@ -9,8 +9,8 @@
 /**
  * Determines when everything that arrived while the event loop did not run has been read. It sends
  * several markers in a row from the timer thread through the channel group. The thread that polls
- * the sockets runs a marker only after a poll that follows the marker, so everything that was ready
- * before an earlier marker has been handled by then.
+ * the sockets handles a marker only after a poll that follows the sending of the marker, so
+ * everything that was ready before an earlier marker has been handled by then.
  */
 final class BacklogBarrier {
   /**
--- a/src/main/java/bitternpulley/net/Connection.java
+++ b/src/main/java/bitternpulley/net/Connection.java
@@ -203,8 +203,8 @@
   }
 
   /**
-   * Reads and discards all further input, up to a limit. Without reading, the end of the peer's
-   * side would go unnoticed.
+   * Reads and discards all further input, up to a limit. Without reading, a close by the peer would
+   * go unnoticed.
    */
   void discardInput() {
     discarding = true;
@@ -284,7 +284,7 @@
     return closed;
   }
 
-  /** Returns whether the peer closed its side by an orderly close, not by a reset or a time-out. */
+  /** Returns whether the peer closed its side in an orderly way, not by a reset or a time-out. */
   boolean isEndedByPeer() {
     return endedByPeer;
   }
--- a/src/main/java/bitternpulley/net/DrainState.java
+++ b/src/main/java/bitternpulley/net/DrainState.java
@@ -2,16 +2,17 @@
 
 /**
  * Whether a server is draining, quiesced or no longer listening, and what that means for idle
- * connections and incomplete requests. A draining server closes each connection after its response.
- * A quiesced server does the same, but keeps accepting connections, and quiescing can be undone.
+ * connections and incomplete requests. A draining or quiesced server still accepts connections, but
+ * closes each one after its next response. A quiesced server also closes idle connections, and can
+ * leave that state again.
  */
 final class DrainState {
   /** Time that an idle connection of a quiesced server has for a request that is on its way. */
   private static final double QUIESCED_IDLE_MS = 1000;
 
   /**
-   * Time after quiescing by which requests that began earlier must be complete: 4 s after
-   * quiescing, no request older than 2 s may be open.
+   * Time after quiescing by which requests that began before then must have been received
+   * completely: 4 s after quiescing, no request older than 2 s may be open.
    */
   private static final double QUIESCED_REQUEST_MS = 1800;
 
@@ -19,8 +20,8 @@
   private static final double FIRST_REQUEST_GRACE_MS = 150;
 
   /**
-   * Time after the server stopped listening by which a request must be complete; the platform kills
-   * the process soon afterwards.
+   * Time after the server stopped listening by which a request must have been received completely;
+   * the platform kills the process soon afterwards.
    */
   private static final double LAST_REQUEST_MS = 200;
 
@@ -40,7 +41,7 @@
   }
 
   /** Enters or leaves the quiesced state. */
-  void quiesce(boolean enabled) {
+  void setQuiesced(boolean enabled) {
     quiesced = enabled;
     quiescedAt = loop.now();
   }
@@ -50,7 +51,7 @@
     stoppedAt = loop.now();
   }
 
-  /** Returns when the server stopped listening, in ms of the loop's clock. */
+  /** Returns when the server stopped listening, in ms of the loop's clock; infinite before. */
   double stoppedAt() {
     return stoppedAt;
   }
--- a/src/main/java/bitternpulley/net/EventLoop.java
+++ b/src/main/java/bitternpulley/net/EventLoop.java
@@ -13,11 +13,11 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Runs all completions and timers one at a time, each in its own turn. Completions run on the
- * thread that polls the sockets, which avoids handing them to another thread. Timers run on a
- * separate thread, and one lock serializes both threads. The queues are bounded by their sources:
- * each channel has at most one read and one write in progress, and each request a bounded number of
- * timers.
+ * Runs the completions of socket operations and the timers of the process one at a time; one such
+ * run is called a turn. Completions run on the thread that polls the sockets, which avoids handing
+ * them to another thread. Timers run on a separate thread, and one lock serializes the turns of all
+ * threads. The queues are bounded by their sources: each channel has at most one read and one write
+ * in progress, and each request a bounded number of timers.
  */
 public final class EventLoop {
   private static final System.Logger LOG = System.getLogger(EventLoop.class.getName());
@@ -49,7 +49,7 @@
   private final ScheduledThreadPoolExecutor timers =
       new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "alarms"));
   private final AsynchronousChannelGroup group;
-  private final BacklogBarrier backlog;
+  private final BacklogBarrier backlogBarrier;
   private DoubleConsumer pauseListener = pausedMs -> {};
 
   /** Creates a loop that takes the time from the JVM's monotonic clock. */
@@ -66,7 +66,7 @@
     } catch (IOException exception) {
       throw new UncheckedIOException(exception);
     }
-    backlog = new BacklogBarrier(this, group, lag::backlogRead);
+    backlogBarrier = new BacklogBarrier(this, group, lag::backlogRead);
   }
 
   AsynchronousChannelGroup group() {
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Sets the listener that is told the length in ms of each time span in which the loop did not
-   * run, before anything else is handled.
+   * Sets the listener that receives the length in ms of each time span in which the loop did not
+   * run, before the first turn after that time span handles anything else.
    */
   public void onPause(DoubleConsumer listener) {
     pauseListener = listener;
@@ -99,7 +99,7 @@
 
   /** Records that a connection was accepted; more may be waiting. */
   void connectionAccepted() {
-    backlog.connectionAccepted();
+    backlogBarrier.connectionAccepted();
   }
 
   /** Returns the worst lag of a turn in the last seconds, in ms. */
@@ -107,7 +107,7 @@
     return lag.worstLagMs(now());
   }
 
-  /** Runs a task in its own turn: at once, or at the end of the current turn if there is one. */
+  /** Runs a task at once in a turn of its own or, if called in a turn, at the end of that turn. */
   public void execute(Runnable task) {
     if (isInTurn()) {
       deferredTasks.add(task);
@@ -172,7 +172,7 @@
   private void beginTurn() {
     double turnLag = lag.turnStarted(now());
     if (turnLag > 0) {
-      backlog.restart();
+      backlogBarrier.restart();
     }
     if (turnLag >= MIN_PAUSE_MS) {
       LOG.log(Level.DEBUG, () -> "The event loop did not run for " + Math.round(turnLag) + " ms");
--- a/src/main/java/bitternpulley/net/EventLoopLag.java
+++ b/src/main/java/bitternpulley/net/EventLoopLag.java
@@ -26,14 +26,22 @@
    */
   private static final double IDLE_GAP_MS = 5;
 
+  /** Earliest possible time of the last poll of the sockets. */
   private double lastPollAt;
+
   private double socketTurnEndedAt;
   private boolean inSocketTurn;
   private double nextTickDue = Double.POSITIVE_INFINITY;
   private double lastTurnAt;
+
+  /** Start of the last gap, which is the time between a late turn and the turn before it. */
   private double gapStart;
+
   private double gapMs;
+
+  /** Time by which all bytes that arrived in the last gap have been read. */
   private double gapReadUntil = Double.NEGATIVE_INFINITY;
+
   private double worstInWindow;
   private double worstInPreviousWindow;
   private double windowStart;
@@ -87,8 +95,9 @@
   }
 
   /**
-   * Returns the time in ms that bytes read now may have waited to be read; at most twice the gap in
-   * which they arrived.
+   * Returns the time in ms that bytes read now may have waited to be read: the time since the last
+   * poll if this turn runs late, or since the start of the last gap while the bytes that arrived in
+   * it are read, at most twice the gap.
    */
   double unreadMs(double now) {
     double sincePoll =
@@ -98,7 +107,7 @@
     return Math.max(sincePoll, now <= gapReadUntil ? Math.min(now - gapStart, 2 * gapMs) : 0);
   }
 
-  /** Returns the worst lag in ms of the last seconds; 0 when no turn was late. */
+  /** Returns the worst lag in ms of the last 6 to 12 s; 0 when no turn was late. */
   double worstLagMs(double now) {
     rotateWindow(now);
     return Math.max(worstInWindow, worstInPreviousWindow);
--- a/src/main/java/bitternpulley/net/FrameCodec.java
+++ b/src/main/java/bitternpulley/net/FrameCodec.java
@@ -38,7 +38,7 @@
         .flip();
   }
 
-  /** Returns true between frames. */
+  /** Returns true when no frame is incomplete. */
   public boolean idle() {
     return body == null && lengthBytes.position() == 0;
   }
--- a/src/main/java/bitternpulley/net/HostPort.java
+++ b/src/main/java/bitternpulley/net/HostPort.java
@@ -32,7 +32,7 @@
     }
     int port = Integer.parseInt(text.substring(colon + 1));
     if (port > MAX_PORT) {
-      throw new HostPortException("'" + text + "' has no such port");
+      throw new HostPortException("the port of '" + text + "' exceeds " + MAX_PORT);
     }
     return new HostPort(text.substring(0, colon), port);
   }
--- a/src/main/java/bitternpulley/net/HttpParser.java
+++ b/src/main/java/bitternpulley/net/HttpParser.java
@@ -73,7 +73,7 @@
     this.sink = sink;
   }
 
-  /** Returns true between messages. */
+  /** Returns true when no message is incomplete. */
   public boolean isBetweenMessages() {
     return state == State.START_LINE && currentLine.length() == 0;
   }
--- a/src/main/java/bitternpulley/net/HttpServer.java
+++ b/src/main/java/bitternpulley/net/HttpServer.java
@@ -5,8 +5,8 @@
 
 /**
  * Listens for HTTP/1.1 connections and passes complete requests to a handler, one at a time from
- * each connection. It accepts connections, checks time-outs and stops; the limits on connections
- * are in {@link HttpSessionRegistry} and the rules for draining in {@link DrainState}.
+ * each connection. {@link HttpSession} is one connection, {@link HttpSessionRegistry} enforces the
+ * limits on all of them together, and {@link DrainState} has the rules for draining.
  */
 public final class HttpServer {
   private static final int BACKLOG = 512;
@@ -176,7 +176,7 @@
    * @param enabled whether the server is quiesced
    */
   public void quiesce(boolean enabled) {
-    drainState.quiesce(enabled);
+    drainState.setQuiesced(enabled);
   }
 
   /** Accepts no more connections. */
--- a/src/main/java/bitternpulley/net/HttpSession.java
+++ b/src/main/java/bitternpulley/net/HttpSession.java
@@ -8,7 +8,7 @@
  * each of these states, so that a disconnect of the client is noticed at once.
  */
 final class HttpSession implements Connection.Owner {
-  /** The order in which sessions are evicted when a server has no capacity left. */
+  /** The order in which sessions are evicted when a server is near its maximum of connections. */
   enum EvictionOrder {
     /** The client has sent nothing yet, or the server only waits for it to close its side. */
     SILENT,
@@ -77,7 +77,7 @@
     return loop.now() - stateChangedAt;
   }
 
-  /** Returns whether the client has kept the connection idle for {@code ms} after a response. */
+  /** Returns whether the connection has been idle for more than {@code ms} after a response. */
   boolean isUnusedFor(double ms) {
     return requestCount > 0 && isIdle() && msInState() > ms;
   }
--- a/src/main/java/bitternpulley/net/InheritedListener.java
+++ b/src/main/java/bitternpulley/net/InheritedListener.java
@@ -47,7 +47,7 @@
     if (inherited instanceof ServerSocketChannel listening) {
       return new InheritedListener(loop, listening);
     }
-    throw new IOException("descriptor 0 is no listening socket");
+    throw new IOException("descriptor 0 is not a listening socket");
   }
 
   private void selectForever() {
--- a/src/main/java/bitternpulley/net/LineServer.java
+++ b/src/main/java/bitternpulley/net/LineServer.java
@@ -9,7 +9,10 @@
 public final class LineServer {
   private static final int BACKLOG = 64;
 
-  /** Maximum number of connections; a further one evicts the one that has been silent longest. */
+  /**
+   * Maximum number of connections. A further one evicts the oldest connection whose line has not
+   * arrived or, if there is none, the oldest connection.
+   */
   private static final int MAX_SESSIONS = 16;
 
   /** Handles lines; all calls are made in turns of the event loop. */
