--- a/src/main/java/bitternpulley/platform/ConnectionPrewarmer.java
+++ b/src/main/java/bitternpulley/platform/ConnectionPrewarmer.java
@@ -13,8 +13,8 @@
 
 /**
  * Pre-warms connections: opens one to each listed server at a steady rate, so that the first query
- * need not connect to every server of a large fleet at once. Each server of the list that still has
- * to be connected is kept once.
+ * need not connect to every server of a large fleet at once. A server that several endpoint lists
+ * contain before its connection is opened is queued only once.
  */
 public final class ConnectionPrewarmer {
   /**
@@ -25,7 +25,7 @@
 
   /**
    * Time within which connections to all servers are opened, in ms; with many servers, a batch
-   * opens several. Well below the time after which the first of them would be closed as idle.
+   * opens several. Well below the time after which the first connection would be closed as idle.
    */
   private static final double MAX_DURATION_MS = 4000;
 
--- a/src/main/java/bitternpulley/platform/DiscoveryWatch.java
+++ b/src/main/java/bitternpulley/platform/DiscoveryWatch.java
@@ -39,8 +39,8 @@
   private static final double FIRST_LINE_TIMEOUT_MS = 2200;
 
   /**
-   * Maximum time between lists or blank lines, in ms. What discovery sends counts as received 6 s
-   * later, which leaves time for three attempts.
+   * Maximum time between lists or blank lines, in ms. A list counts as received 6 s after discovery
+   * sent it, which leaves time for three attempts to open another watch.
    */
   private static final double LINE_TIMEOUT_MS = 3000;
 
--- a/src/main/java/bitternpulley/platform/FrameType.java
+++ b/src/main/java/bitternpulley/platform/FrameType.java
@@ -1,6 +1,6 @@
 package bitternpulley.platform;
 
-/** The types of frames in the protocol with slot servers, each with its letter on the wire. */
+/** The types of frames in the protocol with slot servers, each with its code on the wire. */
 enum FrameType {
   /** One or more parts to answer, as one call. */
   CALL('1'),
@@ -27,7 +27,7 @@
     return letter;
   }
 
-  /** Returns the type with this letter, or null if there is none. */
+  /** Returns the type with this code, or null if there is none. */
   static FrameType ofLetter(char letter) {
     for (FrameType type : VALUES) {
       if (type.letter == letter) {
--- a/src/main/java/bitternpulley/platform/QueryCodec.java
+++ b/src/main/java/bitternpulley/platform/QueryCodec.java
@@ -28,8 +28,8 @@
   private static final JsonFactory JSON = new JsonFactory();
 
   /**
-   * Format of request ids and idempotency keys. They become part of the lines of frames, which
-   * allow no other characters.
+   * Format of request ids and idempotency keys. They become part of the header lines in frames,
+   * which allow no other characters.
    */
   private static final Pattern IDENTIFIER = Pattern.compile("[0-9A-Za-z_-]{1,64}");
 
--- a/src/main/java/bitternpulley/platform/QueryFront.java
+++ b/src/main/java/bitternpulley/platform/QueryFront.java
@@ -20,8 +20,8 @@
 import java.util.function.Supplier;
 
 /**
- * The client side of the platform's protocol: receives queries, delivers final answers, and
- * responds to health and readiness checks.
+ * The HTTP front end for queries in the platform's protocol: receives queries, delivers final
+ * answers, and responds to health and readiness checks.
  */
 public final class QueryFront implements HttpServer.Handler {
   private static final String INTERNAL_PATH_PREFIX = "/-/";
@@ -40,7 +40,7 @@
   private final Set<String> pendingRequestIds = new HashSet<>();
 
   /**
-   * Creates a front.
+   * Creates a front end.
    *
    * @param settings the routing settings, which name the query classes
    * @param broker receives the requests
--- a/src/main/java/bitternpulley/platform/SlotCall.java
+++ b/src/main/java/bitternpulley/platform/SlotCall.java
@@ -48,7 +48,7 @@
     return parts.values().stream().map(Part::attempt).toList();
   }
 
-  /** Returns the attempts that may no longer be sent at this time, in ms. */
+  /** Returns the attempts that may no longer be sent at the time {@code now}, in ms. */
   List<AttemptId> expiredAt(double now) {
     return parts.entrySet().stream()
         .filter(p -> now > p.getValue().attempt().sendBy())
--- a/src/main/java/bitternpulley/platform/SlotConnection.java
+++ b/src/main/java/bitternpulley/platform/SlotConnection.java
@@ -238,8 +238,8 @@
   }
 
   /**
-   * Reports in a later turn of the event loop, since the owner may respond to the end of one
-   * attempt by cancelling another, whose call may not have been written yet.
+   * Reports at the end of the current turn of the event loop, since the owner may respond to the
+   * end of one attempt by cancelling another, whose call may not have been written yet.
    */
   private void reportNotSent(List<AttemptId> attempts) {
     if (attempts.isEmpty()) {
--- a/src/main/java/bitternpulley/platform/SlotConnectionPool.java
+++ b/src/main/java/bitternpulley/platform/SlotConnectionPool.java
@@ -22,7 +22,7 @@
   /** Maximum number of connections to one server. */
   private static final int MAX_PER_SERVER = 8;
 
-  /** How long to open no further connection to a server that refused one, in ms. */
+  /** Time for which no further connection is opened to a server that refused one, in ms. */
   private static final double REFUSAL_PAUSE_MS = 1000;
 
   /** Interval between checks for idle connections, in ms; one check covers all connections. */
@@ -103,7 +103,7 @@
     closeIdle(server);
   }
 
-  /** Removes all other servers. */
+  /** Removes all servers but these. */
   void retainOnly(Set<String> servers) {
     for (String server : List.copyOf(addresses.keySet())) {
       if (!servers.contains(server)) {
@@ -129,7 +129,7 @@
 
   /**
    * Returns the connection for a call of parts with these ids: the one with the fewest parts in
-   * flight, or a new one if all are busy. Returns null if there is none.
+   * flight, or a new one if all are busy. Returns null if none has capacity and none can be opened.
    */
   SlotConnection connectionFor(String server, HostPort address, List<String> partIds) {
     closeIdleTooLong(server);
--- a/src/main/java/bitternpulley/platform/SlotFrames.java
+++ b/src/main/java/bitternpulley/platform/SlotFrames.java
@@ -11,9 +11,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Encodes and decodes the contents of the frames exchanged with slot servers. Frame letters, result
- * codes and the text format of lines are known only here and in the enums {@link FrameType} and
- * {@link ResultStatus}.
+ * Encodes and decodes the contents of the frames exchanged with slot servers. The type codes of
+ * frames, the status codes of results and the text format of lines are known only here and in the
+ * enums {@link FrameType} and {@link ResultStatus}.
  */
 final class SlotFrames {
   /** The format of a complete value in the protocol. */
@@ -75,9 +75,9 @@
 
   /** Encodes a frame that calls one or more parts. */
   static ByteBuffer encodeCall(List<byte[]> sections) {
-    ByteBuffer rest = ByteBuffer.allocate(sections.stream().mapToInt(s -> s.length).sum());
-    sections.forEach(rest::put);
-    return FrameCodec.encode(FrameType.CALL.letter(), rest.array());
+    ByteBuffer payload = ByteBuffer.allocate(sections.stream().mapToInt(s -> s.length).sum());
+    sections.forEach(payload::put);
+    return FrameCodec.encode(FrameType.CALL.letter(), payload.array());
   }
 
   /** Encodes a frame that cancels a part. */
@@ -87,12 +87,13 @@
 
   /** Encodes a frame with the result of a part, as a slot server without load reports sends it. */
   static ByteBuffer encodeResult(String partId, ResultStatus status, String value) {
-    String rest = partId + " " + status.code() + " 0 -\n" + value;
-    return FrameCodec.encode(FrameType.RESULT.letter(), rest.getBytes(StandardCharsets.US_ASCII));
+    String payload = partId + " " + status.code() + " 0 -\n" + value;
+    return FrameCodec.encode(
+        FrameType.RESULT.letter(), payload.getBytes(StandardCharsets.US_ASCII));
   }
 
   /**
-   * Decodes the content of a result frame from this server, without the frame letter. The score and
+   * Decodes the content of a result frame from this server, without the type code. The score and
    * the load report are not used and therefore not checked.
    *
    * @throws ProtocolException if the result cannot be used
--- a/src/main/java/bitternpulley/platform/SlotServers.java
+++ b/src/main/java/bitternpulley/platform/SlotServers.java
@@ -16,8 +16,8 @@
 import java.util.function.Consumer;
 
 /**
- * The server side of the platform's protocol: sends attempts in frames over a few connections to
- * each slot server, and reports the ends of the attempts.
+ * Communicates with the slot servers in the platform's frame protocol: sends attempts over a few
+ * connections to each server, and reports the ends of the attempts.
  */
 public final class SlotServers implements Dialect {
   /**
@@ -40,7 +40,7 @@
   private Consumer<Effect.Reply> replyHandler;
 
   /**
-   * Creates a dialect without servers.
+   * Creates an instance that knows no servers yet.
    *
    * @param loop the event loop to run on
    * @param events receives the ends of attempts
@@ -68,7 +68,7 @@
             : CALLS_PER_CONNECTION);
   }
 
-  /** Creates a dialect whose connections carry this many calls before another is opened. */
+  /** Creates an instance whose connections carry this many calls before another is opened. */
   SlotServers(
       EventLoop loop,
       Consumer<Event> events,
@@ -85,7 +85,7 @@
             new SlotConnection.Timing(clock, connectTimeout, connections.idleTimeout()),
             new SlotConnectionPool.Limits(
                 connections.callsPerConnection(), maxConnections, callsPerConnection),
-            new ConnectionReports());
+            new ConnectionEventHandler());
   }
 
   /** Sets the receiver of final answers. */
@@ -186,7 +186,7 @@
   }
 
   /** Handles the events of the connections. */
-  private final class ConnectionReports implements SlotConnectionOwner {
+  private final class ConnectionEventHandler implements SlotConnectionOwner {
     @Override
     public void onEvent(Event event) {
       events.accept(event);
--- a/src/main/java/bitternpulley/platform/SyntheticQueries.java
+++ b/src/main/java/bitternpulley/platform/SyntheticQueries.java
@@ -4,7 +4,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Generates well-formed queries, like those of the platform's clients. */
+/** Generates the text of well-formed HTTP requests, like those of the platform's clients. */
 final class SyntheticQueries {
   /** One in this many queries has the largest number of parts that a client can send. */
   private static final int LARGEST_QUERY_INTERVAL = 10;
--- a/src/main/java/bitternpulley/platform/WarmupQueries.java
+++ b/src/main/java/bitternpulley/platform/WarmupQueries.java
@@ -23,10 +23,10 @@
 import java.util.stream.IntStream;
 
 /**
- * Warms up the JVM before the program is ready: runs synthetic queries through decoding, core,
+ * Warms up the JVM before the program is ready: runs synthetic queries through decoding, broker,
  * routing policy and encoding, so that the first real queries do not wait for class loading and
- * compilation. The warm-up uses its own core, clock and servers, which are discarded: nothing is
- * sent over a socket, and nothing learned is kept.
+ * compilation. The warm-up uses its own broker, clock and servers, which are discarded: nothing is
+ * sent over a socket, and no statistics are kept.
  */
 public final class WarmupQueries implements Dialect {
   private static final System.Logger LOG = System.getLogger(WarmupQueries.class.getName());
@@ -35,12 +35,12 @@
   private static final int STARTUP_QUERIES = 150;
 
   /**
-   * The same in a very large fleet, in which each aggregator has little of the traffic and should
-   * be ready soon.
+   * Number of queries run before the program is ready in a very large fleet, in which each
+   * aggregator has little of the traffic and should be ready soon.
    */
   private static final int STARTUP_QUERIES_IN_LARGE_FLEET = 20;
 
-  /** Time after the start when no more queries are started, in ms. */
+  /** Time after the start of the warm-up at which it stops starting queries, in ms. */
   private static final double MAX_STARTUP_MS = 600;
 
   /** Total number of queries run if the warm-up continues in the background. */
@@ -62,6 +62,7 @@
 
   /** Every n-th attempt is rejected. */
   private static final int REJECT_EVERY = 19;
+
   /** Every n-th attempt gets no answer. */
   private static final int NO_ANSWER_EVERY = 17;
 
@@ -73,7 +74,7 @@
   private final int maxBodyBytes;
   private final EventLoop loop;
   private final Broker broker;
-  private final QueryFront front;
+  private final QueryFront frontend;
   private final PriorityQueue<ScheduledTask> scheduledTasks =
       new PriorityQueue<>(Comparator.comparingDouble(ScheduledTask::time));
   private final List<Effect.StartAttempt> unansweredAttempts = new ArrayList<>();
@@ -104,7 +105,8 @@
             new Reducer(settings, 1, time),
             () -> time,
             (ms, task) -> scheduledTasks.add(new ScheduledTask(time + ms, task)));
-    front = new QueryFront(settings, broker, this, () -> false, () -> TenantIdentification.NONE);
+    frontend =
+        new QueryFront(settings, broker, this, () -> false, () -> TenantIdentification.NONE);
     broker.addDialect(this);
     broker.submit(
         new Event.ServersChanged(
@@ -174,7 +176,7 @@
     }
   }
 
-  /** Runs one query, and ends the attempts that it started. */
+  /** Runs one query and answers the attempts that it started. */
   void runOne() {
     int number = queriesRun++;
     String text = inBackground ? queries.smallQuery(number) : queries.query(number);
@@ -189,7 +191,10 @@
     started.forEach(this::answer);
   }
 
-  /** Answers an attempt like a slot server, with encoding and decoding of the frames. */
+  /**
+   * Answers an attempt like a slot server, with encoding and decoding of the frames. Every {@link
+   * #NO_ANSWER_EVERY}-th attempt gets no answer.
+   */
   private void answer(Effect.StartAttempt attempt) {
     attemptCount++;
     String partId = SlotFrames.partId(attempt);
@@ -226,7 +231,7 @@
 
   @Override
   public void reply(Effect.Reply reply) {
-    front.reply(reply);
+    frontend.reply(reply);
   }
 
   @Override
@@ -244,7 +249,7 @@
     // There are no connections.
   }
 
-  /** Passes one parsed query to the front, as an HTTP listener would, and counts the answer. */
+  /** Passes one parsed query to the front end, as an HTTP server would, and counts the answer. */
   private final class SyntheticClient implements HttpParser.Sink, HttpServer.Exchange {
     private HttpHead requestHead;
     private byte[] requestBody = new byte[0];
@@ -262,7 +267,7 @@
 
     @Override
     public void end() {
-      front.handle(new HttpServer.Request(requestHead, requestBody), this);
+      frontend.handle(new HttpServer.Request(requestHead, requestBody), this);
     }
 
     @Override
@@ -271,7 +276,7 @@
     }
 
     @Override
-    public void onDisconnect(Runnable gone) {
+    public void onDisconnect(Runnable callback) {
       // The synthetic clients never disconnect.
     }
   }
