--- a/src/main/java/bitternpulley/gossip/DatagramReader.java
+++ b/src/main/java/bitternpulley/gossip/DatagramReader.java
@@ -52,7 +52,7 @@
   }
 
   /**
-   * Reads to the end of the datagram and skips elements added by later versions.
+   * Reads to the end of the datagram, skipping elements that later versions have added.
    *
    * @param length length of the datagram in bytes
    * @param checksumBytes length of a checksum in bytes
--- a/src/main/java/bitternpulley/gossip/GossipService.java
+++ b/src/main/java/bitternpulley/gossip/GossipService.java
@@ -20,8 +20,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Runs membership and leases: owns the datagram socket and the periodic tick, and passes messages
- * between the socket and the broker, which runs the state machines.
+ * Connects membership and leases to the network: owns the datagram socket and the periodic tick,
+ * and passes messages between the socket and the broker, which runs the state machines of both.
  */
 public final class GossipService implements GossipTransport {
   private static final System.Logger LOG = System.getLogger(GossipService.class.getName());
@@ -32,7 +32,7 @@
    */
   private static final double BIND_RETRY_MS = 250;
 
-  /** Bounds the memory for logged keys, because anyone can send from many addresses. */
+  /** Bounds the memory for logged keys, because datagrams can come from any number of addresses. */
   private static final int MAX_LOGGED_KEYS = 64;
 
   private static final String BIND_FAILURE_KEY = "bind";
@@ -45,7 +45,7 @@
   private final List<InetSocketAddress> addresses;
   private final Set<String> loggedKeys = new HashSet<>();
   private final String build;
-  private DatagramLink link;
+  private DatagramLink socket;
   private boolean hasLeft;
   private long ignoredDatagrams;
   private long corruptedDatagrams;
@@ -94,7 +94,7 @@
       return;
     }
     try {
-      link =
+      socket =
           new DatagramLink(
               loop,
               configuration.peers().orElseThrow().listen(),
@@ -170,8 +170,8 @@
   }
 
   private void send(int to, byte[] datagram) {
-    if (link != null && to < addresses.size()) {
-      link.send(datagram, addresses.get(to));
+    if (socket != null && to < addresses.size()) {
+      socket.send(datagram, addresses.get(to));
     }
   }
 
@@ -209,7 +209,7 @@
     }
   }
 
-  /** Returns true only once per key, so that a persistent peer cannot fill the log. */
+  /** Returns true only once for each key, so that a persistent sender cannot fill the log. */
   private boolean shouldLog(String key) {
     return loggedKeys.size() < MAX_LOGGED_KEYS && loggedKeys.add(key);
   }
