--- a/src/main/java/bitternpulley/aggregator/ActiveBrokerConfiguration.java
+++ b/src/main/java/bitternpulley/aggregator/ActiveBrokerConfiguration.java
@@ -6,7 +6,7 @@
 import bitternpulley.contracts.TenantIdentification;
 import java.lang.System.Logger.Level;
 
-/** The active operators' script and the version of its contracts. Used on the loop thread. */
+/** The active operators' script and the version of its contracts. Used only on the event loop. */
 final class ActiveBrokerConfiguration {
   private static final System.Logger LOG =
       System.getLogger(ActiveBrokerConfiguration.class.getName());
--- a/src/main/java/bitternpulley/aggregator/Aggregator.java
+++ b/src/main/java/bitternpulley/aggregator/Aggregator.java
@@ -14,7 +14,8 @@
 
 /**
  * One aggregator process: creates its subsystems and starts them in order. {@link GracefulShutdown}
- * stops them in the order HTTP servers, membership, passed socket, listeners.
+ * drains the HTTP servers, leaves the membership, gives up the inherited socket and stops
+ * listening, in this order.
  */
 public final class Aggregator {
   private static final System.Logger LOG = System.getLogger(Aggregator.class.getName());
@@ -108,7 +109,10 @@
     }
   }
 
-  /** Operator overrides, leases and endpoints take effect before the first request is accepted. */
+  /**
+   * Starts the subsystems. Operator overrides, leases and stored endpoints take effect before the
+   * first request is accepted.
+   */
   private void start(Runnable onReady) {
     Configuration configuration = context.configuration();
     context.loop().onPause(pauseMs -> context.broker().submit(new Event.ProcessPaused(pauseMs)));
--- a/src/main/java/bitternpulley/aggregator/ClientHttpServers.java
+++ b/src/main/java/bitternpulley/aggregator/ClientHttpServers.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** The HTTP servers for clients: one for queries and, if configured, one for OpenSearch. */
+/** The HTTP servers for clients: one for queries and, if configured, one for the search API. */
 final class ClientHttpServers {
   private final EventLoop loop;
   private final HttpServer queryServer;
@@ -37,7 +37,7 @@
   }
 
   /** Listens on the inherited socket together with the process that is being replaced. */
-  void listenOnPassedSocket() {
+  void listenOnInheritedSocket() {
     search.ifPresent(
         service ->
             RequiredListener.open(
@@ -67,7 +67,7 @@
   }
 
   /** Leaves new connections on the inherited socket to the process that replaces this one. */
-  void stopAcceptingOnPassedSocket() {
+  void stopAcceptingOnInheritedSocket() {
     queryServer.stopAccepting();
   }
 
--- a/src/main/java/bitternpulley/aggregator/DescriptorBudget.java
+++ b/src/main/java/bitternpulley/aggregator/DescriptorBudget.java
@@ -13,7 +13,7 @@
   /** Descriptors reserved for the JVM's own files, discovery and the listeners. */
   private static final int RESERVED = 40;
 
-  /** Connections to slot servers get one third of the descriptors. */
+  /** Without hot restart, connections to slot servers get one third of the descriptors. */
   private static final int SERVER_DIVISOR = 3;
 
   /** Divides the descriptors that are not reserved evenly among the HTTP servers. */
@@ -29,7 +29,10 @@
     return new DescriptorBudget(servers, available - servers);
   }
 
-  /** Halves the budget, because two processes share the descriptors during a hot restart. */
+  /**
+   * Leaves some descriptors unused, because two processes share them during a hot restart. After a
+   * second reserve, half of the descriptors are for clients and a quarter for slot servers.
+   */
   private static DescriptorBudget forHotRestart(int available) {
     int clients = (available - RESERVED) / 2;
     return new DescriptorBudget(clients / 2, clients);
--- a/src/main/java/bitternpulley/aggregator/GracefulShutdown.java
+++ b/src/main/java/bitternpulley/aggregator/GracefulShutdown.java
@@ -21,12 +21,13 @@
   private static final double IDLE_CHECK_INTERVAL_MS = 20;
 
   /**
-   * The platform may kill the process this many milliseconds after the longest deadline, which it
-   * counts as at most {@link #MAX_COUNTED_DEADLINE_MS}. The process itself exits slightly earlier,
-   * unless a response is still due.
+   * Milliseconds after the longest deadline at which the process exits even if clients have not
+   * closed their connections, but not while a response is pending. Slightly before the platform may
+   * kill the process.
    */
-  private static final double KILL_AFTER_DEADLINE_MS = 650;
+  private static final double EXIT_AFTER_DEADLINE_MS = 650;
 
+  /** The platform counts the longest deadline as at most this many milliseconds. */
   private static final double MAX_COUNTED_DEADLINE_MS = 3000;
 
   private final ServiceContext context;
@@ -76,14 +77,14 @@
     httpServers.drain();
     membership.leave();
     if (context.configuration().operations().passedSocket()) {
-      httpServers.stopAcceptingOnPassedSocket();
+      httpServers.stopAcceptingOnInheritedSocket();
       hotRestart.onDraining();
     }
     // If the start still waits for discovery, its backlog is served with the stored list.
     httpServers.acceptConnections();
     double countedDeadlineMs =
         Math.min(MAX_COUNTED_DEADLINE_MS, longestDeadlineMs(context.configuration()));
-    double exitTime = context.clock().now() + countedDeadlineMs + KILL_AFTER_DEADLINE_MS;
+    double exitTime = context.clock().now() + countedDeadlineMs + EXIT_AFTER_DEADLINE_MS;
     context
         .timer()
         .after(
@@ -94,7 +95,10 @@
             });
   }
 
-  /** From the exit time on, waits only for responses and no longer for clients to close. */
+  /**
+   * Waits until all responses are written and, until the exit time, also until all clients have
+   * closed their connections.
+   */
   private void awaitIdle(double exitTime) {
     boolean answered = context.broker().pendingRequests() == 0 && httpServers.allAnswered();
     if (answered && (context.clock().now() >= exitTime || httpServers.allIdle())) {
--- a/src/main/java/bitternpulley/aggregator/HotRestart.java
+++ b/src/main/java/bitternpulley/aggregator/HotRestart.java
@@ -11,7 +11,9 @@
   private final ServiceContext context;
   private final ServiceState state;
 
-  /** Milliseconds after this process listens in which a replaced process may still send. */
+  /**
+   * Milliseconds for which a replaced process may still send after this process started to listen.
+   */
   private final double maxPredecessorLifetimeMs;
 
   HotRestart(ServiceContext context, ServiceState state) {
--- a/src/main/java/bitternpulley/aggregator/QueryService.java
+++ b/src/main/java/bitternpulley/aggregator/QueryService.java
@@ -5,7 +5,7 @@
 import bitternpulley.platform.SlotServers;
 
 /**
- * The HTTP server for queries and the frame protocol to the slot servers.
+ * The HTTP server for queries, and the connections over which their parts go to the slot servers.
  *
  * @param slotServers connections to the slot servers
  * @param httpServer the HTTP server for clients
@@ -22,14 +22,14 @@
             context.connectTimeout(),
             context.descriptors().serverConnections());
     context.broker().addDialect(slotServers);
-    QueryFront queryFront =
+    QueryFront queryFrontend =
         new QueryFront(
             context.configuration().settings(),
             context.broker(),
             slotServers,
             state::isReadyForClients,
             context.brokerConfiguration()::tenantIdentification);
-    slotServers.deliverAnswersTo(queryFront::reply);
-    return new QueryService(slotServers, context.newHttpServer(queryFront));
+    slotServers.deliverAnswersTo(queryFrontend::reply);
+    return new QueryService(slotServers, context.newHttpServer(queryFrontend));
   }
 }
--- a/src/main/java/bitternpulley/aggregator/SearchService.java
+++ b/src/main/java/bitternpulley/aggregator/SearchService.java
@@ -8,9 +8,9 @@
 import bitternpulley.opensearch.SearchServers;
 
 /**
- * The HTTP server for OpenSearch requests and its protocol to the slot servers.
+ * The HTTP server for searches, and the connections over which their parts go to the slot servers.
  *
- * @param searchServers connections to the slot servers' OpenSearch ports
+ * @param searchServers connections to the search API of the slot servers
  * @param httpServer the HTTP server for clients
  * @param address address at which the HTTP server listens
  */
@@ -27,7 +27,7 @@
     SearchServers searchServers =
         new SearchServers(context.loop(), context.broker(), client, configuration.serverPort());
     context.broker().addDialect(searchServers);
-    SearchFront searchFront =
+    SearchFront searchFrontend =
         new SearchFront(
             context.configuration().settings(),
             configuration,
@@ -37,6 +37,6 @@
             context.configuration().name(),
             context.brokerConfiguration()::tenantIdentification);
     return new SearchService(
-        searchServers, context.newHttpServer(searchFront), configuration.listen());
+        searchServers, context.newHttpServer(searchFrontend), configuration.listen());
   }
 }
--- a/src/main/java/bitternpulley/aggregator/ServiceContext.java
+++ b/src/main/java/bitternpulley/aggregator/ServiceContext.java
@@ -12,7 +12,7 @@
  *
  * @param loop the event loop, which performs all input and output
  * @param timer runs tasks on the loop after a delay
- * @param broker makes the decisions about all requests
+ * @param broker decides which attempts and answers each request gets
  * @param clock the clock of the process, in milliseconds
  * @param configuration the configuration of this aggregator from the platform
  * @param brokerConfiguration the active operators' script
--- a/src/main/java/bitternpulley/aggregator/ServiceState.java
+++ b/src/main/java/bitternpulley/aggregator/ServiceState.java
@@ -2,7 +2,7 @@
 
 /**
  * Tracks whether this process serves clients: its phase and the additional conditions for
- * readiness. Used on the loop thread only.
+ * readiness. Used only on the event loop.
  */
 final class ServiceState {
   private enum Phase {
--- a/src/main/java/bitternpulley/aggregator/StartSequence.java
+++ b/src/main/java/bitternpulley/aggregator/StartSequence.java
@@ -69,7 +69,7 @@
     listenTiming = ListenTiming.of(context.configuration());
   }
 
-  /** Starts; {@code onReady} runs once the process is ready, or never if it drains before. */
+  /** Starts; {@code onReady} runs once the process is ready, or never if it drains earlier. */
   void start(Runnable onReady) {
     double deadline = context.clock().now() + DISCOVERY_TIMEOUT_MS;
     if (listenTiming == ListenTiming.AT_ONCE) {
@@ -125,7 +125,7 @@
       }
       case WHEN_READY -> httpServers.listen();
       case ON_HOT_RESTART -> {
-        httpServers.listenOnPassedSocket();
+        httpServers.listenOnInheritedSocket();
         hotRestart.onListening();
       }
     }
--- a/src/main/java/bitternpulley/aggregator/package-info.java
+++ b/src/main/java/bitternpulley/aggregator/package-info.java
@@ -1,6 +1,9 @@
 /**
- * Assembles one aggregator process: creates the subsystems, starts them in order, distributes
- * endpoint lists, reloads the configuration and shuts down gracefully.
+ * Assembles one aggregator process. {@link bitternpulley.aggregator.Aggregator} creates the
+ * subsystems and starts them in order; {@code StartSequence} brings the process to readiness and
+ * {@code GracefulShutdown} ends it. {@code ServiceContext} holds the objects that all subsystems
+ * share. {@code EndpointListDistributor} passes on endpoint lists and {@code ConfigurationReload}
+ * rereads the configuration while the process serves.
  *
  * <p>This package decides when the process listens, when it is ready and when it may exit. All
  * decisions about requests are made by the {@code broker}. Invariants: operator overrides, leases
