--- a/src/main/java/bitternpulley/opensearch/PendingSearch.java
+++ b/src/main/java/bitternpulley/opensearch/PendingSearch.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /**
- * A search that the core is answering, with the recipient of the answer.
+ * A search that the broker is answering, with the recipient of the answer.
  *
  * @param search the search
  * @param onAnswer called once, with the final answer
--- a/src/main/java/bitternpulley/opensearch/SearchCaller.java
+++ b/src/main/java/bitternpulley/opensearch/SearchCaller.java
@@ -4,7 +4,7 @@
 import bitternpulley.routing.Router;
 
 /**
- * The sender of a request, and the delay that the request has met.
+ * The sender of a request, and the delay of the request within this instance.
  *
  * @param keyOwner the result of the check of the API key
  * @param idempotencyKey the idempotency key, or null
--- a/src/main/java/bitternpulley/opensearch/SearchDecoder.java
+++ b/src/main/java/bitternpulley/opensearch/SearchDecoder.java
@@ -47,10 +47,11 @@
           "explain",
           "script_fields");
 
-  /** Body keys that this front handles itself. */
+  /** Body keys that the aggregator handles itself. */
   private static final Set<String> HANDLED_KEYS =
       Set.of("from", "size", "timeout", "track_total_hits", "track_scores", "sort");
 
+  /** Body keys that are rejected, because hits cannot be merged correctly across shards. */
   private static final Set<String> UNMERGEABLE_KEYS =
       Set.of(
           "aggs",
--- a/src/main/java/bitternpulley/opensearch/SearchException.java
+++ b/src/main/java/bitternpulley/opensearch/SearchException.java
@@ -17,7 +17,7 @@
     this.type = type;
   }
 
-  /** The request is invalid, or this front does not support it. */
+  /** The request is invalid or not supported. */
   static SearchException illegalArgument(String reason) {
     return new SearchException(400, "illegal_argument_exception", reason);
   }
--- a/src/main/java/bitternpulley/opensearch/SearchFront.java
+++ b/src/main/java/bitternpulley/opensearch/SearchFront.java
@@ -19,13 +19,13 @@
   private final Clock clock;
 
   /**
-   * Creates a front.
+   * Creates a front end.
    *
    * @param settings the settings of this instance
    * @param configuration the configuration of the API
-   * @param broker the core that answers the searches
+   * @param broker the broker that answers the searches
    * @param servers sends the parts of the searches
-   * @param clock the clock of the core
+   * @param clock the clock of the broker
    * @param instance the name of this instance
    * @param identification identifies the team of each search by the contracts in force
    */
--- a/src/main/java/bitternpulley/opensearch/SearchResponse.java
+++ b/src/main/java/bitternpulley/opensearch/SearchResponse.java
@@ -26,10 +26,10 @@
   private static final double MS_PER_SECOND = 1000;
 
   /**
-   * Returns the response for an answer of the core.
+   * Returns the response for an answer of the broker.
    *
    * @param search the search
-   * @param answer the core's answer to the search
+   * @param answer the broker's answer to the search
    * @param elapsedMs ms since the search was received
    */
   static SearchResponse of(Search search, Answer answer, double elapsedMs) {
@@ -139,8 +139,8 @@
   }
 
   /**
-   * Whether a part is missing for lack of time, that is in flight, timed out or cancelled, rather
-   * than failed by its server.
+   * Whether a part is missing for lack of time, that is because its attempt is still in flight,
+   * timed out or was cancelled, rather than because its server failed.
    */
   private static boolean isMissingForLackOfTime(Answer.MissingPart part) {
     return part.outcome() == null
--- a/src/main/java/bitternpulley/opensearch/SearchServers.java
+++ b/src/main/java/bitternpulley/opensearch/SearchServers.java
@@ -16,8 +16,8 @@
 import java.util.Set;
 
 /**
- * Sends the attempts of parts to slot servers that offer the search API, one HTTP request each, and
- * delivers the answers of searches.
+ * Sends attempts, one HTTP request each, to slot servers that offer the search API, and delivers
+ * the answers to searches.
  */
 public final class SearchServers implements Dialect {
   private final EventLoop loop;
@@ -38,10 +38,10 @@
   }
 
   /**
-   * Creates a dialect that knows no server yet.
+   * Creates an instance that knows no servers yet.
    *
    * @param loop the event loop; all methods are called on its thread
-   * @param broker the core, which is told of the end of each attempt
+   * @param broker receives an event at the end of each attempt
    * @param client the HTTP client, with the connections to the servers
    * @param port the port on which each server offers the search API
    */
@@ -75,7 +75,7 @@
     HostPort address = addresses.get(attempt.server());
     HttpClient.Call call = address == null ? null : send(attempt, address);
     if (call == null) {
-      submitLater(new Event.AttemptEnded(attempt.id(), Outcome.UNREACHABLE, null));
+      submitDeferred(new Event.AttemptEnded(attempt.id(), Outcome.UNREACHABLE, null));
     } else {
       inFlight.put(attempt.id(), new InFlightAttempt(attempt.server(), call));
     }
@@ -90,7 +90,7 @@
         new AttemptListener(attempt));
   }
 
-  /** Reports the end of one attempt to the core, unless the attempt was already cancelled. */
+  /** Reports the end of one attempt to the broker, unless the attempt was already cancelled. */
   private final class AttemptListener implements HttpClient.ResponseHandler {
     private final Effect.StartAttempt attempt;
 
@@ -123,8 +123,8 @@
     }
   }
 
-  /** Submits an event on a later turn of the event loop. */
-  private void submitLater(Event event) {
+  /** Submits an event at the end of the current turn of the event loop. */
+  private void submitDeferred(Event event) {
     loop.execute(() -> broker.submit(event));
   }
 
@@ -143,7 +143,7 @@
     if (candidate != null && candidate.isUnsent()) {
       inFlight.remove(attempt.id());
       candidate.call().cancel();
-      submitLater(new Event.AttemptEnded(attempt.id(), Outcome.NOT_SENT, null));
+      submitDeferred(new Event.AttemptEnded(attempt.id(), Outcome.NOT_SENT, null));
     }
   }
 
--- a/src/main/java/bitternpulley/opensearch/SearchSubmitter.java
+++ b/src/main/java/bitternpulley/opensearch/SearchSubmitter.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Decodes searches and submits them to the core. */
+/** Decodes searches and submits them to the broker. */
 final class SearchSubmitter {
   private final Settings settings;
   private final SearchDecoder decoder;
@@ -28,9 +28,9 @@
    * @param settings the settings of this instance
    * @param decoder decodes the searches
    * @param tenants identifies the teams of the searches
-   * @param broker the core
+   * @param broker the broker that answers the searches
    * @param servers sends the parts
-   * @param clock the clock of the core
+   * @param clock the clock of the broker
    * @param instance the name of this instance, with which each search id begins
    */
   SearchSubmitter(
@@ -91,7 +91,7 @@
       throw SearchException.illegalArgument(
           "class [" + queryClass.name() + "] needs an Idempotency-Key header");
     }
-    // The core would reject a search with too many parts with a status that invites a retry, but
+    // The broker would reject a search with too many parts with a status that invites a retry, but
     // no retry can succeed.
     int maxParts = settings.limits().maxPending() - 1;
     int partCount = search.parts().size();
--- a/src/main/java/bitternpulley/opensearch/SearchTarget.java
+++ b/src/main/java/bitternpulley/opensearch/SearchTarget.java
@@ -11,7 +11,7 @@
 import java.util.regex.Pattern;
 
 /**
- * The operation that the head of a request names, and where to search.
+ * The operation, the indices and the parameters that the head of a request names.
  *
  * @param operation the operation, given by the last segment of the path
  * @param indices the names of the indices in the path; empty if the path names none
@@ -35,7 +35,7 @@
   private static final Set<String> MULTI_SEARCH_PARAMETERS =
       Set.of("max_concurrent_searches", "max_concurrent_shard_requests");
 
-  /** The operations of the API that this front offers. */
+  /** The supported operations of the API. */
   enum Operation {
     /** One search. */
     SEARCH("_search"),
--- a/src/main/java/bitternpulley/opensearch/TenantResolver.java
+++ b/src/main/java/bitternpulley/opensearch/TenantResolver.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** Identifies the team of a search by the API key or, without one, by the indices. */
+/** Identifies the tenant (team) of a search by the API key or, without one, by the indices. */
 final class TenantResolver {
   private static final long NO_FINGERPRINT = 0;
 
