--- a/src/main/java/bitternpulley/admin/AccountsReport.java
+++ b/src/main/java/bitternpulley/admin/AccountsReport.java
@@ -12,8 +12,8 @@
 import java.util.function.Predicate;
 
 /**
- * Reports the tenants' accounts as one line of JSON; amounts are in standard parts
- * (docs/contracts.md).
+ * Reports the accounts of the tenants (teams) as one line of JSON. Amounts are in standard parts;
+ * one standard part is the average work of a part (docs/contracts.md).
  */
 final class AccountsReport {
   /** Limits the length of the line, which people read and which is built in memory. */
--- a/src/main/java/bitternpulley/admin/AdminEndpoint.java
+++ b/src/main/java/bitternpulley/admin/AdminEndpoint.java
@@ -16,8 +16,8 @@
 import java.util.stream.Collectors;
 
 /**
- * The operators' admin endpoint. Answers each line with one line that starts with 200 or 400.
- * Submits commands to the broker as events or passes them to {@link ServiceControl}, and makes no
+ * The operators' admin endpoint. It answers each line with one line that starts with 200 or 400. It
+ * submits commands to the broker as events or passes them to {@link ServiceControl}, and makes no
  * decisions itself.
  */
 public final class AdminEndpoint implements LineServer.Handler, OperatorCommands {
@@ -143,7 +143,7 @@
     return FAILURE + "the line is too long";
   }
 
-  /** Submits an override to the broker, which checks it and has it persisted or rejected. */
+  /** Submits an override to the broker, which either rejects it or calls {@link #persist}. */
   private void submit(OperatorOverrides.OperatorCommand override, Caller caller) {
     broker.submit(new Event.OperatorCommandReceived(override, caller));
   }
--- a/src/main/java/bitternpulley/admin/ServiceControl.java
+++ b/src/main/java/bitternpulley/admin/ServiceControl.java
@@ -8,7 +8,7 @@
   /** Whether the operators' script allows the accounts to be listed. */
   boolean listsAccounts();
 
-  /** Sets whether the fronts close client connections after each response or keep them open. */
+  /** Sets whether each client connection is closed after its next response or kept open. */
   void setQuiesced(boolean quiesced);
 
   /** Reads the configuration again; the observer is called once, at any time and on any thread. */
