--- a/src/main/java/bitternpulley/net/Connection.java
+++ b/src/main/java/bitternpulley/net/Connection.java
@@ -198,7 +198,7 @@
    * Stops reading until this side is shut down, for a peer that may half-close the connection and
    * still wait for a response.
    */
-  void pause() {
+  void pauseReading() {
     paused = true;
   }
 
--- a/src/main/java/bitternpulley/net/LineSession.java
+++ b/src/main/java/bitternpulley/net/LineSession.java
@@ -45,7 +45,7 @@
   /** Stops reading, so that a client that half-closes after its line still gets the response. */
   private void stopReading() {
     lineReceived = true;
-    connection.pause();
+    connection.pauseReading();
   }
 
   private void respond(String text) {
