--- a/src/main/java/bitternpulley/net/EventLoopLag.java
+++ b/src/main/java/bitternpulley/net/EventLoopLag.java
@@ -95,9 +95,9 @@
   }
 
   /**
-   * Returns the time in ms that bytes read now may have waited to be read: the time since the last
-   * poll if this turn runs late, or since the start of the last gap while the bytes that arrived in
-   * it are read, at most twice the gap.
+   * Returns the time in ms that bytes read now may have waited to be read. This is the longer of
+   * the time since the last poll, if the current socket turn runs late, and the time since the
+   * start of the last gap, at most twice the gap, while the bytes that arrived in it are read.
    */
   double unreadMs(double now) {
     double sincePoll =
