--- a/src/main/java/bitternpulley/config/BrokerConfiguration.java
+++ b/src/main/java/bitternpulley/config/BrokerConfiguration.java
@@ -9,7 +9,8 @@
 /**
  * The configuration in the operators' script.
  *
- * @param contracts the contracts as version 1; they get another version when they take effect
+ * @param contracts the contracts as version 1; a reload that changes the script activates them as
+ *     the next version
  * @param tenantIdentification how requests are attributed to the teams of the contracts
  * @param searchFront the settings of the search front end, if the script has them
  * @param listsAccounts whether the admin endpoint lists accounts
--- a/src/main/java/bitternpulley/config/ClassTermsReader.java
+++ b/src/main/java/bitternpulley/config/ClassTermsReader.java
@@ -21,8 +21,8 @@
   /**
    * Returns the terms of each class by the position of the class in the settings.
    *
-   * <p>Without settings, the keys are the positions in the contract. Missing terms are then NaN,
-   * because only the site has their defaults; a missing priority weight is 1.
+   * <p>Without settings, the keys are the positions of the classes in the contract. Missing terms
+   * are then NaN, because their defaults are in the settings; a missing priority weight is 1.
    */
   Map<Integer, Router.ClassTerms> read(JsonNode classes, String pointer) {
     Map<Integer, Router.ClassTerms> termsByClass = new LinkedHashMap<>();
@@ -51,7 +51,7 @@
 
   /**
    * Returns the terms of a class. All of them except the priority weight must be at least as strict
-   * as those of the site.
+   * as those in the settings of the site.
    */
   private Router.ClassTerms terms(JsonNode terms, Settings.QueryClass siteClass, String pointer) {
     double latencyObjective = terms.path("wanted_ms").asDouble(siteClass.latencyObjective());
--- a/src/main/java/bitternpulley/config/ConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/ConfigurationReader.java
@@ -15,9 +15,9 @@
  */
 public final class ConfigurationReader {
   /**
-   * Minimum interval between actions of the process. Timers of the process have a fixed
-   * granularity, and the process may have to wait for its share of a core; with a shorter tick,
-   * answers sent just in time would arrive late.
+   * Minimum resolution of clock and alarms that the routing policy assumes. The timers of the
+   * process have a fixed granularity, and the process may have to wait for its share of a core;
+   * with a shorter tick, answers sent just in time would arrive late.
    */
   private static final double MIN_TICK_MS = 4;
 
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Reads the configuration again after the file was replaced. LB_DISCOVERY is ignored in favour of
-   * the address in the file, because its value dates from the start of the process.
+   * Reads the configuration again after the file was replaced. LB_DISCOVERY is ignored, because its
+   * value dates from the start of the process; the address in the file is used instead.
    */
   public static Configuration reread(Map<String, String> environment) {
     Map<String, String> withoutDiscovery = new HashMap<>(environment);
--- a/src/main/java/bitternpulley/config/EndpointList.java
+++ b/src/main/java/bitternpulley/config/EndpointList.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 
 /**
- * A list of slot servers from discovery: either all servers or those that changed.
+ * A list of slot servers from discovery: either all servers or only those that changed.
  *
  * @param revision the number of the list, which never decreases
  * @param complete whether the list has all servers; otherwise it has only those that changed
@@ -41,13 +41,13 @@
   public static EndpointList read(
       JsonNode list, List<String> zones, Consumer<ConfigurationException> entryErrors) {
     List<Entry> entries = new ArrayList<>();
-    JsonNode members = required(list, "members");
-    if (!members.isArray()) {
+    JsonNode servers = required(list, "members");
+    if (!servers.isArray()) {
       throw ConfigurationException.ofKey("members", "field 'members' is not a list");
     }
-    for (JsonNode member : members) {
+    for (JsonNode server : servers) {
       try {
-        entries.add(entry(member, zones));
+        entries.add(entry(server, zones));
       } catch (ConfigurationException error) {
         entryErrors.accept(error);
       }
@@ -56,27 +56,27 @@
         (long) number(list, "revision"), flag(list, "complete"), List.copyOf(entries));
   }
 
-  private static Entry entry(JsonNode member, List<String> zones) {
-    String id = text(member, "id");
-    Router.ServerState state = state(member, id);
+  private static Entry entry(JsonNode server, List<String> zones) {
+    String id = text(server, "id");
+    Router.ServerState state = state(server, id);
     // Only a live server needs an address; draining and removed servers may have none.
-    HostPort address = member.hasNonNull("host_port") ? address(member, id) : null;
+    HostPort address = server.hasNonNull("host_port") ? address(server, id) : null;
     if (address == null && state == Router.ServerState.LIVE) {
       throw serverError(id, "host_port", "'host_port' is missing");
     }
-    int zone = Math.max(0, zones.indexOf(member.path("locality").asText("")));
+    int zone = Math.max(0, zones.indexOf(server.path("locality").asText("")));
     return new Entry(
         new Router.Endpoint(
             id,
             zone,
-            (int) number(member, "cell", 0),
+            (int) number(server, "cell", 0),
             state,
-            nonNegative(member, "up_since_ms", 0)),
+            nonNegative(server, "up_since_ms", 0)),
         address);
   }
 
-  private static Router.ServerState state(JsonNode member, String id) {
-    return switch (text(member, "phase")) {
+  private static Router.ServerState state(JsonNode server, String id) {
+    return switch (text(server, "phase")) {
       case "up" -> Router.ServerState.LIVE;
       case "draining" -> Router.ServerState.DRAINING;
       case "removed" -> Router.ServerState.GONE;
@@ -84,9 +84,9 @@
     };
   }
 
-  private static HostPort address(JsonNode member, String id) {
+  private static HostPort address(JsonNode server, String id) {
     try {
-      return HostPort.parse(text(member, "host_port"));
+      return HostPort.parse(text(server, "host_port"));
     } catch (IllegalArgumentException exception) {
       throw serverError(id, "host_port", "'host_port': " + exception.getMessage());
     }
--- a/src/main/java/bitternpulley/config/MembershipReader.java
+++ b/src/main/java/bitternpulley/config/MembershipReader.java
@@ -46,14 +46,14 @@
       throw script.error(
           "/membership/timeout_ms", "is more than a third of 'interval_ms', which is " + interval);
     }
-    double withoutMajoritySeconds =
+    double majorityTimeoutSeconds =
         membership.path("alone_after_s").asDouble(defaults.withoutMajorityAfter() / MS_PER_SECOND);
     return new MembershipSettings(
         interval,
         timeout,
         membership.path("relays").asInt(defaults.relays()),
         membership.path("suspicion_intervals").asDouble(defaults.suspicionIntervals()),
-        MS_PER_SECOND * withoutMajoritySeconds);
+        MS_PER_SECOND * majorityTimeoutSeconds);
   }
 
   private static Optional<LeaseConfiguration> leases(JsonNode section) {
--- a/src/main/java/bitternpulley/config/SettingsReader.java
+++ b/src/main/java/bitternpulley/config/SettingsReader.java
@@ -100,14 +100,15 @@
         idempotency(queryClass.path("effect").asText("side_effect")),
         nonNegative(queryClass, "dedupWindow", 0),
         flag(queryClass, "stream"),
-        elementOr(domain, "minShare", position, 1),
-        elementOr(domain, "wholeAt", position, 1),
-        elementOr(domain, "classPartial", position, 1),
-        (int) elementOr(domain, "followUp", position, 0));
+        elementOrDefault(domain, "minShare", position, 1),
+        elementOrDefault(domain, "wholeAt", position, 1),
+        elementOrDefault(domain, "classPartial", position, 1),
+        (int) elementOrDefault(domain, "followUp", position, 0));
   }
 
   /** The number at a position of a list, or a default if the list has no number there. */
-  private static double elementOr(JsonNode section, String key, int position, double defaultValue) {
+  private static double elementOrDefault(
+      JsonNode section, String key, int position, double defaultValue) {
     JsonNode element = section.path(key).path(position);
     double value = element.isNumber() ? element.doubleValue() : defaultValue;
     if (value < 0) {
--- a/src/main/java/bitternpulley/config/TenantIdentificationReader.java
+++ b/src/main/java/bitternpulley/config/TenantIdentificationReader.java
@@ -65,7 +65,7 @@
       byte[] salt = HexFormat.of().parseHex(key.get("salt").textValue());
       byte[] hash = HexFormat.of().parseHex(key.get("sha256").textValue());
       String idPointer = pointer + "/" + position + "/id";
-      claim(apiKeysById, key.get("id").textValue(), new ApiKey(team, salt, hash), idPointer);
+      putUnique(apiKeysById, key.get("id").textValue(), new ApiKey(team, salt, hash), idPointer);
       position++;
     }
   }
@@ -79,7 +79,7 @@
       if (!knownIndices.has(index)) {
         throw script.error(indexPointer, "is not an index of opensearch(): " + index);
       }
-      claim(teamByIndex, index, team, indexPointer);
+      putUnique(teamByIndex, index, team, indexPointer);
       position++;
     }
   }
@@ -89,7 +89,7 @@
     for (JsonNode entry : contract.path("platform")) {
       String name = entry.textValue();
       String classPointer = pointer + "/" + position;
-      claim(teamByPlatformClass, name, team, classPointer);
+      putUnique(teamByPlatformClass, name, team, classPointer);
       if (!contract.get("classes").has(name)) {
         throw script.error(classPointer, "is not a query class of this contract: " + name);
       }
@@ -99,7 +99,7 @@
     }
   }
 
-  private <V> void claim(Map<String, V> owners, String name, V owner, String pointer) {
+  private <V> void putUnique(Map<String, V> owners, String name, V owner, String pointer) {
     if (owners.putIfAbsent(name, owner) != null) {
       throw script.error(
           pointer, "must be unique among all contracts, but is listed twice: " + name);
