--- a/src/main/java/bitternpulley/simulator/MessageReader.java
+++ b/src/main/java/bitternpulley/simulator/MessageReader.java
@@ -23,7 +23,10 @@
 
   /** The type of a message. */
   enum MessageType {
-    /** Servers to which a later {@link #ENDPOINTS_CHANGED} refers by number; for no instance. */
+    /**
+     * A numbered page of servers to which later {@link #ENDPOINTS_CHANGED} messages refer. It is not
+     * addressed to an instance.
+     */
     ENDPOINT_PAGE,
     INSTANCE_STARTED,
     INSTANCE_STOPPED,
@@ -116,7 +119,7 @@
     };
   }
 
-  /** Whether a work item is a query; otherwise it is a part of one. */
+  /** Whether a work item is a query; otherwise it is a part of a query. */
   static boolean isQuery(JsonNode workItem) {
     return shard(workItem) < 0;
   }
