--- a/src/main/java/bitternpulley/emulator/DiscoveryService.java
+++ b/src/main/java/bitternpulley/emulator/DiscoveryService.java
@@ -12,8 +12,8 @@
 import java.util.function.Supplier;
 
 /**
- * Emulates discovery. Every connection is treated as a watch: it is sent the full endpoint list,
- * then every change, and heartbeats in between.
+ * Emulates discovery. Every connection is treated as a watch, on which the service sends the full
+ * endpoint list, then every change, and heartbeats in between.
  */
 final class DiscoveryService {
   /** Interval between the empty lines that are sent as heartbeats. */
--- a/src/main/java/bitternpulley/emulator/Fleet.java
+++ b/src/main/java/bitternpulley/emulator/Fleet.java
@@ -54,14 +54,14 @@
     }
   }
 
-  /** Starts servers with this many cores each, assigned to two zones in turn. */
+  /** Starts servers with the same number of cores each, assigned to two zones in turn. */
   public Fleet(EventLoop loop, int serverCount, int coresPerServer) throws IOException {
     this(loop, serverCount, coresPerServer, List.of("gulberg", "johar"));
   }
 
   /**
-   * Starts servers with this many cores each, assigned to the zones in turn. Two servers have each
-   * shard.
+   * Starts servers with the same number of cores each, assigned to the zones in turn. Each shard is
+   * on two servers.
    */
   public Fleet(EventLoop loop, int serverCount, int coresPerServer, List<String> zones)
       throws IOException {
@@ -122,7 +122,7 @@
     return servers;
   }
 
-  /** Returns the check of the rules that all servers report to. */
+  /** Returns the rule check to which all servers report their attempts. */
   public RuleCheck rules() {
     return rules;
   }
@@ -149,8 +149,8 @@
 
   private ObjectNode endpointList(DiscoveryView view) {
     ObjectNode list = JSON.createObjectNode().put("revision", revision.get()).put("complete", true);
-    ArrayNode members = list.putArray("members");
-    servers.forEach(server -> addMember(members, server, view));
+    ArrayNode entries = list.putArray("members");
+    servers.forEach(server -> addEntry(entries, server, view));
     return list;
   }
 
@@ -172,13 +172,13 @@
     for (DiscoveryView view : views) {
       ObjectNode change =
           JSON.createObjectNode().put("revision", nextRevision).put("complete", false);
-      addMember(change.putArray("members"), server, view);
+      addEntry(change.putArray("members"), server, view);
       loop.execute(() -> view.service.publish(change.toString()));
     }
   }
 
-  private void addMember(ArrayNode members, SlotServer server, DiscoveryView view) {
-    members
+  private void addEntry(ArrayNode entries, SlotServer server, DiscoveryView view) {
+    entries
         .addObject()
         .put("id", server.id())
         .put("host_port", view.serverAddresses.apply(server).toString())
@@ -190,28 +190,28 @@
   }
 
   /**
-   * Returns the configuration of one of several aggregators that uses the servers' addresses of a
-   * view, and discovery at an address of its own.
+   * Returns the configuration of one of several aggregators, by its number. The aggregator connects
+   * to the servers at the addresses of a view, and to discovery at {@code discoveryAddress}.
    */
   public ObjectNode configuration(
       int number,
       int instances,
       String listen,
-      int maxOpenQueries,
+      int maxPending,
       DiscoveryView view,
       HostPort discoveryAddress) {
     ObjectNode config =
-        configuration(number, instances, listen, maxOpenQueries)
+        configuration(number, instances, listen, maxPending)
             .put("discovery", discoveryAddress.toString());
     config.set("known", endpointList(view));
     return config;
   }
 
   /** Returns the configuration of one of several aggregators, by its number. */
-  public ObjectNode configuration(int number, int instances, String listen, int maxOpenQueries) {
+  public ObjectNode configuration(int number, int instances, String listen, int maxPending) {
     ObjectNode config =
         configuration(
-            "n" + number, listen, Long.toHexString(0x8c1f30d27a5be964L + number), maxOpenQueries);
+            "n" + number, listen, Long.toHexString(0x8c1f30d27a5be964L + number), maxPending);
     ((ObjectNode) config.path("settings"))
         .put("instances", instances)
         .put("selfIndex", number)
@@ -222,7 +222,7 @@
   /**
    * Returns the configuration of a single aggregator with the query classes of a booking service.
    */
-  public ObjectNode configuration(String name, String listen, String seed, int maxOpenQueries) {
+  public ObjectNode configuration(String name, String listen, String seed, int maxPending) {
     ObjectNode config =
         JSON.createObjectNode()
             .put("name", name)
@@ -244,7 +244,7 @@
     addQueryClass(classes, "slot-booking", "token", 2);
     addQueryClass(classes, "stock-report", "pure", 5);
     putDomain(settings);
-    putPolicyLimits(settings, maxOpenQueries);
+    putPolicyLimits(settings, maxPending);
     putRules(settings);
     return config;
   }
@@ -274,13 +274,13 @@
     domain.putArray("classPartial").add(0.9).add(0.9).add(0.8);
   }
 
-  private static void putPolicyLimits(ObjectNode settings, int maxOpenQueries) {
+  private static void putPolicyLimits(ObjectNode settings, int maxPending) {
     settings
         .putObject("policyLimits")
         .put("connectTimeout", 250)
         .put("keepalive", 15000)
         .put("maxAttempts", 4)
-        .put("maxOpen", maxOpenQueries)
+        .put("maxOpen", maxPending)
         .put("maxRetryAfter", 2000)
         .put("mayCancel", true)
         .put("retryAfter", true)
--- a/src/main/java/bitternpulley/emulator/HollowServers.java
+++ b/src/main/java/bitternpulley/emulator/HollowServers.java
@@ -19,14 +19,14 @@
 
 /**
  * Emulates a large number of slot servers that do no work: each accepts frames on a loopback host
- * of its own and answers every part at once. They serve to measure the costs on the aggregator's
- * side. Discovery sends the endpoint list once and then only heartbeats. Connections are spread
- * over a few event loops.
+ * of its own and answers every part at once. Measurements use them to determine the costs on the
+ * aggregator's side. Discovery sends the endpoint list once and then only heartbeats. The servers
+ * are spread over a few event loops.
  */
 public final class HollowServers {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** Number of hosts in each block 127.4.x, in which the last byte counts from 1. */
+  /** Number of hosts in each block 127.4.N.0/24; their last byte counts from 1. */
   private static final int HOSTS_PER_BLOCK = 250;
 
   private static final String ZONE = "a";
@@ -40,13 +40,13 @@
   /** Starts {@code serverCount} servers, one for each shard, and discovery. */
   public HollowServers(int serverCount, int loopCount) throws IOException {
     loops = IntStream.range(0, loopCount).mapToObj(i -> new EventLoop()).toList();
-    List<HostPort> listening = new ArrayList<>();
+    List<HostPort> listenAddresses = new ArrayList<>();
     for (int i = 0; i < serverCount; i++) {
       String host = "127.4." + i / HOSTS_PER_BLOCK + "." + (1 + i % HOSTS_PER_BLOCK);
-      listening.add(
+      listenAddresses.add(
           new StreamServer(Session::new).listen(loops.get(i % loopCount), new HostPort(host, 0)));
     }
-    addresses = List.copyOf(listening);
+    addresses = List.copyOf(listenAddresses);
     String fullList = list().toString();
     discovery = new DiscoveryService(loops.get(0), () -> fullList).listen("127.0.0.1");
   }
@@ -69,9 +69,9 @@
   /** Returns the full endpoint list as discovery sends it. */
   public ObjectNode list() {
     ObjectNode list = JSON.createObjectNode().put("revision", 1).put("complete", true);
-    ArrayNode members = list.putArray("members");
+    ArrayNode entries = list.putArray("members");
     for (int i = 0; i < addresses.size(); i++) {
-      members
+      entries
           .addObject()
           .put("id", "s" + i)
           .put("host_port", addresses.get(i).toString())
@@ -89,7 +89,7 @@
     return ZONE;
   }
 
-  /** A connection for frames; every part of a call is answered separately. */
+  /** A connection for frames. Every part of a call is answered in a frame of its own. */
   private final class Session implements Connection.Owner {
     private final Connection connection;
     private final FrameCodec codec = new FrameCodec();
@@ -111,14 +111,15 @@
     }
 
     private void answer(String call) {
-      int sectionStart = 0;
-      while (sectionStart < call.length()) {
-        int lineEnd = call.indexOf('\n', sectionStart);
-        String[] words = call.substring(sectionStart, lineEnd).split(" ", 0);
-        sectionStart = lineEnd + 1 + Integer.parseInt(words[words.length - 1]);
+      int partStart = 0;
+      while (partStart < call.length()) {
+        int lineEnd = call.indexOf('\n', partStart);
+        String[] words = call.substring(partStart, lineEnd).split(" ", 0);
+        partStart = lineEnd + 1 + Integer.parseInt(words[words.length - 1]);
         answeredParts.incrementAndGet();
-        byte[] rest = (words[0] + " S 1 -\n5be2a07c19f04d63").getBytes(StandardCharsets.ISO_8859_1);
-        connection.write(FrameCodec.encode('5', rest), () -> {});
+        byte[] payload =
+            (words[0] + " S 1 -\n5be2a07c19f04d63").getBytes(StandardCharsets.ISO_8859_1);
+        connection.write(FrameCodec.encode('5', payload), () -> {});
       }
     }
 
--- a/src/main/java/bitternpulley/emulator/RuleCheck.java
+++ b/src/main/java/bitternpulley/emulator/RuleCheck.java
@@ -10,39 +10,39 @@
  * Checks the rules whose violation the servers can observe, over all servers together: a part has
  * at most four attempts and never two at a time, a part with an idempotency key is retried only
  * within the deduplication window, a part goes only to servers that have its shard, a draining
- * server gets nothing new, and a server that is warming up gets no more work than it can bear. The
- * state of old parts is discarded.
+ * server gets nothing new, and a server that is warming up gets no more work than the limit for its
+ * warm-up allows. The state of old parts is discarded.
  */
 public final class RuleCheck {
   private static final int MAX_ATTEMPTS = 4;
 
-  /** The 5000 ms of the rule, and 50 ms that a busy machine may add. */
+  /** The 5000 ms of the window, and 50 ms that a busy machine may add. */
   private static final double DEDUPLICATION_WINDOW_MS = 5000 + 50;
 
-  /** The 250 ms of the rule, and 50 ms that a busy machine may add. */
+  /** The 250 ms in which aggregators must react to a drain, and 50 ms for a busy machine. */
   private static final double DRAIN_NOTICE_MS = 250 + 50;
 
   /**
-   * Time that the cancellation of an attempt may arrive after the part's next attempt, which goes
-   * over another connection.
+   * Time in which two attempts of a part may overlap, because the cancellation of the first may
+   * arrive after the second attempt, which is sent over another connection.
    */
   private static final double CANCELLATION_DELAY_MS = 100;
 
   private static final double PART_RETENTION_MS = 15_000;
   private static final int MAX_RECORDED_VIOLATIONS = 20;
 
-  /** Share of its capacity that a server has when it starts, as in the emulators' settings. */
+  /** Share of its capacity that a server has when it starts; {@link Fleet} configures the same. */
   static final double WARMUP_START_FRACTION = 0.2;
 
-  /** Time until a server has its full capacity, as in the emulators' settings. */
+  /** Time until a server has its full capacity; {@link Fleet} configures the same. */
   static final double WARMUP_MS = 17_000;
 
-  /** Time over which the work sent to a server is summed up, as in the emulators' settings. */
+  /** Time over which the work sent to a server is summed; {@link Fleet} configures the same. */
   static final double OVERLOAD_WINDOW_MS = 1000;
 
   /**
-   * Multiple of its capacity that a server may be sent while warming up, as in the emulators'
-   * settings.
+   * Multiple of its capacity that a server may be sent while warming up; {@link Fleet} configures
+   * the same.
    */
   static final double OVERLOAD_MULTIPLE = 2;
 
@@ -177,7 +177,7 @@
     return warmUps.containsKey(server) ? warmUps.get(server).maxLimitShare : 0;
   }
 
-  /** Returns how many ms of work a server was sent during its last warm-up. */
+  /** Returns how many ms of work a server was sent during its last warm-up; 0 without one. */
   public synchronized double coldWork(String server) {
     return warmUps.containsKey(server) ? warmUps.get(server).totalWorkMs : 0;
   }
--- a/src/main/java/bitternpulley/emulator/SlotServer.java
+++ b/src/main/java/bitternpulley/emulator/SlotServer.java
@@ -36,20 +36,20 @@
   private final int cell;
   private final int serverCount;
   private final EventLoop loop;
-  private final WorkQueue work;
-  private final RuleCheck rules;
+  private final WorkQueue workQueue;
+  private final RuleCheck ruleCheck;
   private HostPort frameAddress;
   private boolean unresponsive;
   private double drainingSinceMs = Double.NaN;
 
   /** Creates a server that has the shard of its own number and, in a ring, the one before it. */
-  SlotServer(String id, int cell, int serverCount, int cores, EventLoop loop, RuleCheck rules) {
+  SlotServer(String id, int cell, int serverCount, int cores, EventLoop loop, RuleCheck ruleCheck) {
     this.id = id;
     this.cell = cell;
     this.serverCount = serverCount;
     this.loop = loop;
-    this.rules = rules;
-    this.work = new WorkQueue(loop, cores, QUEUE_CAPACITY);
+    this.ruleCheck = ruleCheck;
+    this.workQueue = new WorkQueue(loop, cores, QUEUE_CAPACITY);
   }
 
   /** Listens for frames at any port of a host, and for searches at {@code searchPort}. */
@@ -76,7 +76,7 @@
 
   /** Sets the factor by which parts that start from now on take longer than usual. */
   public void slow(double factor) {
-    loop.execute(() -> work.setSlowdown(factor));
+    loop.execute(() -> workQueue.setSlowdown(factor));
   }
 
   /** Sets whether this server accepts parts without answering them. */
@@ -95,9 +95,9 @@
                 !on ? Double.NaN : Double.isNaN(drainingSinceMs) ? now() : drainingSinceMs);
   }
 
-  /** Returns how many ms of work were finished so far. */
+  /** Returns how many ms of work this server has finished so far. */
   public double workDoneMs() {
-    return work.workDoneMs();
+    return workQueue.workDoneMs();
   }
 
   private static double now() {
@@ -114,7 +114,7 @@
     return work.find() ? Long.parseLong(work.group(1)) / 1000.0 : DEFAULT_WORK_MS;
   }
 
-  /** A connection for frames. */
+  /** A connection over which an aggregator sends calls as frames. */
   private final class FrameSession implements Connection.Owner {
     private final Connection connection;
     private final FrameCodec codec = new FrameCodec();
@@ -137,7 +137,7 @@
       String text = new String(frame.rest(), StandardCharsets.UTF_8);
       if (frame.letter() == '2') {
         if (partsInFlight.remove(text)) {
-          rules.attemptEnded(text, now());
+          ruleCheck.attemptEnded(text, now());
         }
       } else if (frame.letter() == '1') {
         handleCall(text);
@@ -147,18 +147,18 @@
     private void handleCall(String text) {
       String[] words = text.substring(0, text.indexOf('\n')).split(" ", 0);
       String partId = words[0];
-      rules.attemptStarted(
+      ruleCheck.attemptStarted(
           partId,
           words[2].contains(",k="),
           hasShard(Integer.parseInt(words[1])),
           drainingSinceMs,
           now());
-      rules.workReceived(id, workMs(text), now());
+      ruleCheck.workReceived(id, workMs(text), now());
       partsInFlight.add(partId);
       if (unresponsive) {
         return;
       }
-      work.submit(
+      workQueue.submit(
           workMs(text),
           new WorkQueue.Job() {
             @Override
@@ -175,7 +175,7 @@
 
     private void answer(String partId, String status, String value) {
       if (partsInFlight.remove(partId)) {
-        rules.attemptEnded(partId, now());
+        ruleCheck.attemptEnded(partId, now());
         connection.write(
             FrameCodec.encode(
                 '5', (partId + " " + status + " 0 -\n" + value).getBytes(StandardCharsets.UTF_8)),
@@ -185,7 +185,7 @@
 
     @Override
     public void closed() {
-      partsInFlight.forEach(partId -> rules.attemptEnded(partId, now()));
+      partsInFlight.forEach(partId -> ruleCheck.attemptEnded(partId, now()));
       partsInFlight.clear();
     }
   }
@@ -204,18 +204,18 @@
                     + "\"status\":400}"));
         return;
       }
-      rules.attemptStarted(
+      ruleCheck.attemptStarted(
           partId,
           request.head().header("Idempotency-Key") != null,
           hasShard(Integer.parseInt(shard.group(1))),
           drainingSinceMs,
           now());
       boolean[] inFlight = {true};
-      exchange.onDisconnect(() -> end(inFlight, partId));
+      exchange.onDisconnect(() -> endAttempt(inFlight, partId));
       if (unresponsive) {
         return;
       }
-      work.submit(
+      workQueue.submit(
           workMs(new String(request.body(), StandardCharsets.UTF_8)),
           searchJob(inFlight, partId, exchange));
     }
@@ -225,7 +225,7 @@
       return new WorkQueue.Job() {
         @Override
         public void completed() {
-          end(inFlight, partId);
+          endAttempt(inFlight, partId);
           exchange.reply(
               json(
                   200,
@@ -239,7 +239,7 @@
 
         @Override
         public void rejected() {
-          end(inFlight, partId);
+          endAttempt(inFlight, partId);
           exchange.reply(
               json(
                   429,
@@ -249,10 +249,10 @@
       };
     }
 
-    private void end(boolean[] inFlight, String partId) {
+    private void endAttempt(boolean[] inFlight, String partId) {
       if (inFlight[0]) {
         inFlight[0] = false;
-        rules.attemptEnded(partId, now());
+        ruleCheck.attemptEnded(partId, now());
       }
     }
 
--- a/src/main/java/bitternpulley/emulator/WorkQueue.java
+++ b/src/main/java/bitternpulley/emulator/WorkQueue.java
@@ -4,11 +4,12 @@
 import java.util.ArrayDeque;
 
 /**
- * Emulates a machine with a number of cores and a bounded first-in first-out queue. All calls must
- * be made in a turn of the event loop.
+ * Emulates a machine with a number of cores and a bounded first-in first-out queue. All methods
+ * must be called on the event loop's thread, except {@link #workDoneMs}, which measurements read
+ * from other threads without synchronization.
  */
 final class WorkQueue {
-  /** Receives the outcome of a part. */
+  /** Receives the outcome of a job. */
   interface Job {
     /** Handles the completion of the work. */
     void completed();
@@ -35,7 +36,7 @@
     this.capacity = capacity;
   }
 
-  /** Sets the factor by which parts that start from now on take longer than usual. */
+  /** Sets the factor by which jobs that start from now on take longer than usual. */
   void setSlowdown(double factor) {
     slowdown = factor;
   }
