--- a/src/main/java/bitternpulley/faultinjection/Callers.java
+++ b/src/main/java/bitternpulley/faultinjection/Callers.java
@@ -17,8 +17,8 @@
 /**
  * Emulates the clients of a cluster. They send queries at random times derived from a seed, each to
  * a random process over a connection of its own, and count every answer on it. A query is lost if
- * it gets no answer in time although its process was not disturbed meanwhile; processes that are
- * killed or paused must be reported with {@link #disturbed}.
+ * it gets no answer in time although its process was not disturbed meanwhile; whoever kills or
+ * pauses a process must report it with {@link #disturbed}.
  */
 public final class Callers {
   private static final String[] QUERY_CLASSES = {"slot-search", "slot-booking", "stock-report"};
@@ -36,7 +36,7 @@
   private final Cluster cluster;
   private final String idPrefix;
 
-  /** For each process the end of its last disturbance in ms, or infinity during one. */
+  /** For each process the end of its last disturbance in ms, or infinity during a disturbance. */
   private final double[] disturbedUntilMs;
 
   private boolean stopped;
@@ -180,7 +180,7 @@
       answerCount = Math.max(answerCount, found);
     }
 
-    /** Counts the query as excused or lost if no answer came within its time. */
+    /** Counts the query as excused or lost if no answer came in time. */
     private void checkAnswered() {
       boolean inTime = answeredAtMs <= sentAtMs + TIMEOUT_MS + TOLERANCE_MS;
       if (!inTime) {
@@ -201,7 +201,7 @@
 
     @Override
     public void closed() {
-      // What was received until now is evaluated when the query's time has passed.
+      // checkAnswered() evaluates the answers received so far once the query has timed out.
     }
   }
 
@@ -238,7 +238,10 @@
     return extraAnswerCount;
   }
 
-  /** Returns the queries that got no answer in time although their process was not disturbed. */
+  /**
+   * Returns descriptions of the queries that got no answer in time although their process was not
+   * disturbed.
+   */
   public List<String> lost() {
     return List.copyOf(lostQueries);
   }
--- a/src/main/java/bitternpulley/faultinjection/Cluster.java
+++ b/src/main/java/bitternpulley/faultinjection/Cluster.java
@@ -20,14 +20,14 @@
 
 /**
  * Several processes of the real program, spread over zones, with one fleet of emulated slot
- * servers. Each direction between two communicating parties, by datagrams or streams, is a link of
- * its own into which faults can be injected. All faults and observations go to the timeline.
+ * servers. Each direction between two communicating parties, over datagrams or streams, is a link
+ * of its own into which faults can be injected. The timeline records all faults and observations.
  */
 public final class Cluster implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int SERVER_COUNT = 6;
   private static final int CORES_PER_SERVER = 2;
-  private static final int MAX_OPEN_QUERIES = 2000;
+  private static final int MAX_PENDING = 2000;
 
   private final List<Node> nodes = new ArrayList<>();
   private final Fleet fleet;
@@ -68,21 +68,21 @@
     timeline = new Timeline(name, seed);
     this.replayCommand = replayCommand;
     for (int number = 0; number < nodeCount; number++) {
-      String node = "n" + number;
+      String nodeName = "n" + number;
       Fleet.DiscoveryView discovery =
-          fleet.createView(server -> links.proxyAddress(node, server.id()));
+          fleet.createView(server -> links.proxyAddress(nodeName, server.id()));
       ObjectNode configuration =
           fleet.configuration(
               number,
               nodeCount,
               "127.0.0.1:" + Ports.free(),
-              MAX_OPEN_QUERIES,
+              MAX_PENDING,
               discovery,
-              links.openStream(node, "discovery", discovery.address()));
+              links.openStream(nodeName, "discovery", discovery.address()));
       configuration.put("peer_listen", links.datagrams().listenAddress(number).toString());
       ArrayNode peers = configuration.putArray("peers");
       links.datagrams().peerAddresses(number).forEach(peer -> peers.add(peer.toString()));
-      nodes.add(new Node(node, configuration, script).start());
+      nodes.add(new Node(nodeName, configuration, script).start());
     }
     for (Node node : nodes) {
       node.awaitReady();
@@ -122,7 +122,7 @@
    * pause}, {@code resume}, {@code kill}, {@code restart}, {@code renew} (restart without stored
    * state), {@code leave} (SIGTERM) and {@code hangup} (SIGHUP). Faults of slot servers: {@code
    * slow FACTOR}, {@code silent}, {@code speak} (ends {@code silent}), {@code drain}, {@code up}
-   * and {@code cold} (restart). The target of these follows the fault. Faults of links: {@code
+   * and {@code cold} (restart). The target of such a fault follows it. Faults of links: {@code
    * cut}, {@code reset}, {@code lose SHARE}, {@code delay MS JITTER}, {@code repeat SHARE}, {@code
    * garble SHARE}, {@code throttle BYTES_PER_SECOND} and {@code heal}. The two ends of the links
    * follow the fault, with {@code >} between them for one direction and {@code =} for both. {@link
@@ -198,9 +198,7 @@
 
   // --- Observations ------------------------------------------------------------------------------
 
-  /**
-   * Returns what a process reports about all members: the answer of its {@code members} command.
-   */
+  /** Returns the answer of a process to the admin command {@code members}, about all members. */
   public JsonNode members(int node) throws IOException {
     String answer = nodes.get(node).order("members");
     if (!answer.startsWith("200 ")) {
@@ -233,7 +231,7 @@
     return quotas;
   }
 
-  /** Returns how often all processes together have logged that a member is dead. */
+  /** Returns how often the processes, in total, have logged that a member is dead. */
   public long deaths(int member) throws IOException {
     long deaths = 0;
     for (Node node : nodes) {
@@ -268,11 +266,11 @@
   public boolean viewsEqual() {
     return running().stream()
             .map(
-                node -> {
+                number -> {
                   try {
-                    return members(node).path("view").asText();
+                    return members(number).path("view").asText();
                   } catch (IOException exception) {
-                    return "none of " + node;
+                    return "none of " + number;
                   }
                 })
             .distinct()
@@ -280,7 +278,7 @@
         == 1;
   }
 
-  /** Returns the numbers of the processes that run, paused ones included. */
+  /** Returns the numbers of the running processes, including paused ones. */
   public List<Integer> running() {
     return IntStream.range(0, size())
         .filter(number -> nodes.get(number).isAlive())
--- a/src/main/java/bitternpulley/faultinjection/ClusterLinks.java
+++ b/src/main/java/bitternpulley/faultinjection/ClusterLinks.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 
 /**
- * All links of a cluster, by the names of their ends: datagrams between processes, and streams from
- * processes to slot servers and to discovery.
+ * All links of a cluster, by the names of their two ends: datagram links between processes, and
+ * stream links from processes to slot servers and to discovery.
  */
 final class ClusterLinks implements AutoCloseable {
   private final DatagramProxy datagrams;
--- a/src/main/java/bitternpulley/faultinjection/DatagramProxy.java
+++ b/src/main/java/bitternpulley/faultinjection/DatagramProxy.java
@@ -32,7 +32,7 @@
   private final ScheduledExecutorService delayedDeliveries =
       Executors.newSingleThreadScheduledExecutor(
           task -> {
-            Thread thread = new Thread(task, "paths-later");
+            Thread thread = new Thread(task, "datagram-proxy-delayed");
             thread.setDaemon(true);
             return thread;
           });
@@ -58,7 +58,7 @@
         }
       }
     }
-    Thread thread = new Thread(this::run, "paths");
+    Thread thread = new Thread(this::run, "datagram-proxy");
     thread.setDaemon(true);
     thread.start();
   }
@@ -90,7 +90,7 @@
     return links[from][to];
   }
 
-  /** Returns how many bytes a process has sent so far. */
+  /** Returns how many bytes a process has sent in datagrams so far. */
   public long sentBytes(int node) {
     long sentBytes = 0;
     for (DirectedLink link : links[node]) {
--- a/src/main/java/bitternpulley/faultinjection/DirectedLink.java
+++ b/src/main/java/bitternpulley/faultinjection/DirectedLink.java
@@ -65,7 +65,7 @@
     return this;
   }
 
-  /** Sets the bandwidth; bytes beyond it wait for those sent before them. */
+  /** Sets the bandwidth; bytes that exceed it are delayed until the earlier ones were sent. */
   public DirectedLink setBandwidth(double newBytesPerSecond) {
     bytesPerSecond = newBytesPerSecond;
     return this;
@@ -140,7 +140,7 @@
     return random.nextDouble() < corruptionShare;
   }
 
-  /** Returns for how many ms these bytes wait for earlier ones and are sent themselves. */
+  /** Returns the time in ms until these bytes, and those before them, have been transmitted. */
   private double bandwidthDelayMs(int length, double nowMs) {
     if (bytesPerSecond == Double.POSITIVE_INFINITY) {
       return 0;
--- a/src/main/java/bitternpulley/faultinjection/Node.java
+++ b/src/main/java/bitternpulley/faultinjection/Node.java
@@ -21,7 +21,7 @@
  * with or without its stored state, and started twice.
  */
 public final class Node implements AutoCloseable {
-  private static final long READY_WITHIN_MS = 20_000;
+  private static final long READY_TIMEOUT_MS = 20_000;
   private static final int ADMIN_TIMEOUT_MS = 5_000;
 
   private final String name;
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Starts a second process with the same name and number, but a directory, a query address and an
-   * admin address of its own: as in an upgrade, or by an operator's mistake.
+   * Starts a second process with the same name and number, but with a directory, a query address
+   * and an admin address of its own, as in an upgrade or by an operator's mistake.
    */
   public Node twin() throws IOException {
     ObjectNode otherConfiguration =
@@ -122,7 +122,7 @@
 
   /** Waits until the node reports at its admin address that it accepts queries. */
   public Node awaitReady() throws IOException, InterruptedException {
-    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_WITHIN_MS);
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
     while (System.nanoTime() < deadline && process.isAlive()) {
       try {
         if (order("health").startsWith("200")) {
--- a/src/main/java/bitternpulley/faultinjection/StreamProxy.java
+++ b/src/main/java/bitternpulley/faultinjection/StreamProxy.java
@@ -32,7 +32,7 @@
 
   private static final int BACKLOG = 512;
 
-  /** Where the connections accepted by a listener lead, and the link of each direction. */
+  /** The target of the connections that a listener accepts, and the link of each direction. */
   private record Route(HostPort target, DirectedLink forward, DirectedLink backward) {}
 
   /** Bytes that were read together, and when they are due at the receiver. */
@@ -61,7 +61,7 @@
     final Flow forward;
     final Flow backward;
 
-    /** Whether it lost bytes or was opened during a cut, so that it cannot continue afterwards. */
+    /** Whether the connection lost bytes or was opened in a cut, so that it must be reset. */
     boolean brokenByCut;
 
     ProxiedConnection(Flow forward, Flow backward) {
@@ -77,7 +77,7 @@
 
   /** Starts a proxy without links. */
   public StreamProxy() throws IOException {
-    Thread thread = new Thread(this::run, "stream-paths");
+    Thread thread = new Thread(this::run, "stream-proxy");
     thread.setDaemon(true);
     thread.start();
   }
@@ -105,7 +105,7 @@
     while (open) {
       try {
         synchronized (this) {
-          // waits for a registration in progress
+          // waits until a registration in progress has ended
         }
         selector.select(this::handleReady, POLL_INTERVAL_MS);
         connections.removeIf(this::advance);
--- a/src/main/java/bitternpulley/faultinjection/package-info.java
+++ b/src/main/java/bitternpulley/faultinjection/package-info.java
@@ -1,12 +1,17 @@
 /**
  * Fault injection for tests and measurements, never used in service: runs several processes of the
  * real program with emulated servers and injects faults into the processes and the links between
- * them, at random by a seed.
+ * them. Random faults are derived from a seed.
  *
- * <p>{@link bitternpulley.faultinjection.Cluster} starts the processes and is where a scenario
- * begins; {@link bitternpulley.faultinjection.Node} is one process, which can be paused, killed and
- * restarted; {@link bitternpulley.faultinjection.DirectedLink} is one direction of a link between
- * two parties, and {@link bitternpulley.faultinjection.Timeline} records the faults that were
- * injected and what was observed. A failure names the command that replays its seed.
+ * <p>{@link bitternpulley.faultinjection.Cluster} starts the processes and the servers and injects
+ * single faults; a {@link bitternpulley.faultinjection.Scenario} injects a sequence of them at
+ * given times. {@link bitternpulley.faultinjection.Node} is one process, which can be paused,
+ * killed and restarted. {@link bitternpulley.faultinjection.DirectedLink} is one direction of a
+ * link between two parties; {@link bitternpulley.faultinjection.DatagramProxy} and {@link
+ * bitternpulley.faultinjection.StreamProxy} carry the traffic over these links. {@link
+ * bitternpulley.faultinjection.Callers} sends queries to the processes and counts the answers.
+ * {@link bitternpulley.faultinjection.Timeline} records the injected faults and the observations.
+ * The message of a failure has the command that replays the seed. Start with {@link
+ * bitternpulley.faultinjection.Cluster}.
  */
 package bitternpulley.faultinjection;
--- a/src/main/java/bitternpulley/simulator/MessageReader.java
+++ b/src/main/java/bitternpulley/simulator/MessageReader.java
@@ -24,8 +24,8 @@
   /** The type of a message. */
   enum MessageType {
     /**
-     * A numbered page of servers to which later {@link #ENDPOINTS_CHANGED} messages refer. It is not
-     * addressed to an instance.
+     * A numbered page of servers to which later {@link #ENDPOINTS_CHANGED} messages refer. It is
+     * not addressed to an instance.
      */
     ENDPOINT_PAGE,
     INSTANCE_STARTED,
