--- a/src/main/java/bitternpulley/benchmark/MeasureContracts.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureContracts.java
@@ -27,7 +27,7 @@
   private static final int CORES = 2;
   private static final int RUN_SECONDS = 7;
 
-  /** The first second of a run warms up the aggregator and is counted nowhere. */
+  /** The first second of a run warms up the aggregator and is not counted. */
   private static final int WARM_UP_SECONDS = 1;
 
   private static final int TIMEOUT_SECONDS = 40;
@@ -59,8 +59,8 @@
   private final double partsPerSecond;
 
   /**
-   * The runs so far. Each run's aggregator has its own name, so that the rule check sees no part
-   * twice.
+   * Number of runs so far. Each run's aggregator has its own name, so that the rule check sees no
+   * part twice.
    */
   private int runs;
 
@@ -88,7 +88,11 @@
     RunResult noContracts = measurement.run("overrun, contracts off", false, 10, true);
     RunResult single = measurement.run("one team alone", true, 5, false);
     ObjectNode out = measurement.figures(normal, overload, noContracts, single);
-    measurement.fleet.rules().breaches().forEach(breach -> System.out.println("broken: " + breach));
+    measurement
+        .fleet
+        .rules()
+        .breaches()
+        .forEach(violation -> System.out.println("broken: " + violation));
     System.out.println(out);
   }
 
@@ -164,7 +168,7 @@
   private ObjectNode configuration(String name, HostPort address) {
     ObjectNode configuration =
         fleet.configuration(name, address.toString(), "8c1f30d27a5be964", MAX_PENDING);
-    // During an appeal its searches have a higher priority weight than all other queries; if
+    // The searches of tenant "appeal" have a higher priority weight than all other queries; if
     // priority weights alone decided, they would take the whole capacity.
     ((ObjectNode) configuration.at("/settings/requestClasses/0"))
         .put("worth", APPEAL_PRIORITY_WEIGHT);
@@ -257,17 +261,17 @@
     return tally.sum(tally.servedInTime, WARM_UP_SECONDS, RUN_SECONDS);
   }
 
-  /** Returns the lower of the fractions that tenants "stock" and "booking" keep. */
+  /** Returns the lower of the kept fractions of tenants "stock" and "booking". */
   private static double minKeptByOthers(RunResult result, RunResult normal) {
     return Math.min(kept(result.stock, normal.stock), kept(result.booking, normal.booking));
   }
 
-  /** Returns a tenant's queries served in time as a fraction of those under normal load. */
+  /** Returns the kept fraction: queries served in time as a fraction of those at normal load. */
   private static double kept(TenantClients.Tally tally, TenantClients.Tally normal) {
     return servedInTime(tally) / Math.max(1, servedInTime(normal));
   }
 
-  /** Returns the lowest such fraction in any five consecutive seconds. */
+  /** Returns the lowest kept fraction of a tenant in any five consecutive seconds. */
   private static double minKeptOverFiveSeconds(
       TenantClients.Tally tally, TenantClients.Tally normal) {
     double lowest = Double.POSITIVE_INFINITY;
--- a/src/main/java/bitternpulley/benchmark/MeasureMembership.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembership.java
@@ -16,9 +16,9 @@
 /**
  * Measures membership with seven aggregator processes under query load. Datagrams are lost, delayed
  * and repeated throughout. Two processes that the seed chooses are killed and started again, then
- * one is paused. Finally one process cannot reach another in one direction, and one zone is
+ * one is paused. Finally the datagrams from one process to another are cut, and one zone is
  * partitioned from the other, first in one direction and then in both, while slot servers restart
- * cold. Verdicts of death are counted in the processes' own logs.
+ * cold. Death declarations are counted in the logs of the processes.
  */
 final class MeasureMembership {
   private static final int NODES = 7;
@@ -32,10 +32,10 @@
   private final long seed;
   private final Random random;
   private final Cluster cluster;
-  private final Callers callers;
+  private final Callers clients;
   private final List<Double> detectionTimesMs = new ArrayList<>();
   private double bytesPerSecond;
-  private double maxLeaseShareSum;
+  private double maxLeaseQuotaSum;
 
   private MeasureMembership(long seed) throws Exception {
     this.seed = seed;
@@ -47,7 +47,7 @@
             seed,
             "membership(deployment = 'measure')\nleases(lasts_s = 4)\n",
             "make measure-membership SEED=" + seed);
-    callers = new Callers(cluster, seed, QUERIES_PER_SECOND);
+    clients = new Callers(cluster, seed, QUERIES_PER_SECOND);
   }
 
   /**
@@ -66,7 +66,7 @@
         });
   }
 
-  /** Ends the processes of a measurement, also when it fails. */
+  /** Ends the processes of a measurement, even if the measurement fails. */
   private record ClusterCloser(MeasureMembership measurement) implements AutoCloseable {
     @Override
     public void close() throws IOException {
@@ -80,25 +80,29 @@
     Collections.shuffle(order, random);
     List<Integer> killed = order.subList(1, 3);
     killAndRestart(killed);
-    // Up to here, only the killed processes may have been declared dead. From here on, no process
-    // may be, and during the partition only those that a majority cannot reach.
-    int falseDeaths = deathsExceptOf(killed);
+    // Until now, only the killed processes may have been declared dead. From now on, no process may
+    // be declared dead, except those that the majority cannot reach during the partition.
+    int falseDeaths = countDeathDeclarationsExcept(killed);
     int falseDeathsOfPause = pauseAndResume(order.get(0));
-    int deathsBeforePartition = deathsExceptOf(MINORITY);
+    int deathsBeforePartition = countDeathDeclarationsExcept(MINORITY);
     double convergenceMs = partitionAndHeal(order.get(3), order.get(4));
-    recordLeaseShares();
-    callers.end();
-    falseDeaths += deathsExceptOf(MINORITY) - deathsBeforePartition;
+    recordLeaseQuotas();
+    clients.end();
+    falseDeaths += countDeathDeclarationsExcept(MINORITY) - deathsBeforePartition;
     ObjectNode out = figures(falseDeaths, falseDeathsOfPause, convergenceMs);
-    callers.lost().forEach(lost -> System.out.println("lost: " + lost));
-    cluster.fleet().rules().breaches().forEach(breach -> System.out.println("broken: " + breach));
+    clients.lost().forEach(lost -> System.out.println("lost: " + lost));
+    cluster
+        .fleet()
+        .rules()
+        .breaches()
+        .forEach(violation -> System.out.println("broken: " + violation));
     System.out.println("timeline: " + cluster.timeline().file());
     return out;
   }
 
   /**
-   * Makes the network unreliable, kills processes at once, records how long the others take to
-   * declare each dead, and starts the killed ones again.
+   * Makes the network unreliable, kills processes at the same time, records how long the others
+   * take to declare each of them dead, and starts the killed processes again.
    */
   private void killAndRestart(List<Integer> killed) throws Exception {
     cluster.does("lose 0.05 nodes = nodes");
@@ -107,7 +111,7 @@
     double bytesBefore = maxBytesSent();
     double startMs = cluster.timeline().now();
     for (int node : killed) {
-      callers.disturbed(node);
+      clients.disturbed(node);
       cluster.does("kill n" + node);
     }
     double killedAtMs = cluster.timeline().now();
@@ -119,27 +123,27 @@
       detectionTimesMs.add(cluster.timeline().now() - killedAtMs);
     }
     bytesPerSecond = (maxBytesSent() - bytesBefore) / ((cluster.timeline().now() - startMs) / 1000);
-    recordLeaseShares();
+    recordLeaseQuotas();
     for (int node : killed) {
       cluster.does((random.nextBoolean() ? "restart n" : "renew n") + node);
-      callers.well(node);
+      clients.well(node);
     }
     cluster.until("the killed members are alive again", WAIT_TIMEOUT_MS, this::hasConverged);
   }
 
-  /** Pauses a process for 3 s and returns how many verdicts of death there were meanwhile. */
+  /** Pauses a process for 3 s and returns how many death declarations there were meanwhile. */
   private int pauseAndResume(int node) throws Exception {
-    int deathsBefore = deathsExceptOf(List.of());
-    callers.disturbed(node);
+    int deathsBefore = countDeathDeclarationsExcept(List.of());
+    clients.disturbed(node);
     Scenario.of("0 pause n" + node + "\n3000 resume n" + node).play(cluster);
     cluster.until("the paused member is considered alive", WAIT_TIMEOUT_MS, this::hasConverged);
-    callers.well(node);
-    return deathsExceptOf(List.of()) - deathsBefore;
+    clients.well(node);
+    return countDeathDeclarationsExcept(List.of()) - deathsBefore;
   }
 
   /**
-   * Cuts the direction from one process to another, then partitions {@link #MINORITY}, and returns
-   * after how many ms from the end of all faults all members hold the same view.
+   * Cuts the direction from one process to another and partitions {@link #MINORITY}; returns after
+   * how many ms from the end of all faults all members have the same view.
    */
   private double partitionAndHeal(int sender, int receiver) throws Exception {
     Scenario.of(
@@ -155,7 +159,7 @@
         .play(cluster);
     for (int i = 0; i < 7; i++) {
       TimeUnit.MILLISECONDS.sleep(500);
-      recordLeaseShares();
+      recordLeaseQuotas();
     }
     cluster.does("heal nodes = nodes");
     return cluster.until("all members hold the same view", WAIT_TIMEOUT_MS, this::hasConverged);
@@ -169,12 +173,12 @@
     out.put("false_dead", falseDeaths).put("false_dead_paused_3s", falseDeathsOfPause);
     out.put("converge_ms_max", Math.round(convergenceMs))
         .put("bytes_per_s_max", Math.round(bytesPerSecond));
-    out.put("asked", callers.asked())
-        .put("served", callers.served())
-        .put("refused", callers.refused());
-    out.put("failed", callers.failed()).put("excused", callers.excused());
-    out.put("extra_answers", callers.extra()).put("lost", callers.lost().size());
-    out.put("parts_sum_max", maxLeaseShareSum);
+    out.put("asked", clients.asked())
+        .put("served", clients.served())
+        .put("refused", clients.refused());
+    out.put("failed", clients.failed()).put("excused", clients.excused());
+    out.put("extra_answers", clients.extra()).put("lost", clients.lost().size());
+    out.put("parts_sum_max", maxLeaseQuotaSum);
     out.put(
         "cold_share_max",
         cluster.fleet().servers().stream()
@@ -186,13 +190,13 @@
   }
 
   /**
-   * Updates the highest sum of the shares of the total capacity that the running processes take by
-   * their leases, each read from its process one after another.
+   * Updates the highest sum of the quotas that the running processes have under their leases. The
+   * processes are asked one after another.
    */
-  private void recordLeaseShares() throws IOException {
-    maxLeaseShareSum =
+  private void recordLeaseQuotas() throws IOException {
+    maxLeaseQuotaSum =
         Math.max(
-            maxLeaseShareSum, cluster.parts().values().stream().mapToDouble(share -> share).sum());
+            maxLeaseQuotaSum, cluster.parts().values().stream().mapToDouble(quota -> quota).sum());
   }
 
   private boolean hasConverged() {
@@ -200,13 +204,13 @@
         && cluster.viewsEqual();
   }
 
-  /** Returns the bytes of datagrams sent so far by the process that has sent the most. */
+  /** Returns how many bytes in datagrams the process that has sent the most has sent so far. */
   private double maxBytesSent() {
     return IntStream.range(0, NODES).mapToDouble(i -> cluster.bytesOf(i)).max().orElse(0);
   }
 
-  /** Returns the verdicts of death on members not excluded, in the logs of all processes. */
-  private int deathsExceptOf(List<Integer> excluded) throws IOException {
+  /** Returns how often the processes have declared a member dead that is not excluded. */
+  private int countDeathDeclarationsExcept(List<Integer> excluded) throws IOException {
     int deaths = 0;
     for (int i = 0; i < NODES; i++) {
       deaths += excluded.contains(i) ? 0 : (int) cluster.deaths(i);
--- a/src/main/java/bitternpulley/benchmark/MeasureMembershipCase.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembershipCase.java
@@ -13,7 +13,7 @@
 
 /**
  * Measures membership in one fault case, chosen by name, with seven aggregator processes under
- * query load: verdicts of death, and how long the members take to agree again.
+ * query load: death declarations, and the time until the members agree again.
  */
 final class MeasureMembershipCase {
   private static final int NODES = 7;
@@ -79,7 +79,7 @@
 
   private MeasureMembershipCase() {}
 
-  /** Returns a scenario that repeats lines of a time in ms and a fault at a fixed interval. */
+  /** Returns a scenario that repeats lines, each with a time in ms and a fault, at an interval. */
   private static String repeated(int intervalMs, int times, String... lines) {
     StringBuilder scenario = new StringBuilder();
     for (int i = 0; i < times; i++) {
@@ -125,25 +125,25 @@
       throws Exception {
     cluster.until(
         "all members are alive in one view", WAIT_TIMEOUT_MS, () -> hasConverged(cluster));
-    Callers callers = new Callers(cluster, seed, QUERIES_PER_SECOND);
-    faultCase.disturbed().forEach(callers::disturbed);
+    Callers clients = new Callers(cluster, seed, QUERIES_PER_SECOND);
+    faultCase.disturbed().forEach(clients::disturbed);
     Scenario.of(faultCase.scenario()).play(cluster);
     double convergenceMs =
         cluster.until(
             "all members hold the same view", WAIT_TIMEOUT_MS, () -> hasConverged(cluster));
-    faultCase.disturbed().forEach(callers::well);
-    callers.end();
+    faultCase.disturbed().forEach(clients::well);
+    clients.end();
     ObjectNode out =
         new ObjectMapper().createObjectNode().put("case", name).put("processes", NODES);
     out.put("faults", cluster.timeline().injected()).put("converge_ms", Math.round(convergenceMs));
-    out.put("false_dead", deaths(cluster, faultCase.mayBeDeclaredDead(), false))
-        .put("dead", deaths(cluster, faultCase.mayBeDeclaredDead(), true));
-    out.put("asked", callers.asked())
-        .put("served", callers.served())
-        .put("excused", callers.excused());
-    out.put("extra_answers", callers.extra()).put("lost", callers.lost().size());
+    out.put("false_dead", countDeathDeclarations(cluster, faultCase.mayBeDeclaredDead(), false))
+        .put("dead", countDeathDeclarations(cluster, faultCase.mayBeDeclaredDead(), true));
+    out.put("asked", clients.asked())
+        .put("served", clients.served())
+        .put("excused", clients.excused());
+    out.put("extra_answers", clients.extra()).put("lost", clients.lost().size());
     out.put("rules_broken", cluster.fleet().rules().broken()).put("seed", seed);
-    callers.lost().forEach(lost -> System.out.println("lost: " + lost));
+    clients.lost().forEach(lost -> System.out.println("lost: " + lost));
     System.out.println("timeline: " + cluster.timeline().file());
     return out;
   }
@@ -154,11 +154,11 @@
   }
 
   /**
-   * Returns the verdicts of death on the given members, or on all other members if {@code included}
-   * is false.
+   * Returns how often the processes have declared one of the given members dead, or one of all
+   * other members if {@code included} is false.
    */
-  private static long deaths(Cluster cluster, Set<Integer> members, boolean included)
-      throws IOException {
+  private static long countDeathDeclarations(
+      Cluster cluster, Set<Integer> members, boolean included) throws IOException {
     long deaths = 0;
     for (int i = 0; i < NODES; i++) {
       deaths += members.contains(i) == included ? cluster.deaths(i) : 0;
--- a/src/main/java/bitternpulley/benchmark/MeasureMembershipMany.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembershipMany.java
@@ -15,9 +15,9 @@
 /**
  * Measures membership with twelve aggregator processes under query load, of which one is paused for
  * 30 s. Meanwhile one process is killed, then half of the others at once, then all but one; the
- * processes that are left must consider each killed one dead. The resumed process must not declare
- * the last live one dead, and the two must find each other. The membership interval is half the
- * usual one, so that the measurement ends within its time limit.
+ * remaining processes must consider each killed one dead. The resumed process must not declare the
+ * last live one dead, and the two must find each other. The membership interval is half the
+ * default, so that the measurement ends within its time limit.
  */
 final class MeasureMembershipMany {
   private static final int NODES = 12;
@@ -26,7 +26,7 @@
   private static final double WAIT_TIMEOUT_MS = 12_000;
   private static final double PAUSE_MS = 30_000;
 
-  /** Verdicts of death on members that had been neither killed nor paused by then. */
+  /** Number of death declarations of members that had been neither killed nor paused by then. */
   private long falseDeaths;
 
   private MeasureMembershipMany() {}
@@ -55,28 +55,28 @@
   }
 
   private ObjectNode measure(Cluster cluster, long seed) throws Exception {
-    Callers callers = new Callers(cluster, seed, QUERIES_PER_SECOND);
+    Callers clients = new Callers(cluster, seed, QUERIES_PER_SECOND);
     List<Integer> order = new ArrayList<>(IntStream.range(0, NODES).boxed().toList());
     Collections.shuffle(order, new Random(seed));
     int paused = order.remove(0);
-    callers.disturbed(paused);
+    clients.disturbed(paused);
     cluster.does("pause n" + paused);
     double resumeAtMs = cluster.timeline().now() + PAUSE_MS;
     List<Integer> live = new ArrayList<>(order);
     ObjectNode out = new ObjectMapper().createObjectNode().put("processes", NODES);
-    out.put("detect_ms_one", kill(cluster, callers, live, 1));
-    out.put("detect_ms_half", kill(cluster, callers, live, live.size() / 2));
-    out.put("detect_ms_all_but_one", kill(cluster, callers, live, live.size() - 1));
+    out.put("detect_ms_one", kill(cluster, clients, live, 1));
+    out.put("detect_ms_half", kill(cluster, clients, live, live.size() / 2));
+    out.put("detect_ms_all_but_one", kill(cluster, clients, live, live.size() - 1));
     out.put("false_dead", falseDeaths);
     double remainingMs = resumeAtMs - cluster.timeline().now();
     if (remainingMs > 0) {
       TimeUnit.MILLISECONDS.sleep((long) remainingMs);
     }
     resume(cluster, paused, live.get(0), out);
-    callers.end();
-    putLoadFigures(out, cluster, callers);
+    clients.end();
+    putLoadFigures(out, cluster, clients);
     out.put("rules_broken", cluster.fleet().rules().broken()).put("seed", seed);
-    callers.lost().forEach(lost -> System.out.println("lost: " + lost));
+    clients.lost().forEach(lost -> System.out.println("lost: " + lost));
     System.out.println("timeline: " + cluster.timeline().file());
     return out;
   }
@@ -104,20 +104,20 @@
             .count());
   }
 
-  private static void putLoadFigures(ObjectNode out, Cluster cluster, Callers callers) {
+  private static void putLoadFigures(ObjectNode out, Cluster cluster, Callers clients) {
     out.put("faults", cluster.timeline().injected())
-        .put("asked", callers.asked())
-        .put("served", callers.served());
-    out.put("excused", callers.excused())
-        .put("extra_answers", callers.extra())
-        .put("lost", callers.lost().size());
+        .put("asked", clients.asked())
+        .put("served", clients.served());
+    out.put("excused", clients.excused())
+        .put("extra_answers", clients.extra())
+        .put("lost", clients.lost().size());
   }
 
   /**
-   * Kills {@code count} live processes at once and returns after how many ms all processes that are
-   * left consider each of them dead.
+   * Kills {@code count} live processes at once and returns after how many ms all remaining
+   * processes consider each of them dead.
    */
-  private long kill(Cluster cluster, Callers callers, List<Integer> live, int count)
+  private long kill(Cluster cluster, Callers clients, List<Integer> live, int count)
       throws IOException, InterruptedException {
     for (int node : live) {
       falseDeaths += cluster.deaths(node);
@@ -126,7 +126,7 @@
     live.removeAll(killed);
     double startMs = cluster.timeline().now();
     for (int node : killed) {
-      callers.disturbed(node);
+      clients.disturbed(node);
       cluster.does("kill n" + node);
     }
     cluster.until(
--- a/src/main/java/bitternpulley/benchmark/MeasureScaleServers.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureScaleServers.java
@@ -25,14 +25,14 @@
   private static final int TIMEOUT_SECONDS = 300;
 
   /**
-   * Descriptor limit in the aggregator's configuration. A third of it allows more than one
-   * connection to each server.
+   * Descriptor limit in the aggregator's configuration. The aggregator uses a third of the
+   * descriptors for connections to slot servers, which is more than one for each server.
    */
   private static final int SOCKETS = 12_000;
 
   private static final int INSTANCES = 530;
 
-  /** Event loops of the emulated servers. */
+  /** Number of event loops of the emulated servers. */
   private static final int EVENT_LOOPS = 2;
 
   private static final int WARM_UP_QUERIES = 200;
@@ -116,7 +116,7 @@
           new OpenLoopLoad(node.front(), number -> request(number, random.nextInt(size), size));
       load.run(WARM_UP_QUERIES, QUERIES, QUERIES_PER_SECOND);
       ProcessUsage after = ProcessUsage.ofProcess(node.pid());
-      long sent = servers.parts() - partsBefore;
+      long answeredParts = servers.parts() - partsBefore;
       return json.createObjectNode()
           .put("servers", size)
           .put("ready_ms", readyMs)
@@ -125,10 +125,12 @@
           .put("resident_kb", after.peakResidentKb())
           .put("descriptors", after.descriptors())
           .put("links", servers.open())
-          .put("parts", sent)
+          .put("parts", answeredParts)
           .put("served", load.served())
           .put("asked", QUERIES)
-          .put("cpu_us_per_part", sent == 0 ? 0 : 1000 * (after.cpuMs() - before.cpuMs()) / sent)
+          .put(
+              "cpu_us_per_part",
+              answeredParts == 0 ? 0 : 1000 * (after.cpuMs() - before.cpuMs()) / answeredParts)
           .put("cpu_ms_rest", atRest.cpuMs())
           .put("p50_ms", load.latencyMicros().getValueAtPercentile(50) / 1000.0)
           .put("p99_ms", load.latencyMicros().getValueAtPercentile(99) / 1000.0);
--- a/src/main/java/bitternpulley/benchmark/TenantClients.java
+++ b/src/main/java/bitternpulley/benchmark/TenantClients.java
@@ -35,9 +35,9 @@
     final double[] servedInTime;
     int attempts;
     int queries;
-    int retryAfterHeeded;
+    int retryAfterHonored;
 
-    /** Attempts sent after the time in a Retry-After header, without the warm-up. */
+    /** Retries sent after the time in a Retry-After header, excluding the warm-up. */
     int delayedRetries;
 
     int delayedRetriesServed;
@@ -81,7 +81,7 @@
 
   /**
    * Creates the clients of a tenant; {@code requestByNumber} returns the HTTP request of the n-th
-   * query and asks for the same at each attempt.
+   * query, which must ask for the same result at each attempt.
    */
   TenantClients(
       EventLoop loop,
@@ -112,7 +112,7 @@
     return System.nanoTime() / 1e6;
   }
 
-  /** Starts to send queries, for as many seconds as the tally has. */
+  /** Starts to send queries, for as many seconds as the tally counts. */
   void start() {
     loop.execute(
         () -> {
@@ -165,7 +165,7 @@
               }
 
               @Override
-              public void failed(HttpClient.Failure how, String why) {
+              public void failed(HttpClient.Failure failure, String reason) {
                 // Not served, and not retried because the query may have run.
               }
             });
@@ -177,17 +177,17 @@
 
   private void handleRejection(
       int number, int second, double dueMs, int attempt, String retryAfter) {
-    boolean heedsRetryAfter =
+    boolean honorsRetryAfter =
         retryBehavior == RetryBehavior.AFTER_RETRY_AFTER
             || (retryBehavior == RetryBehavior.ALTERNATING && number % 2 == 0);
-    if (attempt >= MAX_ATTEMPTS || (heedsRetryAfter && retryAfter == null)) {
+    if (attempt >= MAX_ATTEMPTS || (honorsRetryAfter && retryAfter == null)) {
       return;
     }
-    double delayMs = heedsRetryAfter ? 1000 * Double.parseDouble(retryAfter) : 0;
-    tally.retryAfterHeeded += heedsRetryAfter ? 1 : 0;
+    double delayMs = honorsRetryAfter ? 1000 * Double.parseDouble(retryAfter) : 0;
+    tally.retryAfterHonored += honorsRetryAfter ? 1 : 0;
     if (nowMs() + delayMs < dueMs + deadlineMs) {
       loop.schedule(
-          delayMs, () -> sendAttempt(number, second, dueMs, attempt + 1, heedsRetryAfter));
+          delayMs, () -> sendAttempt(number, second, dueMs, attempt + 1, honorsRetryAfter));
     }
   }
 }
