--- a/src/main/java/bitternpulley/benchmark/MeasureScaleServers.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureScaleServers.java
@@ -85,7 +85,10 @@
     return out;
   }
 
-  /** Fits a line to a figure over the number of servers by least squares, from three rows on. */
+  /**
+   * Fits a line to a figure over the number of servers by least squares if there are at least three
+   * rows.
+   */
   private static void putFit(ObjectNode out, List<ObjectNode> rows, String figure) {
     SimpleRegression line = new SimpleRegression();
     rows.forEach(row -> line.addData(row.path("servers").asDouble(), row.path(figure).asDouble()));
--- a/src/main/java/bitternpulley/benchmark/package-info.java
+++ b/src/main/java/bitternpulley/benchmark/package-info.java
@@ -5,8 +5,8 @@
  * with figures computed from what clients and servers observed. Not used in production.
  *
  * <p>Each class {@code Measure...} is a program, which {@code MeasurementRunner} runs with a time
- * limit. {@code TenantClients} and {@code OpenLoopLoad} send queries, and {@code ProcessUsage} reads
- * the resources that an aggregator uses. The measurements of membership use the clusters and faults
- * of {@code faultinjection}. Start with {@link bitternpulley.benchmark.MeasureContracts}.
+ * limit. {@code TenantClients} and {@code OpenLoopLoad} send queries, and {@code ProcessUsage}
+ * reads the resources that an aggregator uses. The measurements of membership use the clusters and
+ * faults of {@code faultinjection}. Start with {@link bitternpulley.benchmark.MeasureContracts}.
  */
 package bitternpulley.benchmark;
