--- a/src/jmh/java/bitternpulley/contracts/AdmissionBenchmark.java
+++ b/src/jmh/java/bitternpulley/contracts/AdmissionBenchmark.java
@@ -17,8 +17,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * The cost of one query in admission control: it is admitted, one attempt is sent and answered, and
- * its charge is settled. The queries come from one tenant after another.
+ * Measures the cost of one query in admission control: the query is admitted, one attempt is sent
+ * and answered, and the charge is settled. The queries come from all tenants in turn.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
--- a/src/jmh/java/bitternpulley/membership/MembershipBenchmark.java
+++ b/src/jmh/java/bitternpulley/membership/MembershipBenchmark.java
@@ -17,8 +17,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * CPU time of the membership protocol: of a tick, ten of which make a protocol interval, and of a
- * ping that is answered.
+ * Measures the time that the membership protocol takes for one tick, of which a protocol interval
+ * has ten, and for one ping that is answered.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -38,7 +38,7 @@
   private double now;
   private int lastSender;
 
-  /** Creates a member that has received a message of all others. */
+  /** Creates a member that has received a message from each other member. */
   @Setup
   public void start() {
     now = START;
@@ -73,7 +73,7 @@
     return lastSender;
   }
 
-  /** A tick after a message of the next member in turn, so that no member becomes suspect. */
+  /** A tick after a message from the next member in turn, so that no member becomes suspect. */
   @Benchmark
   public List<MembershipAction> tick() {
     now += 100;
