--- a/src/test/java/bitternpulley/process/AttemptLog.java
+++ b/src/test/java/bitternpulley/process/AttemptLog.java
@@ -94,24 +94,27 @@
     Map<String, List<Attempt>> attemptsByPart =
         attempts.stream().collect(Collectors.groupingBy(attempt -> attempt.part));
     attemptsByPart.forEach(
-        (part, tries) -> {
+        (part, partAttempts) -> {
           assertTrue(
-              tries.size() <= MAX_ATTEMPTS, part + " was attempted " + tries.size() + " times");
+              partAttempts.size() <= MAX_ATTEMPTS,
+              part + " was attempted " + partAttempts.size() + " times");
           assertEquals(
-              tries.stream()
+              partAttempts.stream()
                   .map(attempt -> String.valueOf(attempt.idempotencyKey))
                   .distinct()
                   .count(),
               1,
               part + " changes its idempotency key");
-          long span = tries.get(tries.size() - 1).startedAtNanos - tries.get(0).startedAtNanos;
+          long span =
+              partAttempts.get(partAttempts.size() - 1).startedAtNanos
+                  - partAttempts.get(0).startedAtNanos;
           assertTrue(
-              tries.get(0).idempotencyKey == null || span <= DEDUP_WINDOW_MS * 1_000_000,
+              partAttempts.get(0).idempotencyKey == null || span <= DEDUP_WINDOW_MS * 1_000_000,
               part + " was retried outside its deduplication window");
-          tries.forEach(
+          partAttempts.forEach(
               attempt ->
                   assertTrue(
-                      attempt.server.holds(attempt.shard),
+                      attempt.server.hasReplica(attempt.shard),
                       part + " went to " + attempt.server.id + ", which does not hold its shard"));
         });
     assertEquals(violations, List.of());
--- a/src/test/java/bitternpulley/process/ContractsProcessTest.java
+++ b/src/test/java/bitternpulley/process/ContractsProcessTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Contracts enforced by the real program, on both fronts. */
+/** Contracts enforced by the real program, on both front ends. */
 public class ContractsProcessTest extends ProcessTest {
   private static final String SECRET = "a-long-and-random-secret";
   private static final String SALT = "0102030405060708";
@@ -35,7 +35,7 @@
     return deployment.folder().resolve("broker.star");
   }
 
-  private String tenantsScript(String secret, int holdsLimit) {
+  private String tenantsScript(String secret, int maxPending) {
     String hash =
         HexFormat.of()
             .formatHex(
@@ -50,7 +50,7 @@
         + "'bookings': {'class': 'slot-booking', 'sections': [0]}})\n"
         + "accounts(list = True)\n"
         + "contract(id = 'app', share = 0.5, holds = "
-        + holdsLimit
+        + maxPending
         + ", platform = ['slot-search'], classes = {'slot-search': terms()})\n"
         + "contract(id = 'desk', share = 0.2, platform = ['stock-report'], "
         + "classes = {'stock-report': terms()})\n"
--- a/src/test/java/bitternpulley/process/Deployment.java
+++ b/src/test/java/bitternpulley/process/Deployment.java
@@ -155,8 +155,8 @@
   }
 
   /**
-   * Starts the program with the flags of the deploy file's {@code run}, on the classes just
-   * compiled.
+   * Starts the program with the JVM flags of the deploy file's {@code run} line, from the classes
+   * just compiled.
    */
   Deployment start() throws IOException {
     run(Node.command(), Map.of());
@@ -274,7 +274,7 @@
     return this;
   }
 
-  /** Waits for a condition, far longer than any machine needs. */
+  /** Waits for a condition; the timeout is far longer than any machine needs. */
   static void await(String what, BooleanSupplier condition) {
     long deadline = System.nanoTime() + WAIT_TIMEOUT_NANOS;
     while (!condition.getAsBoolean()) {
@@ -338,7 +338,7 @@
         listenAddress, TestClient.queryRequest(queryClass, id, 4.5, shards), "");
   }
 
-  /** Sends a request to the OpenSearch-style front and reads its answer. */
+  /** Sends a request to the OpenSearch-style front end and reads its answer. */
   Reply sendSearch(String target, String body, String... headers) throws IOException {
     return TestClient.exchange(
         searchListenAddress,
--- a/src/test/java/bitternpulley/process/DescriptorsProcessTest.java
+++ b/src/test/java/bitternpulley/process/DescriptorsProcessTest.java
@@ -23,7 +23,7 @@
   private static final int DESCRIPTOR_LIMIT = 160;
   private static final int IDLE_CLIENTS = 400;
 
-  /** Limit on the time from discovery being reachable again to its lists being in use. */
+  /** Limit on the time from when discovery answers again to when its lists are in use. */
   private static final long WATCH_RESUME_LIMIT_NANOS = TimeUnit.SECONDS.toNanos(6);
 
   private final List<Socket> idleClients = new ArrayList<>();
@@ -74,7 +74,7 @@
     assertTrue(openDescriptors() <= DESCRIPTOR_LIMIT, openDescriptors() + " descriptors");
   }
 
-  /** Guards against a watch that cannot be reopened since idle clients use all descriptors. */
+  /** Guards against a watch that cannot be reopened because idle clients use all descriptors. */
   @Test
   public void resumesWatchInTimeDespiteIdleClients() throws IOException {
     silenceDiscovery();
--- a/src/test/java/bitternpulley/process/DiscoveryProcessTest.java
+++ b/src/test/java/bitternpulley/process/DiscoveryProcessTest.java
@@ -14,7 +14,7 @@
 
 /** How the real program uses the endpoint lists that discovery announces. */
 public class DiscoveryProcessTest extends ProcessTest {
-  /** Guards against a discovery instance whose lists are older than those of the one before. */
+  /** Guards against a discovery instance that sends older lists than the previous instance. */
   @Test
   public void ignoresOlderRevision() throws IOException {
     FakeSlotServer removed = deployment.servers.get(1);
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Guards against sends by the endpoint list of the configuration, which may be outdated, before
-   * the initial list of discovery has been read.
+   * Guards against attempts that are sent before the initial list of discovery has been read, and
+   * follow the endpoint list of the configuration, which may be outdated.
    */
   @Test(dataProvider = "handshakeCosts")
   public void sendsNothingBeforeInitialListOfDiscovery(double handshakeCost) throws Exception {
@@ -82,7 +82,7 @@
     // The server is in the zone of the program, which would therefore prefer it.
     deployment.discovery.initialList =
         () -> {
-          // As slow as an overloaded discovery, but within the time that a start waits for it.
+          // As slow as an overloaded discovery, but within the time that a start waits for a list.
           LockSupport.parkNanos(350_000_000);
           return FakeDiscovery.endpointList(false, List.of(deployment.servers.get(2)), "draining")
               .put("revision", 42);
@@ -122,7 +122,7 @@
     Deployment.await("the removal to take effect", () -> queryStatus("r", 1, 2) != 200);
   }
 
-  /** Guards against a program that SIGHUP ends, and a watch that stays at the old address. */
+  /** Guards against SIGHUP ending the program, and a watch that stays at the old address. */
   @Test
   public void movesWatchOnSighupAndKeepsEndpointState() throws Exception {
     deployment.discovery.announce(deployment.servers.get(1), "removed");
--- a/src/test/java/bitternpulley/process/EdgeBytesProcessTest.java
+++ b/src/test/java/bitternpulley/process/EdgeBytesProcessTest.java
@@ -14,8 +14,8 @@
 
 /**
  * Compares the bytes that the program writes on each of its interfaces with a recording: to clients
- * of both fronts, to slot servers over both protocols, to discovery and to admin callers. Only what
- * differs from run to run is masked.
+ * of both front ends, to slot servers over both protocols, to discovery and to admin callers. Only
+ * values that differ from run to run are masked.
  */
 public class EdgeBytesProcessTest extends ProcessTest {
   private static final Path RECORDED = Path.of("src/test/resources/edges/recorded.txt");
@@ -157,8 +157,8 @@
   }
 
   /**
-   * Masks what differs from run to run: addresses, times, the length of a body with a time, and the
-   * server that served a part.
+   * Masks values that differ from run to run: addresses, times, the length of a body with a time,
+   * and the server that served a part.
    */
   private static String mask(String text) {
     String masked =
--- a/src/test/java/bitternpulley/process/EndingsProcessTest.java
+++ b/src/test/java/bitternpulley/process/EndingsProcessTest.java
@@ -29,8 +29,8 @@
   private static final long DISCONNECT_SETTLE_MS = 300;
 
   /**
-   * The platform may kill the program this long after SIGTERM: some time after the longest
-   * deadline, of which at most 3 s count.
+   * The platform may kill the program this long after SIGTERM: the longest deadline, counted as at
+   * most 3 s, and some time for the program to exit.
    */
   private static final long KILL_AFTER_MS = 3700;
 
@@ -63,7 +63,7 @@
     setAllServers(Behavior.SERVE);
     for (int i = 0; i < 6; i++) {
       int shard = i;
-      // Without cancellation, attempts that were sent use capacity until their time is over.
+      // Without cancellation, attempts that were sent use capacity until they time out.
       Deployment.await(
           "capacity to be available again", () -> queryStatus("after", shard) == 200);
     }
@@ -79,7 +79,7 @@
     disconnectBurst(true);
   }
 
-  /** Without cancellation, attempts that were sent run on, but no further ones are sent. */
+  /** Without cancellation, attempts that were sent continue, but no further ones are sent. */
   @Test
   public void sendsNothingForDisconnectedClientsWithoutCancellation() throws Exception {
     deployment.close();
@@ -145,14 +145,14 @@
   public void answersEveryRequestOfPersistentClientsDuringShutdown() throws Exception {
     int clientCount = 8;
     AtomicInteger answers = new AtomicInteger();
-    List<String> faults = new CopyOnWriteArrayList<>();
+    List<String> failures = new CopyOnWriteArrayList<>();
     CountDownLatch ended = new CountDownLatch(clientCount);
     for (int i = 0; i < clientCount; i++) {
       int client = i;
       FakeSlotServer.runInDaemonThread(
           () -> {
             try (Socket socket = TestClient.connect(deployment.listenAddress)) {
-              sendUntilClosed(socket, "c" + client + "-", answers, faults);
+              sendUntilClosed(socket, "c" + client + "-", answers, failures);
             } finally {
               ended.countDown();
             }
@@ -162,12 +162,12 @@
     long signalledAt = System.nanoTime();
     deployment.process.destroy();
     assertTrue(ended.await(30, TimeUnit.SECONDS));
-    assertEquals(faults, List.of());
+    assertEquals(failures, List.of());
     assertShutDownInTime(signalledAt);
   }
 
   private static void sendUntilClosed(
-      Socket socket, String idPrefix, AtomicInteger answers, List<String> faults) {
+      Socket socket, String idPrefix, AtomicInteger answers, List<String> failures) {
     for (int number = 0; ; number++) {
       try {
         TestClient.send(
@@ -175,15 +175,15 @@
         Reply reply = TestClient.readReply(socket);
         answers.incrementAndGet();
         if (reply.status() != 200 && reply.status() != 429) {
-          faults.add(reply.toString());
+          failures.add(reply.toString());
         }
         if ("close".equals(reply.headers().get("connection"))) {
           break;
         }
       } catch (EOFException e) {
-        break; // orderly close between requests: a client would send this one elsewhere
+        break; // orderly close between requests: a client would send this request elsewhere
       } catch (IOException e) {
-        faults.add(e.toString());
+        failures.add(e.toString());
         break;
       }
     }
@@ -231,7 +231,7 @@
     assertShutDownInTime(signalledAt);
   }
 
-  @SuppressWarnings("try") // the early close is the disconnect under test
+  @SuppressWarnings("try") // the test closes the client before the end of the block
   @Test
   public void shutsDownOrderlyOnSigtermDuringReload() throws Exception {
     setAllServers(Behavior.SILENT);
--- a/src/test/java/bitternpulley/process/FakeDiscovery.java
+++ b/src/test/java/bitternpulley/process/FakeDiscovery.java
@@ -55,9 +55,9 @@
   static ObjectNode endpointList(boolean complete, List<FakeSlotServer> servers, String phase) {
     ObjectNode list =
         Deployment.JSON.createObjectNode().put("revision", 41).put("complete", complete);
-    ArrayNode members = list.putArray("members");
+    ArrayNode entries = list.putArray("members");
     for (FakeSlotServer server : servers) {
-      members
+      entries
           .addObject()
           .put("id", server.id)
           .put("host_port", server.host + ":" + server.framePort())
--- a/src/test/java/bitternpulley/process/FakeSlotServer.java
+++ b/src/test/java/bitternpulley/process/FakeSlotServer.java
@@ -27,8 +27,8 @@
 /** A fake slot server for both protocols. Its behavior for each part can be set at any time. */
 final class FakeSlotServer implements AutoCloseable {
   /**
-   * What the server does with a part. From GARBAGE to LENGTH_TOO_LARGE the result is invalid. From
-   * DUPLICATE on, it is valid but has surplus or unusable data that must not matter.
+   * What the server does with a part. From GARBAGE to LENGTH_TOO_LARGE, the result is invalid. From
+   * DUPLICATE on, the result is valid, and the program must ignore the surplus or unusable data.
    */
   enum Behavior {
     SERVE,
@@ -59,7 +59,7 @@
   final int cell;
   final String host;
 
-  /** The behavior for an index (empty on the platform front) and a shard. */
+  /** The behavior for an index, which is empty for platform queries, and a shard. */
   volatile BiFunction<String, Integer, Behavior> behavior = (index, shard) -> Behavior.SERVE;
 
   volatile long drainingSinceNanos;
@@ -88,8 +88,8 @@
     return frameListener.getLocalPort();
   }
 
-  /** Whether this server holds a replica of the shard. */
-  boolean holds(int shard) {
+  /** Whether this server has a replica of the shard. */
+  boolean hasReplica(int shard) {
     return cell == shard || cell == (shard + 1) % Deployment.CELLS;
   }
 
--- a/src/test/java/bitternpulley/process/LeasesProcessTest.java
+++ b/src/test/java/bitternpulley/process/LeasesProcessTest.java
@@ -14,15 +14,15 @@
 
 /**
  * Five processes under load share the capacity of cold servers by leases, with faults between them.
- * Each wait checks that the shares of all processes add up to at most the whole; the last test
- * checks what cold servers were sent.
+ * While a test waits, it checks that the quotas of all processes add up to at most 1. The last test
+ * checks the work that cold servers were sent.
  */
 public class LeasesProcessTest {
   private static final int NODES = 5;
   private static final double WAIT_TIMEOUT_MS = 30_000;
   private static final double ROUNDING_TOLERANCE = 1e-6;
   private Cluster cluster;
-  private Callers callers;
+  private Callers clients;
 
   @BeforeClass
   public void start() throws Exception {
@@ -33,8 +33,8 @@
             1,
             "membership(deployment = 'test')\nleases(lasts_s = 4)\n",
             "mvn test -Dtest=LeasesProcessTest");
-    callers = new Callers(cluster, 1, 60);
-    awaitShares("all have a fifth each", Map.of(0, 0.2, 1, 0.2, 2, 0.2, 3, 0.2, 4, 0.2));
+    clients = new Callers(cluster, 1, 60);
+    awaitQuotas("all have a fifth each", Map.of(0, 0.2, 1, 0.2, 2, 0.2, 3, 0.2, 4, 0.2));
   }
 
   @AfterClass(alwaysRun = true)
@@ -44,24 +44,24 @@
     }
   }
 
-  /** Waits for these shares, and checks meanwhile that their sum never exceeds the whole. */
-  private void awaitShares(String what, Map<Integer, Double> expectedShares)
+  /** Waits for these quotas, and checks meanwhile that their sum never exceeds 1. */
+  private void awaitQuotas(String what, Map<Integer, Double> expectedQuotas)
       throws IOException, InterruptedException {
     cluster.until(
         what,
         WAIT_TIMEOUT_MS,
         () -> {
           try {
-            Map<Integer, Double> shares = cluster.parts();
+            Map<Integer, Double> quotas = cluster.parts();
             assertTrue(
-                shares.values().stream().mapToDouble(share -> share).sum()
+                quotas.values().stream().mapToDouble(quota -> quota).sum()
                     <= 1 + ROUNDING_TOLERANCE,
-                "the sum of the shares of all exceeds the whole: " + shares);
-            return shares.keySet().equals(expectedShares.keySet())
-                && shares.entrySet().stream()
+                "the sum of the shares of all exceeds the whole: " + quotas);
+            return quotas.keySet().equals(expectedQuotas.keySet())
+                && quotas.entrySet().stream()
                     .allMatch(
                         entry ->
-                            Math.abs(entry.getValue() - expectedShares.get(entry.getKey()))
+                            Math.abs(entry.getValue() - expectedQuotas.get(entry.getKey()))
                                 < ROUNDING_TOLERANCE);
           } catch (IOException e) {
             return false;
@@ -71,47 +71,47 @@
 
   @Test
   public void redistributesShareOfKilledProcessAndReturnsItAfterRestart() throws Exception {
-    callers.disturbed(4);
+    clients.disturbed(4);
     cluster.does("kill n4");
-    awaitShares("the others have a quarter each", Map.of(0, 0.25, 1, 0.25, 2, 0.25, 3, 0.25));
+    awaitQuotas("the others have a quarter each", Map.of(0, 0.25, 1, 0.25, 2, 0.25, 3, 0.25));
     cluster.does("cold s2");
     cluster.does("renew n4");
-    callers.well(4);
-    awaitShares("all have a fifth each again", Map.of(0, 0.2, 1, 0.2, 2, 0.2, 3, 0.2, 4, 0.2));
+    clients.well(4);
+    awaitQuotas("all have a fifth each again", Map.of(0, 0.2, 1, 0.2, 2, 0.2, 3, 0.2, 4, 0.2));
   }
 
   @Test(dependsOnMethods = "redistributesShareOfKilledProcessAndReturnsItAfterRestart")
   public void onlyTheMajoritySideOfAPartitionHasShares() throws Exception {
     cluster.does("cut n0,n1 = n2,n3,n4");
     cluster.does("cold s0");
-    awaitShares(
+    awaitQuotas(
         "the majority side has all", Map.of(0, 0.0, 1, 0.0, 2, 1 / 3.0, 3, 1 / 3.0, 4, 1 / 3.0));
     cluster.does("cold s3");
     cluster.does("heal n0,n1 = n2,n3,n4");
-    awaitShares(
+    awaitQuotas(
         "all have a fifth each after the partition",
         Map.of(0, 0.2, 1, 0.2, 2, 0.2, 3, 0.2, 4, 0.2));
   }
 
   @Test(dependsOnMethods = "onlyTheMajoritySideOfAPartitionHasShares")
   public void pausedProcessHasNoShareUntilItsNewLeases() throws Exception {
-    callers.disturbed(3);
+    clients.disturbed(3);
     cluster.does("pause n3");
     Thread.sleep(6000); // longer than its leases last, which is what this test is about
     cluster.does("resume n3");
     assertEquals(cluster.members(3).path("lease").path("part").asDouble(), 0.0);
     cluster.does("cold s5");
-    awaitShares(
+    awaitQuotas(
         "the paused process has its share again", Map.of(0, 0.2, 1, 0.2, 2, 0.2, 3, 0.2, 4, 0.2));
-    callers.well(3);
+    clients.well(3);
   }
 
   @Test(dependsOnMethods = "pausedProcessHasNoShareUntilItsNewLeases")
   public void breaksNoRuleAndAnswersEveryQueryOnce() throws Exception {
-    callers.end();
+    clients.end();
     assertEquals(cluster.fleet().rules().breaches(), List.of());
-    assertEquals(callers.lost(), List.of());
-    assertEquals(callers.extra(), 0);
+    assertEquals(clients.lost(), List.of());
+    assertEquals(clients.extra(), 0);
     for (String cold : List.of("s2", "s0", "s3")) {
       assertTrue(
           cluster.fleet().rules().coldWork(cold) > 0, cold + " got no work while it was cold");
--- a/src/test/java/bitternpulley/process/MembershipProcessTest.java
+++ b/src/test/java/bitternpulley/process/MembershipProcessTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Membership of five processes with faults between them, checked in the views of all of them. */
+/** Membership of five processes with faults between them, checked in the views of all five. */
 public class MembershipProcessTest {
   private static final int NODES = 5;
   private static final double WAIT_TIMEOUT_MS = 40_000;
@@ -42,7 +42,7 @@
     return IntStream.range(0, NODES).allMatch(i -> cluster.allHold(i, "alive"));
   }
 
-  private static long deaths(Cluster cluster) throws IOException {
+  private static long countDeathDeclarations(Cluster cluster) throws IOException {
     long deaths = 0;
     for (int i = 0; i < NODES; i++) {
       deaths += cluster.deaths(i);
@@ -52,18 +52,18 @@
 
   @Test(priority = 1)
   public void processPausedForThreeSecondsIsNotDeclaredDead() throws Exception {
-    long deathsBefore = deaths(cluster);
+    long deathsBefore = countDeathDeclarations(cluster);
     Scenario.of("0 pause n1\n3000 resume n1").play(cluster);
     cluster.until(
         "all alive, with equal views", WAIT_TIMEOUT_MS, () -> allAlive() && cluster.viewsEqual());
-    assertEquals(deaths(cluster), deathsBefore);
+    assertEquals(countDeathDeclarations(cluster), deathsBefore);
     assertTrue(
         cluster.node(1).log().contains("this instance did not run for "), cluster.node(1).log());
   }
 
   @Test(priority = 2)
   public void packetLossAndOneWayPartitionCauseNoDeaths() throws Exception {
-    long deathsBefore = deaths(cluster);
+    long deathsBefore = countDeathDeclarations(cluster);
     Scenario.of(
             """
         0 lose 0.2 nodes = nodes
@@ -76,7 +76,7 @@
         .play(cluster);
     cluster.until(
         "all alive, with equal views", WAIT_TIMEOUT_MS, () -> allAlive() && cluster.viewsEqual());
-    assertEquals(deaths(cluster), deathsBefore);
+    assertEquals(countDeathDeclarations(cluster), deathsBefore);
   }
 
   @Test(priority = 3)
@@ -94,8 +94,8 @@
   }
 
   /**
-   * A second process of the same name is started, as in an upgrade or by mistake. It waits until
-   * the first has ended, and then joins under a later epoch.
+   * A second process with the same name is started, as in an upgrade or by mistake. It waits until
+   * the first process has ended, and then joins under a later epoch.
    */
   @Test(priority = 5)
   public void secondProcessOfANameJoinsOnlyAfterTheFirstHasEnded() throws Exception {
--- a/src/test/java/bitternpulley/process/OperatorsProcessTest.java
+++ b/src/test/java/bitternpulley/process/OperatorsProcessTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The admin endpoint and the signals of operators, against the real program. */
+/** The admin endpoint of the real program, and its reactions to operators' signals. */
 public class OperatorsProcessTest extends ProcessTest {
   private int readinessStatus() throws IOException {
     return TestClient.exchange(
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Guards against a program that silently keeps the old discovery where its parent process has
-   * SIGHUP ignored.
+   * Guards against a program that silently keeps the old address of discovery because its parent
+   * process ignored SIGHUP.
    */
   @Test
   public void logsIgnoredSighupAndReloadsThroughAdmin() throws Exception {
--- a/src/test/java/bitternpulley/process/PausedProcessTest.java
+++ b/src/test/java/bitternpulley/process/PausedProcessTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A process that is paused for a while, as by the garbage collector, and goes on. */
+/** A process that is paused for a while, as by a garbage collection, and resumed. */
 public class PausedProcessTest {
   private static final int CELLS = 6;
   private static final int MAX_PENDING = 200;
@@ -83,7 +83,7 @@
     return clients;
   }
 
-  /** Regression: queries were rejected as too late for as long again as the pause had lasted. */
+  /** Regression: after a pause, queries were rejected as too late for the length of the pause. */
   @Test
   public void servesQueriesSentAfterPause() throws Exception {
     for (int round = 0; round < 3; round++) {
@@ -129,8 +129,9 @@
   }
 
   /**
-   * The connections wait in the backlog, and the servers do not answer. If the pause did not count
-   * as time during which the queries were unread, their answers would be late by its length.
+   * The connections wait in the backlog, and the servers do not answer. If the time of the pause
+   * did not count as time that the queries had waited unread, their answers would be late by the
+   * length of the pause.
    */
   @Test
   public void answersConnectionsMadeDuringPauseInTime() throws Exception {
--- a/src/test/java/bitternpulley/process/PlatformProcessTest.java
+++ b/src/test/java/bitternpulley/process/PlatformProcessTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** The platform front and the frame protocol of slot servers, against the real program. */
+/** The platform front end of the real program, and its frame protocol with slot servers. */
 public class PlatformProcessTest extends ProcessTest {
   private int statusOf(String request) throws IOException {
     return TestClient.exchange(deployment.listenAddress, request, "").status();
--- a/src/test/java/bitternpulley/process/ProcessTest.java
+++ b/src/test/java/bitternpulley/process/ProcessTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** Starts the program anew for each test, and checks the rules over both protocols after it. */
+/** Starts the program for each test, and checks the rules of {@link AttemptLog} after the test. */
 abstract class ProcessTest {
   protected Deployment deployment;
 
--- a/src/test/java/bitternpulley/process/SearchProcessTest.java
+++ b/src/test/java/bitternpulley/process/SearchProcessTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.Collectors;
 import org.testng.annotations.Test;
 
-/** The OpenSearch-style front against the real program, and traffic over both protocols at once. */
+/** The OpenSearch-style front end of the real program, and traffic over both protocols at once. */
 public class SearchProcessTest extends ProcessTest {
   private static final String MATCH_ALL = "{\"query\":{\"match_all\":{}}}";
 
@@ -256,7 +256,7 @@
 
   @Test
   public void mixedTrafficKeepsRulesOverBothProtocols() throws Exception {
-    // One server of each zone is faulty, each in another way, and one server drains meanwhile.
+    // One server of each zone is faulty, in different ways, and one server starts draining.
     deployment.servers.get(1).behavior =
         (index, shard) -> index.equals("slots") ? Behavior.RESET : Behavior.ERROR;
     deployment.servers.get(4).behavior =
--- a/src/test/java/bitternpulley/process/SeveralProcessesTest.java
+++ b/src/test/java/bitternpulley/process/SeveralProcessesTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Three processes of the program with the same servers, one of them paused for a while. */
+/** Three processes of the program that use the same servers, one of them paused for a while. */
 public class SeveralProcessesTest {
   private static final int NODES = 3;
   private static final int CELLS = 6;
@@ -91,7 +91,7 @@
     return resumer;
   }
 
-  /** Reads all answers in parallel, so that each is timed by itself. */
+  /** Reads all answers in parallel, so that the time of each is independent of the others. */
   private static List<Answer> readAnswers(List<Socket> sockets, long[] sentAt)
       throws InterruptedException {
     List<Thread> readers = new ArrayList<>();
@@ -118,7 +118,7 @@
     return List.of(answers);
   }
 
-  /** Guards against time limits that count from the read of a query, which a pause delays. */
+  /** Guards against a timeout that counts from when the query is read, which a pause delays. */
   @Test
   public void answersQueryReadLateWithinClientTimeout() throws Exception {
     fleet.servers().get(2).silent(true);
--- a/src/test/java/bitternpulley/process/TestClient.java
+++ b/src/test/java/bitternpulley/process/TestClient.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Functions of an HTTP client of the program. */
+/** HTTP client functions for requests to the program. */
 final class TestClient {
   private static final int READ_TIMEOUT_MS = 30_000;
 
@@ -56,7 +56,7 @@
         new String(body, StandardCharsets.UTF_8));
   }
 
-  /** The bytes of a platform query for shards of equal weight. */
+  /** Returns the text of a platform query for shards of equal weight. */
   static String queryRequest(String queryClass, String id, double timeoutSeconds, int... shards) {
     ObjectNode body = Deployment.JSON.createObjectNode().put("filter", "c41e77d0");
     ArrayNode slices = body.putArray("slices");
