--- a/src/test/java/bitternpulley/process/DiscoveryProcessTest.java
+++ b/src/test/java/bitternpulley/process/DiscoveryProcessTest.java
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Guards against attempts that are sent before the initial list of discovery has been read, and
-   * follow the endpoint list of the configuration, which may be outdated.
+   * Guards against attempts that are sent according to the endpoint list of the configuration,
+   * which may be outdated, before the initial list of discovery has been read.
    */
   @Test(dataProvider = "handshakeCosts")
   public void sendsNothingBeforeInitialListOfDiscovery(double handshakeCost) throws Exception {
--- a/src/test/java/bitternpulley/process/ProcessTest.java
+++ b/src/test/java/bitternpulley/process/ProcessTest.java
@@ -6,7 +6,10 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** Starts the program for each test, and checks the rules of {@link AttemptLog} after the test. */
+/**
+ * Starts the program for each test. After the test, checks the rules of {@link AttemptLog} for both
+ * protocols.
+ */
 abstract class ProcessTest {
   protected Deployment deployment;
 
--- a/src/test/java/bitternpulley/process/SearchProcessTest.java
+++ b/src/test/java/bitternpulley/process/SearchProcessTest.java
@@ -256,7 +256,7 @@
 
   @Test
   public void mixedTrafficKeepsRulesOverBothProtocols() throws Exception {
-    // One server of each zone is faulty, in different ways, and one server starts draining.
+    // One server of each zone has its own fault, and one server starts draining meanwhile.
     deployment.servers.get(1).behavior =
         (index, shard) -> index.equals("slots") ? Behavior.RESET : Behavior.ERROR;
     deployment.servers.get(4).behavior =
