--- a/src/main/java/bitternpulley/config/ConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/ConfigurationReader.java
@@ -15,9 +15,9 @@
  */
 public final class ConfigurationReader {
   /**
-   * Minimum resolution of clock and alarms that the routing policy assumes. The timers of the
-   * process have a fixed granularity, and the process may have to wait for its share of a core;
-   * with a shorter tick, answers sent just in time would arrive late.
+   * The shortest tick in ms. The tick is the resolution of the clock and of alarms that the routing
+   * policy assumes. The timers of the process have a fixed granularity, and the process may have to
+   * wait for its share of a core; with a shorter tick, answers sent just in time would arrive late.
    */
   private static final double MIN_TICK_MS = 4;
 
