--- a/src/main/java/bitternpulley/aggregator/Aggregator.java
+++ b/src/main/java/bitternpulley/aggregator/Aggregator.java
@@ -68,8 +68,7 @@
         endpointLists::onDiscoveryList);
   }
 
-  private static AdminEndpoint createAdminEndpoint(
-      ServiceContext context, ServiceControl control) {
+  private static AdminEndpoint createAdminEndpoint(ServiceContext context, ServiceControl control) {
     OverridesFile overrides =
         new OverridesFile(context.configuration().operations().stateDirectory());
     return new AdminEndpoint(context.loop(), context.broker(), overrides, control);
--- a/src/main/java/bitternpulley/aggregator/StartupConfiguration.java
+++ b/src/main/java/bitternpulley/aggregator/StartupConfiguration.java
@@ -18,9 +18,7 @@
  * @param search the configuration of the OpenSearch HTTP server, empty if there is none
  */
 record StartupConfiguration(
-    Configuration aggregator,
-    BrokerConfiguration broker,
-    Optional<SearchConfiguration> search) {
+    Configuration aggregator, BrokerConfiguration broker, Optional<SearchConfiguration> search) {
 
   /**
    * Reads the files that the environment variables name.
@@ -29,8 +27,7 @@
    */
   static StartupConfiguration read(Map<String, String> environment) {
     Configuration aggregator = ConfigurationReader.read(environment);
-    BrokerConfiguration broker =
-        BrokerConfigurationReader.read(environment, aggregator.settings());
+    BrokerConfiguration broker = BrokerConfigurationReader.read(environment, aggregator.settings());
     if (broker.membership().isPresent()) {
       checkMembership(aggregator, broker.membership().get());
     }
--- a/src/main/java/bitternpulley/contracts/Account.java
+++ b/src/main/java/bitternpulley/contracts/Account.java
@@ -42,6 +42,7 @@
 
   /** Standard parts of {@link #used} that were borrowed. */
   private double borrowed;
+
   private long admitted;
 
   Account(Contract contract) {
--- a/src/main/java/bitternpulley/contracts/RetryReservations.java
+++ b/src/main/java/bitternpulley/contracts/RetryReservations.java
@@ -45,6 +45,7 @@
 
   /** All reservations in the order of their due times; some may be closed. */
   private final ArrayDeque<Reservation> byDueTime = new ArrayDeque<>();
+
   private final Map<Long, Reservation> byFingerprint = new HashMap<>();
   private double reservedAmount;
 
--- a/src/main/java/bitternpulley/gossip/GossipService.java
+++ b/src/main/java/bitternpulley/gossip/GossipService.java
@@ -84,8 +84,7 @@
                 broker.submit(
                     new Event.LeasesStarted(
                         new Leases(
-                            configuration.settings().self(),
-                            configuration.leaseTerms(leases)))));
+                            configuration.settings().self(), configuration.leaseTerms(leases)))));
   }
 
   /** Binds the address, retrying until it is free, and then starts membership. */
--- a/src/main/java/bitternpulley/opensearch/MultiSearchReply.java
+++ b/src/main/java/bitternpulley/opensearch/MultiSearchReply.java
@@ -20,8 +20,7 @@
    * @param elapsedMs ms since the request was received
    * @param onComplete called once, with the combined response
    */
-  MultiSearchReply(
-      int searchCount, DoubleSupplier elapsedMs, Consumer<SearchResponse> onComplete) {
+  MultiSearchReply(int searchCount, DoubleSupplier elapsedMs, Consumer<SearchResponse> onComplete) {
     this.responses = new SearchResponse[searchCount];
     this.elapsedMs = elapsedMs;
     this.onComplete = onComplete;
--- a/src/main/java/bitternpulley/platform/WarmupQueries.java
+++ b/src/main/java/bitternpulley/platform/WarmupQueries.java
@@ -105,8 +105,7 @@
             new Reducer(settings, 1, time),
             () -> time,
             (ms, task) -> scheduledTasks.add(new ScheduledTask(time + ms, task)));
-    frontend =
-        new QueryFront(settings, broker, this, () -> false, () -> TenantIdentification.NONE);
+    frontend = new QueryFront(settings, broker, this, () -> false, () -> TenantIdentification.NONE);
     broker.addDialect(this);
     broker.submit(
         new Event.ServersChanged(
--- a/src/main/java/bitternpulley/script/Comparisons.java
+++ b/src/main/java/bitternpulley/script/Comparisons.java
@@ -116,10 +116,7 @@
     }
     throw new ScriptException(
         position,
-        "cannot order values of type "
-            + Values.typeName(left)
-            + " and "
-            + Values.typeName(right));
+        "cannot order values of type " + Values.typeName(left) + " and " + Values.typeName(right));
   }
 
   private int orderLists(
--- a/src/main/java/bitternpulley/script/Literals.java
+++ b/src/main/java/bitternpulley/script/Literals.java
@@ -55,8 +55,7 @@
       case 'r' -> "\r";
       case '\\', '"', '\'' -> String.valueOf(escape);
       case '\n' -> "";
-      default ->
-          throw new ScriptException(position, "unknown escape sequence '\\" + escape + "'");
+      default -> throw new ScriptException(position, "unknown escape sequence '\\" + escape + "'");
     };
   }
 }
--- a/src/main/java/bitternpulley/script/SyntaxErrorListener.java
+++ b/src/main/java/bitternpulley/script/SyntaxErrorListener.java
@@ -22,9 +22,7 @@
       String message,
       RecognitionException cause) {
     String text =
-        offendingSymbol instanceof Token token
-            ? "unexpected '" + token.getText() + "'"
-            : message;
+        offendingSymbol instanceof Token token ? "unexpected '" + token.getText() + "'" : message;
     throw new ScriptException(source.position(line, column), text);
   }
 }
--- a/src/main/java/bitternpulley/script/Values.java
+++ b/src/main/java/bitternpulley/script/Values.java
@@ -102,8 +102,7 @@
       budget.reserve(asDict(value).size(), position);
       return new ArrayList<>(asDict(value).keySet());
     }
-    throw new ScriptException(
-        position, "a value of type " + typeName(value) + " is not iterable");
+    throw new ScriptException(position, "a value of type " + typeName(value) + " is not iterable");
   }
 
   /** The elements of a value, which must be as many as the variables they are assigned to. */
--- a/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
+++ b/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
@@ -1,7 +1,7 @@
 package bitternpulley.contracts;
 
-import static bitternpulley.contracts.SimulatedTeams.contractSet;
 import static bitternpulley.contracts.SimulatedTeams.contract;
+import static bitternpulley.contracts.SimulatedTeams.contractSet;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/bitternpulley/docs/RunbookTest.java
+++ b/src/test/java/bitternpulley/docs/RunbookTest.java
@@ -20,6 +20,7 @@
   /** Packages of test tools, which a running aggregator does not use. */
   private static final List<String> TEST_TOOL_PACKAGES =
       List.of("faultinjection", "emulator", "benchmark");
+
   private static final Pattern LITERAL = Pattern.compile("\"((?:\\\\.|[^\"\\\\])*)\"");
 
   /** Matches a call that logs a warning or an error, up to the end of the statement. */
--- a/src/test/java/bitternpulley/gossip/DatagramBytesTest.java
+++ b/src/test/java/bitternpulley/gossip/DatagramBytesTest.java
@@ -113,8 +113,7 @@
       decoded.add(codec.decode(bytes, bytes.length).event());
     }
     assertEquals(
-        expected.subList(0, gossipMessages().size()),
-        decoded.subList(0, gossipMessages().size()));
+        expected.subList(0, gossipMessages().size()), decoded.subList(0, gossipMessages().size()));
     assertEquals(expected.size(), decoded.size());
   }
 
--- a/src/test/java/bitternpulley/membership/MembershipHostileMemberTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipHostileMemberTest.java
@@ -54,8 +54,7 @@
               List.of(),
               cluster.stateChanges().stream()
                   .filter(
-                      change ->
-                          change.member() != HOSTILE_MEMBER && isRemoval(change.newState()))
+                      change -> change.member() != HOSTILE_MEMBER && isRemoval(change.newState()))
                   .toList(),
               seedOf(cluster));
           cluster.runUntil(
--- a/src/test/java/bitternpulley/membership/MembershipPauseTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipPauseTest.java
@@ -60,8 +60,7 @@
           long suspicions =
               cluster.stateChanges().stream()
                   .filter(
-                      change ->
-                          change.observer() == 3 && change.newState() == MemberState.SUSPECT)
+                      change -> change.observer() == 3 && change.newState() == MemberState.SUSPECT)
                   .count();
           assertTrue(
               suspicions <= 15,
--- a/src/test/java/bitternpulley/membership/MembershipScenarios.java
+++ b/src/test/java/bitternpulley/membership/MembershipScenarios.java
@@ -38,8 +38,7 @@
         List.of(),
         cluster.deathDeclarations().stream()
             .filter(
-                declaration ->
-                    IntStream.of(except).noneMatch(dead -> dead == declaration.member()))
+                declaration -> IntStream.of(except).noneMatch(dead -> dead == declaration.member()))
             .toList(),
         seedOf(cluster));
   }
--- a/src/test/java/bitternpulley/platform/SlotConnectionPoolTest.java
+++ b/src/test/java/bitternpulley/platform/SlotConnectionPoolTest.java
@@ -140,8 +140,7 @@
       start(1, 0);
       try (Socket fresh = server.accept()) {
         assertEquals(readFrame(fresh), callFrame(1));
-        assertEquals(
-            idle.getInputStream().read(), -1, "no byte was sent over the idle connection");
+        assertEquals(idle.getInputStream().read(), -1, "no byte was sent over the idle connection");
       }
     }
   }
--- a/src/test/java/bitternpulley/process/AttemptLog.java
+++ b/src/test/java/bitternpulley/process/AttemptLog.java
@@ -26,8 +26,7 @@
     final long startedAtNanos = System.nanoTime();
     private long endedAtNanos;
 
-    Attempt(
-        String protocol, String part, String idempotencyKey, int shard, FakeSlotServer server) {
+    Attempt(String protocol, String part, String idempotencyKey, int shard, FakeSlotServer server) {
       this.protocol = protocol;
       this.part = part;
       this.idempotencyKey = idempotencyKey;
--- a/src/test/java/bitternpulley/process/ContractsProcessTest.java
+++ b/src/test/java/bitternpulley/process/ContractsProcessTest.java
@@ -100,8 +100,7 @@
     assertTrue(rejected.body().contains("contract app, version 1: holds"), rejected.body());
     assertTrue(Double.parseDouble(rejected.headers().get("retry-after")) > 0);
     assertEquals(deployment.attemptLog.all().size(), attemptsBefore);
-    JsonNode accounts =
-        Deployment.JSON.readTree(deployment.callAdmin("accounts app").substring(4));
+    JsonNode accounts = Deployment.JSON.readTree(deployment.callAdmin("accounts app").substring(4));
     assertEquals(accounts.at("/accounts/0/refused/holds").asInt(), 1, accounts.toString());
   }
 
--- a/src/test/java/bitternpulley/process/Deployment.java
+++ b/src/test/java/bitternpulley/process/Deployment.java
@@ -226,8 +226,7 @@
     return heldSocketProcesses.get(startedBefore);
   }
 
-  private void run(List<String> command, Map<String, String> extraEnvironment)
-      throws IOException {
+  private void run(List<String> command, Map<String, String> extraEnvironment) throws IOException {
     Path file = folder.resolve("config.json");
     Files.writeString(file, config.toString());
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
--- a/src/test/java/bitternpulley/process/DiscoveryProcessTest.java
+++ b/src/test/java/bitternpulley/process/DiscoveryProcessTest.java
@@ -92,9 +92,7 @@
         "the first answer",
         () -> {
           try {
-            return deployment
-                    .sendQuery("slot-search", "first" + System.nanoTime(), 1, 2)
-                    .status()
+            return deployment.sendQuery("slot-search", "first" + System.nanoTime(), 1, 2).status()
                 == 200;
           } catch (IOException e) {
             return false; // the program does not listen yet
--- a/src/test/java/bitternpulley/process/EndingsProcessTest.java
+++ b/src/test/java/bitternpulley/process/EndingsProcessTest.java
@@ -64,8 +64,7 @@
     for (int i = 0; i < 6; i++) {
       int shard = i;
       // Without cancellation, attempts that were sent use capacity until they time out.
-      Deployment.await(
-          "capacity to be available again", () -> queryStatus("after", shard) == 200);
+      Deployment.await("capacity to be available again", () -> queryStatus("after", shard) == 200);
     }
     assertTrue(
         deployment.attemptLog.all().subList(sentBefore, deployment.attemptLog.all().size()).stream()
@@ -351,8 +350,7 @@
       assertEquals(deployment.sendQuery("slot-search", "sound" + i, i % 6).status(), 200);
     }
     assertTrue(
-        processStatusKb("VmHWM") < 192 * 1024,
-        "peak memory: " + processStatusKb("VmHWM") + " kB");
+        processStatusKb("VmHWM") < 192 * 1024, "peak memory: " + processStatusKb("VmHWM") + " kB");
     assertTrue(openDescriptors() < 1024, "descriptors: " + openDescriptors());
     assertEquals(countErrorsAndOrderlyCloses(floodSockets), 120, "each gets its error");
   }
--- a/src/test/java/bitternpulley/process/FakeSlotServer.java
+++ b/src/test/java/bitternpulley/process/FakeSlotServer.java
@@ -171,8 +171,7 @@
     int shard = Integer.parseInt(words[1]);
     String idempotencyKey = words[2].contains(",k=") ? words[2].split(",k=", -1)[1] : null;
     AttemptLog.Attempt attempt =
-        attemptLog.begin(
-            new AttemptLog.Attempt("platform", words[0], idempotencyKey, shard, this));
+        attemptLog.begin(new AttemptLog.Attempt("platform", words[0], idempotencyKey, shard, this));
     pending.put(words[0], attempt);
     Behavior chosen = behavior.apply("", shard);
     if (chosen == Behavior.SILENT) {
@@ -225,9 +224,7 @@
             .put(result)
             .array();
     byte[] surplus =
-        chosen == Behavior.DUPLICATE
-            ? frame
-            : new byte[chosen == Behavior.TRAILING_BYTES ? 52 : 0];
+        chosen == Behavior.DUPLICATE ? frame : new byte[chosen == Behavior.TRAILING_BYTES ? 52 : 0];
     return ByteBuffer.allocate(frame.length + surplus.length).put(frame).put(surplus).array();
   }
 
@@ -283,8 +280,7 @@
   }
 
   private static void respond(
-      Socket socket, Behavior chosen, String index, int shard, JsonNode query)
-      throws IOException {
+      Socket socket, Behavior chosen, String index, int shard, JsonNode query) throws IOException {
     boolean isServed =
         chosen == Behavior.SERVE
             || chosen == Behavior.TIMED_OUT
@@ -303,12 +299,10 @@
     out.flush();
     out.write(text);
     TestClient.send(
-        socket,
-        "\r\n0\r\n\r\n" + (chosen == Behavior.TRAILING_BYTES ? "\0\1noise\r\n" : ""));
+        socket, "\r\n0\r\n\r\n" + (chosen == Behavior.TRAILING_BYTES ? "\0\1noise\r\n" : ""));
   }
 
-  private static ObjectNode searchResult(
-      Behavior chosen, String index, int shard, JsonNode query) {
+  private static ObjectNode searchResult(Behavior chosen, String index, int shard, JsonNode query) {
     ObjectNode body = Deployment.JSON.createObjectNode();
     body.put("took", 1).put("timed_out", chosen == Behavior.TIMED_OUT);
     body.putObject("_shards")
--- a/src/test/java/bitternpulley/process/OperatorsProcessTest.java
+++ b/src/test/java/bitternpulley/process/OperatorsProcessTest.java
@@ -16,8 +16,7 @@
 /** The admin endpoint of the real program, and its reactions to operators' signals. */
 public class OperatorsProcessTest extends ProcessTest {
   private int readinessStatus() throws IOException {
-    return TestClient.exchange(
-            deployment.listenAddress, "GET /-/ready HTTP/1.1\r\n\r\n", "")
+    return TestClient.exchange(deployment.listenAddress, "GET /-/ready HTTP/1.1\r\n\r\n", "")
         .status();
   }
 
--- a/src/test/java/bitternpulley/process/PlatformProcessTest.java
+++ b/src/test/java/bitternpulley/process/PlatformProcessTest.java
@@ -38,13 +38,13 @@
     assertEquals(reply.status(), 200);
     assertTrue(reply.json().path("entire").asBoolean());
     assertEquals(reply.json().path("items").size(), 6);
-    reply.json()
+    reply
+        .json()
         .path("items")
         .forEach(
             item ->
                 assertEquals(
-                    item.path("body").asText(),
-                    FakeSlotServer.value(item.path("slice").asInt())));
+                    item.path("body").asText(), FakeSlotServer.value(item.path("slice").asInt())));
     assertTrue(requestOf("q1.3").matches("q1\\.3 3 d=[0-9]+ 8\nc41e77d0"), requestOf("q1.3"));
   }
 
@@ -277,8 +277,7 @@
   public void clientThatSendsTooLargeBodyReadsTheError() throws IOException {
     try (Socket client = TestClient.connect(deployment.listenAddress)) {
       int size = 60_000_000;
-      TestClient.send(
-          client, "POST /slot-search HTTP/1.1\r\nContent-Length: " + size + "\r\n\r\n");
+      TestClient.send(client, "POST /slot-search HTTP/1.1\r\nContent-Length: " + size + "\r\n\r\n");
       for (int sent = 0; sent < size; sent += 1_000_000) {
         client.getOutputStream().write(new byte[1_000_000]);
       }
--- a/src/test/java/bitternpulley/process/ProcessTest.java
+++ b/src/test/java/bitternpulley/process/ProcessTest.java
@@ -51,9 +51,7 @@
   /** Sends a platform query under a new id, and returns the status of its answer. */
   protected int queryStatus(String idPrefix, int... shards) {
     try {
-      return deployment
-          .sendQuery("slot-search", idPrefix + System.nanoTime(), shards)
-          .status();
+      return deployment.sendQuery("slot-search", idPrefix + System.nanoTime(), shards).status();
     } catch (IOException e) {
       throw new AssertionError(e);
     }
@@ -61,8 +59,7 @@
 
   protected boolean isReady() {
     try {
-      return TestClient.exchange(
-                  deployment.listenAddress, "GET /-/ready HTTP/1.1\r\n\r\n", "")
+      return TestClient.exchange(deployment.listenAddress, "GET /-/ready HTTP/1.1\r\n\r\n", "")
               .status()
           == 200;
     } catch (IOException e) {
--- a/src/test/java/bitternpulley/process/SearchProcessTest.java
+++ b/src/test/java/bitternpulley/process/SearchProcessTest.java
@@ -246,7 +246,8 @@
     Reply reply = deployment.sendSearch("/slots/_msearch", body, "Idempotency-Key: m");
     assertEquals(reply.status(), 200, reply.body());
     List<Integer> statuses = new ArrayList<>();
-    reply.json()
+    reply
+        .json()
         .path("responses")
         .forEach(response -> statuses.add(response.path("status").asInt()));
     assertEquals(statuses, List.of(200, 404, 200, 200, 400));
--- a/src/test/java/bitternpulley/process/SeveralProcessesTest.java
+++ b/src/test/java/bitternpulley/process/SeveralProcessesTest.java
@@ -52,8 +52,8 @@
   private record Answer(TestClient.Reply reply, double elapsedMs) {}
 
   /** Sends one query to each process. One process is paused just before, and resumes later. */
-  private List<Answer> queryAll(
-      String idPrefix, double timeoutSeconds, long pauseMs, int... shards) throws Exception {
+  private List<Answer> queryAll(String idPrefix, double timeoutSeconds, long pauseMs, int... shards)
+      throws Exception {
     List<Socket> sockets = new ArrayList<>();
     for (Node node : nodes) {
       sockets.add(TestClient.connect(node.front().toString()));
