--- a/src/jmh/java/bitternpulley/contracts/AdmissionBenchmark.java
+++ b/src/jmh/java/bitternpulley/contracts/AdmissionBenchmark.java
@@ -57,7 +57,7 @@
       requests[i] = new AdmissionRequest(tenant, QUERY_CLASS, 1, 0, false, i + 1);
     }
     control = new AdmissionControl(new double[] {LATENCY_OBJECTIVE_MS}, MAX_RETRY_AFTER_MS);
-    control.apply(new ContractBook(1, byTenant, null), 0);
+    control.apply(new ContractSet(1, byTenant, null), 0);
     if (scarce) {
       limitCapacity();
     }
--- a/src/main/java/bitternpulley/CheckCommand.java
+++ b/src/main/java/bitternpulley/CheckCommand.java
@@ -23,7 +23,7 @@
   static void run(Path script) {
     Optional<Settings> siteSettings = readSiteSettings();
     BrokerConfiguration configuration = BrokerConfigurationReader.read(script, siteSettings);
-    System.out.print(configuration.printed());
+    System.out.print(configuration.scriptOutput());
     System.out.println(configuration.document().toPrettyString());
     System.out.println(
         configuration.contracts().contracts().size()
--- a/src/main/java/bitternpulley/admin/AccountsReport.java
+++ b/src/main/java/bitternpulley/admin/AccountsReport.java
@@ -63,8 +63,8 @@
     json.writeNumberField("version", account.version());
     writeRounded(json, "share", account.contract().guaranteedQuota());
     writeRounded(json, "ceiling", account.contract().ceiling());
-    writeRounded(json, "balance", account.balance());
-    writeRounded(json, "loan", account.loan());
+    writeRounded(json, "balance", account.guaranteeBalance());
+    writeRounded(json, "loan", account.loanBalance());
     writeRounded(json, "used", account.used());
     writeRounded(json, "borrowed", account.borrowed());
     json.writeNumberField("held", account.pending());
@@ -80,8 +80,8 @@
       throws IOException {
     json.writeObjectFieldStart("refused");
     for (Limit limit : Limit.values()) {
-      if (rejections.of(limit) > 0) {
-        json.writeNumberField(limit.text(), rejections.of(limit));
+      if (rejections.count(limit) > 0) {
+        json.writeNumberField(limit.text(), rejections.count(limit));
       }
     }
     json.writeEndObject();
--- a/src/main/java/bitternpulley/admin/AdminEndpoint.java
+++ b/src/main/java/bitternpulley/admin/AdminEndpoint.java
@@ -43,7 +43,7 @@
     this.broker = broker;
     this.overridesFile = overridesFile;
     this.service = service;
-    broker.operatorCommands(this);
+    broker.setOperatorCommands(this);
   }
 
   /**
@@ -69,7 +69,7 @@
   }
 
   @Override
-  public void line(String line, Consumer<String> answer) {
+  public void handleLine(String line, Consumer<String> answer) {
     List<String> words = List.of(line.split(" +", -1));
     List<String> arguments = words.subList(1, words.size());
     AdminCommand.find(words.get(0), arguments.size())
--- a/src/main/java/bitternpulley/admin/MembersReport.java
+++ b/src/main/java/bitternpulley/admin/MembersReport.java
@@ -44,7 +44,7 @@
     json.writeObjectFieldStart("lease");
     json.writeNumberField("part", status.quota());
     json.writeNumberField("named", status.activeMembers());
-    json.writeNumberField("held", status.leases());
+    json.writeNumberField("held", status.usableLeases());
     json.writeNumberField("witnesses", status.witnesses());
     json.writeEndObject();
   }
--- a/src/main/java/bitternpulley/aggregator/ActiveBrokerConfiguration.java
+++ b/src/main/java/bitternpulley/aggregator/ActiveBrokerConfiguration.java
@@ -43,7 +43,7 @@
     if (next.document().equals(active.document())) {
       return;
     }
-    if (!next.searchFront().equals(active.searchFront())) {
+    if (!next.searchFrontendSettings().equals(active.searchFrontendSettings())) {
       LOG.log(
           Level.WARNING,
           "opensearch() of the operators' script changed; this takes effect at the next start");
--- a/src/main/java/bitternpulley/aggregator/Aggregator.java
+++ b/src/main/java/bitternpulley/aggregator/Aggregator.java
@@ -70,7 +70,7 @@
 
   private static AdminEndpoint createAdminEndpoint(ServiceContext context, ServiceControl control) {
     OverridesFile overrides =
-        new OverridesFile(context.configuration().operations().stateDirectory());
+        new OverridesFile(context.configuration().processSettings().stateDirectory());
     return new AdminEndpoint(context.loop(), context.broker(), overrides, control);
   }
 
@@ -114,10 +114,12 @@
    */
   private void start(Runnable onReady) {
     Configuration configuration = context.configuration();
-    context.loop().onPause(pauseMs -> context.broker().submit(new Event.ProcessPaused(pauseMs)));
+    context
+        .loop()
+        .setPauseListener(pauseMs -> context.broker().submit(new Event.ProcessPaused(pauseMs)));
     context.loop().startLagMonitor();
-    if (configuration.operations().admin().isPresent()) {
-      startAdmin(configuration.operations().admin().get());
+    if (configuration.processSettings().admin().isPresent()) {
+      startAdmin(configuration.processSettings().admin().get());
     }
     membership.startLeases();
     endpointLists.onStoredList(configuration.lastEndpoints());
--- a/src/main/java/bitternpulley/aggregator/ClientHttpServers.java
+++ b/src/main/java/bitternpulley/aggregator/ClientHttpServers.java
@@ -63,7 +63,7 @@
 
   /** While quiesced, closes idle connections, and each other connection after its response. */
   void setQuiesced(boolean quiesced) {
-    forEach(server -> server.quiesce(quiesced));
+    forEach(server -> server.setQuiesced(quiesced));
   }
 
   /** Leaves new connections on the inherited socket to the process that replaces this one. */
--- a/src/main/java/bitternpulley/aggregator/ConfigurationReload.java
+++ b/src/main/java/bitternpulley/aggregator/ConfigurationReload.java
@@ -65,6 +65,6 @@
     return !configuration.settings().equals(initial.settings())
         || !configuration.listen().equals(initial.listen())
         || !configuration.name().equals(initial.name())
-        || configuration.sockets() != initial.sockets();
+        || configuration.maxSockets() != initial.maxSockets();
   }
 }
--- a/src/main/java/bitternpulley/aggregator/DescriptorBudget.java
+++ b/src/main/java/bitternpulley/aggregator/DescriptorBudget.java
@@ -18,8 +18,8 @@
 
   /** Divides the descriptors that are not reserved evenly among the HTTP servers. */
   static DescriptorBudget of(Configuration configuration, int httpServerCount) {
-    int available = (configuration.sockets() - RESERVED) / httpServerCount;
-    return configuration.operations().passedSocket()
+    int available = (configuration.maxSockets() - RESERVED) / httpServerCount;
+    return configuration.processSettings().passedSocket()
         ? forHotRestart(available)
         : forSingleProcess(available);
   }
--- a/src/main/java/bitternpulley/aggregator/EndpointListDistributor.java
+++ b/src/main/java/bitternpulley/aggregator/EndpointListDistributor.java
@@ -40,16 +40,17 @@
 
   /** Distributes the list stored before the start, which discovery has not confirmed yet. */
   void onStoredList(EndpointList list) {
-    distribute(list, Router.ListKind.REMEMBERED);
+    distribute(list, Router.EndpointListKind.PERSISTED);
   }
 
   /** Distributes a complete list or changes from discovery. */
   void onDiscoveryList(EndpointList list) {
     discoveryAnswered = true;
-    distribute(list, list.complete() ? Router.ListKind.COMPLETE : Router.ListKind.CHANGES);
+    distribute(
+        list, list.complete() ? Router.EndpointListKind.COMPLETE : Router.EndpointListKind.CHANGES);
   }
 
-  private void distribute(EndpointList list, Router.ListKind kind) {
+  private void distribute(EndpointList list, Router.EndpointListKind kind) {
     list.entries().stream()
         .filter(entry -> entry.address() != null)
         .forEach(entry -> setAddress(entry.endpoint().server(), entry.address()));
@@ -60,7 +61,7 @@
     if (containsLiveServer(list)) {
       state.recordLiveServer();
     }
-    if (kind == Router.ListKind.COMPLETE) {
+    if (kind == Router.EndpointListKind.COMPLETE) {
       removeServersMissingFrom(list);
     }
     broker.submit(
@@ -75,11 +76,11 @@
 
   private void setAddress(String server, HostPort address) {
     slotServers.setAddress(server, address);
-    search.ifPresent(service -> service.searchServers().recordAddress(server, address));
+    search.ifPresent(service -> service.searchServers().setAddress(server, address));
   }
 
   private void removeServer(String server) {
-    slotServers.forget(server);
+    slotServers.removeServer(server);
     search.ifPresent(service -> service.searchServers().removeServer(server));
   }
 
@@ -87,6 +88,6 @@
     Set<String> servers =
         list.entries().stream().map(entry -> entry.endpoint().server()).collect(Collectors.toSet());
     slotServers.retainOnly(servers);
-    search.ifPresent(service -> service.searchServers().retainServers(servers));
+    search.ifPresent(service -> service.searchServers().retainOnly(servers));
   }
 }
--- a/src/main/java/bitternpulley/aggregator/GracefulShutdown.java
+++ b/src/main/java/bitternpulley/aggregator/GracefulShutdown.java
@@ -76,7 +76,7 @@
     LOG.log(Level.INFO, "Draining: graceful shutdown started");
     httpServers.drain();
     membership.leave();
-    if (context.configuration().operations().passedSocket()) {
+    if (context.configuration().processSettings().passedSocket()) {
       httpServers.stopAcceptingOnInheritedSocket();
       hotRestart.onDraining();
     }
@@ -87,7 +87,7 @@
     double exitTime = context.clock().now() + countedDeadlineMs + EXIT_AFTER_DEADLINE_MS;
     context
         .timer()
-        .after(
+        .schedule(
             GRACE_PERIOD_MS,
             () -> {
               httpServers.stopListening();
@@ -104,7 +104,7 @@
     if (answered && (context.clock().now() >= exitTime || httpServers.allIdle())) {
       drained.countDown();
     } else {
-      context.timer().after(IDLE_CHECK_INTERVAL_MS, () -> awaitIdle(exitTime));
+      context.timer().schedule(IDLE_CHECK_INTERVAL_MS, () -> awaitIdle(exitTime));
     }
   }
 }
--- a/src/main/java/bitternpulley/aggregator/HotRestart.java
+++ b/src/main/java/bitternpulley/aggregator/HotRestart.java
@@ -31,7 +31,7 @@
    */
   void onListening() {
     context.broker().submit(new Event.HotRestartRoleChanged(HotRestartRole.PREDECESSOR));
-    context.timer().after(maxPredecessorLifetimeMs, this::onPredecessorGone);
+    context.timer().schedule(maxPredecessorLifetimeMs, this::onPredecessorGone);
   }
 
   /** Reports that new connections go to the process that takes over. */
--- a/src/main/java/bitternpulley/aggregator/QueryService.java
+++ b/src/main/java/bitternpulley/aggregator/QueryService.java
@@ -1,7 +1,7 @@
 package bitternpulley.aggregator;
 
 import bitternpulley.net.HttpServer;
-import bitternpulley.platform.QueryFront;
+import bitternpulley.platform.QueryFrontend;
 import bitternpulley.platform.SlotServers;
 
 /**
@@ -21,15 +21,15 @@
             context.configuration().connections(),
             context.connectTimeout(),
             context.descriptors().serverConnections());
-    context.broker().addDialect(slotServers);
-    QueryFront queryFrontend =
-        new QueryFront(
+    context.broker().addProtocolAdapter(slotServers);
+    QueryFrontend queryFrontend =
+        new QueryFrontend(
             context.configuration().settings(),
             context.broker(),
             slotServers,
             state::isReadyForClients,
             context.brokerConfiguration()::tenantIdentification);
-    slotServers.deliverAnswersTo(queryFrontend::reply);
+    slotServers.setReplyHandler(queryFrontend::reply);
     return new QueryService(slotServers, context.newHttpServer(queryFrontend));
   }
 }
--- a/src/main/java/bitternpulley/aggregator/SearchService.java
+++ b/src/main/java/bitternpulley/aggregator/SearchService.java
@@ -4,7 +4,7 @@
 import bitternpulley.net.HostPort;
 import bitternpulley.net.HttpClient;
 import bitternpulley.net.HttpServer;
-import bitternpulley.opensearch.SearchFront;
+import bitternpulley.opensearch.SearchFrontend;
 import bitternpulley.opensearch.SearchServers;
 
 /**
@@ -26,9 +26,9 @@
             context.configuration().connections().idleTimeout());
     SearchServers searchServers =
         new SearchServers(context.loop(), context.broker(), client, configuration.serverPort());
-    context.broker().addDialect(searchServers);
-    SearchFront searchFrontend =
-        new SearchFront(
+    context.broker().addProtocolAdapter(searchServers);
+    SearchFrontend searchFrontend =
+        new SearchFrontend(
             context.configuration().settings(),
             configuration,
             context.broker(),
--- a/src/main/java/bitternpulley/aggregator/StartSequence.java
+++ b/src/main/java/bitternpulley/aggregator/StartSequence.java
@@ -36,7 +36,7 @@
     ON_HOT_RESTART;
 
     static ListenTiming of(Configuration configuration) {
-      if (configuration.operations().passedSocket()) {
+      if (configuration.processSettings().passedSocket()) {
         return ON_HOT_RESTART;
       }
       return configuration.connections().handshakesCostly() ? WHEN_READY : AT_ONCE;
@@ -95,7 +95,7 @@
     if (endpointLists.hasDiscoveryAnswered() || context.clock().now() >= deadline) {
       task.run();
     } else {
-      context.timer().after(DISCOVERY_CHECK_INTERVAL_MS, () -> afterDiscovery(deadline, task));
+      context.timer().schedule(DISCOVERY_CHECK_INTERVAL_MS, () -> afterDiscovery(deadline, task));
     }
   }
 
--- a/src/main/java/bitternpulley/aggregator/StartupConfiguration.java
+++ b/src/main/java/bitternpulley/aggregator/StartupConfiguration.java
@@ -32,7 +32,8 @@
       checkMembership(aggregator, broker.membership().get());
     }
     Optional<SearchConfiguration> search =
-        SearchConfigurationReader.read(environment, aggregator.settings(), broker.searchFront());
+        SearchConfigurationReader.read(
+            environment, aggregator.settings(), broker.searchFrontendSettings());
     return new StartupConfiguration(aggregator, broker, search);
   }
 
--- a/src/main/java/bitternpulley/benchmark/MeasureContracts.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureContracts.java
@@ -67,7 +67,7 @@
   private MeasureContracts(long seed) throws IOException {
     this.seed = seed;
     this.fleet = new Fleet(serverLoop, CELLS, CORES);
-    this.partsPerSecond = fleet.workPerSecond() * 1000 / PART_WORK_MICROS;
+    this.partsPerSecond = fleet.workMsPerSecond() * 1000 / PART_WORK_MICROS;
   }
 
   /**
@@ -90,8 +90,8 @@
     ObjectNode out = measurement.figures(normal, overload, noContracts, single);
     measurement
         .fleet
-        .rules()
-        .breaches()
+        .ruleCheck()
+        .firstViolations()
         .forEach(violation -> System.out.println("broken: " + violation));
     System.out.println(out);
   }
@@ -121,7 +121,7 @@
                 ? 0
                 : (double) overload.appeal.delayedRetriesServed / overload.appeal.delayedRetries));
     out.put("single_use", round(single.capacityUsed));
-    out.put("rules_broken", fleet.rules().broken());
+    out.put("rules_broken", fleet.ruleCheck().countViolations());
     out.put("others_kept_min_off", round(minKeptByOthers(noContracts, normal)));
     out.put("seed", seed);
     return out;
@@ -133,8 +133,8 @@
    */
   private RunResult run(String name, boolean withContracts, double appealLoad, boolean withOthers)
       throws Exception {
-    HostPort platformAddress = new HostPort("127.0.0.1", Ports.free());
-    HostPort searchAddress = new HostPort("127.0.0.1", Ports.free());
+    HostPort platformAddress = new HostPort("127.0.0.1", Ports.reservePort());
+    HostPort searchAddress = new HostPort("127.0.0.1", Ports.reservePort());
     EventLoop clientLoop = new EventLoop();
     ObjectNode configuration = configuration("n" + runs++, platformAddress);
     String script = script(searchAddress, withContracts);
@@ -142,23 +142,23 @@
       TenantClients appeal = appealClients(clientLoop, platformAddress, appealLoad);
       TenantClients stock = stockClients(clientLoop, platformAddress);
       TenantClients booking = bookingClients(clientLoop, searchAddress);
-      double workBefore = fleet.workDone();
+      double workBefore = fleet.workDoneMs();
       appeal.start();
       if (withOthers) {
         stock.start();
         booking.start();
       }
       TimeUnit.MILLISECONDS.sleep(1000L * WARM_UP_SECONDS);
-      double workAfterWarmUp = fleet.workDone();
+      double workAfterWarmUp = fleet.workDoneMs();
       TimeUnit.MILLISECONDS.sleep(1000L * (RUN_SECONDS - WARM_UP_SECONDS));
       double capacityUsed =
-          (fleet.workDone() - workAfterWarmUp)
-              / (fleet.workPerSecond() * (RUN_SECONDS - WARM_UP_SECONDS));
-      String accounts = aggregator.order("accounts");
+          (fleet.workDoneMs() - workAfterWarmUp)
+              / (fleet.workMsPerSecond() * (RUN_SECONDS - WARM_UP_SECONDS));
+      String accounts = aggregator.callAdmin("accounts");
       TimeUnit.MILLISECONDS.sleep((long) DEADLINE_MS / 3);
       RunResult result =
           new RunResult(appeal.tally(), stock.tally(), booking.tally(), capacityUsed, accounts);
-      printSummary(name, result, fleet.workDone() - workBefore);
+      printSummary(name, result, fleet.workDoneMs() - workBefore);
       System.out.println(accounts);
       printErrors(aggregator);
       return result;
--- a/src/main/java/bitternpulley/benchmark/MeasureMembership.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembership.java
@@ -1,7 +1,7 @@
 package bitternpulley.benchmark;
 
-import bitternpulley.faultinjection.Callers;
 import bitternpulley.faultinjection.Cluster;
+import bitternpulley.faultinjection.QueryClients;
 import bitternpulley.faultinjection.Scenario;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -32,7 +32,7 @@
   private final long seed;
   private final Random random;
   private final Cluster cluster;
-  private final Callers clients;
+  private final QueryClients clients;
   private final List<Double> detectionTimesMs = new ArrayList<>();
   private double bytesPerSecond;
   private double maxLeaseQuotaSum;
@@ -47,7 +47,7 @@
             seed,
             "membership(deployment = 'measure')\nleases(lasts_s = 4)\n",
             "make measure-membership SEED=" + seed);
-    clients = new Callers(cluster, seed, QUERIES_PER_SECOND);
+    clients = new QueryClients(cluster, seed, QUERIES_PER_SECOND);
   }
 
   /**
@@ -75,7 +75,8 @@
   }
 
   private ObjectNode measure() throws Exception {
-    cluster.until("all members are alive in one view", WAIT_TIMEOUT_MS, this::hasConverged);
+    cluster.awaitCondition(
+        "all members are alive in one view", WAIT_TIMEOUT_MS, this::hasConverged);
     List<Integer> order = new ArrayList<>(IntStream.range(0, NODES).boxed().toList());
     Collections.shuffle(order, random);
     List<Integer> killed = order.subList(1, 3);
@@ -87,14 +88,14 @@
     int deathsBeforePartition = countDeathDeclarationsExcept(MINORITY);
     double convergenceMs = partitionAndHeal(order.get(3), order.get(4));
     recordLeaseQuotas();
-    clients.end();
+    clients.stop();
     falseDeaths += countDeathDeclarationsExcept(MINORITY) - deathsBeforePartition;
     ObjectNode out = figures(falseDeaths, falseDeathsOfPause, convergenceMs);
-    clients.lost().forEach(lost -> System.out.println("lost: " + lost));
+    clients.lostQueryDescriptions().forEach(lost -> System.out.println("lost: " + lost));
     cluster
         .fleet()
-        .rules()
-        .breaches()
+        .ruleCheck()
+        .firstViolations()
         .forEach(violation -> System.out.println("broken: " + violation));
     System.out.println("timeline: " + cluster.timeline().file());
     return out;
@@ -105,39 +106,42 @@
    * take to declare each of them dead, and starts the killed processes again.
    */
   private void killAndRestart(List<Integer> killed) throws Exception {
-    cluster.does("lose 0.05 nodes = nodes");
-    cluster.does("delay 1 40 nodes = nodes");
-    cluster.does("repeat 0.05 nodes = nodes");
+    cluster.applyFault("lose 0.05 nodes = nodes");
+    cluster.applyFault("delay 1 40 nodes = nodes");
+    cluster.applyFault("repeat 0.05 nodes = nodes");
     double bytesBefore = maxBytesSent();
-    double startMs = cluster.timeline().now();
+    double startMs = cluster.timeline().elapsedMs();
     for (int node : killed) {
-      clients.disturbed(node);
-      cluster.does("kill n" + node);
+      clients.beginDisturbance(node);
+      cluster.applyFault("kill n" + node);
     }
-    double killedAtMs = cluster.timeline().now();
+    double killedAtMs = cluster.timeline().elapsedMs();
     for (int node : killed) {
-      cluster.until(
+      cluster.awaitCondition(
           "all others consider n" + node + " dead",
           WAIT_TIMEOUT_MS,
-          () -> cluster.allHold(node, "dead"));
-      detectionTimesMs.add(cluster.timeline().now() - killedAtMs);
+          () -> cluster.allReportState(node, "dead"));
+      detectionTimesMs.add(cluster.timeline().elapsedMs() - killedAtMs);
     }
-    bytesPerSecond = (maxBytesSent() - bytesBefore) / ((cluster.timeline().now() - startMs) / 1000);
+    bytesPerSecond =
+        (maxBytesSent() - bytesBefore) / ((cluster.timeline().elapsedMs() - startMs) / 1000);
     recordLeaseQuotas();
     for (int node : killed) {
-      cluster.does((random.nextBoolean() ? "restart n" : "renew n") + node);
-      clients.well(node);
+      cluster.applyFault((random.nextBoolean() ? "restart n" : "renew n") + node);
+      clients.endDisturbance(node);
     }
-    cluster.until("the killed members are alive again", WAIT_TIMEOUT_MS, this::hasConverged);
+    cluster.awaitCondition(
+        "the killed members are alive again", WAIT_TIMEOUT_MS, this::hasConverged);
   }
 
   /** Pauses a process for 3 s and returns how many death declarations there were meanwhile. */
   private int pauseAndResume(int node) throws Exception {
     int deathsBefore = countDeathDeclarationsExcept(List.of());
-    clients.disturbed(node);
-    Scenario.of("0 pause n" + node + "\n3000 resume n" + node).play(cluster);
-    cluster.until("the paused member is considered alive", WAIT_TIMEOUT_MS, this::hasConverged);
-    clients.well(node);
+    clients.beginDisturbance(node);
+    Scenario.parse("0 pause n" + node + "\n3000 resume n" + node).run(cluster);
+    cluster.awaitCondition(
+        "the paused member is considered alive", WAIT_TIMEOUT_MS, this::hasConverged);
+    clients.endDisturbance(node);
     return countDeathDeclarationsExcept(List.of()) - deathsBefore;
   }
 
@@ -146,7 +150,7 @@
    * how many ms from the end of all faults all members have the same view.
    */
   private double partitionAndHeal(int sender, int receiver) throws Exception {
-    Scenario.of(
+    Scenario.parse(
             "0 cut n"
                 + sender
                 + " > n"
@@ -156,36 +160,38 @@
                 + random.nextInt(3)
                 + "\n2500 cold s"
                 + (3 + random.nextInt(3)))
-        .play(cluster);
+        .run(cluster);
     for (int i = 0; i < 7; i++) {
       TimeUnit.MILLISECONDS.sleep(500);
       recordLeaseQuotas();
     }
-    cluster.does("heal nodes = nodes");
-    return cluster.until("all members hold the same view", WAIT_TIMEOUT_MS, this::hasConverged);
+    cluster.applyFault("heal nodes = nodes");
+    return cluster.awaitCondition(
+        "all members hold the same view", WAIT_TIMEOUT_MS, this::hasConverged);
   }
 
   private ObjectNode figures(int falseDeaths, int falseDeathsOfPause, double convergenceMs) {
     ObjectNode out = new ObjectMapper().createObjectNode();
-    out.put("processes", NODES).put("faults", cluster.timeline().injected());
+    out.put("processes", NODES).put("faults", cluster.timeline().countFaults());
     out.put("detect_ms_median", median(detectionTimesMs))
         .put("detect_ms_max", Math.round(Collections.max(detectionTimesMs)));
     out.put("false_dead", falseDeaths).put("false_dead_paused_3s", falseDeathsOfPause);
     out.put("converge_ms_max", Math.round(convergenceMs))
         .put("bytes_per_s_max", Math.round(bytesPerSecond));
-    out.put("asked", clients.asked())
-        .put("served", clients.served())
-        .put("refused", clients.refused());
-    out.put("failed", clients.failed()).put("excused", clients.excused());
-    out.put("extra_answers", clients.extra()).put("lost", clients.lost().size());
+    out.put("asked", clients.countQueries())
+        .put("served", clients.countServed())
+        .put("refused", clients.countRejected());
+    out.put("failed", clients.countFailed()).put("excused", clients.countExcused());
+    out.put("extra_answers", clients.countExtraAnswers())
+        .put("lost", clients.lostQueryDescriptions().size());
     out.put("parts_sum_max", maxLeaseQuotaSum);
     out.put(
         "cold_share_max",
         cluster.fleet().servers().stream()
-            .mapToDouble(server -> cluster.fleet().rules().coldShare(server.id()))
+            .mapToDouble(server -> cluster.fleet().ruleCheck().maxWarmupLimitShare(server.id()))
             .max()
             .orElse(0));
-    out.put("rules_broken", cluster.fleet().rules().broken()).put("seed", seed);
+    out.put("rules_broken", cluster.fleet().ruleCheck().countViolations()).put("seed", seed);
     return out;
   }
 
@@ -196,24 +202,25 @@
   private void recordLeaseQuotas() throws IOException {
     maxLeaseQuotaSum =
         Math.max(
-            maxLeaseQuotaSum, cluster.parts().values().stream().mapToDouble(quota -> quota).sum());
+            maxLeaseQuotaSum,
+            cluster.leaseQuotas().values().stream().mapToDouble(quota -> quota).sum());
   }
 
   private boolean hasConverged() {
-    return IntStream.range(0, NODES).allMatch(i -> cluster.allHold(i, "alive"))
+    return IntStream.range(0, NODES).allMatch(i -> cluster.allReportState(i, "alive"))
         && cluster.viewsEqual();
   }
 
   /** Returns how many bytes in datagrams the process that has sent the most has sent so far. */
   private double maxBytesSent() {
-    return IntStream.range(0, NODES).mapToDouble(i -> cluster.bytesOf(i)).max().orElse(0);
+    return IntStream.range(0, NODES).mapToDouble(i -> cluster.datagramBytesSent(i)).max().orElse(0);
   }
 
   /** Returns how often the processes have declared a member dead that is not excluded. */
   private int countDeathDeclarationsExcept(List<Integer> excluded) throws IOException {
     int deaths = 0;
     for (int i = 0; i < NODES; i++) {
-      deaths += excluded.contains(i) ? 0 : (int) cluster.deaths(i);
+      deaths += excluded.contains(i) ? 0 : (int) cluster.countDeathDeclarations(i);
     }
     return deaths;
   }
--- a/src/main/java/bitternpulley/benchmark/MeasureMembershipCase.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembershipCase.java
@@ -1,7 +1,7 @@
 package bitternpulley.benchmark;
 
-import bitternpulley.faultinjection.Callers;
 import bitternpulley.faultinjection.Cluster;
+import bitternpulley.faultinjection.QueryClients;
 import bitternpulley.faultinjection.Scenario;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -123,33 +123,35 @@
 
   private static ObjectNode measure(Cluster cluster, String name, FaultCase faultCase, long seed)
       throws Exception {
-    cluster.until(
+    cluster.awaitCondition(
         "all members are alive in one view", WAIT_TIMEOUT_MS, () -> hasConverged(cluster));
-    Callers clients = new Callers(cluster, seed, QUERIES_PER_SECOND);
-    faultCase.disturbed().forEach(clients::disturbed);
-    Scenario.of(faultCase.scenario()).play(cluster);
+    QueryClients clients = new QueryClients(cluster, seed, QUERIES_PER_SECOND);
+    faultCase.disturbed().forEach(clients::beginDisturbance);
+    Scenario.parse(faultCase.scenario()).run(cluster);
     double convergenceMs =
-        cluster.until(
+        cluster.awaitCondition(
             "all members hold the same view", WAIT_TIMEOUT_MS, () -> hasConverged(cluster));
-    faultCase.disturbed().forEach(clients::well);
-    clients.end();
+    faultCase.disturbed().forEach(clients::endDisturbance);
+    clients.stop();
     ObjectNode out =
         new ObjectMapper().createObjectNode().put("case", name).put("processes", NODES);
-    out.put("faults", cluster.timeline().injected()).put("converge_ms", Math.round(convergenceMs));
+    out.put("faults", cluster.timeline().countFaults())
+        .put("converge_ms", Math.round(convergenceMs));
     out.put("false_dead", countDeathDeclarations(cluster, faultCase.mayBeDeclaredDead(), false))
         .put("dead", countDeathDeclarations(cluster, faultCase.mayBeDeclaredDead(), true));
-    out.put("asked", clients.asked())
-        .put("served", clients.served())
-        .put("excused", clients.excused());
-    out.put("extra_answers", clients.extra()).put("lost", clients.lost().size());
-    out.put("rules_broken", cluster.fleet().rules().broken()).put("seed", seed);
-    clients.lost().forEach(lost -> System.out.println("lost: " + lost));
+    out.put("asked", clients.countQueries())
+        .put("served", clients.countServed())
+        .put("excused", clients.countExcused());
+    out.put("extra_answers", clients.countExtraAnswers())
+        .put("lost", clients.lostQueryDescriptions().size());
+    out.put("rules_broken", cluster.fleet().ruleCheck().countViolations()).put("seed", seed);
+    clients.lostQueryDescriptions().forEach(lost -> System.out.println("lost: " + lost));
     System.out.println("timeline: " + cluster.timeline().file());
     return out;
   }
 
   private static boolean hasConverged(Cluster cluster) {
-    return IntStream.range(0, NODES).allMatch(i -> cluster.allHold(i, "alive"))
+    return IntStream.range(0, NODES).allMatch(i -> cluster.allReportState(i, "alive"))
         && cluster.viewsEqual();
   }
 
@@ -161,7 +163,7 @@
       Cluster cluster, Set<Integer> members, boolean included) throws IOException {
     long deaths = 0;
     for (int i = 0; i < NODES; i++) {
-      deaths += members.contains(i) == included ? cluster.deaths(i) : 0;
+      deaths += members.contains(i) == included ? cluster.countDeathDeclarations(i) : 0;
     }
     return deaths;
   }
--- a/src/main/java/bitternpulley/benchmark/MeasureMembershipMany.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembershipMany.java
@@ -1,7 +1,7 @@
 package bitternpulley.benchmark;
 
-import bitternpulley.faultinjection.Callers;
 import bitternpulley.faultinjection.Cluster;
+import bitternpulley.faultinjection.QueryClients;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -55,28 +55,28 @@
   }
 
   private ObjectNode measure(Cluster cluster, long seed) throws Exception {
-    Callers clients = new Callers(cluster, seed, QUERIES_PER_SECOND);
+    QueryClients clients = new QueryClients(cluster, seed, QUERIES_PER_SECOND);
     List<Integer> order = new ArrayList<>(IntStream.range(0, NODES).boxed().toList());
     Collections.shuffle(order, new Random(seed));
     int paused = order.remove(0);
-    clients.disturbed(paused);
-    cluster.does("pause n" + paused);
-    double resumeAtMs = cluster.timeline().now() + PAUSE_MS;
+    clients.beginDisturbance(paused);
+    cluster.applyFault("pause n" + paused);
+    double resumeAtMs = cluster.timeline().elapsedMs() + PAUSE_MS;
     List<Integer> live = new ArrayList<>(order);
     ObjectNode out = new ObjectMapper().createObjectNode().put("processes", NODES);
     out.put("detect_ms_one", kill(cluster, clients, live, 1));
     out.put("detect_ms_half", kill(cluster, clients, live, live.size() / 2));
     out.put("detect_ms_all_but_one", kill(cluster, clients, live, live.size() - 1));
     out.put("false_dead", falseDeaths);
-    double remainingMs = resumeAtMs - cluster.timeline().now();
+    double remainingMs = resumeAtMs - cluster.timeline().elapsedMs();
     if (remainingMs > 0) {
       TimeUnit.MILLISECONDS.sleep((long) remainingMs);
     }
     resume(cluster, paused, live.get(0), out);
-    clients.end();
+    clients.stop();
     putLoadFigures(out, cluster, clients);
-    out.put("rules_broken", cluster.fleet().rules().broken()).put("seed", seed);
-    clients.lost().forEach(lost -> System.out.println("lost: " + lost));
+    out.put("rules_broken", cluster.fleet().ruleCheck().countViolations()).put("seed", seed);
+    clients.lostQueryDescriptions().forEach(lost -> System.out.println("lost: " + lost));
     System.out.println("timeline: " + cluster.timeline().file());
     return out;
   }
@@ -85,14 +85,16 @@
   private static void resume(Cluster cluster, int paused, int live, ObjectNode out)
       throws IOException, InterruptedException {
     String logBefore = cluster.node(paused).log();
-    cluster.does("resume n" + paused);
+    cluster.applyFault("resume n" + paused);
     out.put(
         "back_ms_stopped_30s",
         Math.round(
-            cluster.until(
+            cluster.awaitCondition(
                 "the resumed and the last live member consider each other alive",
                 WAIT_TIMEOUT_MS,
-                () -> cluster.allHold(paused, "alive") && cluster.allHold(live, "alive"))));
+                () ->
+                    cluster.allReportState(paused, "alive")
+                        && cluster.allReportState(live, "alive"))));
     out.put(
         "blamed_by_stopped",
         cluster
@@ -104,38 +106,39 @@
             .count());
   }
 
-  private static void putLoadFigures(ObjectNode out, Cluster cluster, Callers clients) {
-    out.put("faults", cluster.timeline().injected())
-        .put("asked", clients.asked())
-        .put("served", clients.served());
-    out.put("excused", clients.excused())
-        .put("extra_answers", clients.extra())
-        .put("lost", clients.lost().size());
+  private static void putLoadFigures(ObjectNode out, Cluster cluster, QueryClients clients) {
+    out.put("faults", cluster.timeline().countFaults())
+        .put("asked", clients.countQueries())
+        .put("served", clients.countServed());
+    out.put("excused", clients.countExcused())
+        .put("extra_answers", clients.countExtraAnswers())
+        .put("lost", clients.lostQueryDescriptions().size());
   }
 
   /**
    * Kills {@code count} live processes at once and returns after how many ms all remaining
    * processes consider each of them dead.
    */
-  private long kill(Cluster cluster, Callers clients, List<Integer> live, int count)
+  private long kill(Cluster cluster, QueryClients clients, List<Integer> live, int count)
       throws IOException, InterruptedException {
     for (int node : live) {
-      falseDeaths += cluster.deaths(node);
+      falseDeaths += cluster.countDeathDeclarations(node);
     }
     List<Integer> killed = new ArrayList<>(live.subList(0, count));
     live.removeAll(killed);
-    double startMs = cluster.timeline().now();
+    double startMs = cluster.timeline().elapsedMs();
     for (int node : killed) {
-      clients.disturbed(node);
-      cluster.does("kill n" + node);
+      clients.beginDisturbance(node);
+      cluster.applyFault("kill n" + node);
     }
-    cluster.until(
+    cluster.awaitCondition(
         "all processes that are left consider " + killed + " dead",
         WAIT_TIMEOUT_MS,
         () ->
             killed.stream()
                 .allMatch(
-                    dead -> live.stream().allMatch(node -> cluster.holds(node, dead, "dead"))));
-    return Math.round(cluster.timeline().now() - startMs);
+                    dead ->
+                        live.stream().allMatch(node -> cluster.reportsState(node, dead, "dead"))));
+    return Math.round(cluster.timeline().elapsedMs() - startMs);
   }
 }
--- a/src/main/java/bitternpulley/benchmark/MeasureScaleServers.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureScaleServers.java
@@ -1,6 +1,6 @@
 package bitternpulley.benchmark;
 
-import bitternpulley.emulator.HollowServers;
+import bitternpulley.emulator.StubSlotServers;
 import bitternpulley.faultinjection.Node;
 import bitternpulley.faultinjection.Ports;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -102,7 +102,7 @@
   }
 
   private ObjectNode measureSize(int size) throws Exception {
-    HollowServers servers = new HollowServers(size, EVENT_LOOPS);
+    StubSlotServers servers = new StubSlotServers(size, EVENT_LOOPS);
     try (Node node = new Node("n0", configuration(servers, size), null)) {
       long startNanos = System.nanoTime();
       node.start().awaitReady();
@@ -111,15 +111,17 @@
       ProcessUsage atRest = ProcessUsage.ofProcess(node.pid());
       Random random = new Random(size);
       OpenLoopLoad warmUp =
-          new OpenLoopLoad(node.front(), number -> request(number, random.nextInt(size), size));
+          new OpenLoopLoad(
+              node.queryAddress(), number -> request(number, random.nextInt(size), size));
       warmUp.run(0, WARM_UP_QUERIES, QUERIES_PER_SECOND);
       ProcessUsage before = ProcessUsage.ofProcess(node.pid());
-      long partsBefore = servers.parts();
+      long partsBefore = servers.countAnsweredParts();
       OpenLoopLoad load =
-          new OpenLoopLoad(node.front(), number -> request(number, random.nextInt(size), size));
+          new OpenLoopLoad(
+              node.queryAddress(), number -> request(number, random.nextInt(size), size));
       load.run(WARM_UP_QUERIES, QUERIES, QUERIES_PER_SECOND);
       ProcessUsage after = ProcessUsage.ofProcess(node.pid());
-      long answeredParts = servers.parts() - partsBefore;
+      long answeredParts = servers.countAnsweredParts() - partsBefore;
       return json.createObjectNode()
           .put("servers", size)
           .put("ready_ms", readyMs)
@@ -127,7 +129,7 @@
           .put("resident_kb_at_rest", atRest.residentKb())
           .put("resident_kb", after.peakResidentKb())
           .put("descriptors", after.descriptors())
-          .put("links", servers.open())
+          .put("links", servers.countOpenConnections())
           .put("parts", answeredParts)
           .put("served", load.served())
           .put("asked", QUERIES)
@@ -144,11 +146,12 @@
    * Waits until one connection per server has been open at the same time, for at most {@link
    * #CONNECT_TIME_MS}, and returns the highest number of open connections seen.
    */
-  private static int awaitConnections(HollowServers servers, int size) throws InterruptedException {
+  private static int awaitConnections(StubSlotServers servers, int size)
+      throws InterruptedException {
     long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CONNECT_TIME_MS);
     int highest = 0;
     while (highest < size && System.nanoTime() < endNanos) {
-      highest = Math.max(highest, servers.open());
+      highest = Math.max(highest, servers.countOpenConnections());
       TimeUnit.MILLISECONDS.sleep(10);
     }
     return highest;
@@ -176,15 +179,15 @@
         + body;
   }
 
-  private ObjectNode configuration(HollowServers servers, int size) throws IOException {
+  private ObjectNode configuration(StubSlotServers servers, int size) throws IOException {
     ObjectNode config =
         json.createObjectNode()
             .put("name", "n0")
-            .put("listen", "127.0.0.1:" + Ports.free())
-            .put("discovery", servers.discovery().toString())
+            .put("listen", "127.0.0.1:" + Ports.reservePort())
+            .put("discovery", servers.discoveryAddress().toString())
             .put("seed", "8c1f30d27a5be964");
     config.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", SOCKETS);
-    config.set("known", servers.list());
+    config.set("known", servers.endpointList());
     ObjectNode settings =
         config
             .putObject("settings")
--- a/src/main/java/bitternpulley/broker/AttemptControl.java
+++ b/src/main/java/bitternpulley/broker/AttemptControl.java
@@ -47,7 +47,7 @@
     AttemptInFlight attempt = part.attemptInFlight();
     if (request.markTimeoutCheckScheduled(attempt.timesOutAt())) {
       context.emit(
-          new Effect.WakeAt(
+          new Effect.ScheduleEvent(
               attempt.timesOutAt(),
               new Event.AttemptTimedOut(attempt.id(), request.firstPart(), request.partCount())));
     }
--- a/src/main/java/bitternpulley/broker/Broker.java
+++ b/src/main/java/bitternpulley/broker/Broker.java
@@ -18,7 +18,7 @@
   /** Runs tasks later, on the broker's thread. */
   public interface Timer {
     /** Runs a task after a delay in ms. */
-    void after(double ms, Runnable task);
+    void schedule(double ms, Runnable task);
   }
 
   private final Reducer reducer;
@@ -36,17 +36,17 @@
   }
 
   /** Adds a dialect that receives the effects that concern a server as a whole. */
-  public void addDialect(Dialect dialect) {
-    performer.addDialect(dialect);
+  public void addProtocolAdapter(ProtocolAdapter dialect) {
+    performer.addProtocolAdapter(dialect);
   }
 
   /** Sets the component that carries out the effects of operator commands. */
-  public void operatorCommands(OperatorCommands commands) {
+  public void setOperatorCommands(OperatorCommands commands) {
     performer.setOperatorCommands(commands);
   }
 
   /** Sets the transport for messages to other aggregators. */
-  public void gossipTransport(GossipTransport transport) {
+  public void setGossipTransport(GossipTransport transport) {
     performer.setGossipTransport(transport);
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** Returns a new id for a request. */
-  public long nextId() {
+  public long nextRequestId() {
     return ++lastRequestId;
   }
 
@@ -125,7 +125,7 @@
       submit(new Event.AttemptCancelled(cancel.id()));
     } else if (effect instanceof Effect.Reply reply
         && !(reply.answer() instanceof Effect.Answer.Failed)) {
-      Effect.Answer failed = new Effect.Answer.Failed(Effect.Answer.Ending.NOTHING_SENT);
+      Effect.Answer failed = new Effect.Answer.Failed(Effect.Answer.FinalState.NOTHING_SENT);
       perform(new Effect.Reply(reply.request(), failed));
     }
   }
--- a/src/main/java/bitternpulley/broker/CallBatcher.java
+++ b/src/main/java/bitternpulley/broker/CallBatcher.java
@@ -12,7 +12,7 @@
  */
 final class CallBatcher {
   /** The destination of a call; attempts of different dialects never share a call. */
-  private record Destination(String server, Dialect dialect) {}
+  private record Destination(String server, ProtocolAdapter dialect) {}
 
   private CallBatcher() {}
 
@@ -45,7 +45,7 @@
       int maxPartsPerCall,
       Map<Destination, List<Effect.StartAttempt>> openCalls,
       List<Effect> joined) {
-    Destination destination = new Destination(start.server(), start.request().dialect());
+    Destination destination = new Destination(start.server(), start.request().protocolAdapter());
     List<Effect.StartAttempt> call = openCalls.get(destination);
     if (call == null || call.size() == maxPartsPerCall) {
       call = new ArrayList<>();
--- a/src/main/java/bitternpulley/broker/ContractAccounting.java
+++ b/src/main/java/bitternpulley/broker/ContractAccounting.java
@@ -4,7 +4,7 @@
 import bitternpulley.contracts.AdmissionControl;
 import bitternpulley.contracts.AdmissionDecision;
 import bitternpulley.contracts.AdmissionRequest;
-import bitternpulley.contracts.ContractBook;
+import bitternpulley.contracts.ContractSet;
 import bitternpulley.contracts.UsageCharge;
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
@@ -35,7 +35,7 @@
   }
 
   /** Puts contracts in force in place of the previous ones. */
-  void activate(ContractBook contracts) {
+  void activate(ContractSet contracts) {
     if (control == null && contracts.isEmpty()) {
       return;
     }
--- a/src/main/java/bitternpulley/broker/ContractLog.java
+++ b/src/main/java/bitternpulley/broker/ContractLog.java
@@ -36,7 +36,7 @@
         charge.team(),
         charge.version(),
         charge.basis(),
-        charge.booked());
+        charge.estimatedWork());
   }
 
   static String chargeSettled(Effect.ChargeSettled effect) {
@@ -46,7 +46,7 @@
         "contract settled team=%s version=%d booked=%.2f used=%.2f",
         charge.team(),
         charge.version(),
-        charge.booked(),
-        charge.used());
+        charge.estimatedWork(),
+        charge.measuredWork());
   }
 }
--- a/src/main/java/bitternpulley/broker/Effect.java
+++ b/src/main/java/bitternpulley/broker/Effect.java
@@ -87,10 +87,10 @@
   }
 
   /** Submit an event at the given time in ms. */
-  record WakeAt(double time, Event event) implements Effect {
+  record ScheduleEvent(double time, Event event) implements Effect {
     @Override
     public void dispatch(EffectHandler handler) {
-      handler.onWakeAt(this);
+      handler.onScheduleEvent(this);
     }
   }
 
@@ -203,16 +203,16 @@
      * @param contract the decision if a contract rejected the request; null if the routing policy
      *     did
      */
-    record Rejected(double retryAfter, Ending ending, AdmissionDecision.Rejected contract)
+    record Rejected(double retryAfter, FinalState finalState, AdmissionDecision.Rejected contract)
         implements Answer {
       /** A rejection by the routing policy. */
-      public Rejected(double retryAfter, Ending ending) {
+      public Rejected(double retryAfter, FinalState ending) {
         this(retryAfter, ending, null);
       }
     }
 
     /** The request failed; servers may have run some of its parts. */
-    record Failed(Ending ending) implements Answer {}
+    record Failed(FinalState finalState) implements Answer {}
 
     /** The request failed because a server found the request itself invalid. */
     record InvalidRequest(Payload reason) implements Answer {}
@@ -224,9 +224,9 @@
      * @param mayHaveRun whether a server may have run some of its parts
      * @param missing the parts without a value, by position
      */
-    record Ending(boolean timedOut, boolean mayHaveRun, Map<Integer, MissingPart> missing) {
+    record FinalState(boolean timedOut, boolean mayHaveRun, Map<Integer, MissingPart> missing) {
       /** The state of a request of which nothing was sent. */
-      public static final Ending NOTHING_SENT = new Ending(false, false, Map.of());
+      public static final FinalState NOTHING_SENT = new FinalState(false, false, Map.of());
     }
 
     /**
--- a/src/main/java/bitternpulley/broker/EffectHandler.java
+++ b/src/main/java/bitternpulley/broker/EffectHandler.java
@@ -23,7 +23,7 @@
   void onReply(Effect.Reply effect);
 
   /** Schedules an event. */
-  void onWakeAt(Effect.WakeAt effect);
+  void onScheduleEvent(Effect.ScheduleEvent effect);
 
   /** Closes idle connections. */
   void onCloseIdleConnections(Effect.CloseIdleConnections effect);
--- a/src/main/java/bitternpulley/broker/EffectPerformer.java
+++ b/src/main/java/bitternpulley/broker/EffectPerformer.java
@@ -13,7 +13,7 @@
   private final Clock clock;
   private final Broker.Timer timer;
   private final Consumer<Event> submit;
-  private final List<Dialect> dialects = new ArrayList<>();
+  private final List<ProtocolAdapter> dialects = new ArrayList<>();
   private OperatorCommands operatorCommands;
   private GossipTransport gossipTransport;
 
@@ -28,7 +28,7 @@
     this.submit = submit;
   }
 
-  void addDialect(Dialect dialect) {
+  void addProtocolAdapter(ProtocolAdapter dialect) {
     dialects.add(dialect);
   }
 
@@ -47,22 +47,22 @@
 
   @Override
   public void onStartAttempt(Effect.StartAttempt effect) {
-    effect.request().dialect().start(effect);
+    effect.request().protocolAdapter().start(effect);
   }
 
   @Override
   public void onStartCall(Effect.StartCall effect) {
-    effect.attempts().get(0).request().dialect().startCall(effect.attempts());
+    effect.attempts().get(0).request().protocolAdapter().startCall(effect.attempts());
   }
 
   @Override
   public void onCancelAttempt(Effect.CancelAttempt effect) {
-    effect.request().dialect().cancel(effect);
+    effect.request().protocolAdapter().cancel(effect);
   }
 
   @Override
   public void onCancelUnsent(Effect.CancelUnsent effect) {
-    effect.request().dialect().cancelUnsent(effect);
+    effect.request().protocolAdapter().cancelUnsent(effect);
   }
 
   @Override
@@ -72,12 +72,12 @@
 
   @Override
   public void onReply(Effect.Reply effect) {
-    effect.request().dialect().reply(effect);
+    effect.request().protocolAdapter().reply(effect);
   }
 
   @Override
-  public void onWakeAt(Effect.WakeAt effect) {
-    timer.after(effect.time() - clock.now(), () -> submit.accept(effect.event()));
+  public void onScheduleEvent(Effect.ScheduleEvent effect) {
+    timer.schedule(effect.time() - clock.now(), () -> submit.accept(effect.event()));
   }
 
   @Override
--- a/src/main/java/bitternpulley/broker/EndpointListHandler.java
+++ b/src/main/java/bitternpulley/broker/EndpointListHandler.java
@@ -25,12 +25,12 @@
   }
 
   /** Applies an endpoint list from discovery, or a change to it. */
-  void serversChanged(Router.ListKind kind, List<Router.Endpoint> endpoints) {
+  void serversChanged(Router.EndpointListKind kind, List<Router.Endpoint> endpoints) {
     passToPolicy(kind, directory.update(kind, endpoints));
   }
 
   /** Passes endpoints, with the operator overrides already applied, to the routing policy. */
-  void passToPolicy(Router.ListKind kind, List<Router.Endpoint> endpoints) {
+  void passToPolicy(Router.EndpointListKind kind, List<Router.Endpoint> endpoints) {
     policy.serversChanged(kind, endpoints);
     cancelUnsentToUnavailableServers();
   }
--- a/src/main/java/bitternpulley/broker/Event.java
+++ b/src/main/java/bitternpulley/broker/Event.java
@@ -1,6 +1,6 @@
 package bitternpulley.broker;
 
-import bitternpulley.contracts.ContractBook;
+import bitternpulley.contracts.ContractSet;
 import bitternpulley.leases.LeaseMessage;
 import bitternpulley.leases.Leases;
 import bitternpulley.membership.GossipMessage;
@@ -36,7 +36,8 @@
   }
 
   /** Discovery sent an endpoint list or a change to it. */
-  record ServersChanged(Router.ListKind kind, List<Router.Endpoint> endpoints) implements Event {
+  record ServersChanged(Router.EndpointListKind kind, List<Router.Endpoint> endpoints)
+      implements Event {
     @Override
     public void dispatch(EventHandler handler) {
       handler.onServersChanged(this);
@@ -143,7 +144,7 @@
   }
 
   /** New contracts are in force from now on. */
-  record ContractsActivated(ContractBook contracts) implements Event {
+  record ContractsActivated(ContractSet contracts) implements Event {
     @Override
     public void dispatch(EventHandler handler) {
       handler.onContractsActivated(this);
--- a/src/main/java/bitternpulley/broker/OperatorCommandHandler.java
+++ b/src/main/java/bitternpulley/broker/OperatorCommandHandler.java
@@ -33,7 +33,7 @@
   void overridesChanged(OperatorOverrides overrides) {
     OverridesChange change = directory.applyOverrides(overrides);
     if (!change.cordoned().isEmpty()) {
-      endpointList.passToPolicy(Router.ListKind.CHANGES, change.cordoned());
+      endpointList.passToPolicy(Router.EndpointListKind.CHANGES, change.cordoned());
     }
     for (Router.Endpoint endpoint : change.readmitted()) {
       policy.serverReadmitted(endpoint);
--- a/src/main/java/bitternpulley/broker/PendingRequests.java
+++ b/src/main/java/bitternpulley/broker/PendingRequests.java
@@ -123,7 +123,7 @@
   }
 
   /** The final state of a request that ends now, with the parts that have no value. */
-  Effect.Answer.Ending finalState(PendingRequest request, double now) {
+  Effect.Answer.FinalState finalState(PendingRequest request, double now) {
     TreeMap<Integer, Effect.Answer.MissingPart> missing = new TreeMap<>();
     boolean mayHaveRun = false;
     for (int index = 0; index < request.partCount(); index++) {
@@ -134,7 +134,7 @@
       mayHaveRun |= part != null && part.mayHaveRun();
     }
     boolean timedOut = request.isTimedOut(now) || allUnanswered(missing.values());
-    return new Effect.Answer.Ending(timedOut, mayHaveRun, missing);
+    return new Effect.Answer.FinalState(timedOut, mayHaveRun, missing);
   }
 
   /**
--- a/src/main/java/bitternpulley/broker/PolicyActionHandler.java
+++ b/src/main/java/bitternpulley/broker/PolicyActionHandler.java
@@ -99,7 +99,7 @@
 
   @Override
   public void scheduleAlarm(double time, String token) {
-    context.emit(new Effect.WakeAt(time, new Event.AlarmFired(token)));
+    context.emit(new Effect.ScheduleEvent(time, new Event.AlarmFired(token)));
   }
 
   @Override
--- a/src/main/java/bitternpulley/broker/PolicyDriver.java
+++ b/src/main/java/bitternpulley/broker/PolicyDriver.java
@@ -43,7 +43,7 @@
     router.onClientDisconnected(request, context.now(), actions);
   }
 
-  void serversChanged(Router.ListKind kind, List<Router.Endpoint> endpoints) {
+  void serversChanged(Router.EndpointListKind kind, List<Router.Endpoint> endpoints) {
     router.onServersChanged(kind, endpoints, context.now(), actions);
   }
 
--- a/src/main/java/bitternpulley/broker/PolicyFailureRecovery.java
+++ b/src/main/java/bitternpulley/broker/PolicyFailureRecovery.java
@@ -27,7 +27,7 @@
     if (event instanceof Event.RequestReceived received && !hasReply(received.request())) {
       context.emit(
           new Effect.Reply(
-              received.request(), new Effect.Answer.Failed(Effect.Answer.Ending.NOTHING_SENT)));
+              received.request(), new Effect.Answer.Failed(Effect.Answer.FinalState.NOTHING_SENT)));
     }
     scheduleDeadlines();
   }
@@ -52,7 +52,8 @@
     for (PendingRequest request : pending.requests()) {
       if (request.markDeadlineScheduled()) {
         context.emit(
-            new Effect.WakeAt(request.deadline(), new Event.RequestDeadlineExpired(request.id())));
+            new Effect.ScheduleEvent(
+                request.deadline(), new Event.RequestDeadlineExpired(request.id())));
       }
     }
   }
--- a/src/main/java/bitternpulley/broker/Dialect.java
+++ b/src/main/java/bitternpulley/broker/ProtocolAdapter.java
@@ -6,7 +6,7 @@
  * A protocol spoken with clients and servers: sends attempts to servers and delivers answers to
  * clients. Its methods never block.
  */
-public interface Dialect {
+public interface ProtocolAdapter {
   /** Sends an attempt. Its end is reported as {@link Event.AttemptEnded}. */
   void start(Effect.StartAttempt attempt);
 
--- a/src/main/java/bitternpulley/broker/Request.java
+++ b/src/main/java/bitternpulley/broker/Request.java
@@ -7,7 +7,7 @@
  * A request as the core sees it.
  *
  * @param id unique within this process
- * @param dialect sends its attempts and delivers its answer
+ * @param protocolAdapter sends its attempts and delivers its answer
  * @param queryClass the position of its query class in the settings
  * @param timeLeft ms for which its client waits
  * @param retry whether the client marked it as a retry
@@ -21,7 +21,7 @@
  */
 public record Request(
     long id,
-    Dialect dialect,
+    ProtocolAdapter protocolAdapter,
     int queryClass,
     double timeLeft,
     boolean retry,
@@ -35,7 +35,7 @@
   /** Creates a request that has no team and was read without delay. */
   public Request(
       long id,
-      Dialect dialect,
+      ProtocolAdapter dialect,
       int queryClass,
       double timeLeft,
       boolean retry,
--- a/src/main/java/bitternpulley/broker/RequestHandler.java
+++ b/src/main/java/bitternpulley/broker/RequestHandler.java
@@ -49,7 +49,7 @@
           new Effect.Reply(
               request,
               new Effect.Answer.Rejected(
-                  rejected.retryAfter(), Effect.Answer.Ending.NOTHING_SENT, rejected)));
+                  rejected.retryAfter(), Effect.Answer.FinalState.NOTHING_SENT, rejected)));
     } else {
       accept(request, (UsageCharge) decision);
     }
@@ -66,7 +66,7 @@
       completion.finish(
           request.id(),
           new Effect.Answer.Rejected(
-              rejectionDelay.getAsDouble(), Effect.Answer.Ending.NOTHING_SENT));
+              rejectionDelay.getAsDouble(), Effect.Answer.FinalState.NOTHING_SENT));
       return;
     }
     policy.queryReceived(asQuery(request, charge, timeLeft));
--- a/src/main/java/bitternpulley/broker/ServerDirectory.java
+++ b/src/main/java/bitternpulley/broker/ServerDirectory.java
@@ -15,8 +15,8 @@
    * Applies an endpoint list from discovery, or a change to it, and returns its endpoints with the
    * overrides applied.
    */
-  List<Router.Endpoint> update(Router.ListKind kind, List<Router.Endpoint> endpoints) {
-    if (kind != Router.ListKind.CHANGES) {
+  List<Router.Endpoint> update(Router.EndpointListKind kind, List<Router.Endpoint> endpoints) {
+    if (kind != Router.EndpointListKind.CHANGES) {
       listed.clear();
     }
     for (Router.Endpoint endpoint : endpoints) {
--- a/src/main/java/bitternpulley/config/BrokerConfiguration.java
+++ b/src/main/java/bitternpulley/config/BrokerConfiguration.java
@@ -1,6 +1,6 @@
 package bitternpulley.config;
 
-import bitternpulley.contracts.ContractBook;
+import bitternpulley.contracts.ContractSet;
 import bitternpulley.contracts.TenantIdentification;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.NullNode;
@@ -12,25 +12,25 @@
  * @param contracts the contracts as version 1; a reload that changes the script activates them as
  *     the next version
  * @param tenantIdentification how requests are attributed to the teams of the contracts
- * @param searchFront the settings of the search front end, if the script has them
+ * @param searchFrontendSettings the settings of the search front end, if the script has them
  * @param listsAccounts whether the admin endpoint lists accounts
  * @param membership the configuration of membership, if membership is enabled
  * @param document the whole configuration as a JSON document that conforms to the schema
- * @param printed the text that the script printed
+ * @param scriptOutput the text that the script printed
  */
 public record BrokerConfiguration(
-    ContractBook contracts,
+    ContractSet contracts,
     TenantIdentification tenantIdentification,
-    Optional<JsonNode> searchFront,
+    Optional<JsonNode> searchFrontendSettings,
     boolean listsAccounts,
     Optional<MembershipConfiguration> membership,
     JsonNode document,
-    String printed) {
+    String scriptOutput) {
 
   /** The configuration without an operators' script: there are no contracts. */
   public static final BrokerConfiguration NONE =
       new BrokerConfiguration(
-          ContractBook.NONE,
+          ContractSet.NONE,
           TenantIdentification.NONE,
           Optional.empty(),
           false,
--- a/src/main/java/bitternpulley/config/BrokerConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/BrokerConfigurationReader.java
@@ -1,6 +1,6 @@
 package bitternpulley.config;
 
-import bitternpulley.contracts.ContractBook;
+import bitternpulley.contracts.ContractSet;
 import bitternpulley.routing.Settings;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -50,7 +50,7 @@
       BrokerScript script, Optional<Settings> settings) {
     JsonNode document = script.document();
     TenantIdentificationReader tenants = new TenantIdentificationReader(script, settings);
-    ContractBook contracts = new ContractsReader(script, settings, tenants).read();
+    ContractSet contracts = new ContractsReader(script, settings, tenants).read();
     return new BrokerConfiguration(
         contracts,
         tenants.identification(),
--- a/src/main/java/bitternpulley/config/Configuration.java
+++ b/src/main/java/bitternpulley/config/Configuration.java
@@ -14,12 +14,12 @@
  * @param listen the address that clients connect to
  * @param discovery the address of the discovery service
  * @param seed the seed of the routing policy's random numbers
- * @param sockets the maximum number of sockets that the process may open
+ * @param maxSockets the maximum number of sockets that the process may open
  * @param lastEndpoints the last endpoint list known before the start
  * @param settings the start settings
  * @param connections the settings of connections to slot servers
  * @param zones the names of the zones, in the order of their numbers
- * @param operations the admin endpoint, the state directory and how the process is started
+ * @param processSettings the admin endpoint, the state directory and how the process is started
  * @param peers the other aggregators, if they are configured
  */
 public record Configuration(
@@ -27,12 +27,12 @@
     HostPort listen,
     HostPort discovery,
     long seed,
-    int sockets,
+    int maxSockets,
     EndpointList lastEndpoints,
     Settings settings,
     ConnectionSettings connections,
     List<String> zones,
-    Operations operations,
+    ProcessSettings processSettings,
     Optional<Peers> peers) {
 
   /** The maximum number of aggregators that membership is designed for. */
@@ -42,9 +42,9 @@
    * The addresses of aggregators for datagrams between them.
    *
    * @param listen the address on which this aggregator receives datagrams
-   * @param all the address of each aggregator, in the order of their numbers
+   * @param addresses the address of each aggregator, in the order of their numbers
    */
-  public record Peers(HostPort listen, List<HostPort> all) {}
+  public record Peers(HostPort listen, List<HostPort> addresses) {}
 
   /**
    * Checks that membership can run.
@@ -57,14 +57,14 @@
           "peer_listen",
           "membership() needs 'peer_listen' and 'peers', and 'peer_listen' is missing");
     }
-    int count = peers.get().all().size();
-    if (count <= settings.self() || count > MAX_PEERS) {
+    int count = peers.get().addresses().size();
+    if (count <= settings.selfIndex() || count > MAX_PEERS) {
       throw ConfigurationException.ofKey(
           "peers",
           "'peers' lists "
               + count
               + " aggregators; it must list more than 'selfIndex', which is "
-              + settings.self()
+              + settings.selfIndex()
               + ", and at most "
               + MAX_PEERS);
     }
@@ -76,7 +76,7 @@
    * @throws ConfigurationException if the leases contradict the settings or the peers
    */
   public LeaseTerms leaseTerms(LeaseConfiguration leases) {
-    return leases.terms(peers.orElseThrow().all().size(), settings);
+    return leases.terms(peers.orElseThrow().addresses().size(), settings);
   }
 
   /**
@@ -86,7 +86,7 @@
    * @param stateDirectory the directory whose files outlive the process, if there is one
    * @param passedSocket whether the listening socket is passed as file descriptor 0
    */
-  public record Operations(
+  public record ProcessSettings(
       Optional<HostPort> admin, Optional<Path> stateDirectory, boolean passedSocket) {}
 
   /**
--- a/src/main/java/bitternpulley/config/ConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/ConfigurationReader.java
@@ -120,13 +120,13 @@
     }
   }
 
-  private static Configuration.Operations operations(ConfigurationFile file) {
+  private static Configuration.ProcessSettings operations(ConfigurationFile file) {
     Optional<HostPort> admin =
         file.text("LB_ADMIN", "admin").isEmpty()
             ? Optional.empty()
             : Optional.of(file.requiredAddress("LB_ADMIN", "admin"));
     String directory = file.variable("TMPDIR");
-    return new Configuration.Operations(
+    return new Configuration.ProcessSettings(
         admin,
         directory.isEmpty() ? Optional.empty() : Optional.of(Path.of(directory)),
         !file.variable("LB_PASSED_SOCKET").isEmpty());
--- a/src/main/java/bitternpulley/config/ContractsReader.java
+++ b/src/main/java/bitternpulley/config/ContractsReader.java
@@ -1,7 +1,7 @@
 package bitternpulley.config;
 
 import bitternpulley.contracts.Contract;
-import bitternpulley.contracts.ContractBook;
+import bitternpulley.contracts.ContractSet;
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -46,14 +46,14 @@
   }
 
   /** Reads all contracts, as version 1. */
-  ContractBook read() {
+  ContractSet read() {
     for (JsonNode entry : script.document().path("contracts")) {
       String pointer = "/contracts/" + contracts.size();
       Contract contract = contract(entry, pointer);
       contracts.put(contract.id(), contract);
       tenants.add(contract.id(), entry, pointer);
     }
-    return new ContractBook(1, contracts, tenants.defaultTeam().orElse(null));
+    return new ContractSet(1, contracts, tenants.defaultTeam().orElse(null));
   }
 
   private Contract contract(JsonNode contract, String pointer) {
--- a/src/main/java/bitternpulley/config/MembershipReader.java
+++ b/src/main/java/bitternpulley/config/MembershipReader.java
@@ -47,7 +47,7 @@
           "/membership/timeout_ms", "is more than a third of 'interval_ms', which is " + interval);
     }
     double majorityTimeoutSeconds =
-        membership.path("alone_after_s").asDouble(defaults.withoutMajorityAfter() / MS_PER_SECOND);
+        membership.path("alone_after_s").asDouble(defaults.majorityTimeout() / MS_PER_SECOND);
     return new MembershipSettings(
         interval,
         timeout,
--- a/src/main/java/bitternpulley/contracts/Account.java
+++ b/src/main/java/bitternpulley/contracts/Account.java
@@ -136,9 +136,9 @@
     } else {
       clientRetries.earn(contract.clientRetries(), RetryAllowance.INITIAL);
     }
-    addUsage(charge.basis(), charge.booked());
+    addUsage(charge.basis(), charge.estimatedWork());
     if (buckets != null) {
-      buckets.take(contract, charge.basis(), charge.booked());
+      buckets.take(contract, charge.basis(), charge.estimatedWork());
     }
   }
 
@@ -172,7 +172,7 @@
   /** Replaces the estimated amount of a charge by the measured one. */
   void settle(UsageCharge charge, double now) {
     unsettledCharges--;
-    double unused = charge.booked() - charge.used();
+    double unused = charge.estimatedWork() - charge.measuredWork();
     addUsage(charge.basis(), -unused);
     if (charge.basis() != UsageCharge.Basis.UNLIMITED && buckets != null) {
       buckets.refund(contract, charge.basis(), unused, now);
--- a/src/main/java/bitternpulley/contracts/AccountView.java
+++ b/src/main/java/bitternpulley/contracts/AccountView.java
@@ -7,8 +7,8 @@
  * @param team the contract's id
  * @param version the version of the contracts in force
  * @param contract the team's contract
- * @param balance amount left of the guaranteed quota; 0 while capacity is unlimited
- * @param loan amount that the team may still borrow; 0 while capacity is unlimited
+ * @param guaranteeBalance amount left of the guaranteed quota; 0 while capacity is unlimited
+ * @param loanBalance amount that the team may still borrow; 0 while capacity is unlimited
  * @param pending number of pending queries plus number of their parts
  * @param reservations number of callers for which capacity is reserved
  * @param used amount charged since the account was opened
@@ -22,8 +22,8 @@
     String team,
     int version,
     Contract contract,
-    double balance,
-    double loan,
+    double guaranteeBalance,
+    double loanBalance,
     int pending,
     int reservations,
     double used,
--- a/src/main/java/bitternpulley/contracts/Accounts.java
+++ b/src/main/java/bitternpulley/contracts/Accounts.java
@@ -25,7 +25,7 @@
   }
 
   /** Closes the idle accounts of teams that no longer have a contract. */
-  void closeRetired(ContractBook contracts, double now) {
+  void closeRetired(ContractSet contracts, double now) {
     byTeam
         .values()
         .removeIf(account -> contracts.find(account.team()).isEmpty() && account.isIdle(now));
--- a/src/main/java/bitternpulley/contracts/AdmissionControl.java
+++ b/src/main/java/bitternpulley/contracts/AdmissionControl.java
@@ -31,7 +31,7 @@
   private final WorkMeter workMeter;
   private final CapacityEstimate capacityEstimate;
   private final RetryAfterPlanner retryAfterPlanner;
-  private ContractBook contracts = ContractBook.NONE;
+  private ContractSet contracts = ContractSet.NONE;
 
   /**
    * Admits every query until contracts are applied.
@@ -59,7 +59,7 @@
    * Replaces the contracts in force. Pending queries keep the terms of the version that admitted
    * them, their charges are settled on the account that was charged, and reservations are kept.
    */
-  public void apply(ContractBook replacement, double now) {
+  public void apply(ContractSet replacement, double now) {
     advance(now);
     contracts = replacement;
     double unlendableShare = 0;
--- a/src/main/java/bitternpulley/contracts/CapacityEstimate.java
+++ b/src/main/java/bitternpulley/contracts/CapacityEstimate.java
@@ -147,7 +147,7 @@
 
   /** Records an admitted query. */
   void recordAdmitted(UsageCharge charge) {
-    admittedInStep += charge.booked();
+    admittedInStep += charge.estimatedWork();
     pending.add(charge);
   }
 
--- a/src/main/java/bitternpulley/contracts/Contract.java
+++ b/src/main/java/bitternpulley/contracts/Contract.java
@@ -7,7 +7,7 @@
  * The guarantees and limits of one team. Quotas are shares, from 0 to 1, of the aggregator's
  * current capacity.
  *
- * @param id the team's name, unique in its {@link ContractBook}
+ * @param id the team's name, unique in its {@link ContractSet}
  * @param guaranteedQuota the share that the team may always use
  * @param ceiling the share that the team may never exceed, borrowed capacity included; at least
  *     {@code guaranteedQuota}
--- a/src/main/java/bitternpulley/contracts/ContractBook.java
+++ b/src/main/java/bitternpulley/contracts/ContractSet.java
@@ -9,9 +9,9 @@
  * An immutable, versioned set of the contracts that are in force together. The configuration reader
  * has validated them.
  */
-public final class ContractBook {
+public final class ContractSet {
   /** No contracts: every query is admitted. */
-  public static final ContractBook NONE = new ContractBook(0, Map.of(), null);
+  public static final ContractSet NONE = new ContractSet(0, Map.of(), null);
 
   private final int version;
   private final Map<String, Contract> byTeam;
@@ -25,7 +25,7 @@
    * @param defaultTeam the team whose contract applies to requests without an identified team, or
    *     null
    */
-  public ContractBook(int version, Map<String, Contract> byTeam, String defaultTeam) {
+  public ContractSet(int version, Map<String, Contract> byTeam, String defaultTeam) {
     this.version = version;
     this.byTeam = new LinkedHashMap<>(byTeam);
     this.defaultTeam = defaultTeam;
@@ -37,8 +37,8 @@
   }
 
   /** The same contracts under another version. */
-  public ContractBook withVersion(int other) {
-    return new ContractBook(other, byTeam, defaultTeam);
+  public ContractSet withVersion(int other) {
+    return new ContractSet(other, byTeam, defaultTeam);
   }
 
   /** Whether there are no contracts. */
--- a/src/main/java/bitternpulley/contracts/PendingWork.java
+++ b/src/main/java/bitternpulley/contracts/PendingWork.java
@@ -37,13 +37,13 @@
 
   void add(UsageCharge charge) {
     queries++;
-    estimatedWork += charge.booked();
+    estimatedWork += charge.estimatedWork();
     notLagging.add(charge);
   }
 
   void remove(UsageCharge charge) {
     queries--;
-    estimatedWork = queries == 0 ? 0 : estimatedWork - charge.booked();
+    estimatedWork = queries == 0 ? 0 : estimatedWork - charge.estimatedWork();
     if (charge.isLagging()) {
       lagging--;
     }
--- a/src/main/java/bitternpulley/contracts/RejectionCounts.java
+++ b/src/main/java/bitternpulley/contracts/RejectionCounts.java
@@ -22,7 +22,7 @@
   }
 
   /** The number of rejections by a limit. */
-  public long of(Limit limit) {
+  public long count(Limit limit) {
     return counters.get(limit).count;
   }
 
--- a/src/main/java/bitternpulley/contracts/TenantIdentification.java
+++ b/src/main/java/bitternpulley/contracts/TenantIdentification.java
@@ -105,7 +105,7 @@
   }
 
   /** Whether a default contract applies to requests without an identified team. */
-  public boolean hasFallback() {
+  public boolean hasDefaultContract() {
     return hasDefaultContract;
   }
 
--- a/src/main/java/bitternpulley/contracts/UsageCharge.java
+++ b/src/main/java/bitternpulley/contracts/UsageCharge.java
@@ -85,12 +85,12 @@
   }
 
   /** The estimated work that was charged at admission, in standard parts. */
-  public double booked() {
+  public double estimatedWork() {
     return estimatedWork;
   }
 
   /** The work measured so far, in standard parts. */
-  public double used() {
+  public double measuredWork() {
     return measuredWork;
   }
 
--- a/src/main/java/bitternpulley/emulator/Fleet.java
+++ b/src/main/java/bitternpulley/emulator/Fleet.java
@@ -25,7 +25,7 @@
   private static final String HOST_PREFIX = "127.0.3.";
 
   private final List<SlotServer> servers = new ArrayList<>();
-  private final RuleCheck rules = new RuleCheck();
+  private final RuleCheck ruleCheck = new RuleCheck();
   private final int coresPerServer;
   private final int searchPort;
   private final List<String> zones;
@@ -69,7 +69,7 @@
     this.zones = List.copyOf(zones);
     searchPort = findFreePort(serverCount);
     for (int i = 0; i < serverCount; i++) {
-      SlotServer server = new SlotServer("s" + i, i, serverCount, coresPerServer, loop, rules);
+      SlotServer server = new SlotServer("s" + i, i, serverCount, coresPerServer, loop, ruleCheck);
       server.listen(HOST_PREFIX + (i + 1), searchPort);
       servers.add(server);
     }
@@ -123,8 +123,8 @@
   }
 
   /** Returns the rule check to which all servers report their attempts. */
-  public RuleCheck rules() {
-    return rules;
+  public RuleCheck ruleCheck() {
+    return ruleCheck;
   }
 
   /** Returns the address of the discovery service that lists the servers' own addresses. */
@@ -138,12 +138,12 @@
   }
 
   /** Returns how many ms of work all cores together do in a second. */
-  public double workPerSecond() {
+  public double workMsPerSecond() {
     return 1000.0 * coresPerServer * servers.size();
   }
 
   /** Returns how many ms of work were finished so far. */
-  public double workDone() {
+  public double workDoneMs() {
     return servers.stream().mapToDouble(SlotServer::workDoneMs).sum();
   }
 
@@ -160,12 +160,12 @@
    */
   public void restart(SlotServer server) {
     startedAt.put(server, System.currentTimeMillis());
-    rules.serverStarted(server.id(), coresPerServer, System.nanoTime() / 1e6);
-    tell(server, "up");
+    ruleCheck.serverStarted(server.id(), coresPerServer, System.nanoTime() / 1e6);
+    publishPhase(server, "up");
   }
 
   /** Publishes a new phase of a server to all watchers: up, draining or removed. */
-  public void tell(SlotServer server, String phase) {
+  public void publishPhase(SlotServer server, String phase) {
     server.setDraining(!phase.equals("up"));
     phases.put(server, phase);
     int nextRevision = revision.incrementAndGet();
--- a/src/main/java/bitternpulley/emulator/RuleCheck.java
+++ b/src/main/java/bitternpulley/emulator/RuleCheck.java
@@ -173,12 +173,12 @@
    * Returns the largest share of its limit that a server was sent within any window of its last
    * warm-up; 0 for a server that was never restarted.
    */
-  public synchronized double coldShare(String server) {
+  public synchronized double maxWarmupLimitShare(String server) {
     return warmUps.containsKey(server) ? warmUps.get(server).maxLimitShare : 0;
   }
 
   /** Returns how many ms of work a server was sent during its last warm-up; 0 without one. */
-  public synchronized double coldWork(String server) {
+  public synchronized double warmupWorkMs(String server) {
     return warmUps.containsKey(server) ? warmUps.get(server).totalWorkMs : 0;
   }
 
@@ -199,12 +199,12 @@
   }
 
   /** Returns how many violations were observed. */
-  public synchronized int broken() {
+  public synchronized int countViolations() {
     return violationCount;
   }
 
   /** Returns descriptions of the first violations. */
-  public synchronized List<String> breaches() {
+  public synchronized List<String> firstViolations() {
     return List.copyOf(violations);
   }
 }
--- a/src/main/java/bitternpulley/emulator/SlotServer.java
+++ b/src/main/java/bitternpulley/emulator/SlotServer.java
@@ -75,12 +75,12 @@
   }
 
   /** Sets the factor by which parts that start from now on take longer than usual. */
-  public void slow(double factor) {
+  public void setSlowdown(double factor) {
     loop.execute(() -> workQueue.setSlowdown(factor));
   }
 
   /** Sets whether this server accepts parts without answering them. */
-  public void silent(boolean on) {
+  public void setUnresponsive(boolean on) {
     loop.execute(() -> unresponsive = on);
   }
 
@@ -134,12 +134,12 @@
     }
 
     private void handleFrame(FrameCodec.Frame frame) {
-      String text = new String(frame.rest(), StandardCharsets.UTF_8);
-      if (frame.letter() == '2') {
+      String text = new String(frame.payload(), StandardCharsets.UTF_8);
+      if (frame.typeCode() == '2') {
         if (partsInFlight.remove(text)) {
           ruleCheck.attemptEnded(text, now());
         }
-      } else if (frame.letter() == '1') {
+      } else if (frame.typeCode() == '1') {
         handleCall(text);
       }
     }
--- a/src/main/java/bitternpulley/emulator/HollowServers.java
+++ b/src/main/java/bitternpulley/emulator/StubSlotServers.java
@@ -23,7 +23,7 @@
  * aggregator's side. Discovery sends the endpoint list once and then only heartbeats. The servers
  * are spread over a few event loops.
  */
-public final class HollowServers {
+public final class StubSlotServers {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   /** Number of hosts in each block 127.4.N.0/24; their last byte counts from 1. */
@@ -35,10 +35,10 @@
   private final List<HostPort> addresses;
   private final AtomicInteger openConnections = new AtomicInteger();
   private final AtomicLong answeredParts = new AtomicLong();
-  private final HostPort discovery;
+  private final HostPort discoveryAddress;
 
   /** Starts {@code serverCount} servers, one for each shard, and discovery. */
-  public HollowServers(int serverCount, int loopCount) throws IOException {
+  public StubSlotServers(int serverCount, int loopCount) throws IOException {
     loops = IntStream.range(0, loopCount).mapToObj(i -> new EventLoop()).toList();
     List<HostPort> listenAddresses = new ArrayList<>();
     for (int i = 0; i < serverCount; i++) {
@@ -47,27 +47,27 @@
           new StreamServer(Session::new).listen(loops.get(i % loopCount), new HostPort(host, 0)));
     }
     addresses = List.copyOf(listenAddresses);
-    String fullList = list().toString();
-    discovery = new DiscoveryService(loops.get(0), () -> fullList).listen("127.0.0.1");
+    String fullList = endpointList().toString();
+    discoveryAddress = new DiscoveryService(loops.get(0), () -> fullList).listen("127.0.0.1");
   }
 
   /** Returns the address of discovery. */
-  public HostPort discovery() {
-    return discovery;
+  public HostPort discoveryAddress() {
+    return discoveryAddress;
   }
 
   /** Returns the number of open connections to all servers together. */
-  public int open() {
+  public int countOpenConnections() {
     return openConnections.get();
   }
 
   /** Returns how many parts were answered so far. */
-  public long parts() {
+  public long countAnsweredParts() {
     return answeredParts.get();
   }
 
   /** Returns the full endpoint list as discovery sends it. */
-  public ObjectNode list() {
+  public ObjectNode endpointList() {
     ObjectNode list = JSON.createObjectNode().put("revision", 1).put("complete", true);
     ArrayNode entries = list.putArray("members");
     for (int i = 0; i < addresses.size(); i++) {
@@ -104,8 +104,8 @@
       codec.read(
           bytes,
           frame -> {
-            if (frame.letter() == '1') {
-              answer(new String(frame.rest(), StandardCharsets.ISO_8859_1));
+            if (frame.typeCode() == '1') {
+              answer(new String(frame.payload(), StandardCharsets.ISO_8859_1));
             }
           });
     }
--- a/src/main/java/bitternpulley/emulator/package-info.java
+++ b/src/main/java/bitternpulley/emulator/package-info.java
@@ -8,7 +8,7 @@
  * it has a number of cores and a bounded queue, a part takes as long as its query states, and the
  * server can be made slow or unresponsive while it runs. {@code DiscoveryService} sends the
  * endpoint list and its changes. {@link bitternpulley.emulator.RuleCheck} observes every attempt
- * and records which rules were violated. {@link bitternpulley.emulator.HollowServers} emulates a
+ * and records which rules were violated. {@link bitternpulley.emulator.StubSlotServers} emulates a
  * large number of servers that do no work. Start with {@link bitternpulley.emulator.Fleet}.
  */
 package bitternpulley.emulator;
--- a/src/main/java/bitternpulley/faultinjection/Cluster.java
+++ b/src/main/java/bitternpulley/faultinjection/Cluster.java
@@ -75,7 +75,7 @@
           fleet.configuration(
               number,
               nodeCount,
-              "127.0.0.1:" + Ports.free(),
+              "127.0.0.1:" + Ports.reservePort(),
               MAX_PENDING,
               discovery,
               links.openStream(nodeName, "discovery", discovery.address()));
@@ -106,7 +106,7 @@
   }
 
   /** Returns how many bytes a process has sent in datagrams so far. */
-  public long bytesOf(int node) {
+  public long datagramBytesSent(int node) {
     return links.datagrams().sentBytes(node);
   }
 
@@ -128,7 +128,7 @@
    * follow the fault, with {@code >} between them for one direction and {@code =} for both. {@link
    * FaultTargets} describes the syntax of targets and ends.
    */
-  public void does(String fault) throws IOException, InterruptedException {
+  public void applyFault(String fault) throws IOException, InterruptedException {
     timeline.recordFault(fault);
     String[] words = fault.trim().split("\\s+", 0);
     int directionIndex = List.of(words).indexOf(">") + List.of(words).indexOf("=") + 1;
@@ -186,11 +186,11 @@
 
   private void applyToServer(String[] words, SlotServer server) {
     switch (words[0]) {
-      case "slow" -> server.slow(argument(words, 1));
-      case "silent" -> server.silent(true);
-      case "speak" -> server.silent(false);
-      case "drain" -> fleet.tell(server, "draining");
-      case "up" -> fleet.tell(server, "up");
+      case "slow" -> server.setSlowdown(argument(words, 1));
+      case "silent" -> server.setUnresponsive(true);
+      case "speak" -> server.setUnresponsive(false);
+      case "drain" -> fleet.publishPhase(server, "draining");
+      case "up" -> fleet.publishPhase(server, "up");
       case "cold" -> fleet.restart(server);
       default -> throw new IllegalArgumentException("unknown fault of a slot server: " + words[0]);
     }
@@ -200,7 +200,7 @@
 
   /** Returns the answer of a process to the admin command {@code members}, about all members. */
   public JsonNode members(int node) throws IOException {
-    String answer = nodes.get(node).order("members");
+    String answer = nodes.get(node).callAdmin("members");
     if (!answer.startsWith("200 ")) {
       throw new IOException(nodes.get(node).name() + ": " + answer);
     }
@@ -223,16 +223,16 @@
    * Returns, by number, the quota that each running process reports: the share of the common budget
    * that its leases permit it to use.
    */
-  public Map<Integer, Double> parts() throws IOException {
+  public Map<Integer, Double> leaseQuotas() throws IOException {
     Map<Integer, Double> quotas = new TreeMap<>();
-    for (int number : running()) {
+    for (int number : runningNodes()) {
       quotas.put(number, members(number).path("lease").path("part").asDouble());
     }
     return quotas;
   }
 
   /** Returns how often the processes, in total, have logged that a member is dead. */
-  public long deaths(int member) throws IOException {
+  public long countDeathDeclarations(int member) throws IOException {
     long deaths = 0;
     for (Node node : nodes) {
       deaths +=
@@ -247,7 +247,7 @@
   }
 
   /** Returns whether a process reports this state for a member; false when it does not answer. */
-  public boolean holds(int observer, int member, String state) {
+  public boolean reportsState(int observer, int member, String state) {
     try {
       return reportedState(observer, member).equals(state);
     } catch (IOException exception) {
@@ -256,15 +256,15 @@
   }
 
   /** Returns whether all other running processes report this state for a member. */
-  public boolean allHold(int member, String state) {
-    return running().stream()
+  public boolean allReportState(int member, String state) {
+    return runningNodes().stream()
         .filter(observer -> observer != member)
-        .allMatch(observer -> holds(observer, member, state));
+        .allMatch(observer -> reportsState(observer, member, state));
   }
 
   /** Returns whether all running processes report the same membership view. */
   public boolean viewsEqual() {
-    return running().stream()
+    return runningNodes().stream()
             .map(
                 number -> {
                   try {
@@ -279,7 +279,7 @@
   }
 
   /** Returns the numbers of the running processes, including paused ones. */
-  public List<Integer> running() {
+  public List<Integer> runningNodes() {
     return IntStream.range(0, size())
         .filter(number -> nodes.get(number).isAlive())
         .boxed()
@@ -290,14 +290,14 @@
    * Waits until a condition holds and returns the time waited in ms. Fails with the replay command
    * after {@code timeoutMs}, or when a process exits unexpectedly.
    */
-  public double until(String description, double timeoutMs, BooleanSupplier condition)
+  public double awaitCondition(String description, double timeoutMs, BooleanSupplier condition)
       throws IOException, InterruptedException {
-    double startMs = timeline.now();
+    double startMs = timeline.elapsedMs();
     while (!condition.getAsBoolean()) {
       failOnUnexpectedExit();
-      if (timeline.now() > startMs + timeoutMs) {
+      if (timeline.elapsedMs() > startMs + timeoutMs) {
         StringBuilder reports = new StringBuilder();
-        for (int number : running()) {
+        for (int number : runningNodes()) {
           reports.append("\n").append(nodes.get(number).name()).append(' ').append(members(number));
         }
         throw new AssertionError(
@@ -313,8 +313,8 @@
       }
       TimeUnit.MILLISECONDS.sleep(20);
     }
-    timeline.recordObservation(description, Math.round(timeline.now() - startMs) + " ms");
-    return timeline.now() - startMs;
+    timeline.recordObservation(description, Math.round(timeline.elapsedMs() - startMs) + " ms");
+    return timeline.elapsedMs() - startMs;
   }
 
   private void failOnUnexpectedExit() throws IOException {
--- a/src/main/java/bitternpulley/faultinjection/DatagramProxy.java
+++ b/src/main/java/bitternpulley/faultinjection/DatagramProxy.java
@@ -46,12 +46,12 @@
     sockets = new ProxySocket[nodeCount][nodeCount];
     links = new DirectedLink[nodeCount][nodeCount];
     for (int node = 0; node < nodeCount; node++) {
-      nodeAddresses.add(new HostPort("127.0.0.1", Ports.free()));
+      nodeAddresses.add(new HostPort("127.0.0.1", Ports.reservePort()));
       for (int peer = 0; peer < nodeCount; peer++) {
         links[node][peer] = new DirectedLink(seed * 1_000_003 + node * 1009L + peer);
         if (node != peer) {
           DatagramChannel channel = DatagramChannel.open();
-          channel.bind(new HostPort("127.0.0.1", Ports.free()).address());
+          channel.bind(new HostPort("127.0.0.1", Ports.reservePort()).address());
           channel.configureBlocking(false);
           sockets[node][peer] = new ProxySocket(node, peer, channel);
           channel.register(selector, SelectionKey.OP_READ, sockets[node][peer]);
--- a/src/main/java/bitternpulley/faultinjection/Node.java
+++ b/src/main/java/bitternpulley/faultinjection/Node.java
@@ -43,7 +43,7 @@
     directory = Files.createTempDirectory("bitternpulley-" + name);
     stateDirectory = Files.createDirectory(directory.resolve("memory"));
     listenAddress = HostPort.parse(configuration.path("listen").asText());
-    adminAddress = new HostPort("127.0.0.1", Ports.free());
+    adminAddress = new HostPort("127.0.0.1", Ports.reservePort());
   }
 
   /** Returns the name of the node. */
@@ -52,7 +52,7 @@
   }
 
   /** Returns the address at which the node accepts queries. */
-  public HostPort front() {
+  public HostPort queryAddress() {
     return listenAddress;
   }
 
@@ -68,9 +68,9 @@
    * Starts a second process with the same name and number, but with a directory, a query address
    * and an admin address of its own, as in an upgrade or by an operator's mistake.
    */
-  public Node twin() throws IOException {
+  public Node startSecondProcess() throws IOException {
     ObjectNode otherConfiguration =
-        configuration.deepCopy().put("listen", "127.0.0.1:" + Ports.free());
+        configuration.deepCopy().put("listen", "127.0.0.1:" + Ports.reservePort());
     Node second = new Node(name, otherConfiguration, script);
     return second.start();
   }
@@ -79,7 +79,7 @@
     Path configurationFile = directory.resolve("config.json");
     Files.writeString(configurationFile, configuration.toString());
     ProcessBuilder builder =
-        new ProcessBuilder(command())
+        new ProcessBuilder(launchCommand())
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(directory.resolve("log").toFile()));
     builder
@@ -104,7 +104,7 @@
    * Returns the command that starts the program from the class path of the current process, which
    * may be the jar or freshly compiled classes.
    */
-  public static List<String> command() throws IOException {
+  public static List<String> launchCommand() throws IOException {
     String runLine =
         Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
             .filter(line -> line.startsWith("run"))
@@ -125,7 +125,7 @@
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
     while (System.nanoTime() < deadline && process.isAlive()) {
       try {
-        if (order("health").startsWith("200")) {
+        if (callAdmin("health").startsWith("200")) {
           return this;
         }
       } catch (IOException exception) {
@@ -137,7 +137,7 @@
   }
 
   /** Sends a command to the admin address and returns the answer without its line end. */
-  public String order(String command) throws IOException {
+  public String callAdmin(String command) throws IOException {
     try (Socket socket = new Socket(adminAddress.host(), adminAddress.port())) {
       socket.setSoTimeout(ADMIN_TIMEOUT_MS);
       socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/bitternpulley/faultinjection/Ports.java
+++ b/src/main/java/bitternpulley/faultinjection/Ports.java
@@ -37,12 +37,12 @@
    * Reserves and returns a port that is free on the loopback host for TCP and UDP. No other test
    * program on this machine gets the same port while this program runs.
    */
-  public static int free() throws IOException {
-    return free(List.of("127.0.0.1"));
+  public static int reservePort() throws IOException {
+    return reservePort(List.of("127.0.0.1"));
   }
 
   /** Reserves and returns a port that is free on all these hosts for TCP and UDP. */
-  public static int free(List<String> hosts) throws IOException {
+  public static int reservePort(List<String> hosts) throws IOException {
     while (true) {
       int port = FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT);
       if (!LOCKS.containsKey(port) && isFree(hosts, port) && tryLock(port)) {
--- a/src/main/java/bitternpulley/faultinjection/Callers.java
+++ b/src/main/java/bitternpulley/faultinjection/QueryClients.java
@@ -18,9 +18,9 @@
  * Emulates the clients of a cluster. They send queries at random times derived from a seed, each to
  * a random process over a connection of its own, and count every answer on it. A query is lost if
  * it gets no answer in time although its process was not disturbed meanwhile; whoever kills or
- * pauses a process must report it with {@link #disturbed}.
+ * pauses a process must report it with {@link #beginDisturbance}.
  */
-public final class Callers {
+public final class QueryClients {
   private static final String[] QUERY_CLASSES = {"slot-search", "slot-booking", "stock-report"};
   private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.1 ([0-9]{3})");
   private static final double TIMEOUT_MS = 1400;
@@ -49,7 +49,7 @@
   private final List<String> lostQueries = new ArrayList<>();
 
   /** Starts clients that send {@code queriesPerSecond} queries per second in total. */
-  public Callers(Cluster cluster, long seed, double queriesPerSecond) {
+  public QueryClients(Cluster cluster, long seed, double queriesPerSecond) {
     this.cluster = cluster;
     this.random = new Random(seed);
     this.idPrefix = Long.toHexString(System.nanoTime()) + "-";
@@ -60,19 +60,19 @@
 
   /**
    * Reports that a process is about to be killed or paused, or is starting. Unanswered queries that
-   * were sent to the process before {@link #well} do not count as lost.
+   * were sent to the process before {@link #endDisturbance} do not count as lost.
    */
-  public void disturbed(int node) {
+  public void beginDisturbance(int node) {
     loop.execute(() -> disturbedUntilMs[node] = Double.POSITIVE_INFINITY);
   }
 
   /** Reports that a process works normally again. */
-  public void well(int node) {
+  public void endDisturbance(int node) {
     loop.execute(() -> disturbedUntilMs[node] = now());
   }
 
   /** Stops sending, and waits until every query has been answered or has timed out. */
-  public void end() throws InterruptedException {
+  public void stop() throws InterruptedException {
     loop.execute(() -> stopped = true);
     Thread.sleep((long) (TIMEOUT_MS + 4 * TOLERANCE_MS));
   }
@@ -121,7 +121,7 @@
             + body.length()
             + "\r\n\r\n"
             + body;
-    new Query(node, id).send(cluster.node(node).front(), request);
+    new Query(node, id).send(cluster.node(node).queryAddress(), request);
   }
 
   /** One query and its answers. */
@@ -206,22 +206,22 @@
   }
 
   /** Returns how many queries were sent. */
-  public int asked() {
+  public int countQueries() {
     return queryCount;
   }
 
   /** Returns how many queries got a complete or partial answer. */
-  public int served() {
+  public int countServed() {
     return servedCount;
   }
 
   /** Returns how many queries were rejected with status 429 or 503. */
-  public int refused() {
+  public int countRejected() {
     return rejectedCount;
   }
 
   /** Returns how many queries were answered with any other status. */
-  public int failed() {
+  public int countFailed() {
     return failedCount;
   }
 
@@ -229,12 +229,12 @@
    * Returns how many queries got no answer in time because their process was disturbed, or could
    * not be sent for lack of a socket.
    */
-  public int excused() {
+  public int countExcused() {
     return excusedCount;
   }
 
   /** Returns how many answers came in addition to the first one of a query. */
-  public int extra() {
+  public int countExtraAnswers() {
     return extraAnswerCount;
   }
 
@@ -242,7 +242,7 @@
    * Returns descriptions of the queries that got no answer in time although their process was not
    * disturbed.
    */
-  public List<String> lost() {
+  public List<String> lostQueryDescriptions() {
     return List.copyOf(lostQueries);
   }
 }
--- a/src/main/java/bitternpulley/faultinjection/Scenario.java
+++ b/src/main/java/bitternpulley/faultinjection/Scenario.java
@@ -8,7 +8,7 @@
 
 /**
  * A sequence of timed faults for a cluster. Each line of its text has a time in ms and a fault in
- * the syntax of {@link Cluster#does}, for example
+ * the syntax of {@link Cluster#applyFault}, for example
  *
  * <pre>
  * 1000 lose 0.05 all = all
@@ -26,7 +26,7 @@
   private final List<Step> steps = new ArrayList<>();
 
   /** Parses a scenario; blank lines and what follows a {@code #} are ignored. */
-  public static Scenario of(String text) {
+  public static Scenario parse(String text) {
     Scenario scenario = new Scenario();
     for (String line : text.lines().toList()) {
       String statement = line.replaceAll("#.*", "").trim();
@@ -49,16 +49,16 @@
   }
 
   /** Injects each fault into the cluster at its time, and returns after the last one. */
-  public void play(Cluster cluster) throws IOException, InterruptedException {
-    double startMs = cluster.timeline().now();
+  public void run(Cluster cluster) throws IOException, InterruptedException {
+    double startMs = cluster.timeline().elapsedMs();
     List<Step> orderedSteps = new ArrayList<>(steps);
     orderedSteps.sort(Comparator.comparingDouble(Step::atMs));
     for (Step step : orderedSteps) {
-      double remainingMs = startMs + step.atMs() - cluster.timeline().now();
+      double remainingMs = startMs + step.atMs() - cluster.timeline().elapsedMs();
       if (remainingMs > 0) {
         TimeUnit.MICROSECONDS.sleep((long) (remainingMs * 1000));
       }
-      cluster.does(step.fault());
+      cluster.applyFault(step.fault());
     }
   }
 }
--- a/src/main/java/bitternpulley/faultinjection/StreamProxy.java
+++ b/src/main/java/bitternpulley/faultinjection/StreamProxy.java
@@ -86,7 +86,7 @@
   public HostPort open(HostPort target, DirectedLink forward, DirectedLink backward)
       throws IOException {
     ServerSocketChannel listener = ServerSocketChannel.open();
-    HostPort proxyAddress = new HostPort("127.0.0.1", Ports.free());
+    HostPort proxyAddress = new HostPort("127.0.0.1", Ports.reservePort());
     listener.bind(proxyAddress.address(), BACKLOG);
     listener.configureBlocking(false);
     // Registration blocks while the selector selects, so the selector is woken up first.
--- a/src/main/java/bitternpulley/faultinjection/Timeline.java
+++ b/src/main/java/bitternpulley/faultinjection/Timeline.java
@@ -28,7 +28,7 @@
   }
 
   /** Returns the time in ms since this timeline was created. */
-  public double now() {
+  public double elapsedMs() {
     return (System.nanoTime() - startNanos) / 1e6;
   }
 
@@ -46,7 +46,7 @@
   private void writeLine(String kind, String event, Object subject) {
     ObjectNode line =
         JSON.createObjectNode()
-            .put("at_ms", Math.round(now()))
+            .put("at_ms", Math.round(elapsedMs()))
             .put("kind", kind)
             .put("what", event)
             .put("of", String.valueOf(subject));
@@ -59,7 +59,7 @@
   }
 
   /** Returns how many faults were injected or removed so far. */
-  public synchronized int injected() {
+  public synchronized int countFaults() {
     return faultCount;
   }
 
--- a/src/main/java/bitternpulley/gossip/GossipCodec.java
+++ b/src/main/java/bitternpulley/gossip/GossipCodec.java
@@ -164,7 +164,7 @@
       out.writeString(metadata.build());
     }
     if (payload != null) {
-      out.writeNumber(payload.count());
+      out.writeNumber(payload.sequenceNumber());
       out.writeBinary(payload.bytes());
     }
     out.writeEndArray();
--- a/src/main/java/bitternpulley/gossip/GossipService.java
+++ b/src/main/java/bitternpulley/gossip/GossipService.java
@@ -9,8 +9,8 @@
 import bitternpulley.leases.Leases;
 import bitternpulley.membership.MemberMetadata;
 import bitternpulley.membership.Membership;
-import bitternpulley.net.DatagramLink;
 import bitternpulley.net.EventLoop;
+import bitternpulley.net.UdpSocket;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -45,7 +45,7 @@
   private final List<InetSocketAddress> addresses;
   private final Set<String> loggedKeys = new HashSet<>();
   private final String build;
-  private DatagramLink socket;
+  private UdpSocket socket;
   private boolean hasLeft;
   private long ignoredDatagrams;
   private long corruptedDatagrams;
@@ -68,8 +68,10 @@
     this.build = build;
     codec = new GossipCodec(membershipConfiguration.deployment());
     addresses =
-        configuration.peers().orElseThrow().all().stream().map(peer -> peer.address()).toList();
-    broker.gossipTransport(this);
+        configuration.peers().orElseThrow().addresses().stream()
+            .map(peer -> peer.address())
+            .toList();
+    broker.setGossipTransport(this);
   }
 
   /**
@@ -84,7 +86,8 @@
                 broker.submit(
                     new Event.LeasesStarted(
                         new Leases(
-                            configuration.settings().self(), configuration.leaseTerms(leases)))));
+                            configuration.settings().selfIndex(),
+                            configuration.leaseTerms(leases)))));
   }
 
   /** Binds the address, retrying until it is free, and then starts membership. */
@@ -94,7 +97,7 @@
     }
     try {
       socket =
-          new DatagramLink(
+          new UdpSocket(
               loop,
               configuration.peers().orElseThrow().listen(),
               GossipCodec.MAX_DATAGRAM_BYTES,
@@ -114,8 +117,8 @@
 
   private void startMembership() {
     long epoch =
-        EpochFile.next(configuration.operations().stateDirectory().orElse(null), broker.now());
-    int self = configuration.settings().self();
+        EpochFile.next(configuration.processSettings().stateDirectory().orElse(null), broker.now());
+    int self = configuration.settings().selfIndex();
     Membership membership =
         new Membership(
             self,
@@ -123,7 +126,7 @@
                 configuration.name(), zone(), membershipConfiguration.region(), build),
             epoch,
             IntStream.range(0, addresses.size()).boxed().toList(),
-            membershipConfiguration.terms(),
+            membershipConfiguration.settings(),
             configuration.seed(),
             broker.now());
     LOG.log(
--- a/src/main/java/bitternpulley/health/ConcurrencyLimit.java
+++ b/src/main/java/bitternpulley/health/InstanceConcurrencyLimit.java
@@ -4,7 +4,7 @@
  * Limits the parts that one instance may have in flight. Timely answers increase the limit
  * additively, late answers decrease it multiplicatively.
  */
-public final class ConcurrencyLimit {
+public final class InstanceConcurrencyLimit {
   /** Initial limit per known server: one part being processed and one queued behind it. */
   private static final double INITIAL_PARTS_PER_SERVER = 2;
 
@@ -53,7 +53,7 @@
    * The longest latency in ms of a timely answer, given the latency objective and the part's work,
    * both in ms.
    */
-  public double timelyLatency(double latencyObjective, double work) {
+  public double maxTimelyLatency(double latencyObjective, double work) {
     return Math.max(
         TIMELY_OBJECTIVE_SHARE * latencyObjective,
         Math.min(TIMELY_WORK_MULTIPLE * work, MAX_TIMELY_OBJECTIVE_SHARE * latencyObjective));
--- a/src/main/java/bitternpulley/health/ProcessPauses.java
+++ b/src/main/java/bitternpulley/health/ProcessPauses.java
@@ -37,7 +37,7 @@
   }
 
   /** Whether the process has run without a pause since {@code time}. */
-  public boolean ranSince(double time) {
+  public boolean ranWithoutPauseSince(double time) {
     return recentPauses.isEmpty() || recentPauses.getFirst().end() <= time;
   }
 }
--- a/src/main/java/bitternpulley/health/SlowStartBudget.java
+++ b/src/main/java/bitternpulley/health/SlowStartBudget.java
@@ -70,7 +70,7 @@
    * @param processShare this process's share of the instance's limits, from 0 to 1
    */
   public boolean allows(double work, PartPriority priority, double processShare, double now) {
-    return allows(work, priority, processShare, now, sentWork.sum(now), quota.at(now));
+    return allows(work, priority, processShare, now, sentWork.sum(now), quota.multipleAt(now));
   }
 
   private boolean allows(
@@ -112,7 +112,7 @@
   private boolean hasTurn(double age, double partsPerMs) {
     long latestTurn = (long) Math.floor(completedParts(age, partsPerMs));
     long ownTurn =
-        latestTurn - Math.floorMod(latestTurn - settings.self(), (long) settings.instances());
+        latestTurn - Math.floorMod(latestTurn - settings.selfIndex(), (long) settings.instances());
     double windowStart = age - settings.rules().overloadWindow();
     return ownTurn >= 0 && (windowStart < 0 || ownTurn > completedParts(windowStart, partsPerMs));
   }
@@ -136,7 +136,7 @@
   public double nextAllowedAt(
       double work, PartPriority priority, double processShare, double now, double until) {
     double step = settings.rules().overloadWindow() / SEARCH_STEPS_PER_WINDOW;
-    double quotaShare = quota.at(now);
+    double quotaShare = quota.multipleAt(now);
     for (double time = now; time <= until; time += step) {
       if (allows(work, priority, processShare, time, sentWork.projectedSum(time), quotaShare)) {
         return time;
--- a/src/main/java/bitternpulley/health/StallDetector.java
+++ b/src/main/java/bitternpulley/health/StallDetector.java
@@ -9,7 +9,7 @@
  */
 public final class StallDetector {
   /** The state of a server that the detector needs. */
-  public interface Awaited {
+  public interface MonitoredServer {
     /**
      * The time at which the oldest part in flight at the server was sent, or infinity if there is
      * none.
@@ -31,7 +31,7 @@
 
   /** Records an answer; {@code servers} are in their state before the answer. */
   public void recordAnswer(
-      double now, double baselineLatency, Collection<? extends Awaited> servers) {
+      double now, double baselineLatency, Collection<? extends MonitoredServer> servers) {
     if (isStalled(now, baselineLatency, servers)) {
       stallEndedAt = now;
     }
@@ -40,13 +40,13 @@
 
   /** Whether no answer arrives although most servers with parts in flight have an overdue part. */
   public boolean isStalled(
-      double now, double baselineLatency, Collection<? extends Awaited> servers) {
+      double now, double baselineLatency, Collection<? extends MonitoredServer> servers) {
     if (now - lastAnswerAt <= OVERDUE_LATENCY_MULTIPLE * baselineLatency) {
       return false;
     }
     int busy = 0;
     int overdue = 0;
-    for (Awaited server : servers) {
+    for (MonitoredServer server : servers) {
       double sentAt = server.oldestSentAt();
       busy += sentAt < Double.POSITIVE_INFINITY ? 1 : 0;
       overdue += now - sentAt > OVERDUE_LATENCY_MULTIPLE * baselineLatency ? 1 : 0;
--- a/src/main/java/bitternpulley/health/package-info.java
+++ b/src/main/java/bitternpulley/health/package-info.java
@@ -4,9 +4,9 @@
  * has warmed up, whether all servers are stalled.
  *
  * <p>{@code ServerConcurrencyLimit} and {@code SlowStartBudget} limit what this instance sends to
- * one server, {@link bitternpulley.health.ConcurrencyLimit} limits what it has in flight at all
- * servers together. {@code WorkEstimate}, {@code CoreEstimate} and {@code ZoneLatency} estimate the
- * work of a part, the cores of a server and the latency of a zone from the answers. {@code
+ * one server, {@link bitternpulley.health.InstanceConcurrencyLimit} limits what it has in flight at
+ * all servers together. {@code WorkEstimate}, {@code CoreEstimate} and {@code ZoneLatency} estimate
+ * the work of a part, the cores of a server and the latency of a zone from the answers. {@code
  * StallDetector} and {@code ProcessPauses} recognize delays that no single server caused. {@code
  * ClientRetryDetector} and {@code TenantQuotas} classify incoming queries.
  *
--- a/src/main/java/bitternpulley/leases/Leases.java
+++ b/src/main/java/bitternpulley/leases/Leases.java
@@ -22,12 +22,12 @@
    * The state of this instance's leases, for operators.
    *
    * @param quota this instance's share of the common budget, 0 to 1
-   * @param leases number of witnesses from which this instance has a usable lease
+   * @param usableLeases number of witnesses from which this instance has a usable lease
    * @param witnesses number of all witnesses
    * @param activeMembers number of members listed in these leases, which include all that may act;
    *     0 if this instance may not act itself
    */
-  public record LeaseStatus(double quota, int leases, int witnesses, int activeMembers) {}
+  public record LeaseStatus(double quota, int usableLeases, int witnesses, int activeMembers) {}
 
   private final int self;
   private final LeaseTerms terms;
--- a/src/main/java/bitternpulley/membership/FailureDetector.java
+++ b/src/main/java/bitternpulley/membership/FailureDetector.java
@@ -5,9 +5,8 @@
 /**
  * Decides when to declare a suspect dead: after two of this instance's own probes have failed,
  * while this instance hears from a majority, and not shortly after this instance was paused. Once
- * the suspicion has lasted for {@link MembershipSettings#withoutMajorityAfter}, a majority is no
- * longer required; nor are failed probes if this instance has received no message at all for that
- * time.
+ * the suspicion has lasted for {@link MembershipSettings#majorityTimeout}, a majority is no longer
+ * required; nor are failed probes if this instance has received no message at all for that time.
  */
 final class FailureDetector {
   /** Intervals after a pause during which no member is declared dead. */
@@ -87,7 +86,7 @@
     if (isStillSending(suspect, now)) {
       return;
     }
-    if (now >= suspicion.startedAt() + settings.withoutMajorityAfter()) {
+    if (now >= suspicion.startedAt() + settings.majorityTimeout()) {
       declareDead(suspect, now);
     } else if (!suspicion.hasRequiredFailuresSince(majoritySince)) {
       checks.request(suspect);
--- a/src/main/java/bitternpulley/membership/IsolationMonitor.java
+++ b/src/main/java/bitternpulley/membership/IsolationMonitor.java
@@ -40,14 +40,14 @@
 
   /** Whether no message has arrived for so long that every member is to be suspected. */
   boolean isIsolated(double now) {
-    return now >= lastMessageAt + settings.withoutMajorityAfter() / 2;
+    return now >= lastMessageAt + settings.majorityTimeout() / 2;
   }
 
   /**
-   * Whether a message arrived within {@link MembershipSettings#withoutMajorityAfter}. Only then
-   * does the declaration of a death require failed probes of this instance.
+   * Whether a message arrived within {@link MembershipSettings#majorityTimeout}. Only then does the
+   * declaration of a death require failed probes of this instance.
    */
   boolean hasRecentMessage(double now) {
-    return lastMessageAt > now - settings.withoutMajorityAfter();
+    return lastMessageAt > now - settings.majorityTimeout();
   }
 }
--- a/src/main/java/bitternpulley/membership/LocalMember.java
+++ b/src/main/java/bitternpulley/membership/LocalMember.java
@@ -52,7 +52,7 @@
 
   /** Sequence number of the latest payload; 0 if none was published. */
   int payloadSequenceNumber() {
-    return payload == null ? 0 : payload.count();
+    return payload == null ? 0 : payload.sequenceNumber();
   }
 
   boolean hasPayload() {
@@ -70,11 +70,11 @@
         received != null
             && update.epoch() == epoch
             && !received.equals(payload)
-            && received.count() >= payloadSequenceNumber()
-            && received.count() < GossipLimits.MAX_PAYLOAD_SEQUENCE_NUMBER;
+            && received.sequenceNumber() >= payloadSequenceNumber()
+            && received.sequenceNumber() < GossipLimits.MAX_PAYLOAD_SEQUENCE_NUMBER;
     if (isForged) {
       byte[] own = payload == null ? new byte[0] : payload.bytes();
-      payload = new MemberPayload(received.count() + 1, own);
+      payload = new MemberPayload(received.sequenceNumber() + 1, own);
     }
     return isForged;
   }
--- a/src/main/java/bitternpulley/membership/Member.java
+++ b/src/main/java/bitternpulley/membership/Member.java
@@ -266,8 +266,8 @@
     boolean isLater =
         received != null
             && update.epoch() == epoch
-            && received.count() <= GossipLimits.MAX_PAYLOAD_SEQUENCE_NUMBER
-            && (payload == null || received.count() > payload.count());
+            && received.sequenceNumber() <= GossipLimits.MAX_PAYLOAD_SEQUENCE_NUMBER
+            && (payload == null || received.sequenceNumber() > payload.sequenceNumber());
     if (isLater) {
       payload = received;
     }
--- a/src/main/java/bitternpulley/membership/MemberPayload.java
+++ b/src/main/java/bitternpulley/membership/MemberPayload.java
@@ -34,7 +34,7 @@
   }
 
   /** Number of this publication among those of the process. */
-  public int count() {
+  public int sequenceNumber() {
     return sequenceNumber;
   }
 
--- a/src/main/java/bitternpulley/membership/MembershipSettings.java
+++ b/src/main/java/bitternpulley/membership/MembershipSettings.java
@@ -8,15 +8,15 @@
  *     fails after three times this value
  * @param relays number of members asked to probe on behalf of this instance
  * @param suspicionIntervals minimum number of intervals that a suspect has to refute
- * @param withoutMajorityAfter time after which an instance that does not hear from a majority
- *     declares its suspects dead nevertheless
+ * @param majorityTimeout time after which an instance that does not hear from a majority declares
+ *     its suspects dead nevertheless
  */
 public record MembershipSettings(
     double interval,
     double timeout,
     int relays,
     double suspicionIntervals,
-    double withoutMajorityAfter) {
+    double majorityTimeout) {
   /** Detects a death in about 5 s among ten members, and allows a zone to be cut off for 10 s. */
   public static final MembershipSettings DEFAULT = new MembershipSettings(1000, 300, 3, 3, 20_000);
 }
--- a/src/main/java/bitternpulley/membership/ViewDigest.java
+++ b/src/main/java/bitternpulley/membership/ViewDigest.java
@@ -55,7 +55,7 @@
       payloadDigest +=
           member.payload() == null
               ? 0
-              : mix(member.number(), member.epoch(), member.payload().count());
+              : mix(member.number(), member.epoch(), member.payload().sequenceNumber());
     }
   }
 
--- a/src/main/java/bitternpulley/net/Connection.java
+++ b/src/main/java/bitternpulley/net/Connection.java
@@ -115,7 +115,7 @@
 
   private void connect(
       AsynchronousSocketChannel socket, HostPort address, double timeout, Runnable onConnected) {
-    Future<?> timer = loop.after(timeout, this::close);
+    Future<?> timer = loop.scheduleCancellable(timeout, this::close);
     socket.connect(
         address.address(),
         null,
--- a/src/main/java/bitternpulley/net/EventLoop.java
+++ b/src/main/java/bitternpulley/net/EventLoop.java
@@ -93,7 +93,7 @@
    * Sets the listener that receives the length in ms of each time span in which the loop did not
    * run, before the first turn after that time span handles anything else.
    */
-  public void onPause(DoubleConsumer listener) {
+  public void setPauseListener(DoubleConsumer listener) {
     pauseListener = listener;
   }
 
@@ -125,7 +125,7 @@
   }
 
   /** Runs a task in its own turn after a delay in ms; the returned future cancels the task. */
-  public Future<?> after(double ms, Runnable task) {
+  public Future<?> scheduleCancellable(double ms, Runnable task) {
     long now = System.nanoTime();
     long due = now + (long) (Math.max(0, ms) * NANOS_PER_MS);
     long delay = due + TIMER_RESOLUTION_NS - Math.floorMod(due, TIMER_RESOLUTION_NS) - now;
@@ -134,7 +134,7 @@
 
   /** Runs a task in its own turn after a delay in ms, for callers that never cancel the task. */
   public void schedule(double ms, Runnable task) {
-    Future<?> unused = after(ms, task);
+    Future<?> unused = scheduleCancellable(ms, task);
   }
 
   /**
--- a/src/main/java/bitternpulley/net/FrameCodec.java
+++ b/src/main/java/bitternpulley/net/FrameCodec.java
@@ -18,11 +18,11 @@
   /**
    * One frame.
    *
-   * @param letter the type code of the frame
-   * @param rest the payload
+   * @param typeCode the type code of the frame
+   * @param payload the payload
    */
   @SuppressWarnings("ArrayRecordComponent") // Frames are never compared, and a copy would cost.
-  public record Frame(char letter, byte[] rest) {}
+  public record Frame(char typeCode, byte[] payload) {}
 
   private final ByteBuffer lengthBytes =
       ByteBuffer.allocate(LENGTH_BYTES).order(ByteOrder.LITTLE_ENDIAN);
@@ -39,7 +39,7 @@
   }
 
   /** Returns true when no frame is incomplete. */
-  public boolean idle() {
+  public boolean isBetweenFrames() {
     return body == null && lengthBytes.position() == 0;
   }
 
--- a/src/main/java/bitternpulley/net/HttpServer.java
+++ b/src/main/java/bitternpulley/net/HttpServer.java
@@ -175,7 +175,7 @@
    *
    * @param enabled whether the server is quiesced
    */
-  public void quiesce(boolean enabled) {
+  public void setQuiesced(boolean enabled) {
     drainState.setQuiesced(enabled);
   }
 
--- a/src/main/java/bitternpulley/net/LineServer.java
+++ b/src/main/java/bitternpulley/net/LineServer.java
@@ -18,7 +18,7 @@
   /** Handles lines; all calls are made in turns of the event loop. */
   public interface Handler {
     /** Handles a complete line; the response may be given at any time, once. */
-    void line(String line, Consumer<String> response);
+    void handleLine(String line, Consumer<String> response);
 
     /** Returns the response to a line that is too long. */
     String lineTooLong();
--- a/src/main/java/bitternpulley/net/LineSession.java
+++ b/src/main/java/bitternpulley/net/LineSession.java
@@ -34,7 +34,7 @@
       char next = (char) (bytes.get() & 0xff);
       if (next == '\n') {
         stopReading();
-        handler.line(line.toString().strip(), this::respond);
+        handler.handleLine(line.toString().strip(), this::respond);
       } else if (line.append(next).length() > MAX_LINE_LENGTH) {
         stopReading();
         respond(handler.lineTooLong());
--- a/src/main/java/bitternpulley/net/DatagramLink.java
+++ b/src/main/java/bitternpulley/net/UdpSocket.java
@@ -13,8 +13,8 @@
  * datagrams and passes each one to the event loop. It receives the next datagram only after the
  * previous one is handled, so no queue grows here.
  */
-public final class DatagramLink {
-  private static final System.Logger LOG = System.getLogger(DatagramLink.class.getName());
+public final class UdpSocket {
+  private static final System.Logger LOG = System.getLogger(UdpSocket.class.getName());
 
   /** Receives datagrams. */
   public interface Handler {
@@ -30,7 +30,7 @@
    * Opens and binds a socket. A datagram of more than {@code maxBytes} is delivered truncated to
    * {@code maxBytes + 1}, so that its length shows that it was too long.
    */
-  public DatagramLink(EventLoop loop, HostPort address, int maxBytes, Handler handler)
+  public UdpSocket(EventLoop loop, HostPort address, int maxBytes, Handler handler)
       throws IOException {
     this.loop = loop;
     this.handler = handler;
--- a/src/main/java/bitternpulley/net/package-info.java
+++ b/src/main/java/bitternpulley/net/package-info.java
@@ -4,8 +4,8 @@
  * {@link bitternpulley.net.HttpServer} and {@link bitternpulley.net.HttpClient} exchange HTTP/1.1
  * messages over connections, parsed by {@link bitternpulley.net.HttpParser}. {@link
  * bitternpulley.net.FrameCodec} encodes and decodes the frames exchanged with slot servers, {@link
- * bitternpulley.net.LineServer} serves one-line requests, and {@link
- * bitternpulley.net.DatagramLink} sends and receives UDP datagrams.
+ * bitternpulley.net.LineServer} serves one-line requests, and {@link bitternpulley.net.UdpSocket}
+ * sends and receives UDP datagrams.
  *
  * <p>This package decides when a connection is accepted, evicted, timed out and closed. It does not
  * interpret messages and knows nothing of queries, endpoint lists or members.
--- a/src/main/java/bitternpulley/opensearch/SearchFront.java
+++ b/src/main/java/bitternpulley/opensearch/SearchFrontend.java
@@ -12,7 +12,7 @@
 import java.util.function.Supplier;
 
 /** Serves the OpenSearch-style API, {@code _search} and {@code _msearch}, to HTTP clients. */
-public final class SearchFront implements HttpServer.Handler {
+public final class SearchFrontend implements HttpServer.Handler {
   private final SearchConfiguration configuration;
   private final TenantResolver tenants;
   private final SearchSubmitter submitter;
@@ -29,7 +29,7 @@
    * @param instance the name of this instance
    * @param identification identifies the team of each search by the contracts in force
    */
-  public SearchFront(
+  public SearchFrontend(
       Settings settings,
       SearchConfiguration configuration,
       Broker broker,
--- a/src/main/java/bitternpulley/opensearch/SearchResponse.java
+++ b/src/main/java/bitternpulley/opensearch/SearchResponse.java
@@ -43,7 +43,7 @@
     if (answer instanceof Answer.Rejected rejected) {
       return rejected(search, rejected);
     }
-    return failed(search, ((Answer.Failed) answer).ending());
+    return failed(search, ((Answer.Failed) answer).finalState());
   }
 
   /** Returns the response for a search that cannot be answered. */
@@ -78,8 +78,8 @@
 
   /** Returns a status that invites a retry only if no part of the search can have run. */
   private static SearchResponse rejected(Search search, Answer.Rejected rejected) {
-    if (rejected.ending().mayHaveRun()) {
-      return failed(search, rejected.ending());
+    if (rejected.finalState().mayHaveRun()) {
+      return failed(search, rejected.finalState());
     }
     if (rejected.contract() != null) {
       return rejectedByContract(rejected.contract());
@@ -116,7 +116,7 @@
     return (long) Math.ceil(ms / MS_PER_SECOND);
   }
 
-  private static SearchResponse failed(Search search, Answer.Ending finalState) {
+  private static SearchResponse failed(Search search, Answer.FinalState finalState) {
     SearchException exception =
         finalState.timedOut()
             ? new SearchException(504, "timeout_exception", "the search's time is over")
--- a/src/main/java/bitternpulley/opensearch/SearchServers.java
+++ b/src/main/java/bitternpulley/opensearch/SearchServers.java
@@ -2,9 +2,9 @@
 
 import bitternpulley.broker.AttemptId;
 import bitternpulley.broker.Broker;
-import bitternpulley.broker.Dialect;
 import bitternpulley.broker.Effect;
 import bitternpulley.broker.Event;
+import bitternpulley.broker.ProtocolAdapter;
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
 import bitternpulley.net.HttpClient;
@@ -19,7 +19,7 @@
  * Sends attempts, one HTTP request each, to slot servers that offer the search API, and delivers
  * the answers to searches.
  */
-public final class SearchServers implements Dialect {
+public final class SearchServers implements ProtocolAdapter {
   private final EventLoop loop;
   private final Broker broker;
   private final HttpClient client;
@@ -53,7 +53,7 @@
   }
 
   /** Records the host of a server; the port of the given address is not used. */
-  public void recordAddress(String server, HostPort address) {
+  public void setAddress(String server, HostPort address) {
     addresses.put(server, new HostPort(address.host(), port));
   }
 
@@ -64,7 +64,7 @@
   }
 
   /** Removes all servers but the given ones. */
-  public void retainServers(Set<String> servers) {
+  public void retainOnly(Set<String> servers) {
     List.copyOf(addresses.keySet()).stream()
         .filter(server -> !servers.contains(server))
         .forEach(this::removeServer);
--- a/src/main/java/bitternpulley/opensearch/SearchSubmitter.java
+++ b/src/main/java/bitternpulley/opensearch/SearchSubmitter.java
@@ -2,8 +2,8 @@
 
 import bitternpulley.broker.Broker;
 import bitternpulley.broker.Clock;
-import bitternpulley.broker.Dialect;
 import bitternpulley.broker.Event;
+import bitternpulley.broker.ProtocolAdapter;
 import bitternpulley.broker.Request;
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
@@ -18,7 +18,7 @@
   private final SearchDecoder decoder;
   private final TenantResolver tenants;
   private final Broker broker;
-  private final Dialect servers;
+  private final ProtocolAdapter servers;
   private final Clock clock;
   private final String instance;
 
@@ -38,7 +38,7 @@
       SearchDecoder decoder,
       TenantResolver tenants,
       Broker broker,
-      Dialect servers,
+      ProtocolAdapter servers,
       Clock clock,
       String instance) {
     this.settings = settings;
@@ -67,7 +67,7 @@
       SearchCaller caller,
       JsonNode body,
       Consumer<SearchResponse> onResponse) {
-    long id = broker.nextId();
+    long id = broker.nextRequestId();
     double startedAt = clock.now();
     Search search =
         decoder.decode(instance + "-" + id, caller.idempotencyKey(), indexNames, parameters, body);
--- a/src/main/java/bitternpulley/opensearch/TenantResolver.java
+++ b/src/main/java/bitternpulley/opensearch/TenantResolver.java
@@ -25,7 +25,7 @@
       return new TenantIdentification.KeyOwner(TenantIdentification.KeyStatus.ABSENT, null);
     }
     TenantIdentification.KeyOwner owner = current.ownerOfKey(head.header("Authorization"));
-    if (owner.status() == TenantIdentification.KeyStatus.UNKNOWN && !current.hasFallback()) {
+    if (owner.status() == TenantIdentification.KeyStatus.UNKNOWN && !current.hasDefaultContract()) {
       throw SearchException.unauthenticated("unable to authenticate with the key that is shown");
     }
     return owner;
@@ -56,7 +56,7 @@
           "the indices are of different teams and need searches of their own");
     }
     String team = teams.get(0);
-    if (team == null && !current.hasFallback()) {
+    if (team == null && !current.hasDefaultContract()) {
       throw SearchException.unauthenticated("missing authentication credentials");
     }
     return team;
--- a/src/main/java/bitternpulley/opensearch/package-info.java
+++ b/src/main/java/bitternpulley/opensearch/package-info.java
@@ -3,12 +3,12 @@
  * go through the same {@code broker}, and follow the same rules, as the queries of the platform's
  * protocol.
  *
- * <p>{@link bitternpulley.opensearch.SearchFront} handles the HTTP requests. {@code SearchTarget},
- * {@code SearchBodies} and {@code SearchDecoder} decode each search into a {@code Search}, which
- * {@code SearchSubmitter} submits to the broker. {@link bitternpulley.opensearch.SearchServers}
- * sends the broker's attempts to the slot servers, with {@code PartRequestEncoder} and {@code
- * PartResponseDecoder}. {@code SearchResponse} encodes the broker's answer, whose hits {@code
- * HitMerger} merges.
+ * <p>{@link bitternpulley.opensearch.SearchFrontend} handles the HTTP requests. {@code
+ * SearchTarget}, {@code SearchBodies} and {@code SearchDecoder} decode each search into a {@code
+ * Search}, which {@code SearchSubmitter} submits to the broker. {@link
+ * bitternpulley.opensearch.SearchServers} sends the broker's attempts to the slot servers, with
+ * {@code PartRequestEncoder} and {@code PartResponseDecoder}. {@code SearchResponse} encodes the
+ * broker's answer, whose hits {@code HitMerger} merges.
  *
  * <p>This package decides which searches can be answered (a search whose results cannot be merged
  * correctly gets status 400), how a search is split into one part for each shard of each index, and
@@ -19,6 +19,6 @@
  * messages, and {@code Search} holds none of them except in the body that is forwarded; status 429
  * is returned only when no part of the search can have run; all calls are made on the event loop
  * thread. The API is off unless it is configured. The package {@code aggregator} creates these
- * classes. Start reading with {@link bitternpulley.opensearch.SearchFront}.
+ * classes. Start reading with {@link bitternpulley.opensearch.SearchFrontend}.
  */
 package bitternpulley.opensearch;
--- a/src/main/java/bitternpulley/platform/FrameType.java
+++ b/src/main/java/bitternpulley/platform/FrameType.java
@@ -17,20 +17,20 @@
 
   private static final FrameType[] VALUES = values();
 
-  private final char letter;
+  private final char typeCode;
 
   FrameType(char letter) {
-    this.letter = letter;
+    this.typeCode = letter;
   }
 
-  char letter() {
-    return letter;
+  char typeCode() {
+    return typeCode;
   }
 
   /** Returns the type with this code, or null if there is none. */
-  static FrameType ofLetter(char letter) {
+  static FrameType ofTypeCode(char letter) {
     for (FrameType type : VALUES) {
-      if (type.letter == letter) {
+      if (type.typeCode == letter) {
         return type;
       }
     }
--- a/src/main/java/bitternpulley/platform/QueryFront.java
+++ b/src/main/java/bitternpulley/platform/QueryFrontend.java
@@ -1,9 +1,9 @@
 package bitternpulley.platform;
 
 import bitternpulley.broker.Broker;
-import bitternpulley.broker.Dialect;
 import bitternpulley.broker.Effect;
 import bitternpulley.broker.Event;
+import bitternpulley.broker.ProtocolAdapter;
 import bitternpulley.broker.Request;
 import bitternpulley.contracts.QueryFingerprint;
 import bitternpulley.contracts.TenantIdentification;
@@ -23,7 +23,7 @@
  * The HTTP front end for queries in the platform's protocol: receives queries, delivers final
  * answers, and responds to health and readiness checks.
  */
-public final class QueryFront implements HttpServer.Handler {
+public final class QueryFrontend implements HttpServer.Handler {
   private static final String INTERNAL_PATH_PREFIX = "/-/";
   private static final String HEALTH_PATH = "/-/healthy";
   private static final String READINESS_PATH = "/-/ready";
@@ -32,7 +32,7 @@
 
   private final Settings settings;
   private final Broker broker;
-  private final Dialect servers;
+  private final ProtocolAdapter servers;
   private final BooleanSupplier isReady;
   private final Supplier<TenantIdentification> tenantIdentification;
 
@@ -48,10 +48,10 @@
    * @param isReady whether the readiness check succeeds
    * @param tenantIdentification returns the tenant identification of the contracts in force
    */
-  public QueryFront(
+  public QueryFrontend(
       Settings settings,
       Broker broker,
-      Dialect servers,
+      ProtocolAdapter servers,
       BooleanSupplier isReady,
       Supplier<TenantIdentification> tenantIdentification) {
     this.settings = settings;
@@ -89,7 +89,7 @@
       // Part ids are derived from the request id, so parts of both requests would have the same id.
       throw new HttpException(409, "Request-Id is that of an open request");
     }
-    long id = broker.nextId();
+    long id = broker.nextRequestId();
     exchange.onDisconnect(
         () -> {
           pendingRequestIds.remove(query.id());
--- a/src/main/java/bitternpulley/platform/SlotConnection.java
+++ b/src/main/java/bitternpulley/platform/SlotConnection.java
@@ -206,7 +206,7 @@
    */
   private void scheduleCloseUnlessEnded(AttemptId attempt) {
     var unused =
-        loop.after(
+        loop.scheduleCancellable(
             timing.connectTimeout(),
             () -> {
               if (inFlight.contains(attempt)) {
@@ -309,7 +309,7 @@
 
   private void scheduleFrameTimeout(int framesBefore) {
     var unused =
-        loop.after(
+        loop.scheduleCancellable(
             FRAME_TIMEOUT_MS,
             () -> {
               if (!ended && reader.framesRead() == framesBefore && reader.isWithinFrame()) {
--- a/src/main/java/bitternpulley/platform/SlotFrameReader.java
+++ b/src/main/java/bitternpulley/platform/SlotFrameReader.java
@@ -47,7 +47,7 @@
 
   /** Whether a frame has begun and is not complete. */
   boolean isWithinFrame() {
-    return !codec.idle();
+    return !codec.isBetweenFrames();
   }
 
   /** The number of complete frames read. */
@@ -57,12 +57,13 @@
 
   private void accept(FrameCodec.Frame frame, List<Event.AttemptEnded> ended) {
     framesRead++;
-    FrameType type = FrameType.ofLetter(frame.letter());
+    FrameType type = FrameType.ofTypeCode(frame.typeCode());
     if (type == null) {
-      throw new ProtocolException(server, "frame '" + frame.letter() + "'", "its type is unknown");
+      throw new ProtocolException(
+          server, "frame '" + frame.typeCode() + "'", "its type is unknown");
     }
     switch (type) {
-      case RESULT -> acceptResult(SlotFrames.decodeResult(server, frame.rest()), ended);
+      case RESULT -> acceptResult(SlotFrames.decodeResult(server, frame.payload()), ended);
       case HEALTH_CHECK, LOAD_REQUEST -> {
         // The aggregator does not use these frames.
       }
@@ -70,7 +71,7 @@
           throw new ProtocolException(
               server,
               type + " frame",
-              "it rejects a frame: " + SlotFrames.decodeProtocolError(frame.rest()));
+              "it rejects a frame: " + SlotFrames.decodeProtocolError(frame.payload()));
       case CALL, CANCEL ->
           throw new ProtocolException(server, type + " frame", "only aggregators send it");
     }
--- a/src/main/java/bitternpulley/platform/SlotFrames.java
+++ b/src/main/java/bitternpulley/platform/SlotFrames.java
@@ -77,19 +77,20 @@
   static ByteBuffer encodeCall(List<byte[]> sections) {
     ByteBuffer payload = ByteBuffer.allocate(sections.stream().mapToInt(s -> s.length).sum());
     sections.forEach(payload::put);
-    return FrameCodec.encode(FrameType.CALL.letter(), payload.array());
+    return FrameCodec.encode(FrameType.CALL.typeCode(), payload.array());
   }
 
   /** Encodes a frame that cancels a part. */
   static ByteBuffer encodeCancel(String partId) {
-    return FrameCodec.encode(FrameType.CANCEL.letter(), partId.getBytes(StandardCharsets.US_ASCII));
+    return FrameCodec.encode(
+        FrameType.CANCEL.typeCode(), partId.getBytes(StandardCharsets.US_ASCII));
   }
 
   /** Encodes a frame with the result of a part, as a slot server without load reports sends it. */
   static ByteBuffer encodeResult(String partId, ResultStatus status, String value) {
     String payload = partId + " " + status.code() + " 0 -\n" + value;
     return FrameCodec.encode(
-        FrameType.RESULT.letter(), payload.getBytes(StandardCharsets.US_ASCII));
+        FrameType.RESULT.typeCode(), payload.getBytes(StandardCharsets.US_ASCII));
   }
 
   /**
--- a/src/main/java/bitternpulley/platform/SlotServers.java
+++ b/src/main/java/bitternpulley/platform/SlotServers.java
@@ -2,9 +2,9 @@
 
 import bitternpulley.broker.AttemptId;
 import bitternpulley.broker.Clock;
-import bitternpulley.broker.Dialect;
 import bitternpulley.broker.Effect;
 import bitternpulley.broker.Event;
+import bitternpulley.broker.ProtocolAdapter;
 import bitternpulley.config.Configuration;
 import bitternpulley.net.EventLoop;
 import bitternpulley.net.HostPort;
@@ -19,7 +19,7 @@
  * Communicates with the slot servers in the platform's frame protocol: sends attempts over a few
  * connections to each server, and reports the ends of the attempts.
  */
-public final class SlotServers implements Dialect {
+public final class SlotServers implements ProtocolAdapter {
   /**
    * Number of calls that a connection carries before another is opened. With one call, no other
    * call is lost when the server closes the connection after its answer.
@@ -89,7 +89,7 @@
   }
 
   /** Sets the receiver of final answers. */
-  public void deliverAnswersTo(Consumer<Effect.Reply> handler) {
+  public void setReplyHandler(Consumer<Effect.Reply> handler) {
     this.replyHandler = handler;
   }
 
@@ -99,7 +99,7 @@
   }
 
   /** Removes a server that has left, with all its state. */
-  public void forget(String server) {
+  public void removeServer(String server) {
     pool.removeServer(server);
   }
 
--- a/src/main/java/bitternpulley/platform/WarmupQueries.java
+++ b/src/main/java/bitternpulley/platform/WarmupQueries.java
@@ -1,9 +1,9 @@
 package bitternpulley.platform;
 
 import bitternpulley.broker.Broker;
-import bitternpulley.broker.Dialect;
 import bitternpulley.broker.Effect;
 import bitternpulley.broker.Event;
+import bitternpulley.broker.ProtocolAdapter;
 import bitternpulley.broker.Reducer;
 import bitternpulley.contracts.TenantIdentification;
 import bitternpulley.net.EventLoop;
@@ -28,7 +28,7 @@
  * compilation. The warm-up uses its own broker, clock and servers, which are discarded: nothing is
  * sent over a socket, and no statistics are kept.
  */
-public final class WarmupQueries implements Dialect {
+public final class WarmupQueries implements ProtocolAdapter {
   private static final System.Logger LOG = System.getLogger(WarmupQueries.class.getName());
 
   /** Number of queries run before the program is ready. */
@@ -74,7 +74,7 @@
   private final int maxBodyBytes;
   private final EventLoop loop;
   private final Broker broker;
-  private final QueryFront frontend;
+  private final QueryFrontend frontend;
   private final PriorityQueue<ScheduledTask> scheduledTasks =
       new PriorityQueue<>(Comparator.comparingDouble(ScheduledTask::time));
   private final List<Effect.StartAttempt> unansweredAttempts = new ArrayList<>();
@@ -105,11 +105,12 @@
             new Reducer(settings, 1, time),
             () -> time,
             (ms, task) -> scheduledTasks.add(new ScheduledTask(time + ms, task)));
-    frontend = new QueryFront(settings, broker, this, () -> false, () -> TenantIdentification.NONE);
-    broker.addDialect(this);
+    frontend =
+        new QueryFrontend(settings, broker, this, () -> false, () -> TenantIdentification.NONE);
+    broker.addProtocolAdapter(this);
     broker.submit(
         new Event.ServersChanged(
-            Router.ListKind.REMEMBERED,
+            Router.EndpointListKind.PERSISTED,
             IntStream.range(0, settings.layout().cells())
                 .mapToObj(c -> new Router.Endpoint("r" + c, c % 2, c, Router.ServerState.LIVE, 0))
                 .toList()));
@@ -213,7 +214,7 @@
   }
 
   private void submitResult(Effect.StartAttempt attempt, FrameCodec.Frame frame) {
-    SlotFrames.Result result = SlotFrames.decodeResult(attempt.server(), frame.rest());
+    SlotFrames.Result result = SlotFrames.decodeResult(attempt.server(), frame.payload());
     broker.submit(new Event.AttemptEnded(attempt.id(), result.outcome(), result.value()));
   }
 
--- a/src/main/java/bitternpulley/policy/InFlightLimiter.java
+++ b/src/main/java/bitternpulley/policy/InFlightLimiter.java
@@ -1,6 +1,6 @@
 package bitternpulley.policy;
 
-import bitternpulley.health.ConcurrencyLimit;
+import bitternpulley.health.InstanceConcurrencyLimit;
 import bitternpulley.health.ProcessPauses;
 
 /**
@@ -11,7 +11,7 @@
   private final LatencyTracker latencies;
   private final OutlierDetector outliers;
   private final ProcessPauses pauses;
-  private final ConcurrencyLimit limit = new ConcurrencyLimit();
+  private final InstanceConcurrencyLimit limit = new InstanceConcurrencyLimit();
   private int inFlight;
 
   InFlightLimiter(LatencyTracker latencies, OutlierDetector outliers, ProcessPauses pauses) {
@@ -59,7 +59,7 @@
   /** Whether an attempt that took {@code elapsed} ms was fast enough for its query class. */
   boolean isTimely(AttemptState attempt, double elapsed) {
     double latencyObjective = attempt.query().queryClass().latencyObjective();
-    return elapsed <= limit.timelyLatency(latencyObjective, latencies.workOf(attempt.part()));
+    return elapsed <= limit.maxTimelyLatency(latencyObjective, latencies.workOf(attempt.part()));
   }
 
   /**
--- a/src/main/java/bitternpulley/policy/OutlierDetector.java
+++ b/src/main/java/bitternpulley/policy/OutlierDetector.java
@@ -88,7 +88,7 @@
    * latency is valid.
    */
   boolean processRanDuring(AttemptState attempt) {
-    return pauses.ranSince(attempt.sentAt());
+    return pauses.ranWithoutPauseSince(attempt.sentAt());
   }
 
   /** Records the arrival of an answer. Must be called before the state of the server is updated. */
--- a/src/main/java/bitternpulley/policy/RoutingPolicy.java
+++ b/src/main/java/bitternpulley/policy/RoutingPolicy.java
@@ -83,18 +83,19 @@
   }
 
   @Override
-  public void onServersChanged(ListKind kind, List<Endpoint> entries, double now, Actions out) {
-    if (kind == ListKind.FAILED) {
+  public void onServersChanged(
+      EndpointListKind kind, List<Endpoint> entries, double now, Actions out) {
+    if (kind == EndpointListKind.FAILED) {
       watch.recordFailure(now, out);
       return;
     }
     entries.forEach(fleet::update);
-    if (kind == ListKind.REMEMBERED) {
+    if (kind == EndpointListKind.PERSISTED) {
       limiter.reset(fleet.servers().size());
     } else {
       watch.recordSuccess();
     }
-    if (kind != ListKind.CHANGES) {
+    if (kind != EndpointListKind.CHANGES) {
       Set<String> listedIds = entries.stream().map(Endpoint::server).collect(Collectors.toSet());
       fleet.markGoneExcept(listedIds);
     }
@@ -132,7 +133,7 @@
   @Override
   public void onQuery(Query query, double now, Actions out) {
     budget.recordRequest(now);
-    tenants.recordRequest(query.tenant(), query.parts(), now);
+    tenants.recordRequest(query.tenant(), query.partCount(), now);
     QueryState accepted = intake.accept(query, now);
     registry.add(accepted);
     reviews.add(accepted);
@@ -141,7 +142,7 @@
   @Override
   public void onPart(Part part, double now, Actions out) {
     budget.recordRequest(now);
-    QueryState query = registry.queryByNumber(part.number());
+    QueryState query = registry.queryByNumber(part.queryNumber());
     if (query != null) {
       registry.addPart(new PartState(part, query));
       reviews.add(query);
--- a/src/main/java/bitternpulley/policy/ServerFleet.java
+++ b/src/main/java/bitternpulley/policy/ServerFleet.java
@@ -61,7 +61,7 @@
 
   private TrackedServer add(Router.Endpoint endpoint) {
     double tieBreaker = random.nextDouble() + (endpoint.zone() == settings.zone() ? 0 : 1);
-    SlowStartBudget slowStart = new SlowStartBudget(settings, now -> quota.at(now), cores);
+    SlowStartBudget slowStart = new SlowStartBudget(settings, now -> quota.multipleAt(now), cores);
     TrackedServer server =
         new TrackedServer(endpoint.server(), endpoint.zone(), tieBreaker, slowStart);
     serversById.put(endpoint.server(), server);
--- a/src/main/java/bitternpulley/policy/TrackedServer.java
+++ b/src/main/java/bitternpulley/policy/TrackedServer.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /** A server as this instance knows it: its state, its health and its attempts in flight. */
-final class TrackedServer implements StallDetector.Awaited {
+final class TrackedServer implements StallDetector.MonitoredServer {
   private final String id;
   private final int zone;
   private final double tieBreaker;
--- a/src/main/java/bitternpulley/routing/Router.java
+++ b/src/main/java/bitternpulley/routing/Router.java
@@ -66,13 +66,13 @@
   }
 
   /** How to apply an endpoint list. */
-  enum ListKind {
+  enum EndpointListKind {
     /** The list contains only the servers that changed. */
     CHANGES,
     /** The list contains all servers. */
     COMPLETE,
     /** The list contains all servers as stored by a previous process. */
-    REMEMBERED,
+    PERSISTED,
     /** The list could not be read and is empty. */
     FAILED
   }
@@ -119,7 +119,7 @@
    * @param id identifies the query in actions and client events
    * @param number identifies the query in its parts
    * @param queryClass index of the query class in the settings
-   * @param parts number of parts of the first step
+   * @param partCount number of parts of the first step
    * @param estimatedWork work of all parts in ms, or 0 if unknown
    * @param retry whether the client marked the query as a retry
    * @param timeLeft ms for which the client continues to wait
@@ -129,7 +129,7 @@
       long id,
       long number,
       int queryClass,
-      int parts,
+      int partCount,
       double estimatedWork,
       boolean retry,
       double timeLeft,
@@ -206,11 +206,11 @@
    * A part of a query's current step.
    *
    * @param id identifies the part in actions and outcomes
-   * @param number number of the query
+   * @param queryNumber number of the query
    * @param weight the part's share of the complete answer
    * @param estimatedWork work of the part in ms, or 0 if unknown
    */
-  record Part(long id, long number, int shard, double weight, double estimatedWork) {}
+  record Part(long id, long queryNumber, int shard, double weight, double estimatedWork) {}
 
   /**
    * The end of an attempt. Each attempt ends exactly once.
@@ -260,11 +260,11 @@
   }
 
   /** The endpoint list or a change to it arrived, or a request for it failed. */
-  void onServersChanged(ListKind kind, List<Endpoint> entries, double now, Actions out);
+  void onServersChanged(EndpointListKind kind, List<Endpoint> entries, double now, Actions out);
 
   /** An operator readmitted a server, which may have restarted in the meantime. */
   default void onServerReadmitted(Endpoint server, double now, Actions out) {
-    onServersChanged(ListKind.CHANGES, List.of(server), now, out);
+    onServersChanged(EndpointListKind.CHANGES, List.of(server), now, out);
   }
 
   /**
@@ -287,7 +287,7 @@
      * The quota at a time, as a multiple of an even quota: more than 1 if fewer instances may act,
      * 0 if this instance may not act.
      */
-    double at(double now);
+    double multipleAt(double now);
   }
 
   /** Sets this instance's quota, which is initially {@link QuotaShare#EVEN}. */
--- a/src/main/java/bitternpulley/routing/Settings.java
+++ b/src/main/java/bitternpulley/routing/Settings.java
@@ -6,7 +6,7 @@
  * The settings of an instance, which the configuration of its site supplies at startup. Values that
  * the configuration omits have defaults, most of which disable the feature that they control.
  *
- * @param self number of this instance, from 0
+ * @param selfIndex number of this instance, from 0
  * @param instances number of instances of the site
  * @param zone zone of this instance
  * @param tick resolution of the caller's clock and alarms in ms
@@ -16,7 +16,7 @@
  *     per query
  */
 public record Settings(
-    int self,
+    int selfIndex,
     int instances,
     int zone,
     double tick,
@@ -44,7 +44,7 @@
 
   private Settings with(double newTick, Limits newLimits) {
     return new Settings(
-        self,
+        selfIndex,
         instances,
         zone,
         newTick,
--- a/src/main/java/bitternpulley/simulator/MessageReader.java
+++ b/src/main/java/bitternpulley/simulator/MessageReader.java
@@ -110,12 +110,12 @@
   }
 
   /** How a change of endpoints is to be applied. */
-  static Router.ListKind listKind(JsonNode message) {
+  static Router.EndpointListKind listKind(JsonNode message) {
     return switch (text(message, "kind")) {
-      case "Partial" -> Router.ListKind.CHANGES;
-      case "Complete" -> Router.ListKind.COMPLETE;
-      case "Persisted" -> Router.ListKind.REMEMBERED;
-      default -> Router.ListKind.FAILED;
+      case "Partial" -> Router.EndpointListKind.CHANGES;
+      case "Complete" -> Router.EndpointListKind.COMPLETE;
+      case "Persisted" -> Router.EndpointListKind.PERSISTED;
+      default -> Router.EndpointListKind.FAILED;
     };
   }
 
--- a/src/main/java/bitternpulley/simulator/SimulatorAdapter.java
+++ b/src/main/java/bitternpulley/simulator/SimulatorAdapter.java
@@ -156,9 +156,12 @@
 
   private void deliverEndpoints(
       Router router, JsonNode message, double now, Router.Actions actions) {
-    Router.ListKind kind = MessageReader.listKind(message);
+    Router.EndpointListKind kind = MessageReader.listKind(message);
     router.onServersChanged(
-        kind, kind == Router.ListKind.FAILED ? List.of() : referencedPage(message), now, actions);
+        kind,
+        kind == Router.EndpointListKind.FAILED ? List.of() : referencedPage(message),
+        now,
+        actions);
   }
 
   private List<Router.Endpoint> referencedPage(JsonNode message) {
--- a/src/test/java/bitternpulley/broker/AttemptLifecycleTest.java
+++ b/src/test/java/bitternpulley/broker/AttemptLifecycleTest.java
@@ -84,9 +84,9 @@
     }
     assertEquals(harness.attempts().size(), 4);
     Effect.Answer.Rejected rejected = (Effect.Answer.Rejected) harness.answer(0);
-    assertTrue(rejected.ending().mayHaveRun());
-    assertFalse(rejected.ending().timedOut());
-    assertEquals(rejected.ending().missing().get(0).reason(), new TestValue("no"));
+    assertTrue(rejected.finalState().mayHaveRun());
+    assertFalse(rejected.finalState().timedOut());
+    assertEquals(rejected.finalState().missing().get(0).reason(), new TestValue("no"));
   }
 
   @Test
@@ -121,7 +121,7 @@
     harness.end(0, Router.Outcome.NOT_SENT, null);
     String second = harness.attempt(1).server();
     assertFalse(second.equals(first));
-    harness.submit(new Event.ServersChanged(Router.ListKind.COMPLETE, List.of(draining)));
+    harness.submit(new Event.ServersChanged(Router.EndpointListKind.COMPLETE, List.of(draining)));
     assertEquals(
         harness.effectsOf(Effect.CancelUnsentTo.class),
         List.of(new Effect.CancelUnsentTo(first), new Effect.CancelUnsentTo(second)));
@@ -150,7 +150,7 @@
   @Test
   public void usesOneTimeoutAlarmForAllAttemptsOfARequest() {
     harness.request(1, 0, 1, 2, 3);
-    List<Effect.WakeAt> alarms = timeoutAlarms();
+    List<Effect.ScheduleEvent> alarms = timeoutAlarms();
     assertEquals(alarms.size(), 1);
     harness.end(0, Router.Outcome.OK, "a");
     harness.advanceTo(alarms.get(0).time());
@@ -173,8 +173,8 @@
     assertEquals(harness.cancellations().size(), 2);
   }
 
-  private List<Effect.WakeAt> timeoutAlarms() {
-    return harness.effectsOf(Effect.WakeAt.class).stream()
+  private List<Effect.ScheduleEvent> timeoutAlarms() {
+    return harness.effectsOf(Effect.ScheduleEvent.class).stream()
         .filter(wake -> wake.event() instanceof Event.AttemptTimedOut)
         .toList();
   }
--- a/src/test/java/bitternpulley/broker/BrokerTest.java
+++ b/src/test/java/bitternpulley/broker/BrokerTest.java
@@ -30,7 +30,7 @@
   }
 
   /** Answers each attempt after 50 ms; throws once in the method that a test selects. */
-  private final class FailingDialect implements Dialect {
+  private final class FailingDialect implements ProtocolAdapter {
     private Method failing;
 
     void failNext(Method method) {
@@ -109,7 +109,8 @@
 
   private void runOneRequest() {
     broker.submit(
-        new Event.RequestReceived(new RequestBuilder(broker.nextId()).dialect(dialect).build()));
+        new Event.RequestReceived(
+            new RequestBuilder(broker.nextRequestId()).dialect(dialect).build()));
     while (!scheduledTasks.isEmpty() && scheduledTasks.peek().time() < END) {
       ScheduledTask next = scheduledTasks.poll();
       now = Math.max(now, next.time());
--- a/src/test/java/bitternpulley/broker/ContractLogTest.java
+++ b/src/test/java/bitternpulley/broker/ContractLogTest.java
@@ -6,7 +6,7 @@
 import bitternpulley.contracts.AdmissionDecision;
 import bitternpulley.contracts.AdmissionRequest;
 import bitternpulley.contracts.Contract;
-import bitternpulley.contracts.ContractBook;
+import bitternpulley.contracts.ContractSet;
 import bitternpulley.contracts.UsageCharge;
 import bitternpulley.routing.Router;
 import java.util.Map;
@@ -28,7 +28,7 @@
             4,
             Map.of(0, new Router.ClassTerms(500, 1500, 1, 1)));
     AdmissionControl control = new AdmissionControl(new double[] {500, 500}, 2000);
-    control.apply(new ContractBook(3, Map.of("team-a", contract), null), 0);
+    control.apply(new ContractSet(3, Map.of("team-a", contract), null), 0);
     return control;
   }
 
--- a/src/test/java/bitternpulley/broker/FleetHarness.java
+++ b/src/test/java/bitternpulley/broker/FleetHarness.java
@@ -62,7 +62,7 @@
 
   private static Settings settings(int self) {
     return new SettingsBuilder()
-        .self(self)
+        .selfIndex(self)
         .instances(INSTANCES)
         .zone(self % 2)
         .classes(List.of(new QueryClassBuilder().latencyObjective(500).deadline(TIME_LEFT).build()))
@@ -111,7 +111,7 @@
       attemptTimes.computeIfAbsent(start.server(), server -> new ArrayList<>()).add(now);
       Event ended = new Event.AttemptEnded(start.id(), Router.Outcome.OK, new TestValue("answer"));
       scheduledEvents.add(new ScheduledEvent(now + WORK, instance, ended));
-    } else if (effect instanceof Effect.WakeAt wake) {
+    } else if (effect instanceof Effect.ScheduleEvent wake) {
       scheduledEvents.add(new ScheduledEvent(Math.max(now, wake.time()), instance, wake.event()));
     } else if (effect instanceof Effect.CancelUnsentTo cancel) {
       unsentCancellations.merge(cancel.server(), 1, Integer::sum);
--- a/src/test/java/bitternpulley/broker/PendingLimitTest.java
+++ b/src/test/java/bitternpulley/broker/PendingLimitTest.java
@@ -28,7 +28,7 @@
     harness.request(3, 0);
     Effect.Answer.Rejected rejected = (Effect.Answer.Rejected) harness.answer(0);
     assertTrue(rejected.retryAfter() > 0);
-    assertFalse(rejected.ending().mayHaveRun());
+    assertFalse(rejected.finalState().mayHaveRun());
     assertEquals(harness.attempts().size(), sent);
   }
 
--- a/src/test/java/bitternpulley/broker/PolicyFailureTest.java
+++ b/src/test/java/bitternpulley/broker/PolicyFailureTest.java
@@ -42,8 +42,8 @@
     harness.request(2, 1);
     List<Effect> deadlines =
         List.of(
-            new Effect.WakeAt(DEADLINE, new Event.RequestDeadlineExpired(1)),
-            new Effect.WakeAt(DEADLINE, new Event.RequestDeadlineExpired(2)));
+            new Effect.ScheduleEvent(DEADLINE, new Event.RequestDeadlineExpired(1)),
+            new Effect.ScheduleEvent(DEADLINE, new Event.RequestDeadlineExpired(2)));
     assertEquals(harness.submit(new Event.AlarmFired("q1")), deadlines);
     assertEquals(
         harness.submit(new Event.AlarmFired("q1")), List.of(), "each request already has an alarm");
@@ -103,7 +103,7 @@
                 new Event.AttemptEnded(start.id(), Router.Outcome.OK, new TestValue("v"))));
       } else if (effect instanceof Effect.CancelAttempt cancel) {
         scheduledEvents.add(new ScheduledEvent(now + 1, new Event.AttemptCancelled(cancel.id())));
-      } else if (effect instanceof Effect.WakeAt wake) {
+      } else if (effect instanceof Effect.ScheduleEvent wake) {
         scheduledEvents.add(new ScheduledEvent(Math.max(wake.time(), now), wake.event()));
       }
     }
--- a/src/test/java/bitternpulley/broker/RequestAnswerTest.java
+++ b/src/test/java/bitternpulley/broker/RequestAnswerTest.java
@@ -96,14 +96,14 @@
             .lateness(new Router.Lateness(0, 300)));
     harness.advance(2700);
     harness.submit(new Event.AlarmFired("q1"));
-    assertTrue(((Effect.Answer.Rejected) harness.answer(0)).ending().timedOut());
+    assertTrue(((Effect.Answer.Rejected) harness.answer(0)).finalState().timedOut());
   }
 
   @Test
   public void doesNotCountRequestWithVeryShortTimeoutAsTimedOutFromTheStart() {
-    harness.submit(new Event.ServersChanged(Router.ListKind.COMPLETE, List.of()));
+    harness.submit(new Event.ServersChanged(Router.EndpointListKind.COMPLETE, List.of()));
     submit(new RequestBuilder(1).timeLeft(80));
-    assertFalse(((Effect.Answer.Rejected) harness.answer(0)).ending().timedOut());
+    assertFalse(((Effect.Answer.Rejected) harness.answer(0)).finalState().timedOut());
   }
 
   private void submit(RequestBuilder request) {
--- a/src/test/java/bitternpulley/broker/RequestBuilder.java
+++ b/src/test/java/bitternpulley/broker/RequestBuilder.java
@@ -7,7 +7,7 @@
 /** Builds a request for tests. By default it has one part, the terms of its class and no delay. */
 final class RequestBuilder {
   private final long id;
-  private Dialect dialect = null;
+  private ProtocolAdapter dialect = null;
   private double timeLeft = 3000;
   private Router.Terms terms = Router.Terms.CLASS_DEFAULT;
   private List<Request.QueryPart> parts = List.of(new Request.QueryPart(0, 1, 0));
@@ -17,7 +17,7 @@
     this.id = id;
   }
 
-  RequestBuilder dialect(Dialect value) {
+  RequestBuilder dialect(ProtocolAdapter value) {
     dialect = value;
     return this;
   }
--- a/src/test/java/bitternpulley/broker/TestServers.java
+++ b/src/test/java/bitternpulley/broker/TestServers.java
@@ -18,7 +18,7 @@
   /** A list of {@code count} live servers that started long ago. */
   static Event.ServersChanged live(int count) {
     return new Event.ServersChanged(
-        Router.ListKind.REMEMBERED,
+        Router.EndpointListKind.PERSISTED,
         IntStream.range(0, count)
             .mapToObj(cell -> server(cell, Router.ServerState.LIVE, 0))
             .toList());
@@ -26,6 +26,6 @@
 
   /** A change to the endpoint list that contains these servers. */
   static Event.ServersChanged change(Router.Endpoint... endpoints) {
-    return new Event.ServersChanged(Router.ListKind.CHANGES, List.of(endpoints));
+    return new Event.ServersChanged(Router.EndpointListKind.CHANGES, List.of(endpoints));
   }
 }
--- a/src/test/java/bitternpulley/config/BrokerConfigurationReaderTest.java
+++ b/src/test/java/bitternpulley/config/BrokerConfigurationReaderTest.java
@@ -57,7 +57,7 @@
         List.of("donor-app", "stock-desk", "partners"));
     Contract partners = example.contracts().find("partners").orElseThrow();
     assertEquals(partners.classes().get(1).priorityWeight(), 2.0);
-    assertTrue(example.tenantIdentification().hasFallback());
+    assertTrue(example.tenantIdentification().hasDefaultContract());
   }
 
   @Test
--- a/src/test/java/bitternpulley/config/ConfigurationReaderTest.java
+++ b/src/test/java/bitternpulley/config/ConfigurationReaderTest.java
@@ -24,7 +24,7 @@
     Configuration configuration = read(VALID);
     assertEquals(configuration.name(), "n3");
     assertEquals(configuration.seed(), 255);
-    assertEquals(configuration.sockets(), 512);
+    assertEquals(configuration.maxSockets(), 512);
     assertEquals(configuration.settings().tick(), 4.0, "the minimum tick of the process");
     assertEquals(configuration.connections(), new Configuration.ConnectionSettings(9, 1000, false));
     assertEquals(configuration.lastEndpoints().revision(), 4);
--- a/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
+++ b/src/test/java/bitternpulley/contracts/AdmissionControlTest.java
@@ -24,7 +24,7 @@
   private static final double STOCK_QUOTA = 0.35;
   private static final double BOOKING_QUOTA = 0.25;
 
-  private static ContractBook threeTeams() {
+  private static ContractSet threeTeams() {
     return contractSet(
         1,
         contract("appeal", APPEAL_QUOTA),
@@ -174,7 +174,7 @@
     simulation.runUntil(3000);
     UsageCharge average = answeredAfter(15, simulation);
     UsageCharge heavy = answeredAfter(9 * 15, simulation);
-    assertEquals(9, heavy.used() / average.used(), 1);
+    assertEquals(9, heavy.measuredWork() / average.measuredWork(), 1);
     assertTrue(heavy.isSettled());
   }
 
@@ -214,7 +214,7 @@
           "t" + i, new Contract("t" + i, 0.0001, 1, 500, true, true, 0.2, 1, 100, shared));
     }
     AdmissionControl control = new AdmissionControl(new double[] {500}, 2000);
-    control.apply(new ContractBook(1, contracts, null), 0);
+    control.apply(new ContractSet(1, contracts, null), 0);
     assertTrue(
         control.admit(new AdmissionRequest("t17", 0, 1, 0, false, 1), 1) instanceof UsageCharge);
     long bytes = (usedBytes() - before) / count;
--- a/src/test/java/bitternpulley/contracts/ContractChangeTest.java
+++ b/src/test/java/bitternpulley/contracts/ContractChangeTest.java
@@ -81,7 +81,7 @@
       double measured =
           simulation.charges().stream()
               .filter(charge -> charge.team().equals(account.team()))
-              .mapToDouble(UsageCharge::used)
+              .mapToDouble(UsageCharge::measuredWork)
               .sum();
       assertEquals(measured, account.used(), 1e-3 * Math.max(1, measured), account.team());
       assertEquals(0, account.pending(), account.team());
--- a/src/test/java/bitternpulley/contracts/SimulatedTeams.java
+++ b/src/test/java/bitternpulley/contracts/SimulatedTeams.java
@@ -73,12 +73,12 @@
         .build();
   }
 
-  static ContractBook contractSet(int version, Contract... contracts) {
+  static ContractSet contractSet(int version, Contract... contracts) {
     Map<String, Contract> byTeam = new LinkedHashMap<>();
     for (Contract contract : contracts) {
       byTeam.put(contract.id(), contract);
     }
-    return new ContractBook(version, byTeam, null);
+    return new ContractSet(version, byTeam, null);
   }
 
   AdmissionControl control() {
@@ -114,7 +114,7 @@
   }
 
   /** Schedules contracts to be put in force at a time. */
-  void applyAt(double time, ContractBook contracts) {
+  void applyAt(double time, ContractSet contracts) {
     schedule(time, () -> control.apply(contracts, now));
   }
 
--- a/src/test/java/bitternpulley/gossip/ControlTraffic.java
+++ b/src/test/java/bitternpulley/gossip/ControlTraffic.java
@@ -1,7 +1,7 @@
 package bitternpulley.gossip;
 
 import bitternpulley.membership.GossipMessage;
-import bitternpulley.membership.HollowMembers;
+import bitternpulley.membership.SimulatedMembers;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
@@ -96,8 +96,8 @@
   }
 
   /** Measures the traffic during a scenario, which must last {@link #DURATION_MS}. */
-  private static Rate measure(int memberCount, Consumer<HollowMembers> scenario) {
-    HollowMembers members = new HollowMembers(memberCount, SEED);
+  private static Rate measure(int memberCount, Consumer<SimulatedMembers> scenario) {
+    SimulatedMembers members = new SimulatedMembers(memberCount, SEED);
     TrafficCounter counter = new TrafficCounter();
     members.observeMessages(counter);
     long startNanos = System.nanoTime();
--- a/src/test/java/bitternpulley/health/ProcessPausesTest.java
+++ b/src/test/java/bitternpulley/health/ProcessPausesTest.java
@@ -21,10 +21,10 @@
 
   @Test
   void reportsAPauseThatEndedAfterTheGivenTime() {
-    assertTrue(pauses.ranSince(0));
+    assertTrue(pauses.ranWithoutPauseSince(0));
     pauses.record(500, 1500);
-    assertFalse(pauses.ranSince(1499));
-    assertTrue(pauses.ranSince(1500));
+    assertFalse(pauses.ranWithoutPauseSince(1499));
+    assertTrue(pauses.ranWithoutPauseSince(1500));
   }
 
   @Test
--- a/src/test/java/bitternpulley/health/SlowStartBudgetFleetTest.java
+++ b/src/test/java/bitternpulley/health/SlowStartBudgetFleetTest.java
@@ -33,7 +33,7 @@
 
   private static Settings settings(int self, int instances) {
     return new SettingsBuilder()
-        .self(self)
+        .selfIndex(self)
         .instances(instances)
         .rules(
             new RulesBuilder()
--- a/src/test/java/bitternpulley/health/SlowStartBudgetTest.java
+++ b/src/test/java/bitternpulley/health/SlowStartBudgetTest.java
@@ -18,7 +18,7 @@
     SlowStartBudget budget =
         new SlowStartBudget(
             new SettingsBuilder()
-                .self(self)
+                .selfIndex(self)
                 .instances(instances)
                 .rules(
                     new RulesBuilder()
--- a/src/test/java/bitternpulley/leases/LeasesTest.java
+++ b/src/test/java/bitternpulley/leases/LeasesTest.java
@@ -210,8 +210,8 @@
   @Test
   void countsDelayOfGrantFromItsReceipt() {
     Leases leases = leasesWithDelayedGrant();
-    assertEquals(0, leases.status(10_000).leases());
-    assertEquals(1, leases.status(10_600).leases());
+    assertEquals(0, leases.status(10_000).usableLeases());
+    assertEquals(1, leases.status(10_600).usableLeases());
     assertEquals(1, leases.status(10_600).activeMembers(), "the member counts itself");
   }
 
@@ -234,6 +234,6 @@
     leases.onMessage(new LeaseMessage.LeaseRequest(7, 1, 1), 10);
     leases.onMessage(new LeaseMessage.LeaseRequest(-1, 1, 1), 10);
     assertEquals(4, leases.ignoredMessages());
-    assertEquals(0, leases.status(20).leases());
+    assertEquals(0, leases.status(20).usableLeases());
   }
 }
--- a/src/test/java/bitternpulley/membership/MembershipTraceTest.java
+++ b/src/test/java/bitternpulley/membership/MembershipTraceTest.java
@@ -61,7 +61,7 @@
                     STATES.indexOf(change.previousState()),
                     STATES.indexOf(change.newState()),
                     change.time()));
-    return digest.end();
+    return digest.finish();
   }
 
   private static void applyMessageLoss(SimulatedCluster cluster) {
--- a/src/test/java/bitternpulley/membership/HollowMembers.java
+++ b/src/test/java/bitternpulley/membership/SimulatedMembers.java
@@ -8,7 +8,7 @@
  * Members without a broker or network: the production state machines run in virtual time, and an
  * observer can count their messages. Times are ms.
  */
-public final class HollowMembers {
+public final class SimulatedMembers {
   private static final double SETTLING_MS = 30_000;
   private static final double SETTLING_MS_PER_MEMBER = 2;
   private static final double DOWN_MS = 2000;
@@ -16,13 +16,13 @@
   private final SimulatedCluster cluster;
 
   /** Creates members and runs them until they have found each other. */
-  public HollowMembers(int count, long seed) {
+  public SimulatedMembers(int count, long seed) {
     cluster = new SimulatedCluster(count, seed, MembershipSettings.DEFAULT);
     cluster.run(SETTLING_MS + SETTLING_MS_PER_MEMBER * count);
   }
 
   /** Passes each message that is sent from now on to the observer. */
-  public HollowMembers observeMessages(Consumer<GossipMessage> observer) {
+  public SimulatedMembers observeMessages(Consumer<GossipMessage> observer) {
     cluster.observeMessages(observer);
     return this;
   }
--- a/src/test/java/bitternpulley/net/HttpCloseRaceTest.java
+++ b/src/test/java/bitternpulley/net/HttpCloseRaceTest.java
@@ -103,7 +103,7 @@
   public void closesWithoutResetWhenRequestCrossesCloseByQuiescedServer() throws Exception {
     try (Socket client = connect(request("/first", ""))) {
       assertEquals(readStatus(client), 200);
-      loop.execute(() -> server.quiesce(true));
+      loop.execute(() -> server.setQuiesced(true));
       // The client writes after the close has arrived, like a client that has not noticed it yet.
       assertEquals(client.getInputStream().read(), -1);
       write(client, request("/behind", ""));
--- a/src/test/java/bitternpulley/net/HttpParserTest.java
+++ b/src/test/java/bitternpulley/net/HttpParserTest.java
@@ -121,7 +121,8 @@
       codec.read(
           ByteBuffer.wrap(new byte[] {encoded.get()}),
           frame ->
-              frames.add(frame.letter() + new String(frame.rest(), StandardCharsets.US_ASCII)));
+              frames.add(
+                  frame.typeCode() + new String(frame.payload(), StandardCharsets.US_ASCII)));
     }
     assertEquals(frames, List.of("1abc", "3"));
     assertThrows(
--- a/src/test/java/bitternpulley/opensearch/SearchResponseTest.java
+++ b/src/test/java/bitternpulley/opensearch/SearchResponseTest.java
@@ -104,8 +104,8 @@
   private static final Answer.MissingPart FAILED_PART =
       new Answer.MissingPart(Outcome.ERROR, "s3", new PartFailure(500, "boom", "it broke"));
 
-  private static Answer.Ending finalState(boolean timedOut, boolean mayHaveRun) {
-    return new Answer.Ending(timedOut, mayHaveRun, Map.of(1, FAILED_PART));
+  private static Answer.FinalState finalState(boolean timedOut, boolean mayHaveRun) {
+    return new Answer.FinalState(timedOut, mayHaveRun, Map.of(1, FAILED_PART));
   }
 
   private static SearchResponse rejected(boolean timedOut, boolean mayHaveRun) {
--- a/src/test/java/bitternpulley/platform/DiscoveryTest.java
+++ b/src/test/java/bitternpulley/platform/DiscoveryTest.java
@@ -282,7 +282,7 @@
 
   @Test
   public void readsTheOldWatchAndRetriesWhileTheNewAddressRefuses() throws Exception {
-    HostPort newAddress = new HostPort("127.0.0.1", Ports.free(List.of("127.0.0.1")));
+    HostPort newAddress = new HostPort("127.0.0.1", Ports.reservePort(List.of("127.0.0.1")));
     try (Socket old = acceptWatch(agent, 41)) {
       sendChunk(old, list(42, "up") + "\n");
       assertEquals(nextRevision(), 42);
--- a/src/test/java/bitternpulley/platform/SlotCancellationTest.java
+++ b/src/test/java/bitternpulley/platform/SlotCancellationTest.java
@@ -146,7 +146,7 @@
         assertEquals(readFrame(late), callFrame(1), "only the part that was not cancelled");
         sendResult(late, 1);
         awaitEvents(2);
-        loop.execute(() -> servers.forget("s"));
+        loop.execute(() -> servers.removeServer("s"));
         assertEquals(late.getInputStream().read(), -1);
       }
     }
--- a/src/test/java/bitternpulley/platform/SlotConnectionPoolTest.java
+++ b/src/test/java/bitternpulley/platform/SlotConnectionPoolTest.java
@@ -119,7 +119,7 @@
     start(0, 0);
     try (Socket socket = server.accept()) {
       assertEquals(readFrame(socket), callFrame(0));
-      loop.execute(() -> servers.forget("s"));
+      loop.execute(() -> servers.removeServer("s"));
       sendResult(socket, 0);
       assertEquals(outcomes(1), List.of("0 OK"), "a part in flight is awaited");
       assertEquals(socket.getInputStream().read(), -1);
--- a/src/test/java/bitternpulley/platform/SlotFramesTest.java
+++ b/src/test/java/bitternpulley/platform/SlotFramesTest.java
@@ -63,9 +63,9 @@
   @Test
   public void findsFrameTypesByTheirLetters() {
     for (FrameType type : FrameType.values()) {
-      assertEquals(FrameType.ofLetter(type.letter()), type);
+      assertEquals(FrameType.ofTypeCode(type.typeCode()), type);
     }
-    assertNull(FrameType.ofLetter('6'));
+    assertNull(FrameType.ofTypeCode('6'));
   }
 
   @Test
--- a/src/test/java/bitternpulley/platform/WarmupQueriesTest.java
+++ b/src/test/java/bitternpulley/platform/WarmupQueriesTest.java
@@ -58,7 +58,7 @@
     if (warmup.queriesRun() >= 200) {
       done.countDown();
     } else {
-      var unused = loop.after(20, () -> awaitEnd(loop, warmup, done));
+      var unused = loop.scheduleCancellable(20, () -> awaitEnd(loop, warmup, done));
     }
   }
 
@@ -66,7 +66,7 @@
     Settings settings = settings();
     Settings.Limits limits = settings.limits();
     return new Settings(
-        settings.self(),
+        settings.selfIndex(),
         settings.instances(),
         settings.zone(),
         settings.tick(),
--- a/src/test/java/bitternpulley/policy/HedgingPolicyTest.java
+++ b/src/test/java/bitternpulley/policy/HedgingPolicyTest.java
@@ -90,7 +90,8 @@
   @Test
   void cancelsAnAttemptAtTheOnlyReplicaOnlyAfterALongTime() {
     PolicyHarness harness = PolicyHarness.builder().hedgingAllowed().build();
-    harness.updateEndpoints(Router.ListKind.CHANGES, endpoint("s1", 1, Router.ServerState.GONE, 0));
+    harness.updateEndpoints(
+        Router.EndpointListKind.CHANGES, endpoint("s1", 1, Router.ServerState.GONE, 0));
     harness.query(1, 3000, shards(0));
     harness.advanceTo(900);
     assertEquals(List.of(), harness.cancellations);
--- a/src/test/java/bitternpulley/policy/ManyPartsTest.java
+++ b/src/test/java/bitternpulley/policy/ManyPartsTest.java
@@ -30,7 +30,7 @@
             .limits(limits -> limits.maxPending(100_000))
             .buildWithoutServers();
     harness.updateEndpoints(
-        Router.ListKind.REMEMBERED,
+        Router.EndpointListKind.PERSISTED,
         IntStream.range(0, cells)
             .mapToObj(cell -> endpoint("s" + cell, cell, Router.ServerState.LIVE, 0))
             .toArray(Router.Endpoint[]::new));
--- a/src/test/java/bitternpulley/policy/OutlierDetectorTest.java
+++ b/src/test/java/bitternpulley/policy/OutlierDetectorTest.java
@@ -189,14 +189,15 @@
             .build();
     harness.answerQueries(4, 100);
     harness.updateEndpoints(
-        Router.ListKind.CHANGES, endpoint("s1", 1, Router.ServerState.DRAINING, 0));
+        Router.EndpointListKind.CHANGES, endpoint("s1", 1, Router.ServerState.DRAINING, 0));
     for (int i = 0; i < 4; i++) {
       harness.query(50 + i, 9000, shards(0));
       harness.advanceBy(390);
       harness.endAttempt(10L * (50 + i), 0, Router.Outcome.OK);
     }
     harness.query(60, 9000, shards(0));
-    harness.updateEndpoints(Router.ListKind.CHANGES, endpoint("s1", 1, Router.ServerState.LIVE, 0));
+    harness.updateEndpoints(
+        Router.EndpointListKind.CHANGES, endpoint("s1", 1, Router.ServerState.LIVE, 0));
     harness.advanceBy(450);
     assertFalse(harness.cancellations.contains("600/0"));
     harness.advanceBy(300);
--- a/src/test/java/bitternpulley/policy/PolicyHarness.java
+++ b/src/test/java/bitternpulley/policy/PolicyHarness.java
@@ -49,7 +49,7 @@
   /** Adds one server in each of four cells, s0 to s3, all warmed up. */
   PolicyHarness addFourServers() {
     updateEndpoints(
-        Router.ListKind.REMEMBERED,
+        Router.EndpointListKind.PERSISTED,
         endpoint("s0", 0, Router.ServerState.LIVE, 0),
         endpoint("s1", 1, Router.ServerState.LIVE, 0),
         endpoint("s2", 2, Router.ServerState.LIVE, 0),
@@ -57,7 +57,7 @@
     return this;
   }
 
-  void updateEndpoints(Router.ListKind kind, Router.Endpoint... endpoints) {
+  void updateEndpoints(Router.EndpointListKind kind, Router.Endpoint... endpoints) {
     policy.onServersChanged(kind, List.of(endpoints), now, this);
     policy.completeBatch(now, this);
   }
--- a/src/test/java/bitternpulley/policy/ReplicaSelectorTest.java
+++ b/src/test/java/bitternpulley/policy/ReplicaSelectorTest.java
@@ -76,11 +76,11 @@
   void sendsNothingToADrainingOrRemovedServer() {
     PolicyHarness harness = PolicyHarness.builder().hedgingAllowed().build();
     harness.updateEndpoints(
-        Router.ListKind.CHANGES, endpoint("s0", 0, Router.ServerState.DRAINING, 0));
+        Router.EndpointListKind.CHANGES, endpoint("s0", 0, Router.ServerState.DRAINING, 0));
     harness.query(1, 3000, shards(0));
     assertEquals("s1", harness.sends.get(0).server());
     harness.updateEndpoints(
-        Router.ListKind.COMPLETE, endpoint("s0", 0, Router.ServerState.LIVE, 0));
+        Router.EndpointListKind.COMPLETE, endpoint("s0", 0, Router.ServerState.LIVE, 0));
     harness.query(2, 3000, shards(0, 1));
     // No server holds shard 1, so nothing is sent for a query that cannot be complete.
     assertEquals(List.of("reject 2 @0"), harness.results);
@@ -104,7 +104,7 @@
       answerFrom(harness, attempts, Set.of("s0", "s2"));
     }
     harness.updateEndpoints(
-        Router.ListKind.CHANGES,
+        Router.EndpointListKind.CHANGES,
         endpoint("s5", 1, Router.ServerState.LIVE, 0),
         endpoint("s6", 2, Router.ServerState.LIVE, 0));
     harness.sends.clear();
--- a/src/test/java/bitternpulley/policy/RoutingPolicyTest.java
+++ b/src/test/java/bitternpulley/policy/RoutingPolicyTest.java
@@ -30,8 +30,8 @@
     harness.policy.onAttemptEnded(
         new Router.AttemptEnded(999, 0, "s0", Router.Outcome.OK, 1), 0, harness);
     harness.policy.onPart(new Router.Part(5, 999, 0, 1, 0), 0, harness);
-    harness.updateEndpoints(Router.ListKind.COMPLETE);
-    harness.updateEndpoints(Router.ListKind.FAILED);
+    harness.updateEndpoints(Router.EndpointListKind.COMPLETE);
+    harness.updateEndpoints(Router.EndpointListKind.FAILED);
     harness.query(1, 3000, shards(0));
     harness.advanceTo(5000);
     assertEquals(List.of("reject 1 @0"), harness.results);
--- a/src/test/java/bitternpulley/policy/ServerFleetTest.java
+++ b/src/test/java/bitternpulley/policy/ServerFleetTest.java
@@ -30,8 +30,10 @@
         PolicyHarness.builder()
             .queryClass(queryClass -> queryClass.deadline(9000).latePriorityWeight(0.3))
             .build();
-    harness.updateEndpoints(Router.ListKind.CHANGES, endpoint("s0", 0, Router.ServerState.GONE, 0));
-    harness.updateEndpoints(Router.ListKind.CHANGES, endpoint("s0", 0, Router.ServerState.LIVE, 0));
+    harness.updateEndpoints(
+        Router.EndpointListKind.CHANGES, endpoint("s0", 0, Router.ServerState.GONE, 0));
+    harness.updateEndpoints(
+        Router.EndpointListKind.CHANGES, endpoint("s0", 0, Router.ServerState.LIVE, 0));
     harness.query(1, 9000, shards(0));
     assertEquals(1, harness.sends.size());
   }
--- a/src/test/java/bitternpulley/policy/SlowStartTest.java
+++ b/src/test/java/bitternpulley/policy/SlowStartTest.java
@@ -14,7 +14,7 @@
 class SlowStartTest {
   private static void restartFirstServer(PolicyHarness harness) {
     harness.updateEndpoints(
-        Router.ListKind.CHANGES, endpoint("s0", 0, Router.ServerState.LIVE, harness.now));
+        Router.EndpointListKind.CHANGES, endpoint("s0", 0, Router.ServerState.LIVE, harness.now));
   }
 
   @Test
@@ -109,7 +109,7 @@
     PolicyHarness harness =
         PolicyHarness.builder()
             .replicas(1)
-            .settings(settings -> settings.self(self).instances(60))
+            .settings(settings -> settings.selfIndex(self).instances(60))
             .build();
     if (hasTwoCores) {
       harness.observeTwoCores(100);
--- a/src/test/java/bitternpulley/policy/UnattainableQueryTest.java
+++ b/src/test/java/bitternpulley/policy/UnattainableQueryTest.java
@@ -47,11 +47,12 @@
   /** Changes the state of both servers of shard 0. */
   private static void setStateOfShard0Servers(PolicyHarness harness, Router.ServerState state) {
     harness.updateEndpoints(
-        Router.ListKind.CHANGES, endpoint("s0", 0, state, 0), endpoint("s1", 1, state, 0));
+        Router.EndpointListKind.CHANGES, endpoint("s0", 0, state, 0), endpoint("s1", 1, state, 0));
   }
 
   private static void removeSecondServerOfShard0(PolicyHarness harness) {
-    harness.updateEndpoints(Router.ListKind.CHANGES, endpoint("s1", 1, Router.ServerState.GONE, 0));
+    harness.updateEndpoints(
+        Router.EndpointListKind.CHANGES, endpoint("s1", 1, Router.ServerState.GONE, 0));
   }
 
   private static String rejectedNow(PolicyHarness harness, long query) {
@@ -133,7 +134,7 @@
   void waitsForTheSlowStartBudgetOfAReplica() {
     PolicyHarness harness = harness();
     harness.updateEndpoints(
-        Router.ListKind.CHANGES,
+        Router.EndpointListKind.CHANGES,
         endpoint("s0", 0, Router.ServerState.LIVE, harness.now),
         endpoint("s1", 1, Router.ServerState.GONE, 0));
     for (int i = 1; i <= 12; i++) {
--- a/src/test/java/bitternpulley/process/Deployment.java
+++ b/src/test/java/bitternpulley/process/Deployment.java
@@ -79,7 +79,7 @@
 
   /** A port that is free on the hosts of the program and of all fake slot servers. */
   private static int freePort() throws IOException {
-    return Ports.free(
+    return Ports.reservePort(
         IntStream.rangeClosed(0, CELLS)
             .mapToObj(i -> i == 0 ? "127.0.0.1" : "127.0.1." + i)
             .toList());
@@ -159,7 +159,7 @@
    * just compiled.
    */
   Deployment start() throws IOException {
-    run(Node.command(), Map.of());
+    run(Node.launchCommand(), Map.of());
     return this;
   }
 
@@ -167,7 +167,7 @@
   Deployment startWithSighupIgnored() throws IOException {
     List<String> command =
         new ArrayList<>(List.of("/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
-    command.addAll(Node.command());
+    command.addAll(Node.launchCommand());
     run(command, Map.of());
     return this;
   }
@@ -190,7 +190,7 @@
                     + "if (!($p = fork)) "
                     + "{ open(STDIN, '<&', $s) or die $!; exec @ARGV } print \"pid $p\\n\" }",
                 listenAddress));
-    command.addAll(Node.command());
+    command.addAll(Node.launchCommand());
     run(command, Map.of("LB_PASSED_SOCKET", "0"));
     return this;
   }
--- a/src/test/java/bitternpulley/process/LeasesProcessTest.java
+++ b/src/test/java/bitternpulley/process/LeasesProcessTest.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import bitternpulley.faultinjection.Callers;
 import bitternpulley.faultinjection.Cluster;
+import bitternpulley.faultinjection.QueryClients;
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
@@ -22,7 +22,7 @@
   private static final double WAIT_TIMEOUT_MS = 30_000;
   private static final double ROUNDING_TOLERANCE = 1e-6;
   private Cluster cluster;
-  private Callers clients;
+  private QueryClients clients;
 
   @BeforeClass
   public void start() throws Exception {
@@ -33,7 +33,7 @@
             1,
             "membership(deployment = 'test')\nleases(lasts_s = 4)\n",
             "mvn test -Dtest=LeasesProcessTest");
-    clients = new Callers(cluster, 1, 60);
+    clients = new QueryClients(cluster, 1, 60);
     awaitQuotas("all have a fifth each", Map.of(0, 0.2, 1, 0.2, 2, 0.2, 3, 0.2, 4, 0.2));
   }
 
@@ -47,12 +47,12 @@
   /** Waits for these quotas, and checks meanwhile that their sum never exceeds 1. */
   private void awaitQuotas(String what, Map<Integer, Double> expectedQuotas)
       throws IOException, InterruptedException {
-    cluster.until(
+    cluster.awaitCondition(
         what,
         WAIT_TIMEOUT_MS,
         () -> {
           try {
-            Map<Integer, Double> quotas = cluster.parts();
+            Map<Integer, Double> quotas = cluster.leaseQuotas();
             assertTrue(
                 quotas.values().stream().mapToDouble(quota -> quota).sum()
                     <= 1 + ROUNDING_TOLERANCE,
@@ -71,23 +71,23 @@
 
   @Test
   public void redistributesShareOfKilledProcessAndReturnsItAfterRestart() throws Exception {
-    clients.disturbed(4);
-    cluster.does("kill n4");
+    clients.beginDisturbance(4);
+    cluster.applyFault("kill n4");
     awaitQuotas("the others have a quarter each", Map.of(0, 0.25, 1, 0.25, 2, 0.25, 3, 0.25));
-    cluster.does("cold s2");
-    cluster.does("renew n4");
-    clients.well(4);
+    cluster.applyFault("cold s2");
+    cluster.applyFault("renew n4");
+    clients.endDisturbance(4);
     awaitQuotas("all have a fifth each again", Map.of(0, 0.2, 1, 0.2, 2, 0.2, 3, 0.2, 4, 0.2));
   }
 
   @Test(dependsOnMethods = "redistributesShareOfKilledProcessAndReturnsItAfterRestart")
   public void onlyTheMajoritySideOfAPartitionHasShares() throws Exception {
-    cluster.does("cut n0,n1 = n2,n3,n4");
-    cluster.does("cold s0");
+    cluster.applyFault("cut n0,n1 = n2,n3,n4");
+    cluster.applyFault("cold s0");
     awaitQuotas(
         "the majority side has all", Map.of(0, 0.0, 1, 0.0, 2, 1 / 3.0, 3, 1 / 3.0, 4, 1 / 3.0));
-    cluster.does("cold s3");
-    cluster.does("heal n0,n1 = n2,n3,n4");
+    cluster.applyFault("cold s3");
+    cluster.applyFault("heal n0,n1 = n2,n3,n4");
     awaitQuotas(
         "all have a fifth each after the partition",
         Map.of(0, 0.2, 1, 0.2, 2, 0.2, 3, 0.2, 4, 0.2));
@@ -95,26 +95,27 @@
 
   @Test(dependsOnMethods = "onlyTheMajoritySideOfAPartitionHasShares")
   public void pausedProcessHasNoShareUntilItsNewLeases() throws Exception {
-    clients.disturbed(3);
-    cluster.does("pause n3");
+    clients.beginDisturbance(3);
+    cluster.applyFault("pause n3");
     Thread.sleep(6000); // longer than its leases last, which is what this test is about
-    cluster.does("resume n3");
+    cluster.applyFault("resume n3");
     assertEquals(cluster.members(3).path("lease").path("part").asDouble(), 0.0);
-    cluster.does("cold s5");
+    cluster.applyFault("cold s5");
     awaitQuotas(
         "the paused process has its share again", Map.of(0, 0.2, 1, 0.2, 2, 0.2, 3, 0.2, 4, 0.2));
-    clients.well(3);
+    clients.endDisturbance(3);
   }
 
   @Test(dependsOnMethods = "pausedProcessHasNoShareUntilItsNewLeases")
   public void breaksNoRuleAndAnswersEveryQueryOnce() throws Exception {
-    clients.end();
-    assertEquals(cluster.fleet().rules().breaches(), List.of());
-    assertEquals(clients.lost(), List.of());
-    assertEquals(clients.extra(), 0);
+    clients.stop();
+    assertEquals(cluster.fleet().ruleCheck().firstViolations(), List.of());
+    assertEquals(clients.lostQueryDescriptions(), List.of());
+    assertEquals(clients.countExtraAnswers(), 0);
     for (String cold : List.of("s2", "s0", "s3")) {
       assertTrue(
-          cluster.fleet().rules().coldWork(cold) > 0, cold + " got no work while it was cold");
+          cluster.fleet().ruleCheck().warmupWorkMs(cold) > 0,
+          cold + " got no work while it was cold");
     }
   }
 }
--- a/src/test/java/bitternpulley/process/MembershipProcessTest.java
+++ b/src/test/java/bitternpulley/process/MembershipProcessTest.java
@@ -27,7 +27,7 @@
             1,
             "membership(deployment = 'test')\n",
             "mvn test -Dtest=MembershipProcessTest");
-    cluster.until(
+    cluster.awaitCondition(
         "all members find each other", WAIT_TIMEOUT_MS, () -> allAlive() && cluster.viewsEqual());
   }
 
@@ -39,13 +39,13 @@
   }
 
   private boolean allAlive() {
-    return IntStream.range(0, NODES).allMatch(i -> cluster.allHold(i, "alive"));
+    return IntStream.range(0, NODES).allMatch(i -> cluster.allReportState(i, "alive"));
   }
 
   private static long countDeathDeclarations(Cluster cluster) throws IOException {
     long deaths = 0;
     for (int i = 0; i < NODES; i++) {
-      deaths += cluster.deaths(i);
+      deaths += cluster.countDeathDeclarations(i);
     }
     return deaths;
   }
@@ -53,8 +53,8 @@
   @Test(priority = 1)
   public void processPausedForThreeSecondsIsNotDeclaredDead() throws Exception {
     long deathsBefore = countDeathDeclarations(cluster);
-    Scenario.of("0 pause n1\n3000 resume n1").play(cluster);
-    cluster.until(
+    Scenario.parse("0 pause n1\n3000 resume n1").run(cluster);
+    cluster.awaitCondition(
         "all alive, with equal views", WAIT_TIMEOUT_MS, () -> allAlive() && cluster.viewsEqual());
     assertEquals(countDeathDeclarations(cluster), deathsBefore);
     assertTrue(
@@ -64,7 +64,7 @@
   @Test(priority = 2)
   public void packetLossAndOneWayPartitionCauseNoDeaths() throws Exception {
     long deathsBefore = countDeathDeclarations(cluster);
-    Scenario.of(
+    Scenario.parse(
             """
         0 lose 0.2 nodes = nodes
         0 delay 5 60 nodes = nodes
@@ -73,8 +73,8 @@
         0 cut n0 > n1
         6000 heal nodes = nodes
         """)
-        .play(cluster);
-    cluster.until(
+        .run(cluster);
+    cluster.awaitCondition(
         "all alive, with equal views", WAIT_TIMEOUT_MS, () -> allAlive() && cluster.viewsEqual());
     assertEquals(countDeathDeclarations(cluster), deathsBefore);
   }
@@ -82,14 +82,15 @@
   @Test(priority = 3)
   public void allDetectKilledProcessAndItsRestartHasALaterEpoch() throws Exception {
     long epoch = cluster.members(0).path("members").get(2).path("epoch").asLong();
-    cluster.does("kill n2");
-    cluster.until("all to detect the death", WAIT_TIMEOUT_MS, () -> cluster.allHold(2, "dead"));
-    assertTrue(IntStream.of(0, 1, 3, 4).allMatch(i -> cluster.allHold(i, "alive")));
-    cluster.does("restart n2");
-    cluster.until(
+    cluster.applyFault("kill n2");
+    cluster.awaitCondition(
+        "all to detect the death", WAIT_TIMEOUT_MS, () -> cluster.allReportState(2, "dead"));
+    assertTrue(IntStream.of(0, 1, 3, 4).allMatch(i -> cluster.allReportState(i, "alive")));
+    cluster.applyFault("restart n2");
+    cluster.awaitCondition(
         "the restarted process to be alive",
         WAIT_TIMEOUT_MS,
-        () -> cluster.allHold(2, "alive") && cluster.viewsEqual());
+        () -> cluster.allReportState(2, "alive") && cluster.viewsEqual());
     assertTrue(cluster.members(0).path("members").get(2).path("epoch").asLong() > epoch);
   }
 
@@ -100,20 +101,20 @@
   @Test(priority = 5)
   public void secondProcessOfANameJoinsOnlyAfterTheFirstHasEnded() throws Exception {
     long epoch = cluster.members(1).path("members").get(0).path("epoch").asLong();
-    try (Node second = cluster.node(0).twin().awaitReady()) {
+    try (Node second = cluster.node(0).startSecondProcess().awaitReady()) {
       assertTrue(
-          second.order("members").startsWith("400 membership is off, or waits for its address"),
-          second.order("members"));
-      assertTrue(IntStream.range(1, NODES).allMatch(i -> cluster.holds(i, 0, "alive")));
+          second.callAdmin("members").startsWith("400 membership is off, or waits for its address"),
+          second.callAdmin("members"));
+      assertTrue(IntStream.range(1, NODES).allMatch(i -> cluster.reportsState(i, 0, "alive")));
       assertEquals(cluster.members(1).path("members").get(0).path("epoch").asLong(), epoch);
-      cluster.does("kill n0");
-      cluster.until(
+      cluster.applyFault("kill n0");
+      cluster.awaitCondition(
           "the second process to be known under its own epoch",
           WAIT_TIMEOUT_MS,
           () ->
-              cluster.allHold(0, "alive")
-                  && cluster.running().stream().allMatch(i -> epochOfFirstMember(i) > epoch));
-      assertTrue(second.order("members").startsWith("200 "), second.order("members"));
+              cluster.allReportState(0, "alive")
+                  && cluster.runningNodes().stream().allMatch(i -> epochOfFirstMember(i) > epoch));
+      assertTrue(second.callAdmin("members").startsWith("200 "), second.callAdmin("members"));
     }
   }
 
@@ -129,15 +130,16 @@
   public void isolatedMinorityDeclaresNobodyDead() throws Exception {
     long deathsBefore =
         cluster.node(3).log().lines().filter(line -> line.contains(" is dead, was ")).count();
-    cluster.does("cut n3,n4 = n0,n1,n2");
-    cluster.until(
+    cluster.applyFault("cut n3,n4 = n0,n1,n2");
+    cluster.awaitCondition(
         "the majority to detect the deaths",
         WAIT_TIMEOUT_MS,
         () ->
             IntStream.range(0, 3)
-                .allMatch(i -> cluster.holds(i, 3, "dead") && cluster.holds(i, 4, "dead")));
-    cluster.does("heal n3,n4 = n0,n1,n2");
-    cluster.until(
+                .allMatch(
+                    i -> cluster.reportsState(i, 3, "dead") && cluster.reportsState(i, 4, "dead")));
+    cluster.applyFault("heal n3,n4 = n0,n1,n2");
+    cluster.awaitCondition(
         "all alive, with equal views", WAIT_TIMEOUT_MS, () -> allAlive() && cluster.viewsEqual());
     assertEquals(
         cluster.node(3).log().lines().filter(line -> line.contains(" is dead, was ")).count(),
--- a/src/test/java/bitternpulley/process/PausedProcessTest.java
+++ b/src/test/java/bitternpulley/process/PausedProcessTest.java
@@ -36,7 +36,7 @@
   @BeforeMethod
   public void start() throws Exception {
     fleet = new Fleet(new EventLoop(), CELLS, 2);
-    String listen = "127.0.0.1:" + Ports.free();
+    String listen = "127.0.0.1:" + Ports.reservePort();
     node = new Node("n0", fleet.configuration(0, 1, listen, MAX_PENDING), null).start();
     node.awaitReady();
     for (int i = 0; i < WARMUP_QUERIES; i++) {
@@ -47,11 +47,11 @@
   @AfterMethod(alwaysRun = true)
   public void stop() throws IOException {
     node.close();
-    assertEquals(fleet.rules().breaches(), List.of());
+    assertEquals(fleet.ruleCheck().firstViolations(), List.of());
   }
 
   private Socket send(double timeoutSeconds, int shard) throws IOException {
-    Socket socket = TestClient.connect(node.front().toString());
+    Socket socket = TestClient.connect(node.queryAddress().toString());
     String query =
         TestClient.queryRequest("slot-search", "paused-" + lastId++, timeoutSeconds, shard);
     TestClient.send(socket, query);
@@ -99,7 +99,7 @@
   public void keepsUsingServersThatAnsweredDuringPause() throws Exception {
     List<SlotServer> replicas = fleet.servers().subList(SHARD, SHARD + 2);
     for (int round = 0; round < 4; round++) {
-      replicas.forEach(server -> server.slow(5));
+      replicas.forEach(server -> server.setSlowdown(5));
       List<Socket> inFlight = new ArrayList<>();
       for (int i = 0; i < 4; i++) {
         inFlight.add(send(1.4, SHARD));
@@ -107,7 +107,7 @@
       TimeUnit.MILLISECONDS.sleep(20);
       node.pause();
       TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
-      replicas.forEach(server -> server.slow(1));
+      replicas.forEach(server -> server.setSlowdown(1));
       node.resume();
       assertEquals(statusesOf(sendAfterPause()), Collections.nCopies(20, 200), "round " + round);
       statusesOf(inFlight);
@@ -136,7 +136,7 @@
   @Test
   public void answersConnectionsMadeDuringPauseInTime() throws Exception {
     double timeoutMs = 1300;
-    fleet.servers().forEach(server -> server.silent(true));
+    fleet.servers().forEach(server -> server.setUnresponsive(true));
     node.pause();
     double sentAt = System.nanoTime() / 1e6;
     List<Socket> clients = new ArrayList<>();
--- a/src/test/java/bitternpulley/process/SeveralProcessesTest.java
+++ b/src/test/java/bitternpulley/process/SeveralProcessesTest.java
@@ -33,7 +33,10 @@
     fleet = new Fleet(new EventLoop(), CELLS, 2);
     for (int i = 0; i < NODES; i++) {
       nodes.add(
-          new Node("n" + i, fleet.configuration(i, NODES, "127.0.0.1:" + Ports.free(), 200), null)
+          new Node(
+                  "n" + i,
+                  fleet.configuration(i, NODES, "127.0.0.1:" + Ports.reservePort(), 200),
+                  null)
               .start());
     }
     for (Node node : nodes) {
@@ -46,7 +49,7 @@
     for (Node node : nodes) {
       node.close();
     }
-    assertEquals(fleet.rules().breaches(), List.of());
+    assertEquals(fleet.ruleCheck().firstViolations(), List.of());
   }
 
   private record Answer(TestClient.Reply reply, double elapsedMs) {}
@@ -56,7 +59,7 @@
       throws Exception {
     List<Socket> sockets = new ArrayList<>();
     for (Node node : nodes) {
-      sockets.add(TestClient.connect(node.front().toString()));
+      sockets.add(TestClient.connect(node.queryAddress().toString()));
     }
     List<byte[]> queries = new ArrayList<>();
     for (int i = 0; i < NODES; i++) {
@@ -121,11 +124,11 @@
   /** Guards against a timeout that counts from when the query is read, which a pause delays. */
   @Test
   public void answersQueryReadLateWithinClientTimeout() throws Exception {
-    fleet.servers().get(2).silent(true);
-    fleet.servers().get(3).silent(true);
+    fleet.servers().get(2).setUnresponsive(true);
+    fleet.servers().get(3).setUnresponsive(true);
     List<Answer> answers = queryAll("unread", 0.45, 300, 2);
-    fleet.servers().get(2).silent(false);
-    fleet.servers().get(3).silent(false);
+    fleet.servers().get(2).setUnresponsive(false);
+    fleet.servers().get(3).setUnresponsive(false);
     for (Answer answer : answers) {
       assertTrue(
           answer.reply().status() != 200 && answer.elapsedMs() <= 450 + TOLERANCE_MS,
@@ -136,8 +139,8 @@
   /** Guards against clients that wait for their whole timeout when no server can take a part. */
   @Test(dependsOnMethods = "answersQueryReadLateWithinClientTimeout")
   public void rejectsQueryWithoutUsableServerAtOnce() throws Exception {
-    fleet.tell(fleet.servers().get(0), "draining");
-    fleet.tell(fleet.servers().get(1), "draining");
+    fleet.publishPhase(fleet.servers().get(0), "draining");
+    fleet.publishPhase(fleet.servers().get(1), "draining");
     for (int i = 0; i < NODES; i++) {
       String id = "told" + i + "-";
       Node node = nodes.get(i);
@@ -148,7 +151,7 @@
           () -> {
             try {
               return TestClient.exchange(
-                          node.front().toString(),
+                          node.queryAddress().toString(),
                           TestClient.queryRequest("slot-search", id + attempts[0]++, 1.2, 0),
                           "")
                       .status()
--- a/src/test/java/bitternpulley/routing/SettingsBuilder.java
+++ b/src/test/java/bitternpulley/routing/SettingsBuilder.java
@@ -4,7 +4,7 @@
 
 /** Builds settings for tests. The default is a small site of four cells without budgets. */
 public final class SettingsBuilder {
-  private int self = 0;
+  private int selfIndex = 0;
   private int instances = 1;
   private int zone = 0;
   private double tick = 5;
@@ -20,7 +20,7 @@
 
   public static SettingsBuilder from(Settings other) {
     SettingsBuilder builder = new SettingsBuilder();
-    builder.self = other.self();
+    builder.selfIndex = other.selfIndex();
     builder.instances = other.instances();
     builder.zone = other.zone();
     builder.tick = other.tick();
@@ -36,8 +36,8 @@
     return builder;
   }
 
-  public SettingsBuilder self(int value) {
-    self = value;
+  public SettingsBuilder selfIndex(int value) {
+    selfIndex = value;
     return this;
   }
 
@@ -103,7 +103,7 @@
 
   public Settings build() {
     return new Settings(
-        self,
+        selfIndex,
         instances,
         zone,
         tick,
