--- a/src/test/java/bitternpulley/trace/DecisionTraceTest.java
+++ b/src/test/java/bitternpulley/trace/DecisionTraceTest.java
@@ -6,7 +6,7 @@
 import bitternpulley.config.BrokerConfigurationReader;
 import bitternpulley.config.SettingsReader;
 import bitternpulley.config.StrictJson;
-import bitternpulley.contracts.ContractBook;
+import bitternpulley.contracts.ContractSet;
 import bitternpulley.routing.Router;
 import bitternpulley.routing.Settings;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -115,14 +115,14 @@
               drainAt + 1200,
               () -> {
                 simulation.servers.restart(server, simulation.now);
-                simulation.sendEndpointList(Router.ListKind.CHANGES, server);
+                simulation.sendEndpointList(Router.EndpointListKind.CHANGES, server);
               });
         }
         simulation.schedule(
             TraceSimulation.BEGIN + 15_000,
             () ->
                 simulation.sendEndpointList(
-                    Router.ListKind.COMPLETE, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10));
+                    Router.EndpointListKind.COMPLETE, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10));
       }
     },
     OPERATOR_COMMANDS {
@@ -157,7 +157,7 @@
             TraceSimulation.BEGIN + 12_000,
             () -> simulation.activateContracts(site.book().withVersion(2)));
         simulation.schedule(
-            TraceSimulation.BEGIN + 16_000, () -> simulation.activateContracts(ContractBook.NONE));
+            TraceSimulation.BEGIN + 16_000, () -> simulation.activateContracts(ContractSet.NONE));
       }
     },
     LEASES {
@@ -171,7 +171,7 @@
               TraceSimulation.BEGIN + 3000 + 2000 * i,
               () -> {
                 simulation.servers.restart(server, simulation.now);
-                simulation.sendEndpointList(Router.ListKind.CHANGES, server);
+                simulation.sendEndpointList(Router.EndpointListKind.CHANGES, server);
               });
         }
         simulation.schedule(
@@ -181,7 +181,7 @@
     };
 
     /** The contracts of a site and the teams that its load uses. */
-    record SiteContracts(ContractBook book, List<String> teams) {}
+    record SiteContracts(ContractSet book, List<String> teams) {}
 
     abstract void prepare(TraceSimulation simulation, SiteContracts site);
 
@@ -191,7 +191,7 @@
 
     private static void changeState(TraceSimulation simulation, int server, String state) {
       simulation.servers.setState(server, state);
-      simulation.sendEndpointList(Router.ListKind.CHANGES, server);
+      simulation.sendEndpointList(Router.EndpointListKind.CHANGES, server);
     }
   }
 
@@ -249,7 +249,7 @@
 
   private static Scenario.SiteContracts contractsOf(String site) {
     if (!site.equals("quetta-desk")) {
-      return new Scenario.SiteContracts(ContractBook.NONE, List.of());
+      return new Scenario.SiteContracts(ContractSet.NONE, List.of());
     }
     return new Scenario.SiteContracts(
         BrokerConfigurationReader.read(TRACES.resolve("teams.star"), Optional.of(settings(site, 0)))
--- a/src/test/java/bitternpulley/trace/EffectDigestWriter.java
+++ b/src/test/java/bitternpulley/trace/EffectDigestWriter.java
@@ -91,17 +91,17 @@
           "refused",
           request,
           rejected.retryAfter(),
-          ending(rejected.ending()),
+          ending(rejected.finalState()),
           rejected.contract() == null ? ABSENT : decision(rejected.contract()));
     } else if (answer instanceof Effect.Answer.Failed failed) {
-      addLine("failed", request, ending(failed.ending()));
+      addLine("failed", request, ending(failed.finalState()));
     } else {
       addLine("faulty", request);
     }
   }
 
   @Override
-  public void onWakeAt(Effect.WakeAt effect) {
+  public void onScheduleEvent(Effect.ScheduleEvent effect) {
     addLine("wake", effect.time(), wakeEvent(effect.event()));
   }
 
@@ -133,7 +133,7 @@
   @Override
   public void onChargeSettled(Effect.ChargeSettled effect) {
     UsageCharge charge = effect.charge();
-    addLine("settled", charge.team(), charge.booked(), charge.used());
+    addLine("settled", charge.team(), charge.estimatedWork(), charge.measuredWork());
   }
 
   @Override
@@ -191,7 +191,9 @@
   }
 
   private static String payload(MemberPayload payload) {
-    return payload == null ? ABSENT : payload.count() + ":" + Arrays.hashCode(payload.bytes());
+    return payload == null
+        ? ABSENT
+        : payload.sequenceNumber() + ":" + Arrays.hashCode(payload.bytes());
   }
 
   private static String lease(LeaseMessage message) {
@@ -225,10 +227,10 @@
         charge.team(),
         String.valueOf(charge.version()),
         String.valueOf(position(charge.basis())),
-        Double.toHexString(charge.booked()));
+        Double.toHexString(charge.estimatedWork()));
   }
 
-  private static String ending(Effect.Answer.Ending ending) {
+  private static String ending(Effect.Answer.FinalState ending) {
     return ending.timedOut() + " " + ending.mayHaveRun() + " " + missing(ending.missing());
   }
 
--- a/src/test/java/bitternpulley/trace/HedgingTraceTest.java
+++ b/src/test/java/bitternpulley/trace/HedgingTraceTest.java
@@ -90,7 +90,7 @@
 
     String run() {
       router.onServersChanged(
-          Router.ListKind.COMPLETE,
+          Router.EndpointListKind.COMPLETE,
           IntStream.range(0, servers.size()).mapToObj(this::endpoint).toList(),
           now,
           this);
@@ -106,7 +106,7 @@
             () -> {
               servers.restart(server, now);
               router.onServersChanged(
-                  Router.ListKind.CHANGES, List.of(endpoint(server)), now, this);
+                  Router.EndpointListKind.CHANGES, List.of(endpoint(server)), now, this);
             });
       }
       while (!tasks.isEmpty() && tasks.peek().time() < DURATION_MS + 10_000) {
@@ -115,7 +115,7 @@
         next.action().run();
         router.completeBatch(now, this);
       }
-      return digest.end();
+      return digest.finish();
     }
 
     private Router.Endpoint endpoint(int server) {
--- a/src/test/java/bitternpulley/trace/TraceDigest.java
+++ b/src/test/java/bitternpulley/trace/TraceDigest.java
@@ -34,7 +34,7 @@
    * Ends the digest and returns the number of lines and the first 12 bytes of the digest in
    * hexadecimal.
    */
-  public String end() {
+  public String finish() {
     return lines + " " + HexFormat.of().formatHex(digest.digest(), 0, 12);
   }
 }
--- a/src/test/java/bitternpulley/trace/TraceSimulation.java
+++ b/src/test/java/bitternpulley/trace/TraceSimulation.java
@@ -5,7 +5,7 @@
 import bitternpulley.broker.OperatorOverrides;
 import bitternpulley.broker.Reducer;
 import bitternpulley.broker.Request;
-import bitternpulley.contracts.ContractBook;
+import bitternpulley.contracts.ContractSet;
 import bitternpulley.leases.LeaseTerms;
 import bitternpulley.leases.Leases;
 import bitternpulley.membership.MemberMetadata;
@@ -59,8 +59,10 @@
     for (int i = 0; i < this.settings.instances(); i++) {
       instances.add(new Reducer(settings.apply(i), seed * 31 + i, now));
     }
-    sendEndpointList(Router.ListKind.REMEMBERED, IntStream.range(0, servers.size()).toArray());
-    sendEndpointList(Router.ListKind.COMPLETE, IntStream.range(0, servers.size()).toArray());
+    sendEndpointList(
+        Router.EndpointListKind.PERSISTED, IntStream.range(0, servers.size()).toArray());
+    sendEndpointList(
+        Router.EndpointListKind.COMPLETE, IntStream.range(0, servers.size()).toArray());
   }
 
   void schedule(double time, Runnable action) {
@@ -75,14 +77,14 @@
     }
     now = until;
     instances.forEach(instance -> digest.add("open", instance.pendingRequests()));
-    return digest.end();
+    return digest.finish();
   }
 
   /**
    * Sends the current state of these servers to all instances. At the start of the simulation the
    * instances receive it at once, later each instance receives it after a random delay.
    */
-  void sendEndpointList(Router.ListKind kind, int... serverIndexes) {
+  void sendEndpointList(Router.EndpointListKind kind, int... serverIndexes) {
     List<Router.Endpoint> endpoints = IntStream.of(serverIndexes).mapToObj(this::endpoint).toList();
     for (int i = 0; i < instances.size(); i++) {
       int instance = i;
@@ -106,7 +108,7 @@
   }
 
   void sendFailedEndpointList() {
-    submitToAll(new Event.ServersChanged(Router.ListKind.FAILED, List.of()));
+    submitToAll(new Event.ServersChanged(Router.EndpointListKind.FAILED, List.of()));
   }
 
   void submitToAll(Event event) {
@@ -122,7 +124,7 @@
             new OperatorOverrides.OperatorCommand(server, enabled), null));
   }
 
-  void activateContracts(ContractBook book) {
+  void activateContracts(ContractSet book) {
     submitToAll(new Event.ContractsActivated(book));
   }
 
@@ -236,7 +238,7 @@
           .map(key -> key.substring(key.indexOf(':') + 1))
           .toList()
           .forEach(attemptKey -> cancelUnsent(instance, attemptKey));
-    } else if (effect instanceof Effect.WakeAt alarm) {
+    } else if (effect instanceof Effect.ScheduleEvent alarm) {
       schedule(alarm.time(), () -> submit(instance, alarm.event()));
     } else if (effect instanceof Effect.PersistOverride persist) {
       persistOverride(persist.command());
