--- a/src/main/java/bitternpulley/broker/Broker.java
+++ b/src/main/java/bitternpulley/broker/Broker.java
@@ -35,9 +35,9 @@
     this.performer = new EffectPerformer(clock, timer, this::submit);
   }
 
-  /** Adds a dialect that receives the effects that concern a server as a whole. */
-  public void addProtocolAdapter(ProtocolAdapter dialect) {
-    performer.addProtocolAdapter(dialect);
+  /** Adds a protocol adapter that receives the effects that concern a server as a whole. */
+  public void addProtocolAdapter(ProtocolAdapter adapter) {
+    performer.addProtocolAdapter(adapter);
   }
 
   /** Sets the component that carries out the effects of operator commands. */
@@ -105,7 +105,8 @@
     try {
       effect.dispatch(performer);
     } catch (RuntimeException failure) {
-      // A failure in one dialect must not prevent the remaining effects from being carried out.
+      // A failure in one protocol adapter must not prevent the remaining effects from being carried
+      // out.
       LOG.log(Level.ERROR, "Could not carry out " + effect, failure);
       compensate(effect);
     }
--- a/src/main/java/bitternpulley/broker/CallBatcher.java
+++ b/src/main/java/bitternpulley/broker/CallBatcher.java
@@ -11,8 +11,8 @@
  * call holds up to {@code domain.bundleMax} parts.
  */
 final class CallBatcher {
-  /** The destination of a call; attempts of different dialects never share a call. */
-  private record Destination(String server, ProtocolAdapter dialect) {}
+  /** The destination of a call; attempts of different protocols never share a call. */
+  private record Destination(String server, ProtocolAdapter protocolAdapter) {}
 
   private CallBatcher() {}
 
--- a/src/main/java/bitternpulley/broker/Effect.java
+++ b/src/main/java/bitternpulley/broker/Effect.java
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Send at least two attempts of one dialect to one server, as one call if the dialect has shared
-   * calls.
+   * Send at least two attempts of one protocol to one server, as one call if the protocol has
+   * shared calls.
    */
   record StartCall(List<StartAttempt> attempts) implements Effect {
     @Override
@@ -206,8 +206,8 @@
     record Rejected(double retryAfter, FinalState finalState, AdmissionDecision.Rejected contract)
         implements Answer {
       /** A rejection by the routing policy. */
-      public Rejected(double retryAfter, FinalState ending) {
-        this(retryAfter, ending, null);
+      public Rejected(double retryAfter, FinalState finalState) {
+        this(retryAfter, finalState, null);
       }
     }
 
--- a/src/main/java/bitternpulley/broker/EffectPerformer.java
+++ b/src/main/java/bitternpulley/broker/EffectPerformer.java
@@ -13,7 +13,7 @@
   private final Clock clock;
   private final Broker.Timer timer;
   private final Consumer<Event> submit;
-  private final List<ProtocolAdapter> dialects = new ArrayList<>();
+  private final List<ProtocolAdapter> protocolAdapters = new ArrayList<>();
   private OperatorCommands operatorCommands;
   private GossipTransport gossipTransport;
 
@@ -28,8 +28,8 @@
     this.submit = submit;
   }
 
-  void addProtocolAdapter(ProtocolAdapter dialect) {
-    dialects.add(dialect);
+  void addProtocolAdapter(ProtocolAdapter adapter) {
+    protocolAdapters.add(adapter);
   }
 
   void setOperatorCommands(OperatorCommands commands) {
@@ -67,7 +67,7 @@
 
   @Override
   public void onCancelUnsentTo(Effect.CancelUnsentTo effect) {
-    dialects.forEach(dialect -> dialect.cancelUnsentTo(effect.server()));
+    protocolAdapters.forEach(adapter -> adapter.cancelUnsentTo(effect.server()));
   }
 
   @Override
@@ -82,7 +82,7 @@
 
   @Override
   public void onCloseIdleConnections(Effect.CloseIdleConnections effect) {
-    dialects.forEach(dialect -> dialect.closeIdleConnections(effect.server()));
+    protocolAdapters.forEach(adapter -> adapter.closeIdleConnections(effect.server()));
   }
 
   @Override
--- a/src/main/java/bitternpulley/broker/Payload.java
+++ b/src/main/java/bitternpulley/broker/Payload.java
@@ -1,4 +1,6 @@
 package bitternpulley.broker;
 
-/** Data that a dialect attaches to a request or an outcome; the core does not interpret it. */
+/**
+ * Data that a protocol adapter attaches to a request or an outcome; the core does not interpret it.
+ */
 public interface Payload {}
--- a/src/main/java/bitternpulley/broker/Request.java
+++ b/src/main/java/bitternpulley/broker/Request.java
@@ -13,7 +13,7 @@
  * @param retry whether the client marked it as a retry
  * @param terms requirements of the client in addition to those of the query class
  * @param parts its parts; attempts and answers refer to them by position
- * @param payload data that the dialect needs to send and answer the request
+ * @param payload data that the protocol adapter needs to send and answer the request
  * @param team the team identified for the request; null if none was identified
  * @param fingerprint identifies the query among those of its team when it is sent again; 0 if
  *     unknown
@@ -35,7 +35,7 @@
   /** Creates a request that has no team and was read without delay. */
   public Request(
       long id,
-      ProtocolAdapter dialect,
+      ProtocolAdapter protocolAdapter,
       int queryClass,
       double timeLeft,
       boolean retry,
@@ -44,7 +44,7 @@
       Payload payload) {
     this(
         id,
-        dialect,
+        protocolAdapter,
         queryClass,
         timeLeft,
         retry,
--- a/src/main/java/bitternpulley/broker/package-info.java
+++ b/src/main/java/bitternpulley/broker/package-info.java
@@ -2,7 +2,7 @@
  * The core of an aggregator: {@link bitternpulley.broker.Broker} feeds typed events to one {@link
  * bitternpulley.broker.Reducer}, which drives the routing policy and returns effects. The broker
  * then carries out the effects, those for clients and servers through a {@link
- * bitternpulley.broker.Dialect}.
+ * bitternpulley.broker.ProtocolAdapter}.
  *
  * <p>The core keeps the state of requests, parts and attempts, and enforces the limits on attempts.
  * It does not choose servers, timeouts or answers, which is up to the routing policy, and does not
--- a/src/test/java/bitternpulley/broker/BrokerTest.java
+++ b/src/test/java/bitternpulley/broker/BrokerTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests that requests are still answered when a dialect throws. */
+/** Tests that requests are still answered when a protocol adapter throws. */
 public class BrokerTest {
   private static final double START = 1000;
   private static final double END = 10_000;
@@ -30,7 +30,7 @@
   }
 
   /** Answers each attempt after 50 ms; throws once in the method that a test selects. */
-  private final class FailingDialect implements ProtocolAdapter {
+  private final class FailingProtocolAdapter implements ProtocolAdapter {
     private Method failing;
 
     void failNext(Method method) {
@@ -84,7 +84,7 @@
       new PriorityQueue<>(Comparator.comparingDouble(ScheduledTask::time));
   private final List<Effect.Answer> answers = new ArrayList<>();
   private final List<AttemptId> started = new ArrayList<>();
-  private FailingDialect dialect;
+  private FailingProtocolAdapter protocolAdapter;
   private double now;
   private Broker broker;
 
@@ -94,7 +94,7 @@
     answers.clear();
     started.clear();
     now = START;
-    dialect = new FailingDialect();
+    protocolAdapter = new FailingProtocolAdapter();
     Settings.QueryClass keyed =
         new QueryClassBuilder().idempotency(Settings.Idempotency.KEYED).build();
     Settings settings =
@@ -110,7 +110,7 @@
   private void runOneRequest() {
     broker.submit(
         new Event.RequestReceived(
-            new RequestBuilder(broker.nextRequestId()).dialect(dialect).build()));
+            new RequestBuilder(broker.nextRequestId()).protocolAdapter(protocolAdapter).build()));
     while (!scheduledTasks.isEmpty() && scheduledTasks.peek().time() < END) {
       ScheduledTask next = scheduledTasks.poll();
       now = Math.max(now, next.time());
@@ -119,8 +119,8 @@
   }
 
   @Test
-  public void retriesAttemptThatTheDialectFailedToSend() {
-    dialect.failNext(Method.START);
+  public void retriesAttemptThatTheProtocolAdapterFailedToSend() {
+    protocolAdapter.failNext(Method.START);
     runOneRequest();
     assertEquals(started, List.of(new AttemptId(1, 1)), "only the second attempt was sent");
     assertEquals(answers.size(), 1);
@@ -128,8 +128,8 @@
   }
 
   @Test
-  public void repliesWithFailureWhenTheDialectFailedToWriteTheAnswer() {
-    dialect.failNext(Method.REPLY);
+  public void repliesWithFailureWhenTheProtocolAdapterFailedToWriteTheAnswer() {
+    protocolAdapter.failNext(Method.REPLY);
     runOneRequest();
     assertEquals(answers.size(), 1);
     assertTrue(answers.get(0) instanceof Effect.Answer.Failed, answers.toString());
--- a/src/test/java/bitternpulley/broker/ReducerHarness.java
+++ b/src/test/java/bitternpulley/broker/ReducerHarness.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** A reducer with four live servers and no dialect, on a clock that the test sets. */
+/** A reducer with four live servers and no protocol adapter, on a clock that the test sets. */
 final class ReducerHarness {
   static final long SEED = 7;
   static final double START = 1000;
--- a/src/test/java/bitternpulley/broker/RequestBuilder.java
+++ b/src/test/java/bitternpulley/broker/RequestBuilder.java
@@ -7,7 +7,7 @@
 /** Builds a request for tests. By default it has one part, the terms of its class and no delay. */
 final class RequestBuilder {
   private final long id;
-  private ProtocolAdapter dialect = null;
+  private ProtocolAdapter protocolAdapter = null;
   private double timeLeft = 3000;
   private Router.Terms terms = Router.Terms.CLASS_DEFAULT;
   private List<Request.QueryPart> parts = List.of(new Request.QueryPart(0, 1, 0));
@@ -17,8 +17,8 @@
     this.id = id;
   }
 
-  RequestBuilder dialect(ProtocolAdapter value) {
-    dialect = value;
+  RequestBuilder protocolAdapter(ProtocolAdapter value) {
+    protocolAdapter = value;
     return this;
   }
 
@@ -47,6 +47,7 @@
   }
 
   Request build() {
-    return new Request(id, dialect, 0, timeLeft, false, terms, parts, null, null, 0, lateness);
+    return new Request(
+        id, protocolAdapter, 0, timeLeft, false, terms, parts, null, null, 0, lateness);
   }
 }
