--- a/src/test/java/bitternpulley/broker/AttemptLifecycleTest.java
+++ b/src/test/java/bitternpulley/broker/AttemptLifecycleTest.java
@@ -175,7 +175,7 @@
 
   private List<Effect.ScheduleEvent> timeoutAlarms() {
     return harness.effectsOf(Effect.ScheduleEvent.class).stream()
-        .filter(wake -> wake.event() instanceof Event.AttemptTimedOut)
+        .filter(alarm -> alarm.event() instanceof Event.AttemptTimedOut)
         .toList();
   }
 }
--- a/src/test/java/bitternpulley/broker/FleetHarness.java
+++ b/src/test/java/bitternpulley/broker/FleetHarness.java
@@ -111,8 +111,9 @@
       attemptTimes.computeIfAbsent(start.server(), server -> new ArrayList<>()).add(now);
       Event ended = new Event.AttemptEnded(start.id(), Router.Outcome.OK, new TestValue("answer"));
       scheduledEvents.add(new ScheduledEvent(now + WORK, instance, ended));
-    } else if (effect instanceof Effect.ScheduleEvent wake) {
-      scheduledEvents.add(new ScheduledEvent(Math.max(now, wake.time()), instance, wake.event()));
+    } else if (effect instanceof Effect.ScheduleEvent scheduled) {
+      scheduledEvents.add(
+          new ScheduledEvent(Math.max(now, scheduled.time()), instance, scheduled.event()));
     } else if (effect instanceof Effect.CancelUnsentTo cancel) {
       unsentCancellations.merge(cancel.server(), 1, Integer::sum);
     } else if (effect instanceof Effect.CancelAttempt cancel) {
--- a/src/test/java/bitternpulley/broker/PolicyFailureTest.java
+++ b/src/test/java/bitternpulley/broker/PolicyFailureTest.java
@@ -103,8 +103,8 @@
                 new Event.AttemptEnded(start.id(), Router.Outcome.OK, new TestValue("v"))));
       } else if (effect instanceof Effect.CancelAttempt cancel) {
         scheduledEvents.add(new ScheduledEvent(now + 1, new Event.AttemptCancelled(cancel.id())));
-      } else if (effect instanceof Effect.ScheduleEvent wake) {
-        scheduledEvents.add(new ScheduledEvent(Math.max(wake.time(), now), wake.event()));
+      } else if (effect instanceof Effect.ScheduleEvent scheduled) {
+        scheduledEvents.add(new ScheduledEvent(Math.max(scheduled.time(), now), scheduled.event()));
       }
     }
   }
--- a/src/test/java/bitternpulley/trace/DecisionTraceTest.java
+++ b/src/test/java/bitternpulley/trace/DecisionTraceTest.java
@@ -148,14 +148,14 @@
     CONTRACTS {
       @Override
       void prepare(TraceSimulation simulation, Scenario.SiteContracts site) {
-        simulation.activateContracts(site.book());
+        simulation.activateContracts(site.contracts());
         simulation.generateLoad(18, endTime(), 6, site.teams());
         simulation.schedule(
             TraceSimulation.BEGIN + 4000,
             () -> simulation.generateLoad(6, TraceSimulation.BEGIN + 10_000, 6, site.teams()));
         simulation.schedule(
             TraceSimulation.BEGIN + 12_000,
-            () -> simulation.activateContracts(site.book().withVersion(2)));
+            () -> simulation.activateContracts(site.contracts().withVersion(2)));
         simulation.schedule(
             TraceSimulation.BEGIN + 16_000, () -> simulation.activateContracts(ContractSet.NONE));
       }
@@ -181,7 +181,7 @@
     };
 
     /** The contracts of a site and the teams that its load uses. */
-    record SiteContracts(ContractSet book, List<String> teams) {}
+    record SiteContracts(ContractSet contracts, List<String> teams) {}
 
     abstract void prepare(TraceSimulation simulation, SiteContracts site);
 
--- a/src/test/java/bitternpulley/trace/EffectDigestWriter.java
+++ b/src/test/java/bitternpulley/trace/EffectDigestWriter.java
@@ -91,10 +91,10 @@
           "refused",
           request,
           rejected.retryAfter(),
-          ending(rejected.finalState()),
+          finalState(rejected.finalState()),
           rejected.contract() == null ? ABSENT : decision(rejected.contract()));
     } else if (answer instanceof Effect.Answer.Failed failed) {
-      addLine("failed", request, ending(failed.finalState()));
+      addLine("failed", request, finalState(failed.finalState()));
     } else {
       addLine("faulty", request);
     }
@@ -230,8 +230,8 @@
         Double.toHexString(charge.estimatedWork()));
   }
 
-  private static String ending(Effect.Answer.FinalState ending) {
-    return ending.timedOut() + " " + ending.mayHaveRun() + " " + missing(ending.missing());
+  private static String finalState(Effect.Answer.FinalState state) {
+    return state.timedOut() + " " + state.mayHaveRun() + " " + missing(state.missing());
   }
 
   private static String missing(Map<Integer, Effect.Answer.MissingPart> missing) {
--- a/src/test/java/bitternpulley/trace/TraceSimulation.java
+++ b/src/test/java/bitternpulley/trace/TraceSimulation.java
@@ -124,8 +124,8 @@
             new OperatorOverrides.OperatorCommand(server, enabled), null));
   }
 
-  void activateContracts(ContractSet book) {
-    submitToAll(new Event.ContractsActivated(book));
+  void activateContracts(ContractSet contracts) {
+    submitToAll(new Event.ContractsActivated(contracts));
   }
 
   /** Starts membership and leases between the instances. */
