--- a/src/main/java/bitternpulley/config/ConfigurationReader.java
+++ b/src/main/java/bitternpulley/config/ConfigurationReader.java
@@ -43,7 +43,7 @@
     List<String> zones = zones(settings);
     SettingsValidator.validate(settings, zones.size());
     EndpointList lastEndpoints = lastEndpoints(file.path("known"), zones);
-    int sockets = sockets(file.path("limits"));
+    int maxSockets = maxSockets(file.path("limits"));
     int callsPerConnection =
         (int)
             nonNegativeSetting(
@@ -55,7 +55,7 @@
         file.requiredAddress("LB_LISTEN", "listen"),
         file.requiredAddress("LB_DISCOVERY", "discovery"),
         seed(file),
-        sockets,
+        maxSockets,
         lastEndpoints,
         SettingsReader.read(settings).withMinimumTick(MIN_TICK_MS),
         new Configuration.ConnectionSettings(
@@ -63,7 +63,7 @@
             keepalive,
             nonNegativeSetting(settings.path("costs"), "handshake", 0) > 0),
         zones,
-        operations(file),
+        processSettings(file),
         peers(file));
   }
 
@@ -99,7 +99,7 @@
                 }));
   }
 
-  private static int sockets(JsonNode limits) {
+  private static int maxSockets(JsonNode limits) {
     double sockets =
         Sections.inSection("limits", () -> Fields.nonNegative(limits, "sockets", DEFAULT_SOCKETS));
     if (sockets < MIN_SOCKETS) {
@@ -120,7 +120,7 @@
     }
   }
 
-  private static Configuration.ProcessSettings operations(ConfigurationFile file) {
+  private static Configuration.ProcessSettings processSettings(ConfigurationFile file) {
     Optional<HostPort> admin =
         file.text("LB_ADMIN", "admin").isEmpty()
             ? Optional.empty()
--- a/src/main/java/bitternpulley/health/TenantQuotas.java
+++ b/src/main/java/bitternpulley/health/TenantQuotas.java
@@ -28,10 +28,10 @@
   }
 
   /** Records a query and the number of its parts. */
-  public void recordRequest(int tenant, int parts, double now) {
-    requestedParts.add(now, parts);
+  public void recordRequest(int tenant, int partCount, double now) {
+    requestedParts.add(now, partCount);
     if (tenant < requestedPartsByTenant.size()) {
-      requestedPartsByTenant.get(tenant).add(now, parts);
+      requestedPartsByTenant.get(tenant).add(now, partCount);
     }
   }
 
--- a/src/main/java/bitternpulley/platform/FrameType.java
+++ b/src/main/java/bitternpulley/platform/FrameType.java
@@ -19,8 +19,8 @@
 
   private final char typeCode;
 
-  FrameType(char letter) {
-    this.typeCode = letter;
+  FrameType(char typeCode) {
+    this.typeCode = typeCode;
   }
 
   char typeCode() {
@@ -28,9 +28,9 @@
   }
 
   /** Returns the type with this code, or null if there is none. */
-  static FrameType ofTypeCode(char letter) {
+  static FrameType ofTypeCode(char typeCode) {
     for (FrameType type : VALUES) {
-      if (type.typeCode == letter) {
+      if (type.typeCode == typeCode) {
         return type;
       }
     }
--- a/src/main/java/bitternpulley/platform/SlotCall.java
+++ b/src/main/java/bitternpulley/platform/SlotCall.java
@@ -51,7 +51,7 @@
   /** Returns the attempts that may no longer be sent at the time {@code now}, in ms. */
   List<AttemptId> expiredAt(double now) {
     return parts.entrySet().stream()
-        .filter(p -> now > p.getValue().attempt().sendBy())
+        .filter(entry -> now > entry.getValue().attempt().sendBy())
         .map(Map.Entry::getKey)
         .toList();
   }
--- a/src/main/java/bitternpulley/platform/SlotConnection.java
+++ b/src/main/java/bitternpulley/platform/SlotConnection.java
@@ -234,7 +234,8 @@
     List<AttemptId> attempts = inFlight.attempts();
     attempts.forEach(this::remove);
     close();
-    attempts.forEach(a -> owner.onEvent(new Event.AttemptEnded(a, Outcome.NOT_SENT, null)));
+    attempts.forEach(
+        attempt -> owner.onEvent(new Event.AttemptEnded(attempt, Outcome.NOT_SENT, null)));
   }
 
   /**
@@ -248,7 +249,7 @@
     loop.execute(
         () ->
             attempts.forEach(
-                a -> owner.onEvent(new Event.AttemptEnded(a, Outcome.NOT_SENT, null))));
+                attempt -> owner.onEvent(new Event.AttemptEnded(attempt, Outcome.NOT_SENT, null))));
   }
 
   private void remove(AttemptId attempt) {
--- a/src/main/java/bitternpulley/platform/SlotConnectionPool.java
+++ b/src/main/java/bitternpulley/platform/SlotConnectionPool.java
@@ -198,7 +198,7 @@
     try {
       SlotConnection opened = new SlotConnection(loop, timing, owner, server, address);
       openCount++;
-      connections.computeIfAbsent(server, s -> new ArrayList<>()).add(opened);
+      connections.computeIfAbsent(server, ignored -> new ArrayList<>()).add(opened);
       return opened;
     } catch (UncheckedIOException failure) {
       LOG.log(
--- a/src/main/java/bitternpulley/platform/SlotFrames.java
+++ b/src/main/java/bitternpulley/platform/SlotFrames.java
@@ -69,13 +69,14 @@
    * them.
    */
   static boolean fitInOneFrame(List<Effect.StartAttempt> attempts) {
-    return attempts.stream().mapToInt(a -> callSection(a, partId(a)).length).sum()
+    return attempts.stream().mapToInt(attempt -> callSection(attempt, partId(attempt)).length).sum()
         < FrameCodec.MAX_FRAME_BYTES;
   }
 
   /** Encodes a frame that calls one or more parts. */
   static ByteBuffer encodeCall(List<byte[]> sections) {
-    ByteBuffer payload = ByteBuffer.allocate(sections.stream().mapToInt(s -> s.length).sum());
+    ByteBuffer payload =
+        ByteBuffer.allocate(sections.stream().mapToInt(section -> section.length).sum());
     sections.forEach(payload::put);
     return FrameCodec.encode(FrameType.CALL.typeCode(), payload.array());
   }
--- a/src/main/java/bitternpulley/platform/SlotServers.java
+++ b/src/main/java/bitternpulley/platform/SlotServers.java
@@ -131,7 +131,7 @@
   public void startCall(List<Effect.StartAttempt> attempts) {
     SlotConnection connection = connectionFor(attempts);
     if (connection != null) {
-      attempts.forEach(a -> connectionsByAttempt.put(a.id(), connection));
+      attempts.forEach(attempt -> connectionsByAttempt.put(attempt.id(), connection));
       connection.startCall(attempts);
     } else if (attempts.size() > 1) {
       attempts.forEach(this::start);
--- a/src/main/java/bitternpulley/platform/SyntheticQueries.java
+++ b/src/main/java/bitternpulley/platform/SyntheticQueries.java
@@ -43,8 +43,8 @@
 
   /** Returns the query with this number, with only a few parts. */
   String smallQuery(int number) {
-    int parts = Math.min(1 + number % MAX_SMALL_QUERY_PARTS, settings.layout().shards());
-    return request(number, parts);
+    int partCount = Math.min(1 + number % MAX_SMALL_QUERY_PARTS, settings.layout().shards());
+    return request(number, partCount);
   }
 
   /**
@@ -57,9 +57,9 @@
     return Math.max(1, Math.min(settings.layout().shards(), Math.min(pendingLimit, bodyLimit)));
   }
 
-  private String request(int number, int parts) {
+  private String request(int number, int partCount) {
     Settings.QueryClass queryClass = settings.classes().get(number % settings.classes().size());
-    String body = body(number, parts);
+    String body = body(number, partCount);
     return "POST /"
         + queryClass.name()
         + " HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: r"
@@ -76,11 +76,13 @@
         + body;
   }
 
-  private String body(int number, int parts) {
+  private String body(int number, int partCount) {
     int shards = settings.layout().shards();
     String partList =
-        IntStream.range(0, parts)
-            .mapToObj(i -> "{\"slice\":" + (number + i) % shards + ",\"mass\":" + 1.0 / parts + "}")
+        IntStream.range(0, partCount)
+            .mapToObj(
+                part ->
+                    "{\"slice\":" + (number + part) % shards + ",\"mass\":" + 1.0 / partCount + "}")
             .collect(Collectors.joining(","));
     return "{\"slices\":[" + partList + "],\"filter\":\"c41e77d0\"}";
   }
--- a/src/main/java/bitternpulley/platform/WarmupQueries.java
+++ b/src/main/java/bitternpulley/platform/WarmupQueries.java
@@ -74,7 +74,7 @@
   private final int maxBodyBytes;
   private final EventLoop loop;
   private final Broker broker;
-  private final QueryFrontend frontend;
+  private final QueryFrontend queryFrontend;
   private final PriorityQueue<ScheduledTask> scheduledTasks =
       new PriorityQueue<>(Comparator.comparingDouble(ScheduledTask::time));
   private final List<Effect.StartAttempt> unansweredAttempts = new ArrayList<>();
@@ -105,14 +105,16 @@
             new Reducer(settings, 1, time),
             () -> time,
             (ms, task) -> scheduledTasks.add(new ScheduledTask(time + ms, task)));
-    frontend =
+    queryFrontend =
         new QueryFrontend(settings, broker, this, () -> false, () -> TenantIdentification.NONE);
     broker.addProtocolAdapter(this);
     broker.submit(
         new Event.ServersChanged(
             Router.EndpointListKind.PERSISTED,
             IntStream.range(0, settings.layout().cells())
-                .mapToObj(c -> new Router.Endpoint("r" + c, c % 2, c, Router.ServerState.LIVE, 0))
+                .mapToObj(
+                    cell ->
+                        new Router.Endpoint("r" + cell, cell % 2, cell, Router.ServerState.LIVE, 0))
                 .toList()));
   }
 
@@ -203,7 +205,7 @@
       return;
     }
     ByteBuffer frame = SlotFrames.encodeResult(partId, statusOf(attemptCount), VALUE);
-    new FrameCodec().read(frame, f -> submitResult(attempt, f));
+    new FrameCodec().read(frame, result -> submitResult(attempt, result));
   }
 
   private static ResultStatus statusOf(int attemptNumber) {
@@ -231,7 +233,7 @@
 
   @Override
   public void reply(Effect.Reply reply) {
-    frontend.reply(reply);
+    queryFrontend.reply(reply);
   }
 
   @Override
@@ -267,7 +269,7 @@
 
     @Override
     public void end() {
-      frontend.handle(new HttpServer.Request(requestHead, requestBody), this);
+      queryFrontend.handle(new HttpServer.Request(requestHead, requestBody), this);
     }
 
     @Override
--- a/src/test/java/bitternpulley/platform/SlotFramesTest.java
+++ b/src/test/java/bitternpulley/platform/SlotFramesTest.java
@@ -50,18 +50,18 @@
   }
 
   @Test(dataProvider = "unusableResults")
-  public void errorOfUnusableResultNamesServerFrameTypeAndDefect(String rest, String defect) {
+  public void errorOfUnusableResultNamesServerFrameTypeAndDefect(String payload, String defect) {
     try {
-      SlotFrames.decodeResult("s-1", bytes(rest));
+      SlotFrames.decodeResult("s-1", bytes(payload));
     } catch (ProtocolException expected) {
       assertEquals(expected.getMessage(), "slot server s-1, RESULT frame: " + defect);
       return;
     }
-    throw new AssertionError("no violation: " + rest);
+    throw new AssertionError("no violation: " + payload);
   }
 
   @Test
-  public void findsFrameTypesByTheirLetters() {
+  public void findsFrameTypesByTheirTypeCodes() {
     for (FrameType type : FrameType.values()) {
       assertEquals(FrameType.ofTypeCode(type.typeCode()), type);
     }
--- a/src/test/java/bitternpulley/policy/ManyPartsTest.java
+++ b/src/test/java/bitternpulley/policy/ManyPartsTest.java
@@ -44,19 +44,19 @@
   }
 
   /** CPU time in ns, per part, to handle the answers to a query with one part for each shard. */
-  private static double costPerPart(int parts) {
+  private static double costPerPart(int partCount) {
     double lowest = Double.POSITIVE_INFINITY;
     for (int round = 0; round < ROUNDS; round++) {
-      lowest = Math.min(lowest, (double) costOfAllAnswers(parts));
+      lowest = Math.min(lowest, (double) costOfAllAnswers(partCount));
     }
-    return lowest / parts;
+    return lowest / partCount;
   }
 
-  private static long costOfAllAnswers(int parts) {
+  private static long costOfAllAnswers(int partCount) {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    PolicyHarness harness = harnessWithQueryOfAllShards(parts);
+    PolicyHarness harness = harnessWithQueryOfAllShards(partCount);
     List<PolicyHarness.Send> sends = List.copyOf(harness.sends);
-    assertEquals(parts, sends.size());
+    assertEquals(partCount, sends.size());
     harness.now = 20;
     long before = threads.getCurrentThreadCpuTime();
     for (PolicyHarness.Send send : sends) {
