--- a/src/main/java/bitternpulley/faultinjection/DatagramProxy.java
+++ b/src/main/java/bitternpulley/faultinjection/DatagramProxy.java
@@ -32,7 +32,7 @@
   private final ScheduledExecutorService delayedDeliveries =
       Executors.newSingleThreadScheduledExecutor(
           task -> {
-            Thread thread = new Thread(task, "datagram-proxy-delayed");
+            Thread thread = new Thread(task, "paths-later");
             thread.setDaemon(true);
             return thread;
           });
@@ -58,7 +58,7 @@
         }
       }
     }
-    Thread thread = new Thread(this::run, "datagram-proxy");
+    Thread thread = new Thread(this::run, "paths");
     thread.setDaemon(true);
     thread.start();
   }
--- a/src/main/java/bitternpulley/faultinjection/StreamProxy.java
+++ b/src/main/java/bitternpulley/faultinjection/StreamProxy.java
@@ -77,7 +77,7 @@
 
   /** Starts a proxy without links. */
   public StreamProxy() throws IOException {
-    Thread thread = new Thread(this::run, "stream-proxy");
+    Thread thread = new Thread(this::run, "stream-paths");
     thread.setDaemon(true);
     thread.start();
   }
--- a/src/main/java/bitternpulley/faultinjection/package-info.java
+++ b/src/main/java/bitternpulley/faultinjection/package-info.java
@@ -9,7 +9,7 @@
  * killed and restarted. {@link bitternpulley.faultinjection.DirectedLink} is one direction of a
  * link between two parties; {@link bitternpulley.faultinjection.DatagramProxy} and {@link
  * bitternpulley.faultinjection.StreamProxy} carry the traffic over these links. {@link
- * bitternpulley.faultinjection.Callers} sends queries to the processes and counts the answers.
+ * bitternpulley.faultinjection.QueryClients} sends queries to the processes and counts the answers.
  * {@link bitternpulley.faultinjection.Timeline} records the injected faults and the observations.
  * The message of a failure has the command that replays the seed. Start with {@link
  * bitternpulley.faultinjection.Cluster}.
