--- a/src/main/java/bitternpulley/benchmark/MeasureContracts.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureContracts.java
@@ -288,15 +288,15 @@
     return Math.round(value * 1000) / 1000.0;
   }
 
-  private String platformRequest(String queryClass, String id, int firstShard, int parts) {
+  private String platformRequest(String queryClass, String id, int firstShard, int partCount) {
     StringBuilder slices = new StringBuilder();
-    for (int i = 0; i < parts; i++) {
+    for (int part = 0; part < partCount; part++) {
       slices
-          .append(i == 0 ? "" : ",")
+          .append(part == 0 ? "" : ",")
           .append("{\"slice\":")
-          .append((firstShard + i) % CELLS)
+          .append((firstShard + part) % CELLS)
           .append(",\"mass\":")
-          .append(1.0 / parts)
+          .append(1.0 / partCount)
           .append('}');
     }
     String body =
--- a/src/main/java/bitternpulley/benchmark/MeasureMembership.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembership.java
@@ -161,7 +161,7 @@
                 + "\n2500 cold s"
                 + (3 + random.nextInt(3)))
         .run(cluster);
-    for (int i = 0; i < 7; i++) {
+    for (int sample = 0; sample < 7; sample++) {
       TimeUnit.MILLISECONDS.sleep(500);
       recordLeaseQuotas();
     }
@@ -207,20 +207,23 @@
   }
 
   private boolean hasConverged() {
-    return IntStream.range(0, NODES).allMatch(i -> cluster.allReportState(i, "alive"))
+    return IntStream.range(0, NODES).allMatch(member -> cluster.allReportState(member, "alive"))
         && cluster.viewsEqual();
   }
 
   /** Returns how many bytes in datagrams the process that has sent the most has sent so far. */
   private double maxBytesSent() {
-    return IntStream.range(0, NODES).mapToDouble(i -> cluster.datagramBytesSent(i)).max().orElse(0);
+    return IntStream.range(0, NODES)
+        .mapToDouble(node -> cluster.datagramBytesSent(node))
+        .max()
+        .orElse(0);
   }
 
   /** Returns how often the processes have declared a member dead that is not excluded. */
   private int countDeathDeclarationsExcept(List<Integer> excluded) throws IOException {
     int deaths = 0;
-    for (int i = 0; i < NODES; i++) {
-      deaths += excluded.contains(i) ? 0 : (int) cluster.countDeathDeclarations(i);
+    for (int member = 0; member < NODES; member++) {
+      deaths += excluded.contains(member) ? 0 : (int) cluster.countDeathDeclarations(member);
     }
     return deaths;
   }
--- a/src/main/java/bitternpulley/benchmark/MeasureMembershipCase.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureMembershipCase.java
@@ -82,11 +82,11 @@
   /** Returns a scenario that repeats lines, each with a time in ms and a fault, at an interval. */
   private static String repeated(int intervalMs, int times, String... lines) {
     StringBuilder scenario = new StringBuilder();
-    for (int i = 0; i < times; i++) {
+    for (int repetition = 0; repetition < times; repetition++) {
       for (String line : lines) {
         String[] timeAndFault = line.split(" ", 2);
         scenario
-            .append(i * intervalMs + Integer.parseInt(timeAndFault[0]))
+            .append(repetition * intervalMs + Integer.parseInt(timeAndFault[0]))
             .append(' ')
             .append(timeAndFault[1])
             .append('\n');
@@ -151,7 +151,7 @@
   }
 
   private static boolean hasConverged(Cluster cluster) {
-    return IntStream.range(0, NODES).allMatch(i -> cluster.allReportState(i, "alive"))
+    return IntStream.range(0, NODES).allMatch(member -> cluster.allReportState(member, "alive"))
         && cluster.viewsEqual();
   }
 
@@ -162,8 +162,8 @@
   private static long countDeathDeclarations(
       Cluster cluster, Set<Integer> members, boolean included) throws IOException {
     long deaths = 0;
-    for (int i = 0; i < NODES; i++) {
-      deaths += members.contains(i) == included ? cluster.countDeathDeclarations(i) : 0;
+    for (int member = 0; member < NODES; member++) {
+      deaths += members.contains(member) == included ? cluster.countDeathDeclarations(member) : 0;
     }
     return deaths;
   }
--- a/src/main/java/bitternpulley/benchmark/MeasureScaleServers.java
+++ b/src/main/java/bitternpulley/benchmark/MeasureScaleServers.java
@@ -44,24 +44,25 @@
   /** Time in ms that a ready aggregator has to open its connections before the load starts. */
   private static final long CONNECT_TIME_MS = 8000;
 
-  private final int parts;
+  private final int partCount;
   private final ObjectMapper json = new ObjectMapper();
 
-  private MeasureScaleServers(int parts) {
-    this.parts = parts;
+  private MeasureScaleServers(int partCount) {
+    this.partCount = partCount;
   }
 
   /**
    * Runs the measurement.
    *
-   * @param args the parts of a query, then the numbers of servers
+   * @param args the number of parts of a query, then the numbers of servers
    */
   public static void main(String[] args) {
-    int parts = Integer.parseInt(args[0]);
+    int partCount = Integer.parseInt(args[0]);
     List<Integer> sizes =
-        IntStream.range(1, args.length).mapToObj(i -> Integer.parseInt(args[i])).toList();
+        IntStream.range(1, args.length).mapToObj(index -> Integer.parseInt(args[index])).toList();
     MeasurementRunner.run(
-        TIMEOUT_SECONDS, () -> System.out.println(new MeasureScaleServers(parts).measure(sizes)));
+        TIMEOUT_SECONDS,
+        () -> System.out.println(new MeasureScaleServers(partCount).measure(sizes)));
   }
 
   private ObjectNode measure(List<Integer> sizes) throws Exception {
@@ -74,7 +75,7 @@
     ObjectNode out =
         json.createObjectNode()
             .put("measure", "scale-servers")
-            .put("parts_per_query", parts)
+            .put("parts_per_query", partCount)
             .put("queries_per_second", QUERIES_PER_SECOND);
     out.putArray("sizes").addAll(rows);
     ObjectNode fits = out.putObject("per_server");
@@ -159,13 +160,13 @@
 
   private String request(int number, int firstShard, int size) {
     String slices =
-        IntStream.range(0, Math.min(parts, size))
+        IntStream.range(0, Math.min(partCount, size))
             .mapToObj(
-                i ->
+                part ->
                     "{\"slice\":"
-                        + (firstShard + i) % size
+                        + (firstShard + part) % size
                         + ",\"mass\":"
-                        + 1.0 / Math.min(parts, size)
+                        + 1.0 / Math.min(partCount, size)
                         + "}")
             .collect(Collectors.joining(","));
     String body = "{\"slices\":[" + slices + "],\"filter\":\"c41e77d0\"}";
@@ -231,7 +232,7 @@
         .put("connectTimeout", 250)
         .put("keepalive", 15000)
         .put("maxAttempts", 4)
-        .put("maxOpen", 100 * (parts + 1))
+        .put("maxOpen", 100 * (partCount + 1))
         .put("maxRetryAfter", 2000)
         .put("mayCancel", true)
         .put("retryAfter", true)
--- a/src/main/java/bitternpulley/benchmark/OpenLoopLoad.java
+++ b/src/main/java/bitternpulley/benchmark/OpenLoopLoad.java
@@ -62,10 +62,10 @@
   void run(int firstNumber, int count, double queriesPerSecond) throws InterruptedException {
     ExecutorService senders = Executors.newFixedThreadPool(CONNECTIONS);
     long startNanos = System.nanoTime();
-    for (int i = 0; i < count; i++) {
-      long dueNanos = startNanos + (long) (i * 1e9 / queriesPerSecond);
+    for (int index = 0; index < count; index++) {
+      long dueNanos = startNanos + (long) (index * 1e9 / queriesPerSecond);
       TimeUnit.NANOSECONDS.sleep(Math.max(0, dueNanos - System.nanoTime()));
-      int number = firstNumber + i;
+      int number = firstNumber + index;
       senders.execute(() -> sendQuery(number, dueNanos));
     }
     senders.shutdown();
--- a/src/main/java/bitternpulley/benchmark/TenantClients.java
+++ b/src/main/java/bitternpulley/benchmark/TenantClients.java
@@ -56,8 +56,8 @@
     /** Returns the sum of the counts from second {@code from} to before second {@code to}. */
     double sum(double[] countBySecond, int from, int to) {
       double sum = 0;
-      for (int i = Math.max(0, from); i < Math.min(to, countBySecond.length); i++) {
-        sum += countBySecond[i];
+      for (int second = Math.max(0, from); second < Math.min(to, countBySecond.length); second++) {
+        sum += countBySecond[second];
       }
       return sum;
     }
@@ -68,7 +68,7 @@
   private final HostPort address;
   private final Random random;
   private final double queriesPerSecond;
-  private final int parts;
+  private final int partCount;
   private final RetryBehavior retryBehavior;
   private final double latencyObjectiveMs;
   private final double deadlineMs;
@@ -88,7 +88,7 @@
       HostPort address,
       long seed,
       double queriesPerSecond,
-      int parts,
+      int partCount,
       RetryBehavior retryBehavior,
       double latencyObjectiveMs,
       double deadlineMs,
@@ -100,7 +100,7 @@
     this.address = address;
     this.random = new Random(seed);
     this.queriesPerSecond = queriesPerSecond;
-    this.parts = parts;
+    this.partCount = partCount;
     this.retryBehavior = retryBehavior;
     this.latencyObjectiveMs = latencyObjectiveMs;
     this.deadlineMs = deadlineMs;
@@ -156,7 +156,7 @@
               public void response(HttpClient.Response response) {
                 if (response.status() == 200) {
                   tally.servedInTime[second] += nowMs() - dueMs <= latencyObjectiveMs ? 1 : 0;
-                  tally.partsServed += parts;
+                  tally.partsServed += partCount;
                   tally.delayedRetriesServed += delayed && second >= tally.warmUpSeconds ? 1 : 0;
                 } else if (response.status() == 429 || response.status() == 503) {
                   handleRejection(
--- a/src/main/java/bitternpulley/emulator/Fleet.java
+++ b/src/main/java/bitternpulley/emulator/Fleet.java
@@ -68,9 +68,10 @@
     this.coresPerServer = coresPerServer;
     this.zones = List.copyOf(zones);
     searchPort = findFreePort(serverCount);
-    for (int i = 0; i < serverCount; i++) {
-      SlotServer server = new SlotServer("s" + i, i, serverCount, coresPerServer, loop, ruleCheck);
-      server.listen(HOST_PREFIX + (i + 1), searchPort);
+    for (int number = 0; number < serverCount; number++) {
+      SlotServer server =
+          new SlotServer("s" + number, number, serverCount, coresPerServer, loop, ruleCheck);
+      server.listen(HOST_PREFIX + (number + 1), searchPort);
       servers.add(server);
     }
     this.loop = loop;
@@ -106,8 +107,8 @@
         port = anyPort.getLocalPort();
       }
       try {
-        for (int i = 1; i < serverCount; i++) {
-          new ServerSocket(port, 1, InetAddress.getByName(HOST_PREFIX + (i + 1))).close();
+        for (int number = 1; number < serverCount; number++) {
+          new ServerSocket(port, 1, InetAddress.getByName(HOST_PREFIX + (number + 1))).close();
         }
         return port;
       } catch (IOException exception) {
--- a/src/main/java/bitternpulley/emulator/StubSlotServers.java
+++ b/src/main/java/bitternpulley/emulator/StubSlotServers.java
@@ -39,12 +39,13 @@
 
   /** Starts {@code serverCount} servers, one for each shard, and discovery. */
   public StubSlotServers(int serverCount, int loopCount) throws IOException {
-    loops = IntStream.range(0, loopCount).mapToObj(i -> new EventLoop()).toList();
+    loops = IntStream.range(0, loopCount).mapToObj(ignored -> new EventLoop()).toList();
     List<HostPort> listenAddresses = new ArrayList<>();
-    for (int i = 0; i < serverCount; i++) {
-      String host = "127.4." + i / HOSTS_PER_BLOCK + "." + (1 + i % HOSTS_PER_BLOCK);
+    for (int server = 0; server < serverCount; server++) {
+      String host = "127.4." + server / HOSTS_PER_BLOCK + "." + (1 + server % HOSTS_PER_BLOCK);
       listenAddresses.add(
-          new StreamServer(Session::new).listen(loops.get(i % loopCount), new HostPort(host, 0)));
+          new StreamServer(Session::new)
+              .listen(loops.get(server % loopCount), new HostPort(host, 0)));
     }
     addresses = List.copyOf(listenAddresses);
     String fullList = endpointList().toString();
@@ -70,13 +71,13 @@
   public ObjectNode endpointList() {
     ObjectNode list = JSON.createObjectNode().put("revision", 1).put("complete", true);
     ArrayNode entries = list.putArray("members");
-    for (int i = 0; i < addresses.size(); i++) {
+    for (int server = 0; server < addresses.size(); server++) {
       entries
           .addObject()
-          .put("id", "s" + i)
-          .put("host_port", addresses.get(i).toString())
+          .put("id", "s" + server)
+          .put("host_port", addresses.get(server).toString())
           .put("locality", ZONE)
-          .put("cell", i)
+          .put("cell", server)
           .put("phase", "up")
           .put("size", 1.0)
           .put("up_since_ms", 0);
--- a/src/main/java/bitternpulley/faultinjection/QueryClients.java
+++ b/src/main/java/bitternpulley/faultinjection/QueryClients.java
@@ -17,7 +17,7 @@
 /**
  * Emulates the clients of a cluster. They send queries at random times derived from a seed, each to
  * a random process over a connection of its own, and count every answer on it. A query is lost if
- * it gets no answer in time although its process was not disturbed meanwhile; whoever kills or
+ * it gets no answer in time although its process was not disturbed meanwhile; code that kills or
  * pauses a process must report it with {@link #beginDisturbance}.
  */
 public final class QueryClients {
@@ -97,11 +97,11 @@
     int firstShard = random.nextInt(6);
     int partCount = queryClass == 2 ? 6 : 1 + random.nextInt(3);
     StringBuilder slices = new StringBuilder();
-    for (int i = 0; i < partCount; i++) {
+    for (int part = 0; part < partCount; part++) {
       slices
-          .append(i == 0 ? "" : ",")
+          .append(part == 0 ? "" : ",")
           .append("{\"slice\":")
-          .append((firstShard + i) % 6)
+          .append((firstShard + part) % 6)
           .append(",\"mass\":")
           .append(1.0 / partCount)
           .append('}');
