--- a/src/main/java/bitternpulley/contracts/package-info.java
+++ b/src/main/java/bitternpulley/contracts/package-info.java
@@ -1,6 +1,8 @@
 /**
- * Decides which queries are admitted when several teams, the tenants, share one aggregator. Each
- * team has a {@link bitternpulley.contracts.Contract} and an account. {@link
+ * Decides which queries are admitted when several teams share one aggregator. "Team" and "tenant"
+ * name the same thing here, the customer of a contract; the admin reports and the contract log say
+ * team. The tenants in the platform's settings are separate from contracts and serve load shedding.
+ * Each team has a {@link bitternpulley.contracts.Contract} and an account. {@link
  * bitternpulley.contracts.AdmissionControl} admits a query on its team's guaranteed quota or on
  * capacity that other teams leave idle, or rejects the query with a Retry-After and reserves
  * capacity for its return. Start reading there. {@code CapacityEstimate} estimates the capacity to
--- a/src/main/java/bitternpulley/leases/package-info.java
+++ b/src/main/java/bitternpulley/leases/package-info.java
@@ -14,8 +14,8 @@
  * and restarts; a member is listed until its lease has certainly expired; a member without leases
  * from a majority of the witnesses has quota 0.
  *
- * <p>The package knows nothing of queries and does not detect failures: a dead member is one that
- * stops requesting leases. The broker calls it; the routing policy reads {@link
+ * <p>The package has no knowledge of queries and does not detect failures: a dead member is one
+ * that stops requesting leases. The broker calls it; the routing policy reads {@link
  * bitternpulley.leases.Leases#quotaFactor}. Start reading at {@link bitternpulley.leases.Leases},
  * which combines {@code LeaseHolder} for the leases that this member holds and {@code LeaseWitness}
  * for those that it grants as a witness.
--- a/src/main/java/bitternpulley/net/package-info.java
+++ b/src/main/java/bitternpulley/net/package-info.java
@@ -8,7 +8,7 @@
  * sends and receives UDP datagrams.
  *
  * <p>This package decides when a connection is accepted, evicted, timed out and closed. It does not
- * interpret messages and knows nothing of queries, endpoint lists or members.
+ * interpret messages and has no knowledge of queries, endpoint lists or members.
  *
  * <p>Invariants: every buffer, queue and wait has a bound, given by the caller or defined here.
  * Handlers run one at a time, in turns of the loop, and must not block. A slow, silent or faulty
