--- a/src/test/java/bitternpulley/process/ContractsProcessTest.java
+++ b/src/test/java/bitternpulley/process/ContractsProcessTest.java
@@ -85,7 +85,7 @@
         "no API key, and no index of a tenant");
     assertEquals(deployment.sendQuery("slot-search", "q1", 0).status(), 200);
     Reply noTenant = deployment.sendQuery("slot-booking", "q2", 0);
-    assertEquals(noTenant.status(), 429, "no tenant has this class on this front");
+    assertEquals(noTenant.status(), 429, "no tenant has this class on this front end");
     assertTrue(noTenant.body().contains("no contract"), noTenant.body());
     assertFalse(
         noTenant.headers().containsKey("retry-after"), "a retry would not be admitted either");
--- a/src/test/java/bitternpulley/process/LeasesProcessTest.java
+++ b/src/test/java/bitternpulley/process/LeasesProcessTest.java
@@ -56,7 +56,7 @@
             assertTrue(
                 quotas.values().stream().mapToDouble(quota -> quota).sum()
                     <= 1 + ROUNDING_TOLERANCE,
-                "the sum of the shares of all exceeds the whole: " + quotas);
+                "the sum of the quotas of all processes exceeds 1: " + quotas);
             return quotas.keySet().equals(expectedQuotas.keySet())
                 && quotas.entrySet().stream()
                     .allMatch(
