--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 test:
 	mvn -B -ntp verify
 
-# Formatter, compiler warnings, Error Prone and Checkstyle, as `mvn verify` runs them too.
+# Formatter, compiler warnings, Error Prone and Checkstyle; `mvn verify` also runs them.
 lint:
 	mvn -q -B -ntp clean process-test-classes spotless:check
 
@@ -17,7 +17,7 @@
 run: build
 	$$(sed -n 's/^run = "exec \(.*\)"$$/\1/p' deploy/balancer.toml)
 
-# The real program against stand-ins of ours; the last line is one JSON object (docs/contracts.md).
+# The real program with emulated clients and servers; the last line is one JSON object (docs/contracts.md).
 measure-contracts: build
 	java -cp target/bitternpulley.jar bitternpulley.benchmark.MeasureContracts $(SEED)
 
@@ -25,30 +25,30 @@
 measure-membership: build
 	java -cp target/bitternpulley.jar bitternpulley.benchmark.MeasureMembership $(SEED)
 
-# Twelve processes, of which all but one are killed and one stands still for 30 s.
+# Twelve processes, of which one is paused for 30 s and all but one of the others are killed.
 measure-membership-many: build
 	java -cp target/bitternpulley.jar bitternpulley.benchmark.MeasureMembershipMany $(SEED)
 
-# One hard case by its name, with seven processes; without a name it tells them.
+# One fault scenario, selected by CASE, with seven processes; without CASE the names are printed.
 measure-membership-case: build
 	java -cp target/bitternpulley.jar bitternpulley.benchmark.MeasureMembershipCase $(CASE) $(SEED)
 
-# One real aggregator before hollow slot servers, 130 parts a query; needs 20,000 descriptors (docs/CAPACITY.md).
+# One real aggregator with stub slot servers, 130 parts per query; needs 20,000 descriptors (docs/CAPACITY.md).
 measure-scale-servers:
 	mvn -q -DskipTests package dependency:build-classpath -Dmdep.outputFile=target/classpath
 	java -cp target/classes:$$(cat target/classpath) bitternpulley.benchmark.MeasureScaleServers $(or $(PARTS),130) $(or $(SIZES),100 500 1000 2000 3500)
 
-# Members of the real state machine and codec in virtual time: bytes and processor time of each.
+# Simulated members with the real state machine and codec: bytes and processor time per member.
 measure-scale-control:
 	mvn -q -DskipTests test-compile dependency:build-classpath -Dmdep.outputFile=target/classpath
 	java -cp target/classes:target/test-classes:$$(cat target/classpath) bitternpulley.gossip.ControlTraffic $(or $(SIZES),10 30 100 300 530)
 
-# Virtual time, some minutes: the table of docs/membership.md.
+# Simulates detection times for the table in docs/membership.md; takes some minutes.
 table-membership:
 	mvn -q -DskipTests test-compile dependency:build-classpath -Dmdep.outputFile=target/classpath
 	java -cp target/classes:target/test-classes:$$(cat target/classpath) bitternpulley.membership.DetectionTimeTable
 
-# JMH; not in CI.
+# JMH benchmarks; not run in CI.
 bench-contracts:
 	mvn -q -Pbench -DskipTests -Dbench=AdmissionBenchmark test-compile exec:exec
 
--- a/deploy/broker.star
+++ b/deploy/broker.star
@@ -1,7 +1,8 @@
-# What operators set beyond the platform's own configuration. LB_BROKER names this file or another; unset, as on the platform,
-# there are no contracts. docs/contracts.md explains every key; `java -jar target/bitternpulley.jar check FILE` checks a file.
+# Settings of the operators in addition to the platform's configuration. LB_BROKER is the path of this file or another one; if
+# it is unset, as on the platform, there are no contracts. docs/contracts.md explains every key;
+# `java -jar target/bitternpulley.jar check FILE` checks a file.
 
-# The OpenSearch-style front; listen = None: off.
+# The OpenSearch-style front end; listen = None disables it.
 opensearch(
     listen = None,
     server_port = 9200,
@@ -15,11 +16,12 @@
     },
 )
 
-# Who of the other aggregators is here (docs/membership.md); on = False: off.
+# Membership: which other aggregators are running (docs/membership.md); on = False disables it.
 membership(on = False)
 
-# Whether what cold servers bear is divided by those that run, not by the number configured; needs membership().
+# Leases: whether the load limit of servers that warm up is divided by the number of running aggregators instead of the
+# configured number; needs membership().
 leases(on = False)
 
-# Whether the operators' door lists the accounts (call: accounts).
+# Whether the admin endpoint lists the accounts (call: accounts).
 accounts(list = True)
