--- a/src/main/java/bitternpulley/admin/AdminEndpoint.java
+++ b/src/main/java/bitternpulley/admin/AdminEndpoint.java
@@ -179,7 +179,7 @@
   }
 
   @Override
-  public void quiesce(boolean quiesced) {
+  public void setQuiesced(boolean quiesced) {
     LOG.log(
         Level.INFO,
         quiesced
--- a/src/main/java/bitternpulley/broker/EffectPerformer.java
+++ b/src/main/java/bitternpulley/broker/EffectPerformer.java
@@ -97,7 +97,7 @@
 
   @Override
   public void onQuiesce(Effect.Quiesce effect) {
-    operatorCommands.quiesce(effect.enabled());
+    operatorCommands.setQuiesced(effect.enabled());
   }
 
   @Override
--- a/src/main/java/bitternpulley/broker/OperatorCommands.java
+++ b/src/main/java/bitternpulley/broker/OperatorCommands.java
@@ -12,5 +12,5 @@
   void reject(Effect.RejectCommand command);
 
   /** Quiesces or resumes this instance. */
-  void quiesce(boolean enabled);
+  void setQuiesced(boolean quiesced);
 }
